--- /dev/null
+++ b/tier/entry/golden_test.go
@@ -0,0 +1,78 @@
+package entry
+
+import (
+	"encoding/json"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
+
+	entrygen "loomgap/tier/gen/entry"
+)
+
+// TestWordsKeepTheirForm holds the words and messages that callers and other hosts
+// read to those that are in use.
+func TestWordsKeepTheirForm(t *testing.T) {
+	var out strings.Builder
+	for _, v := range []any{
+		[]string{OutcomeComplete, OutcomePartial, OutcomeNotRun, OutcomeUnknown},
+		[]string{MethodRelay, MethodOrder, MethodAdopt},
+		adoptRequest{Host: "H1", Incarnation: "a", Next: 3, Tickets: []HandedTicket{
+			{Counter: 1, Left: time.Second, Statement: "place", Answer: &entrygen.Answer{RequestID: "H1/a/1"}}, {Counter: 2},
+		}},
+		Ticket{Host: "H1", Incarnation: "a", Counter: 1}.String(),
+	} {
+		text, err := json.Marshal(v)
+		assert.NilError(t, err)
+		out.Write(text)
+		out.WriteByte('\n')
+	}
+	golden.Assert(t, out.String(), "words.golden")
+}
+
+// TestMetricsKeepTheirNames holds the names and labels of all metrics to those that
+// operators' dashboards read: each string literal of the product that names one.
+func TestMetricsKeepTheirNames(t *testing.T) {
+	var names []string
+	for _, module := range []string{"tier", "platform", "loomd"} {
+		err := filepath.WalkDir(filepath.Join("../..", module), func(path string, d fs.DirEntry, err error) error {
+			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+				return err
+			}
+			names = append(names, metricsIn(t, path)...)
+			return nil
+		})
+		assert.NilError(t, err)
+	}
+	slices.Sort(names)
+	golden.Assert(t, strings.Join(slices.Compact(names), "\n")+"\n", "metrics.golden")
+}
+
+// metricsIn lists the literals of a file that name a metric or a label of one.
+func metricsIn(t *testing.T, path string) []string {
+	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+	assert.NilError(t, err)
+	var out []string
+	ast.Inspect(file, func(n ast.Node) bool {
+		l, ok := n.(*ast.BasicLit)
+		if !ok || l.Kind != token.STRING {
+			return true
+		}
+		text, err := strconv.Unquote(l.Value)
+		assert.NilError(t, err)
+		if strings.HasPrefix(text, "loomgap_") || strings.Contains(text, `="`) {
+			out = append(out, text)
+		}
+		return true
+	})
+	return out
+}
