--- a/tier/entry/golden_test.go
+++ b/tier/entry/golden_test.go
@@ -44,7 +44,7 @@
 func TestMetricsKeepTheirNames(t *testing.T) {
 	var names []string
 	for _, module := range []string{"tier", "platform", "loomd"} {
-		err := filepath.WalkDir(filepath.Join("../..", module), func(path string, d fs.DirEntry, err error) error {
+		err := filepath.WalkDir(filepath.Join("../..", module), func(path string, _ fs.DirEntry, err error) error {
 			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
 			}
