--- a/tier/policy/admit.go
+++ b/tier/policy/admit.go
@@ -133,7 +133,7 @@
 		best := time.Duration(math.MaxInt64)
 		for _, u := range r.parts[i].replicas {
 			if !u.leaving {
-				best = min(best, u.wait(r.pool)+u.latencyOr(r.pool.Median()))
+				best = min(best, u.wait(r.pool)+u.latency.or(r.pool.Median()))
 			}
 		}
 		switch {
--- a/tier/policy/choose.go
+++ b/tier/policy/choose.go
@@ -25,7 +25,7 @@
 
 // Score implements Chooser.
 func (leastTime) Score(now time.Duration, u *Upstream, p *Pool, r Random) float64 {
-	latency := u.latencyOr(p.Median())
+	latency := u.latency.or(p.Median())
 	ahead := u.slots.ahead()
 	score := latency.Seconds() * (1 + ahead) * (1 + 0.05*r.Float64())
 	if u.outlier.marked || u.backoff.active(now) {
--- /dev/null
+++ b/tier/policy/condition.go
@@ -0,0 +1,116 @@
+package policy
+
+import "time"
+
+// Constants of conditions.
+const (
+	// reportSlow is how many times slower than its like an upstream must be to be
+	// reported. Measured with reportFaults: from 1.6 and 0.15 on, reports were two in
+	// five bytes between halls (60 hosts in simulated time).
+	reportSlow = 3
+	// reportFaults is the share of calls without a usable answer from which on an
+	// upstream is reported. Measured with reportSlow.
+	reportFaults = 0.25
+	// reportFresh is the greatest age of the last call to an upstream that is
+	// reported: one that all hosts avoid is tried again once reports end. Not
+	// measured.
+	reportFresh = 3 * time.Second
+	// conditionLife is how long a report is believed: one comes with each batch
+	// that the other hall answers. Not measured.
+	conditionLife = 3 * time.Second
+	// faultWeight is how much one call counts in the share of faults. Not measured.
+	faultWeight = 0.1
+	// staleAfter is for how long what this host saw counts in full. Not measured.
+	staleAfter = time.Second
+	// staleFull is the age from which on it counts for staleLeast. Not measured.
+	staleFull = 5 * time.Second
+	// staleLeast is the part that what this host saw counts for when it is old, so
+	// that an upstream which was slow is asked again. Not measured.
+	staleLeast = 0.5
+)
+
+// Condition is a host's report of an upstream of its own hall that does worse
+// than others.
+type Condition struct {
+	Upstream string
+	// Slowness is how many times as long its calls take as like ones; 0 or more.
+	Slowness int `json:",omitempty"`
+	// FaultPercent is the share of its calls that bring no usable answer, 0 to 100.
+	FaultPercent int `json:",omitempty"`
+}
+
+// hallConditions is the last report about the upstreams of one hall.
+type hallConditions struct {
+	// reported holds the upstreams that do worse than others; the rest do well.
+	reported map[string]Condition
+	at       time.Duration
+}
+
+// condition is how slow and how faulty an upstream is, by this host's own calls and
+// by the reports of its hall.
+type condition struct {
+	// slowness is the smoothed ratio of its calls' time to the median of like
+	// calls; 0 before the first call. Unlike the latency it does not depend on
+	// which routes' calls it had last.
+	slowness float64
+	// faults is the smoothed share of calls that brought no usable answer, 0 to 1.
+	faults float64
+	// seenAt is when this host's last call to it ended.
+	seenAt time.Duration
+	// hall is the report about its hall; nil if there can be none.
+	hall *hallConditions
+}
+
+// observeOutcome takes in how a call ended. Outcomes that say nothing of the upstream
+// leave the share of faults as it is.
+func (c *condition) observeOutcome(now time.Duration, o CallOutcome) {
+	c.seenAt = now
+	switch {
+	case o == CallOK:
+		c.faults -= faultWeight * c.faults
+	case o == CallShed || o.broken() && o != CallLate:
+		c.faults += faultWeight * (1 - c.faults)
+	}
+}
+
+// observeRatio takes in how many times as long a call took as like ones.
+func (c *condition) observeRatio(ratio, weight float64) {
+	if c.slowness == 0 {
+		c.slowness = ratio
+	}
+	c.slowness += weight * (ratio - c.slowness)
+}
+
+// worthReporting reports whether this host saw lately that the upstream does worse
+// than others.
+func (c *condition) worthReporting(now time.Duration) bool {
+	return now-c.seenAt <= reportFresh && (c.slowness > reportSlow || c.faults > reportFaults)
+}
+
+// expected is how slow and how faulty the upstream of a name is expected to be. What
+// this host saw itself counts for less as it gets old; a report that does not mention
+// the upstream bounds it by what would have been reported.
+func (c *condition) expected(now time.Duration, name string) (slowness, faults float64) {
+	fresh := freshness(now - c.seenAt)
+	slowness, faults = fresh, fresh*c.faults
+	if c.slowness > 0 {
+		slowness *= c.slowness
+	}
+	if c.hall == nil || now-c.hall.at > conditionLife {
+		return slowness, faults
+	}
+	r, worse := c.hall.reported[name]
+	if !worse {
+		return min(slowness, reportSlow), min(faults, reportFaults)
+	}
+	return max(slowness, float64(r.Slowness)), max(faults, float64(r.FaultPercent)/100)
+}
+
+// freshness is how much of what this host saw counts after some time, staleLeast to 1.
+func freshness(age time.Duration) float64 {
+	if age <= staleAfter {
+		return 1
+	}
+	passed := min(float64(age-staleAfter)/float64(staleFull-staleAfter), 1)
+	return 1 - (1-staleLeast)*passed
+}
--- a/tier/policy/conditions_test.go
+++ b/tier/policy/conditions_test.go
@@ -49,10 +49,10 @@
 func TestWhatIsNotToldOfDoesWell(t *testing.T) {
 	f := routedFleet(1, RetryBudget{})
 	u := f.Find("F0")
-	u.slowness, u.samples, u.sampledAt = 20, 5, 0
-	slowness, _ := u.condition(0)
+	u.condition.slowness, u.latency.samples, u.condition.seenAt = 20, 5, 0
+	slowness, _ := u.condition.expected(0, u.Name)
 	assert.Equal(t, slowness, 20.0)
 	f.TakeConditions(0, "B", nil)
-	slowness, _ = u.condition(0)
+	slowness, _ = u.condition.expected(0, u.Name)
 	assert.Equal(t, slowness, float64(reportSlow))
 }
--- a/tier/policy/fleet.go
+++ b/tier/policy/fleet.go
@@ -13,8 +13,6 @@
 	// latencyLeap bounds how far one sample counts above the smoothed latency,
 	// so that one straggler does not make an upstream slow, but four do.
 	latencyLeap = 4
-	// faultWeight is how much one call counts in the share of faults.
-	faultWeight = 0.1
 	// listedWeight and listedLeap are the same for listed upstreams, of which
 	// this host sees few calls.
 	listedWeight = 0.25
@@ -95,7 +93,7 @@
 		u.leaving = s.Leaving || u.gone
 		u.listed, u.near, u.hall = s.Listed, s.Near, s.Hall
 		if s.Listed {
-			u.reported = f.conditionsOf(s.Hall)
+			u.condition.hall = f.conditionsOf(s.Hall)
 			u.cold.take(now, s.Cold)
 		}
 		next[s.Name] = u
@@ -240,11 +238,6 @@
 	Crowded bool
 }
 
-// Load is an upstream's own word on its work.
-type Load struct {
-	Running, Waiting, Slots int
-}
-
 // Finish gives the slot of a call back and learns from its outcome. The
 // waiters that got a slot are returned, for Deliver.
 func (f *Fleet) Finish(now time.Duration, c Call) []*Waiter {
@@ -317,7 +310,7 @@
 	for _, u := range f.upstreams {
 		out = append(out, UpstreamState{
 			Name: u.Name, InUse: u.slots.inUse, Share: u.slots.share, Queued: u.slots.queue.Len(),
-			Latency: u.latency, Window: u.window, Ejected: u.ejection.active(now), Leaving: u.leaving,
+			Latency: u.latency.smoothed, Window: u.window, Ejected: u.ejection.active(now), Leaving: u.leaving,
 			Evacuated: u.cold.told.Evacuated, Cold: now < u.cold.until, ColdOwner: u.cold.ownerAt(now),
 		})
 	}
--- /dev/null
+++ b/tier/policy/load_test.go
@@ -0,0 +1,39 @@
+package policy
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+func TestQueueReport(t *testing.T) {
+	const now = time.Minute
+	tests := []struct {
+		name string
+		load Load
+		age  time.Duration
+		want float64
+	}{
+		{"no report", Load{}, 0, 0},
+		{"no queue", Load{Running: 4, Slots: 4}, 0, 0},
+		{"just reported", Load{Running: 4, Waiting: 8, Slots: 4}, 0, 2},
+		{"half its life old", Load{Waiting: 8, Slots: 4}, loadLife / 2, 1},
+		{"too old", Load{Waiting: 8, Slots: 4}, loadLife, 0},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			q := queueReport{}
+			q.take(now, tt.load)
+			assert.Equal(t, q.ahead(now+tt.age), tt.want)
+		})
+	}
+}
+
+// TestQueueReportOutlastsAnswersWithoutOne has an answer come without a report.
+func TestQueueReportOutlastsAnswersWithoutOne(t *testing.T) {
+	q := queueReport{}
+	q.take(time.Minute, Load{Waiting: 4, Slots: 4})
+	q.take(time.Minute+loadLife/2, Load{})
+	assert.Equal(t, q.ahead(time.Minute), 1.0)
+}
--- a/tier/policy/route_test.go
+++ b/tier/policy/route_test.go
@@ -223,7 +223,7 @@
 	_, actions = routedRun(t, f, now, 1, 2, 1, true)
 	assert.Equal(t, sends(actions)[0].Upstream.Name, "F0")
 	far := f.Find("F0")
-	far.latency, far.slowness, far.samples = 40*time.Millisecond, 4, 10
+	far.latency, far.condition.slowness = latency{smoothed: 40 * time.Millisecond, samples: 10}, 4
 	answer(now, r, stuck, 60*time.Millisecond)
 	assert.Assert(t, !f.Stalled(now, stuck.Upstream))
 	_, actions = routedRun(t, f, now+time.Second, 1, 2, 1, true)
@@ -320,7 +320,7 @@
 		for range 2 * ejectAfter {
 			f.Finish(0, Call{Upstream: u, Pool: near, Outcome: o, Took: time.Millisecond, Elsewhere: true})
 		}
-		assert.Assert(t, u.fit(0) && u.faults == 0, "%s: %+v", o, u)
+		assert.Assert(t, u.fit(0) && u.condition.faults == 0, "%s: %+v", o, u)
 	}
 }
 
--- a/tier/policy/run_test.go
+++ b/tier/policy/run_test.go
@@ -65,7 +65,7 @@
 	m.upstreams = m.fleet.resolve(names)
 	if rapid.Bool().Draw(t, "warm") {
 		for _, u := range m.upstreams {
-			u.samples = warmSamples
+			u.latency.samples = warmSamples
 		}
 	}
 	return m
@@ -296,7 +296,7 @@
 	f.Apply(0, []Share{{Name: "A", Slots: 4}, {Name: "B", Slots: 4}})
 	upstreams := f.resolve([]string{"A", "B"})
 	for _, u := range upstreams {
-		u.samples = warmSamples
+		u.latency.samples = warmSamples
 	}
 	c := config.DefaultClass()
 	c.Admission = "None"
--- a/tier/policy/upstream.go
+++ b/tier/policy/upstream.go
@@ -16,8 +16,7 @@
 	slots slots
 	// leaving is true from the first sign that it leaves, from whatever source.
 	leaving  bool
-	latency  time.Duration
-	samples  int
+	latency  latency
 	ejection ejection
 	backoff  backoff
 	outlier  outlier
@@ -31,21 +30,10 @@
 	// stall is whether it answers nobody for the moment.
 	stall stall
 	// cold is whether it bears few calls for the moment.
-	cold cold
-	// slowness is the smoothed ratio of its calls' time to the median of like
-	// calls, for a listed upstream; 0 before the first call. Unlike the latency
-	// it does not depend on which routes' calls it had last.
-	slowness float64
-	// reported is the report about its hall; nil for an upstream that is not listed.
-	reported *hallConditions
-	// faults is the smoothed share of calls that brought no answer of use.
-	faults float64
-	// sampledAt is when the latency was last learnt of.
-	sampledAt time.Duration
-	// waiting is the calls in the upstream's own queue for each of its slots,
-	// as it said at waitingAt.
-	waiting   float64
-	waitingAt time.Duration
+	cold      cold
+	condition condition
+	// load is the queue that it reports.
+	load queueReport
 	// heardAt is when it last said what it holds, askedAt when its status was
 	// last read.
 	heardAt, askedAt time.Duration
@@ -74,7 +62,7 @@
 
 // starting reports whether the upstream is in its slow start: it gets one call at a
 // time until it has answered some.
-func (u *Upstream) starting() bool { return u.samples < warmSamples && !u.listed }
+func (u *Upstream) starting() bool { return u.latency.samples < warmSamples && !u.listed }
 
 // grant gives free slots to the waiters with the earliest deadlines. Waiters
 // past their deadline are dropped; their requests have answered by then.
@@ -94,12 +82,9 @@
 
 // learn updates latency and health from a call.
 func (u *Upstream) learn(now time.Duration, c Call) {
-	u.sampledAt = now
-	u.count(c.Outcome)
+	u.condition.observeOutcome(now, c.Outcome)
 	u.learnStall(now, c)
-	if c.Load.Slots > 0 {
-		u.waiting, u.waitingAt = float64(c.Load.Waiting)/float64(c.Load.Slots), now
-	}
+	u.load.take(now, c.Load)
 	u.learnLatency(c)
 	u.learnHealth(now, c.Outcome)
 	u.compare(c.Pool)
@@ -131,7 +116,7 @@
 		u.observe(c.Took, c.Pool)
 	case CallCancelled:
 		// The call would have taken at least this long: a lower bound.
-		if c.Took > u.latencyOr(c.Pool.Median()) {
+		if c.Took > u.latency.or(c.Pool.Median()) {
 			u.observe(c.Took, c.Pool)
 		}
 		if u.listed {
@@ -178,50 +163,23 @@
 	s.borrowing.succeeded(s.ceiling - s.share)
 }
 
-// count takes an outcome into the share of faults; those that say nothing of
-// the upstream leave it as it is.
-func (u *Upstream) count(o CallOutcome) {
-	switch {
-	case o == CallOK:
-		u.faults -= faultWeight * u.faults
-	case o == CallShed || o.broken() && o != CallLate:
-		u.faults += faultWeight * (1 - u.faults)
-	}
-}
-
+// observe takes in how long a call took, or counts for.
 func (u *Upstream) observe(d time.Duration, p *Pool) {
-	u.samples++
-	if u.latency == 0 {
-		u.latency = d
-	}
-	leap, least := latencyLeap, latencyWeight
+	s := smoothing{weight: latencyWeight, leap: latencyLeap}
 	if u.listed {
-		leap, least = listedLeap, listedWeight
-	}
-	weight := max(least, 1/float64(u.samples))
-	d = min(d, time.Duration(leap)*u.latency)
-	u.latency += time.Duration(weight * float64(d-u.latency))
-	ratio := d.Seconds() / p.Median().Seconds()
-	if u.slowness == 0 {
-		u.slowness = ratio
-	}
-	u.slowness += weight * (ratio - u.slowness)
-}
-
-func (u *Upstream) latencyOr(d time.Duration) time.Duration {
-	if u.latency == 0 {
-		return d
+		s = smoothing{weight: listedWeight, leap: listedLeap}
 	}
-	return u.latency
+	counted, weight := u.latency.observe(d, s)
+	u.condition.observeRatio(counted.Seconds()/p.Median().Seconds(), weight)
 }
 
 // stalled reports whether calls have waited without any answer for much longer
 // than they take.
-func (u *Upstream) stalled(now time.Duration) bool { return u.stall.holds(now, u.latency) }
+func (u *Upstream) stalled(now time.Duration) bool { return u.stall.holds(now, u.latency.smoothed) }
 
 // linger reports whether a call may linger, and notes it; one does at a time.
 func (u *Upstream) linger() bool {
-	if !u.listed || u.stall.lingering || u.waiting > 0 {
+	if !u.listed || u.stall.lingering || u.load.perSlot > 0 {
 		return false
 	}
 	u.stall.lingering = true
@@ -235,10 +193,10 @@
 
 // compare updates whether the upstream is an outlier of its pool.
 func (u *Upstream) compare(p *Pool) {
-	if u.samples == 0 || !p.Known() || u.listed {
+	if u.latency.samples == 0 || !p.Known() || u.listed {
 		return
 	}
-	u.outlier.update(u.latency, p.Median())
+	u.outlier.update(u.latency.smoothed, p.Median())
 }
 
 // wait is how long a new call is expected to wait for a slot.
@@ -247,5 +205,5 @@
 	if s.share == 0 || s.excess() == 0 {
 		return 0
 	}
-	return u.latencyOr(p.Median()) * time.Duration(s.excess()) / time.Duration(s.share)
+	return u.latency.or(p.Median()) * time.Duration(s.excess()) / time.Duration(s.share)
 }
