--- a/tier/policy/attempt.go
+++ b/tier/policy/attempt.go
@@ -163,7 +163,7 @@
 		if u.leaving || p.hasTried(u) || r.coldBarred(now, u) {
 			continue
 		}
-		if r.snapshot > 0 && u.window.Known && !u.window.Holds(r.snapshot) {
+		if r.snapshot > 0 && u.status.window.Known && !u.status.window.holds(r.snapshot) {
 			continue
 		}
 		if fit && !u.fit(now) {
--- a/tier/policy/fleet.go
+++ b/tier/policy/fleet.go
@@ -1,8 +1,6 @@
 package policy
 
 import (
-	"cmp"
-	"slices"
 	"sync"
 	"time"
 )
@@ -87,7 +85,7 @@
 	for _, s := range shares {
 		u := f.upstreams[s.Name]
 		if u == nil {
-			u = &Upstream{Name: s.Name, heardAt: never, askedAt: never}
+			u = &Upstream{Name: s.Name, status: status{heardAt: never, readAt: never}}
 		}
 		u.slots.set(s.Slots, s.Most)
 		u.leaving = s.Leaving || u.gone
@@ -166,60 +164,6 @@
 	return p
 }
 
-// Note records what an upstream said of itself.
-func (f *Fleet) Note(now time.Duration, u *Upstream, w Window, leaving bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	u.heardAt = now
-	if w.Known && (!u.window.Known || w.Newest >= u.window.Newest) {
-		u.window = w
-	}
-	u.leaving = u.leaving || leaving
-}
-
-// Unheard lists upstreams that have said nothing since a time, the one longest
-// not asked first, at most so many.
-func (f *Fleet) Unheard(since time.Duration, most int) []string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	var all []*Upstream
-	for _, u := range f.upstreams {
-		if u.heardAt <= since {
-			all = append(all, u)
-		}
-	}
-	slices.SortFunc(all, func(a, b *Upstream) int {
-		return cmp.Or(cmp.Compare(a.askedAt, b.askedAt), cmp.Compare(a.Name, b.Name))
-	})
-	var out []string
-	for _, u := range all[:min(most, len(all))] {
-		out = append(out, u.Name)
-	}
-	return out
-}
-
-// Asked notes that an upstream's status is being read.
-func (f *Fleet) Asked(now time.Duration, name string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if u := f.upstreams[name]; u != nil {
-		u.askedAt = now
-	}
-}
-
-// Leaving lists the upstreams known to leave.
-func (f *Fleet) Leaving() []string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	var out []string
-	for n, u := range f.upstreams {
-		if u.leaving {
-			out = append(out, n)
-		}
-	}
-	return out
-}
-
 // Call is a finished call, told to the fleet.
 type Call struct {
 	Upstream *Upstream
@@ -310,7 +254,7 @@
 	for _, u := range f.upstreams {
 		out = append(out, UpstreamState{
 			Name: u.Name, InUse: u.slots.inUse, Share: u.slots.share, Queued: u.slots.queue.Len(),
-			Latency: u.latency.smoothed, Window: u.window, Ejected: u.ejection.active(now), Leaving: u.leaving,
+			Latency: u.latency.smoothed, Window: u.status.window, Ejected: u.ejection.active(now), Leaving: u.leaving,
 			Evacuated: u.cold.told.Evacuated, Cold: now < u.cold.until, ColdOwner: u.cold.ownerAt(now),
 		})
 	}
--- a/tier/policy/snapshot.go
+++ b/tier/policy/snapshot.go
@@ -16,8 +16,8 @@
 	for i, names := range replicas {
 		out[i] = f.resolve(names)
 		for _, u := range out[i] {
-			if u.window.Known && !u.leaving && !slices.Contains(candidates, u.window.Newest) {
-				candidates = append(candidates, u.window.Newest)
+			if u.status.window.Known && !u.leaving && !slices.Contains(candidates, u.status.window.Newest) {
+				candidates = append(candidates, u.status.window.Newest)
 			}
 		}
 	}
@@ -43,7 +43,7 @@
 	n := 0
 	for _, replicas := range parts {
 		for _, u := range replicas {
-			if !u.leaving && u.window.Holds(snapshot) {
+			if !u.leaving && u.status.window.holds(snapshot) {
 				n++
 				break
 			}
--- /dev/null
+++ b/tier/policy/status.go
@@ -0,0 +1,34 @@
+package policy
+
+import "time"
+
+// Window is the span of index snapshots that an upstream holds.
+type Window struct {
+	// Oldest and Newest are the first and the last snapshot.
+	Oldest, Newest uint64
+	// Known is false until the upstream has stated its window.
+	Known bool
+}
+
+// holds reports whether the window has a snapshot.
+func (w Window) holds(snapshot uint64) bool {
+	return w.Known && w.Oldest <= snapshot && snapshot <= w.Newest
+}
+
+// status is what an upstream last said of itself, with an answer or when its status
+// was read.
+type status struct {
+	window Window
+	// heardAt is when it last said something; never before that.
+	heardAt time.Duration
+	// readAt is when its status was last read; never before that.
+	readAt time.Duration
+}
+
+// take takes in what the upstream said. A window older than the one known came late.
+func (s *status) take(now time.Duration, w Window) {
+	s.heardAt = now
+	if w.Known && (!s.window.Known || w.Newest >= s.window.Newest) {
+		s.window = w
+	}
+}
--- /dev/null
+++ b/tier/policy/status_test.go
@@ -0,0 +1,70 @@
+package policy
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+func TestWindowHoldsItsSnapshots(t *testing.T) {
+	tests := []struct {
+		window   Window
+		snapshot uint64
+		want     bool
+	}{
+		{Window{}, 0, false},
+		{Window{Oldest: 3, Newest: 5}, 4, false},
+		{Window{Oldest: 3, Newest: 5, Known: true}, 2, false},
+		{Window{Oldest: 3, Newest: 5, Known: true}, 3, true},
+		{Window{Oldest: 3, Newest: 5, Known: true}, 5, true},
+		{Window{Oldest: 3, Newest: 5, Known: true}, 6, false},
+	}
+	for _, tt := range tests {
+		assert.Equal(t, tt.window.holds(tt.snapshot), tt.want, "%+v %d", tt.window, tt.snapshot)
+	}
+}
+
+func TestStatusKeepsTheNewestWindow(t *testing.T) {
+	known := func(oldest, newest uint64) Window { return Window{Oldest: oldest, Newest: newest, Known: true} }
+	tests := []struct {
+		name     string
+		said     []Window
+		want     Window
+		nowKnown bool
+	}{
+		{"nothing said", []Window{{}}, Window{}, false},
+		{"the first", []Window{known(1, 2)}, known(1, 2), true},
+		{"a newer one", []Window{known(1, 2), known(2, 3)}, known(2, 3), true},
+		{"an older one came late", []Window{known(2, 3), known(1, 2)}, known(2, 3), true},
+		{"it dropped its oldest", []Window{known(1, 3), known(2, 3)}, known(2, 3), true},
+		{"an answer without a window", []Window{known(1, 2), {}}, known(1, 2), true},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			s := status{heardAt: never}
+			for i, w := range tt.said {
+				s.take(time.Duration(i)*time.Second, w)
+			}
+			assert.Equal(t, s.window, tt.want)
+			assert.Equal(t, s.heardAt, time.Duration(len(tt.said)-1)*time.Second)
+		})
+	}
+}
+
+// TestStatusIsReadOfSilentUpstreams has some upstreams say nothing: those are named,
+// the one read longest ago first.
+func TestStatusIsReadOfSilentUpstreams(t *testing.T) {
+	f := NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(1, 0))})
+	f.Apply(0, []Share{{Name: "A", Slots: 1}, {Name: "B", Slots: 1}, {Name: "C", Slots: 1}})
+	second := time.Second
+	assert.DeepEqual(t, f.Unheard(second, 9), []string{"A", "B", "C"})
+	assert.DeepEqual(t, f.Unheard(second, 2), []string{"A", "B"})
+	f.Asked(second, "A")
+	f.Asked(second, "None")
+	assert.DeepEqual(t, f.Unheard(second, 9), []string{"B", "C", "A"})
+	f.Note(2*second, f.Find("B"), Window{}, true)
+	assert.DeepEqual(t, f.Unheard(second, 9), []string{"C", "A"})
+	assert.DeepEqual(t, f.Leaving(), []string{"B"})
+}
--- /dev/null
+++ b/tier/policy/statuses.go
@@ -0,0 +1,58 @@
+package policy
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// Note records what an upstream said of itself.
+func (f *Fleet) Note(now time.Duration, u *Upstream, w Window, leaving bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	u.status.take(now, w)
+	u.leaving = u.leaving || leaving
+}
+
+// Unheard lists upstreams that have said nothing since a time, at most so many: the
+// one whose status was read longest ago first.
+func (f *Fleet) Unheard(since time.Duration, most int) []string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	var all []*Upstream
+	for _, u := range f.upstreams {
+		if u.status.heardAt <= since {
+			all = append(all, u)
+		}
+	}
+	slices.SortFunc(all, func(a, b *Upstream) int {
+		return cmp.Or(cmp.Compare(a.status.readAt, b.status.readAt), cmp.Compare(a.Name, b.Name))
+	})
+	var out []string
+	for _, u := range all[:min(most, len(all))] {
+		out = append(out, u.Name)
+	}
+	return out
+}
+
+// Asked notes that an upstream's status is being read.
+func (f *Fleet) Asked(now time.Duration, name string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if u := f.upstreams[name]; u != nil {
+		u.status.readAt = now
+	}
+}
+
+// Leaving lists the upstreams known to leave.
+func (f *Fleet) Leaving() []string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	var out []string
+	for n, u := range f.upstreams {
+		if u.leaving {
+			out = append(out, n)
+		}
+	}
+	return out
+}
--- a/tier/policy/upstream.go
+++ b/tier/policy/upstream.go
@@ -20,7 +20,6 @@
 	ejection ejection
 	backoff  backoff
 	outlier  outlier
-	window   Window
 	// listed, near, hall: see Share.
 	listed, near bool
 	hall         string
@@ -33,22 +32,8 @@
 	cold      cold
 	condition condition
 	// load is the queue that it reports.
-	load queueReport
-	// heardAt is when it last said what it holds, askedAt when its status was
-	// last read.
-	heardAt, askedAt time.Duration
-}
-
-// Window is the span of index snapshots that an upstream holds.
-type Window struct {
-	Oldest, Newest uint64
-	// Known is false until the upstream has stated its window.
-	Known bool
-}
-
-// Holds reports whether the window has a snapshot.
-func (w Window) Holds(snapshot uint64) bool {
-	return w.Known && w.Oldest <= snapshot && snapshot <= w.Newest
+	load   queueReport
+	status status
 }
 
 // free reports whether a call may start.
