--- /dev/null
+++ b/tier/entry/answer.go
@@ -0,0 +1,90 @@
+package entry
+
+import (
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+
+	"loomgap/tier/config"
+	entrygen "loomgap/tier/gen/entry"
+	"loomgap/tier/policy"
+	"loomgap/tier/query"
+)
+
+// Outcomes of a request, as in the design.
+const (
+	outcomeComplete = "Complete"
+	outcomePartial  = "Partial"
+	outcomeNotRun   = "NotRun"
+	outcomeUnknown  = "Unknown"
+)
+
+// notReadyRetry is when to ask a host again that has no configuration or knows no
+// snapshots yet. A starting host has both within about a second. Not measured.
+const notReadyRetry = time.Second
+
+// describe makes the answer of a request that ran, without its rows.
+func (e *engine) describe(q *request, shards []config.Shard, r *policy.Result) *entrygen.Answer {
+	cover := query.Cover(shards, r.Reasons)
+	a := &entrygen.Answer{
+		RequestID: q.id, Class: q.class.Name, Outcome: outcomeComplete, Rows: []*entrygen.Row{},
+		Asked: uint32(cover.Asked), Revision: q.view.Index.Revision, MapRevision: q.service.MapRevision,
+		Included: []*entrygen.KeyRange{}, Missing: []*entrygen.Missing{},
+		EntryHost: e.kernel.Settings.Host, Attempts: uint32(r.Attempts),
+	}
+	for _, i := range cover.Included {
+		a.Included = append(a.Included, &entrygen.KeyRange{From: i.From, To: i.To})
+	}
+	for _, m := range cover.Missing {
+		a.Missing = append(a.Missing, &entrygen.Missing{Shard: m.Shard, From: m.From, To: m.To, Reason: string(m.Reason)})
+	}
+	if len(a.Missing) > 0 {
+		a.Outcome = outcomePartial
+		a.Remedy = text("the ranges under Missing are not in the answer; ask again for them")
+	}
+	return a
+}
+
+// refuse describes a request that did not run.
+func (e *engine) refuse(id, class, reason string, after time.Duration) *entrygen.Answer {
+	millis := uint64(after.Milliseconds())
+	a := &entrygen.Answer{
+		RequestID: id, Class: class, Outcome: outcomeNotRun, Rows: []*entrygen.Row{},
+		Included: []*entrygen.KeyRange{}, Missing: []*entrygen.Missing{},
+		EntryHost: e.kernel.Settings.Host, RetryAfterMillis: &millis,
+	}
+	a.Remedy = text(reason + "; ask again in " + after.String())
+	return a
+}
+
+// unknown describes a not-repeatable request that may have run.
+func (e *engine) unknown(in *entrygen.OrderPayload, remedy string) *entrygen.Answer {
+	return &entrygen.Answer{
+		RequestID: in.Ticket, Class: in.Class, Outcome: outcomeUnknown, Remedy: text(remedy), Rows: []*entrygen.Row{},
+		Included: []*entrygen.KeyRange{}, Missing: []*entrygen.Missing{}, EntryHost: e.kernel.Settings.Host,
+	}
+}
+
+func text(s string) *string { return &s }
+
+func rowsOf(rows []query.Row) []*entrygen.Row {
+	out := make([]*entrygen.Row, 0, len(rows))
+	for i := range rows {
+		r := &entrygen.Row{Key: rows[i].Key, Fields: []*entrygen.Field{}}
+		for _, f := range rows[i].Fields {
+			r.Fields = append(r.Fields, &entrygen.Field{Name: f.Name, Value: f.Value})
+		}
+		out = append(out, r)
+	}
+	return out
+}
+
+// count counts an answer in the metrics.
+func count(a *entrygen.Answer, took time.Duration) {
+	labels := `{Class="` + a.Class + `",Outcome="` + a.Outcome + `"}`
+	metrics.GetOrCreateCounter("loomgap_requests_total" + labels).Inc()
+	metrics.GetOrCreateSummary("loomgap_request_seconds" + labels).Update(took.Seconds())
+	metrics.GetOrCreateCounter("loomgap_parts_asked_total").Add(int(a.Asked))
+	metrics.GetOrCreateCounter("loomgap_parts_missing_total").Add(len(a.Missing))
+	metrics.GetOrCreateCounter("loomgap_attempts_total").Add(int(a.Attempts))
+}
--- a/tier/entry/bench_test.go
+++ b/tier/entry/bench_test.go
@@ -111,14 +111,14 @@
 		})
 	})
 	b.Run("tier", func(b *testing.B) {
-		c := newCaller(&config.Upstream{Address: at}, 4)
+		c := newClient(&config.Upstream{Address: at}, 4)
 		defer c.close()
 		header := http.Header{"Content-Type": {"application/json"}}
 		measureProcessor(b, func() {
 			text, err := wire.Encode(&request)
 			assert.NilError(b, err)
 			r := c.do(context.Background(), wire.PathPart, header, text)
-			o, _ := judge(&r, request.Identity, 1)
+			o, _ := classify(&r, request.Identity, 1)
 			assert.Equal(b, string(o), "OK")
 		})
 	})
@@ -134,7 +134,7 @@
 		_, err := wire.Encode(&request)
 		assert.NilError(b, err)
 		r := reply{status: http.StatusOK, body: answer, reached: true}
-		o, _ := judge(&r, request.Identity, 1)
+		o, _ := classify(&r, request.Identity, 1)
 		assert.Equal(b, string(o), "OK")
 	})
 }
--- a/tier/entry/flight.go
+++ b/tier/entry/call.go
@@ -14,12 +14,12 @@
 	"loomgap/tier/wire"
 )
 
-// message makes the body of an attempt.
+// message makes the body of an attempt, and the identity that its reply must have.
 type message func(part, attempt int) (wire.Identity, []byte, error)
 
 // partCaller makes the calls of one request of a class.
 type partCaller struct {
-	engine  *Engine
+	engine  *engine
 	service string
 	path    string
 	// snapshot is what every part must have; 0 for a write.
@@ -40,7 +40,7 @@
 		k.Log.Error().Err(err).Msg("message not encoded")
 		return runner.Reply[*wire.PartReply]{Outcome: policy.CallNotSent}
 	}
-	outcome, part := c.engine.exchange(ctx, &exchange{
+	outcome, part := c.engine.call(ctx, &upstreamCall{
 		upstream: a.Upstream.Name, service: c.service, path: c.path,
 		id: id, body: body, snapshot: c.snapshot, deadline: c.deadline,
 	})
@@ -53,28 +53,33 @@
 // Take implements runner.Caller.
 func (c *partCaller) Take(_ int, p *wire.PartReply) { c.take(p) }
 
-// exchange is one call to an upstream, made here or through the host that
+// upstreamCall is one call to an upstream, made here or through the host that
 // holds its slots.
-type exchange struct {
+type upstreamCall struct {
 	upstream string
 	service  string
-	path     string
-	id       wire.Identity
-	body     []byte
+	// path is wire.PathPart or wire.PathPlace.
+	path string
+	// id is what the reply must repeat.
+	id   wire.Identity
+	body []byte
+	// snapshot is what the reply must be made from; 0 for a write.
 	snapshot uint64
+	// deadline is when the call is given up, as time since the process started.
 	deadline time.Duration
 }
 
-// exchange makes a call within a span of its own.
-func (e *Engine) exchange(ctx context.Context, x *exchange) (policy.CallOutcome, *wire.PartReply) {
-	route := e.route(x.upstream)
-	if route == nil {
+// call makes a call within a span of its own, or has the host that owns the
+// upstream's slots make it.
+func (e *engine) call(ctx context.Context, x *upstreamCall) (policy.CallOutcome, *wire.PartReply) {
+	p := e.endpoint(x.upstream)
+	if p == nil {
 		return policy.CallUnreachable, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, x.deadline-e.kernel.Now())
 	defer cancel()
-	if route.owner != "" {
-		return e.relay(ctx, route.owner, x)
+	if p.owner != "" {
+		return e.sendRelay(ctx, p.owner, x)
 	}
 	ctx, span := e.kernel.Tracer.Start(ctx, "upstream", trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
@@ -83,11 +88,11 @@
 		span.SetAttributes(attribute.String("Upstream", x.upstream), attribute.String("Shard", x.id.Shard), attribute.Int("Attempt", x.id.Attempt))
 		wire.TraceTo(ctx, header)
 	}
-	r := route.caller.do(ctx, x.path, header, x.body)
-	outcome, part := judge(&r, x.id, x.snapshot)
-	outcome = runner.LookInto(ctx, outcome, route.caller.address)
+	r := p.client.do(ctx, x.path, header, x.body)
+	outcome, part := classify(&r, x.id, x.snapshot)
+	outcome = runner.LookInto(ctx, outcome, p.client.address)
 	if outcome == policy.CallGarbage {
-		route.caller.close()
+		p.client.close()
 	}
 	if span.IsRecording() {
 		span.SetAttributes(attribute.String("Outcome", string(outcome)), attribute.String("Status", strconv.Itoa(r.status)))
--- a/tier/entry/upstream.go
+++ b/tier/entry/client.go
@@ -1,5 +1,3 @@
-// Package entry serves callers: it admits a request, plans it, carries out the
-// decisions of package policy against upstreams, and describes the answer.
 package entry
 
 import (
@@ -23,29 +21,31 @@
 
 // Times of upstream connections.
 const (
-	dialBound = time.Second
-	// idleBound is below the least idle time that an upstream may have, 60 s,
+	// upstreamDialTimeout is the longest time for a connection to an upstream. Not
+	// measured; the deadline of the request usually ends the call before.
+	upstreamDialTimeout = time.Second
+	// upstreamIdleTimeout is below the least idle time that an upstream may have, 60 s,
 	// so that a connection is not used just when the upstream closes it.
-	idleBound = 20 * time.Second
+	upstreamIdleTimeout = 20 * time.Second
 )
 
-// caller makes calls to one upstream, over connections of its own.
-type caller struct {
+// client makes calls to one upstream, over connections of its own.
+type client struct {
 	address   netip.AddrPort
 	transport *http.Transport
 	urls      map[string]*url.URL
 }
 
-func newCaller(u *config.Upstream, connections int) *caller {
-	dialer := &net.Dialer{Timeout: dialBound}
-	c := &caller{
+func newClient(u *config.Upstream, connections int) *client {
+	dialer := &net.Dialer{Timeout: upstreamDialTimeout}
+	c := &client{
 		address: u.Address,
 		transport: &http.Transport{
 			DialContext:         dialer.DialContext,
 			DisableCompression:  true,
 			MaxConnsPerHost:     connections,
 			MaxIdleConnsPerHost: connections,
-			IdleConnTimeout:     idleBound,
+			IdleConnTimeout:     upstreamIdleTimeout,
 		},
 		urls: map[string]*url.URL{},
 	}
@@ -55,7 +55,7 @@
 	return c
 }
 
-func (c *caller) close() { c.transport.CloseIdleConnections() }
+func (c *client) close() { c.transport.CloseIdleConnections() }
 
 // reply is what came back from a call.
 type reply struct {
@@ -68,7 +68,7 @@
 
 // do makes one call. The body has no GetBody, so the transport never sends it
 // twice.
-func (c *caller) do(ctx context.Context, path string, header http.Header, body []byte) reply {
+func (c *client) do(ctx context.Context, path string, header http.Header, body []byte) reply {
 	var out reply
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { out.reached = true }}
 	r := (&http.Request{
@@ -103,9 +103,9 @@
 	return b.Bytes(), err
 }
 
-// judge tells what a reply means for the call with an identity. Only a reply
+// classify returns what a reply means for the call with an identity. Only a reply
 // with the call's own identity counts, refusals included.
-func judge(r *reply, id wire.Identity, snapshot uint64) (policy.CallOutcome, *wire.PartReply) {
+func classify(r *reply, id wire.Identity, snapshot uint64) (policy.CallOutcome, *wire.PartReply) {
 	switch {
 	case r.err != nil && !r.reached:
 		return policy.CallUnreachable, nil
@@ -114,12 +114,12 @@
 	case r.err != nil:
 		return dropped("unreadable"), nil
 	case r.status == http.StatusOK:
-		return judgePart(r.body, id, snapshot)
+		return classifyPart(r.body, id, snapshot)
 	}
-	return judgeRefusal(r.body, id)
+	return classifyRefusal(r.body, id)
 }
 
-func judgePart(body []byte, id wire.Identity, snapshot uint64) (policy.CallOutcome, *wire.PartReply) {
+func classifyPart(body []byte, id wire.Identity, snapshot uint64) (policy.CallOutcome, *wire.PartReply) {
 	var p wire.PartReply
 	switch err := json.Unmarshal(body, &p); {
 	case err != nil:
@@ -132,7 +132,7 @@
 	return policy.CallOK, &p
 }
 
-func judgeRefusal(body []byte, id wire.Identity) (policy.CallOutcome, *wire.PartReply) {
+func classifyRefusal(body []byte, id wire.Identity) (policy.CallOutcome, *wire.PartReply) {
 	var f wire.RefusalReply
 	if err := json.Unmarshal(body, &f); err != nil || f.Identity != id {
 		return dropped("refusal"), nil
@@ -152,7 +152,7 @@
 	return dropped("refusal"), nil
 }
 
-// dropped counts a reply that does not count.
+// dropped counts a reply that must not be used, and returns its outcome.
 func dropped(why string) policy.CallOutcome {
 	metrics.GetOrCreateCounter(`loomgap_replies_dropped_total{Why="` + why + `"}`).Inc()
 	return policy.CallGarbage
--- a/tier/entry/upstream_test.go
+++ b/tier/entry/client_test.go
@@ -11,7 +11,7 @@
 	"loomgap/tier/wire"
 )
 
-func TestJudge(t *testing.T) {
+func TestClassify(t *testing.T) {
 	id := wire.Identity{RequestID: "R1", Attempt: 3, Shard: "S1", MapRevision: 2}
 	other := wire.Identity{RequestID: "R1", Attempt: 2, Shard: "S1", MapRevision: 2}
 	body := func(v any) []byte {
@@ -50,7 +50,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			got, _ := judge(&tt.in, id, 7)
+			got, _ := classify(&tt.in, id, 7)
 			assert.Equal(t, got, tt.want)
 		})
 	}
--- /dev/null
+++ b/tier/entry/endpoint.go
@@ -0,0 +1,83 @@
+package entry
+
+import (
+	"maps"
+	"slices"
+
+	"loomgap/tier/config"
+	"loomgap/tier/kernel"
+	"loomgap/tier/peers"
+	"loomgap/tier/policy"
+)
+
+// endpoint is how this host reaches one upstream of its data hall.
+type endpoint struct {
+	upstream    config.Upstream
+	connections int
+	client      *client
+	// owner is the host that calls on this one's behalf; empty if this host
+	// has slots of its own.
+	owner string
+}
+
+// basis is what slots and endpoints depend on.
+type basis struct {
+	index   *config.Index
+	hosts   []string
+	leaving map[string]bool
+}
+
+func (b *basis) same(o *basis) bool {
+	return b.index == o.index && slices.Equal(b.hosts, o.hosts) && maps.Equal(b.leaving, o.leaving)
+}
+
+// follow sets slots and endpoints by a new view; it runs on the control thread.
+// Ranking all hosts for all upstreams takes time, so it is done only when what
+// they depend on has changed.
+func (e *engine) follow(v *kernel.View) {
+	if v.Index == nil {
+		return
+	}
+	s := &e.kernel.Settings
+	hosts := v.Hall(s)
+	slices.Sort(hosts)
+	next := basis{index: v.Index, hosts: hosts, leaving: v.Leaving}
+	if e.basis.same(&next) {
+		return
+	}
+	e.basis = next
+	e.replaceEndpoints(v, hosts)
+}
+
+// replaceEndpoints gives each upstream of the data hall its slots and its endpoint.
+func (e *engine) replaceEndpoints(v *kernel.View, hosts []string) {
+	s := &e.kernel.Settings
+	old, next := *e.endpoints.Load(), map[string]*endpoint{}
+	shares := peers.Shares(v, s)
+	for i := range shares {
+		u := v.Index.Upstream(shares[i].Name)
+		n := old[u.Name]
+		connections := max(u.Connections/len(hosts), 1)
+		owner := ""
+		if shares[i].Slots == 0 {
+			owner = peers.Owner(u.Name, hosts)
+			shares[i].Slots = u.Slots // the owner keeps to the slots
+		}
+		if n == nil || n.upstream.Address != u.Address || n.connections != connections {
+			n = &endpoint{upstream: *u, connections: connections, client: newClient(u, connections)}
+		}
+		next[u.Name] = &endpoint{upstream: *u, connections: connections, client: n.client, owner: owner}
+	}
+	granted := e.kernel.Fleet.Apply(e.kernel.Now(), shares)
+	e.endpoints.Store(&next)
+	for name, p := range old {
+		if next[name] == nil || next[name].client != p.client {
+			p.client.close()
+		}
+	}
+	// The control thread carries no traffic.
+	go policy.Deliver(granted)
+}
+
+// endpoint returns how to reach an upstream; nil for one of another data hall.
+func (e *engine) endpoint(upstream string) *endpoint { return (*e.endpoints.Load())[upstream] }
--- a/tier/entry/golden_test.go
+++ b/tier/entry/golden_test.go
@@ -24,12 +24,12 @@
 func TestWordsKeepTheirForm(t *testing.T) {
 	var out strings.Builder
 	for _, v := range []any{
-		[]string{OutcomeComplete, OutcomePartial, OutcomeNotRun, OutcomeUnknown},
-		[]string{MethodRelay, MethodOrder, MethodAdopt},
-		adoptRequest{Host: "H1", Incarnation: "a", Next: 3, Tickets: []HandedTicket{
+		[]string{outcomeComplete, outcomePartial, outcomeNotRun, outcomeUnknown},
+		[]string{methodRelay, methodOrder, methodAdopt},
+		adoptRequest{Host: "H1", Incarnation: "a", Next: 3, Tickets: []handedTicket{
 			{Counter: 1, Left: time.Second, Statement: "place", Answer: &entrygen.Answer{RequestID: "H1/a/1"}}, {Counter: 2},
 		}},
-		Ticket{Host: "H1", Incarnation: "a", Counter: 1}.String(),
+		ticket{Host: "H1", Incarnation: "a", Counter: 1}.String(),
 	} {
 		text, err := json.Marshal(v)
 		assert.NilError(t, err)
--- a/tier/entry/order.go
+++ b/tier/entry/order.go
@@ -7,8 +7,6 @@
 	"fmt"
 	"time"
 
-	"go.opentelemetry.io/otel/attribute"
-
 	"loomgap/tier/config"
 	entrygen "loomgap/tier/gen/entry"
 	"loomgap/tier/policy"
@@ -16,79 +14,91 @@
 	"loomgap/tier/wire"
 )
 
-// MethodOrder is the peer method that forwards an order to its ticket's host.
-const MethodOrder = "Order"
+// methodOrder is the peer method that forwards an order to its ticket's host.
+const methodOrder = "Order"
 
-// Mint makes a ticket for one not-repeatable request.
-func (e *Engine) Mint() (Ticket, error) { return e.tickets.Mint(e.kernel.Now()) }
+// mint makes a ticket for one not-repeatable request.
+func (e *engine) mintTicket() (ticket, error) { return e.tickets.mint(e.kernel.Now()) }
 
-// Order runs a not-repeatable request at most once, here or at the host that
-// minted its ticket.
-func (e *Engine) Order(ctx context.Context, in *entrygen.OrderPayload) (*entrygen.Answer, error) {
-	t, err := ParseTicket(in.Ticket)
+// order is one not-repeatable request.
+type order struct {
+	*request
+	ticket  ticket
+	payload *entrygen.OrderPayload
+	place   *query.Place
+	// shard holds the key of the record to be written.
+	shard *config.Shard
+}
+
+// newOrder parses an order and fixes its configuration and deadline. The error is
+// errNoConfig, or wraps errInvalid and names the remedy.
+func (e *engine) newOrder(in *entrygen.OrderPayload) (*order, error) {
+	t, err := parseTicket(in.Ticket)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
+		return nil, fmt.Errorf("%w: %w", errInvalid, err)
 	}
 	place, err := query.ParsePlace(in.Statement)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
-	}
-	h, err := e.hold(in.Class, place.Service, in.DeadlineMillis)
-	if errors.Is(err, ErrNoConfig) {
-		return e.unknown(in, "this host has no configuration yet; ask again with the same ticket"), nil
+		return nil, fmt.Errorf("%w: %w", errInvalid, err)
 	}
+	q, err := e.newRequest(in.Ticket, in.Class, place.Service, in.DeadlineMillis)
 	if err != nil {
 		return nil, err
 	}
-	shard, err := h.service.ShardOf(place.Key)
+	shard, err := q.service.ShardOf(place.Key)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
-	}
-	e.kernel.InFlight.Add(1)
-	defer e.kernel.InFlight.Add(-1)
-	ctx, span := e.kernel.Tracer.Start(ctx, "order")
-	defer span.End()
-	span.SetAttributes(attribute.String("RequestID", in.Ticket), attribute.String("Class", in.Class))
-	started := e.kernel.Now()
-	answer, err := e.order(ctx, t, in, h, place, shard)
+		return nil, fmt.Errorf("%w: %w", errInvalid, err)
+	}
+	return &order{request: q, ticket: t, payload: in, place: place, shard: shard}, nil
+}
+
+// Order runs a not-repeatable request at most once, here or at the host that
+// minted its ticket.
+func (e *engine) Order(ctx context.Context, in *entrygen.OrderPayload) (*entrygen.Answer, error) {
+	o, err := e.newOrder(in)
+	if errors.Is(err, errNoConfig) {
+		return e.unknown(in, "this host has no configuration yet; ask again with the same ticket"), nil
+	}
 	if err != nil {
 		return nil, err
 	}
-	span.SetAttributes(attribute.String("Outcome", answer.Outcome))
-	e.count(answer, e.kernel.Now()-started)
-	return answer, nil
+	return e.observe(ctx, observed{span: "order", id: in.Ticket, class: in.Class}, func(ctx context.Context) (*entrygen.Answer, error) {
+		return e.settle(ctx, o)
+	})
 }
 
-// order runs an order under its ticket, here or where the ticket is held.
-func (e *Engine) order(ctx context.Context, t Ticket, in *entrygen.OrderPayload, h *held, place *query.Place, shard *config.Shard) (*entrygen.Answer, error) {
-	tickets := e.ticketsOf(t)
+// settle answers an order as its ticket allows: it runs the order, waits for the
+// try that runs already, gives the answer that it had, or asks the host that holds
+// the ticket.
+func (e *engine) settle(ctx context.Context, o *order) (*entrygen.Answer, error) {
+	tickets := e.ticketsOf(o.ticket)
 	if tickets == nil {
-		return e.forward(ctx, t, in, h), nil
-	}
-	c := tickets.Claim(e.kernel.Now(), t.Counter, in.Statement)
-	switch c.Kind {
-	case ClaimNever:
-		return nil, fmt.Errorf("%w: %w %q was never minted: get one from /tickets", ErrInvalid, ErrTicket, in.Ticket)
-	case ClaimOther:
-		return nil, fmt.Errorf("%w: %w %q was used for another statement: get a new one", ErrInvalid, ErrTicket, in.Ticket)
-	case ClaimForgotten:
-		return e.unknown(in, "the ticket expired; look the record up before placing it again"), nil
-	case ClaimGiven:
-		return e.askHeirs(ctx, t, in, h), nil
-	case ClaimDone:
-		return c.Answer, nil
-	case ClaimWait:
-		return e.await(ctx, tickets, t, in, h, c), nil
+		return e.forward(ctx, o), nil
+	}
+	c := tickets.claim(e.kernel.Now(), o.ticket.Counter, o.payload.Statement)
+	switch c.kind {
+	case claimNever:
+		return nil, fmt.Errorf("%w: %w %q was never minted: get one from /tickets", errInvalid, errTicket, o.id)
+	case claimOther:
+		return nil, fmt.Errorf("%w: %w %q was used for another statement: get a new one", errInvalid, errTicket, o.id)
+	case claimForgotten:
+		return e.unknown(o.payload, "the ticket expired; look the record up before placing it again"), nil
+	case claimGiven:
+		return e.askSuccessors(ctx, o), nil
+	case claimDone:
+		return c.answer, nil
+	case claimWait:
+		return e.await(ctx, tickets, o, c), nil
 	default:
 	}
-	answer := e.place(ctx, in, h, place, shard)
-	tickets.Settle(t.Counter, answer)
+	answer := e.place(ctx, o)
+	tickets.settle(o.ticket.Counter, answer)
 	return answer, nil
 }
 
 // ticketsOf returns the tickets that a ticket belongs to; nil if this host holds
 // none of that process.
-func (e *Engine) ticketsOf(t Ticket) *Tickets {
+func (e *engine) ticketsOf(t ticket) *ticketStore {
 	if t.Host == e.kernel.Settings.Host && t.Incarnation == e.kernel.Settings.Incarnation {
 		return e.tickets
 	}
@@ -96,52 +106,64 @@
 }
 
 // await waits for the answer of the try that runs already.
-func (e *Engine) await(ctx context.Context, tickets *Tickets, t Ticket, in *entrygen.OrderPayload, h *held, c Claim) *entrygen.Answer {
-	timer := time.NewTimer(h.deadline - e.kernel.Now())
+func (e *engine) await(ctx context.Context, tickets *ticketStore, o *order, c claim) *entrygen.Answer {
+	timer := time.NewTimer(o.deadline - e.kernel.Now())
 	defer timer.Stop()
 	select {
-	case <-c.Settled:
+	case <-c.settled:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	if a := tickets.Answer(t.Counter); a != nil {
+	if a := tickets.answer(o.ticket.Counter); a != nil {
 		return a
 	}
-	return e.unknown(in, "an earlier try has no answer yet; ask again with the same ticket")
+	return e.unknown(o.payload, "an earlier try has no answer yet; ask again with the same ticket")
 }
 
-// forward hands an order to the host that minted its ticket, or if that process
+// forward sends an order to the host that minted its ticket, or if that process
 // is gone, to those that may have adopted it. Whatever goes wrong, the answer is
 // Unknown: an earlier try may have run.
-func (e *Engine) forward(ctx context.Context, t Ticket, in *entrygen.OrderPayload, h *held) *entrygen.Answer {
-	m, known := h.view.Members[t.Host]
-	if t.Host == e.kernel.Settings.Host || known && m.Incarnation != t.Incarnation {
-		return e.askHeirs(ctx, t, in, h)
+func (e *engine) forward(ctx context.Context, o *order) *entrygen.Answer {
+	minter, known := o.view.Members[o.ticket.Host]
+	if o.ticket.Host == e.kernel.Settings.Host || known && minter.Incarnation != o.ticket.Incarnation {
+		return e.askSuccessors(ctx, o)
 	}
-	var out entrygen.Answer
-	err := e.sendOrder(ctx, t.Host, in, h, &out)
+	answer, err := e.sendOrder(ctx, o.ticket.Host, o)
 	if err == nil {
-		return &out
+		return answer
 	}
-	e.kernel.Log.Warn().Err(err).Str("Ticket", in.Ticket).Msg("order not forwarded")
-	if h.deadline > e.kernel.Now() {
-		return e.askHeirs(ctx, t, in, h)
+	e.kernel.Log.Warn().Err(err).Str("Ticket", o.id).Msg("order not forwarded")
+	if o.deadline > e.kernel.Now() {
+		return e.askSuccessors(ctx, o)
 	}
-	return e.unknown(in, "the host that minted the ticket was not reached; ask again with the same ticket")
+	return e.unknown(o.payload, "the host that minted the ticket was not reached; ask again with the same ticket")
 }
 
-// onOrder serves a forwarded order.
-func (e *Engine) onOrder(ctx context.Context, params json.RawMessage) (any, error) {
+// sendOrder sends an order to the host that holds its ticket, within the deadline.
+func (e *engine) sendOrder(ctx context.Context, host string, o *order) (*entrygen.Answer, error) {
+	left := o.deadline - e.kernel.Now()
+	ctx, cancel := context.WithTimeout(ctx, left)
+	defer cancel()
+	var out entrygen.Answer
+	err := e.kernel.Peers.Call(ctx, host, methodOrder, wire.OrderRequest{
+		Ticket: o.id, Statement: o.payload.Statement, Class: o.payload.Class,
+		DeadlineMillis: left.Milliseconds(), Trace: wire.TraceOf(ctx),
+	}, &out)
+	return &out, err
+}
+
+// serveOrder serves an order that another host sent with sendOrder.
+func (e *engine) serveOrder(ctx context.Context, params json.RawMessage) (any, error) {
 	var in wire.OrderRequest
 	if err := json.Unmarshal(params, &in); err != nil {
 		return nil, fmt.Errorf("bad order: %w", err)
 	}
-	t, err := ParseTicket(in.Ticket)
+	t, err := parseTicket(in.Ticket)
 	if err != nil {
 		return nil, err
 	}
 	if e.ticketsOf(t) == nil {
-		return nil, fmt.Errorf("%w %q: %w", ErrTicket, in.Ticket, errNotSuccessor)
+		return nil, fmt.Errorf("%w %q: %w", errTicket, in.Ticket, errNotSuccessor)
 	}
 	return e.Order(wire.TraceInto(ctx, in.Trace), &entrygen.OrderPayload{
 		Ticket: in.Ticket, Statement: in.Statement, Class: in.Class, DeadlineMillis: &in.DeadlineMillis,
@@ -150,47 +172,39 @@
 
 // place sends an order to one upstream of its shard. Only proof that it did
 // not run lets it go to another.
-func (e *Engine) place(ctx context.Context, in *entrygen.OrderPayload, h *held, place *query.Place, shard *config.Shard) *entrygen.Answer {
-	fields := make([]query.Field, 0, len(place.Fields))
-	for _, a := range place.Fields {
+func (e *engine) place(ctx context.Context, o *order) *entrygen.Answer {
+	fields := make([]query.Field, 0, len(o.place.Fields))
+	for _, a := range o.place.Fields {
 		fields = append(fields, query.Field{Name: a.Field, Value: a.Value})
 	}
-	replicas, _ := e.kernel.Fleet.Plan([][]string{shard.Replicas})
+	replicas, _ := e.kernel.Fleet.Plan([][]string{o.shard.Replicas})
 	var placed wire.PartReply
 	c := &partCaller{
-		engine: e, service: h.service.Name, path: wire.PathPlace, deadline: h.deadline,
+		engine: e, service: o.service.Name, path: wire.PathPlace, deadline: o.deadline,
 		take: func(p *wire.PartReply) { placed = *p },
 		message: func(_, attempt int) (wire.Identity, []byte, error) {
 			m := wire.PlaceRequest{
-				Identity: wire.Identity{RequestID: in.Ticket, Attempt: attempt, Shard: shard.Name, MapRevision: h.service.MapRevision},
-				Service:  h.service.Name, Key: place.Key,
-				DeadlineMillis: max((h.deadline - e.kernel.Now()).Milliseconds(), 1), Fields: fields,
+				Identity: wire.Identity{RequestID: o.id, Attempt: attempt, Shard: o.shard.Name, MapRevision: o.service.MapRevision},
+				Service:  o.service.Name, Key: o.place.Key,
+				DeadlineMillis: e.millisLeft(o.request), Fields: fields,
 			}
 			body, err := wire.Encode(&m)
 			return m.Identity, body, err
 		},
 	}
-	result, err := e.run(ctx, c, h, replicas, false)
+	result, err := e.run(ctx, c, o.request, replicas, false)
 	var refusal *policy.Refusal
 	switch {
 	case errors.As(err, &refusal):
-		return e.refuse(in.Ticket, in.Class, refusal.Reason, refusal.RetryAfter)
+		return e.refuse(o.id, o.class.Name, refusal.Reason, refusal.RetryAfter)
 	case err != nil:
-		return e.refuse(in.Ticket, in.Class, err.Error(), notReadyRetry)
+		return e.refuse(o.id, o.class.Name, err.Error(), notReadyRetry)
 	case result.Unknown:
-		return e.unknown(in, "the upstream's answer was lost; look the record up before placing it again")
+		return e.unknown(o.payload, "the upstream's answer was lost; look the record up before placing it again")
 	case result.Included == 0:
-		return e.refuse(in.Ticket, in.Class, "no upstream took it: "+string(result.Reasons[0]), time.Duration(h.class.Deadline))
+		return e.refuse(o.id, o.class.Name, "no upstream took it: "+string(result.Reasons[0]), time.Duration(o.class.Deadline))
 	}
-	answer := e.describe(in.Ticket, h, []config.Shard{*shard}, &result)
+	answer := e.describe(o.request, []config.Shard{*o.shard}, &result)
 	answer.Snapshot, answer.Count = placed.Snapshot, placed.Count
 	return answer
 }
-
-// unknown describes a not-repeatable request that may have run.
-func (e *Engine) unknown(in *entrygen.OrderPayload, remedy string) *entrygen.Answer {
-	return &entrygen.Answer{
-		RequestID: in.Ticket, Class: in.Class, Outcome: OutcomeUnknown, Remedy: text(remedy), Rows: []*entrygen.Row{},
-		Included: []*entrygen.KeyRange{}, Missing: []*entrygen.Missing{}, EntryHost: e.kernel.Settings.Host,
-	}
-}
--- a/tier/entry/relay.go
+++ b/tier/entry/relay.go
@@ -15,12 +15,12 @@
 	"loomgap/tier/wire"
 )
 
-// MethodRelay is the peer method for a call on another host's behalf.
-const MethodRelay = "Relay"
+// methodRelay is the peer method for a call on another host's behalf.
+const methodRelay = "Relay"
 
-// relay has the host that holds an upstream's slots make a call. It is sent
+// sendRelay has the host that holds an upstream's slots make a call. It is sent
 // once: after it may have left, only the owner's reply tells what became of it.
-func (e *Engine) relay(ctx context.Context, owner string, x *exchange) (policy.CallOutcome, *wire.PartReply) {
+func (e *engine) sendRelay(ctx context.Context, owner string, x *upstreamCall) (policy.CallOutcome, *wire.PartReply) {
 	ctx, span := e.kernel.Tracer.Start(ctx, "relay", trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
 	span.SetAttributes(attribute.String("Owner", owner), attribute.String("Upstream", x.upstream))
@@ -29,7 +29,7 @@
 		Snapshot: x.snapshot, DeadlineMillis: (x.deadline - e.kernel.Now()).Milliseconds(), Trace: wire.TraceOf(ctx),
 	}
 	var out wire.RelayReply
-	err := e.kernel.Peers.Call(ctx, owner, MethodRelay, in, &out)
+	err := e.kernel.Peers.Call(ctx, owner, methodRelay, in, &out)
 	switch {
 	case errors.Is(err, peers.ErrNoPeer):
 		return policy.CallUnreachable, nil
@@ -43,8 +43,12 @@
 	return policy.CallOK, &out.Part
 }
 
-// onRelay serves a relayed call, within this host's slots.
-func (e *Engine) onRelay(ctx context.Context, params json.RawMessage) (any, error) {
+// maxRelay bounds the time that another host may ask for: the longest deadline that
+// a class may have.
+const maxRelay = 10 * time.Minute
+
+// serveRelay makes a call that another host sent with sendRelay.
+func (e *engine) serveRelay(ctx context.Context, params json.RawMessage) (any, error) {
 	var in wire.RelayRequest
 	if err := json.Unmarshal(params, &in); err != nil {
 		return nil, fmt.Errorf("bad relay: %w", err)
@@ -56,11 +60,11 @@
 	defer e.kernel.InFlight.Add(-1)
 	ctx = wire.TraceInto(ctx, in.Trace)
 	left := min(time.Duration(in.DeadlineMillis)*time.Millisecond, maxRelay)
-	x := &exchange{
+	x := &upstreamCall{
 		upstream: in.Upstream, service: in.Service, path: in.Path, id: in.Identity,
 		body: []byte(in.Body), snapshot: in.Snapshot, deadline: e.kernel.Now() + left,
 	}
-	outcome, part := e.relayed(ctx, x)
+	outcome, part := e.callWithinSlots(ctx, x)
 	out := wire.RelayReply{Outcome: string(outcome)}
 	if part != nil {
 		out.Part = *part
@@ -68,13 +72,12 @@
 	return out, nil
 }
 
-// maxRelay bounds what another host may ask for.
-const maxRelay = 10 * time.Minute
-
-func (e *Engine) relayed(ctx context.Context, x *exchange) (policy.CallOutcome, *wire.PartReply) {
+// callWithinSlots makes a call for another host once this host has a free slot of the
+// upstream. It is shed if none becomes free before the deadline.
+func (e *engine) callWithinSlots(ctx context.Context, x *upstreamCall) (policy.CallOutcome, *wire.PartReply) {
 	u := e.kernel.Fleet.Find(x.upstream)
-	route := e.route(x.upstream)
-	if u == nil || route == nil || route.owner != "" {
+	p := e.endpoint(x.upstream)
+	if u == nil || p == nil || p.owner != "" {
 		// The hosts' views differ for now; the other tries again elsewhere.
 		return policy.CallShed, nil
 	}
@@ -84,7 +87,7 @@
 	started := e.kernel.Now()
 	outcome, part := policy.CallNotSent, (*wire.PartReply)(nil)
 	if e.kernel.Awake() && started < x.deadline {
-		outcome, part = e.exchange(ctx, x)
+		outcome, part = e.call(ctx, x)
 	}
 	now := e.kernel.Now()
 	policy.Deliver(e.kernel.Fleet.Finish(now, policy.Call{
--- /dev/null
+++ b/tier/entry/request.go
@@ -0,0 +1,76 @@
+package entry
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"loomgap/tier/config"
+	"loomgap/tier/kernel"
+	"loomgap/tier/policy"
+)
+
+// Errors of requests.
+var (
+	errInvalid  = errors.New("invalid request")
+	errNoConfig = errors.New("no configuration in force yet")
+)
+
+// request is the configuration and the deadline that one request keeps from its
+// admission to its answer, whatever the configuration becomes meanwhile.
+type request struct {
+	id      string
+	view    *kernel.View
+	class   *config.Class
+	service *config.Service
+	// deadline is when the answer must be ready, as time since the process started;
+	// the class's margin is already taken off.
+	deadline time.Duration
+	// subject identifies a question that crashes upstreams; the zero value for an
+	// order, which runs at most once whoever repeats it.
+	subject policy.Subject
+}
+
+// newRequest fixes the configuration and the deadline of a request. The error is
+// errNoConfig, or wraps errInvalid and names the remedy.
+func (e *engine) newRequest(id, class, service string, deadlineMillis *int64) (*request, error) {
+	v := e.kernel.View()
+	if v.Index == nil {
+		return nil, errNoConfig
+	}
+	q := &request{id: id, view: v, class: v.Index.Class(class), service: v.Index.Service(service)}
+	if q.class == nil {
+		return nil, fmt.Errorf("%w: unknown class %q: use a class of the document, `loomctl plan -Command 'show classes'` lists them", errInvalid, class)
+	}
+	if q.service == nil {
+		return nil, fmt.Errorf("%w: unknown service %q: `loomctl plan -Command 'show services'` lists them", errInvalid, service)
+	}
+	limit, err := deadlineOf(q.class, deadlineMillis)
+	if err != nil {
+		return nil, err
+	}
+	q.deadline = e.kernel.Now() + limit - time.Duration(q.class.Margin)
+	return q, nil
+}
+
+// millisLeft is the time left to the deadline of a request, 1 ms at least: 0 would
+// mean that there is no deadline.
+func (e *engine) millisLeft(q *request) int64 {
+	return max((q.deadline - e.kernel.Now()).Milliseconds(), 1)
+}
+
+// deadlineOf returns the time that a request may take: its class's own, or what its
+// caller asks for within the class's bounds.
+func deadlineOf(c *config.Class, millis *int64) (time.Duration, error) {
+	if millis == nil || *millis == 0 {
+		return time.Duration(c.Deadline), nil
+	}
+	longest := time.Duration(c.MaxDeadline)
+	if *millis < 0 || *millis > longest.Milliseconds() {
+		return 0, fmt.Errorf("%w: deadline of %d ms: give 1 to %d, or 0 for the class's own", errInvalid, *millis, longest.Milliseconds())
+	}
+	if d := time.Duration(*millis) * time.Millisecond; d > time.Duration(c.Margin) {
+		return d, nil
+	}
+	return 0, fmt.Errorf("%w: deadline of %d ms is within the margin of %s: give more", errInvalid, *millis, time.Duration(c.Margin))
+}
--- /dev/null
+++ b/tier/entry/service.go
@@ -0,0 +1,103 @@
+package entry
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"strings"
+
+	goahttp "goa.design/goa/v3/http"
+	goa "goa.design/goa/v3/pkg"
+
+	entrygen "loomgap/tier/gen/entry"
+	opsgen "loomgap/tier/gen/ops"
+	"loomgap/tier/kernel"
+	"loomgap/tier/wire"
+)
+
+// service implements the generated interface.
+type service struct {
+	engine *engine
+}
+
+var _ entrygen.Service = (*service)(nil)
+
+// Ask implements entrygen.Service.
+func (s *service) Ask(ctx context.Context, p *entrygen.AskPayload) (*entrygen.Answer, error) {
+	a, err := s.engine.Ask(ctx, p)
+	return a, typed(err)
+}
+
+// Ticket implements entrygen.Service.
+func (s *service) Ticket(context.Context) (*entrygen.TicketResult, error) {
+	if s.engine.kernel.Phase() != kernel.PhaseReady {
+		return nil, &entrygen.Fault{Kind: "Busy", Message: "the host takes no new work: ask another host"}
+	}
+	t, err := s.engine.mintTicket()
+	if err != nil {
+		return nil, &entrygen.Fault{Kind: "Busy", Message: err.Error()}
+	}
+	return &entrygen.TicketResult{Ticket: t.String(), ExpiresMillis: s.engine.kernel.Settings.TicketLife.Milliseconds()}, nil
+}
+
+// Order implements entrygen.Service.
+func (s *service) Order(ctx context.Context, p *entrygen.OrderPayload) (*entrygen.Answer, error) {
+	a, err := s.engine.Order(ctx, p)
+	return a, typed(err)
+}
+
+// typed turns an error into the typed one of the design.
+func typed(err error) error {
+	if err == nil {
+		return nil
+	}
+	if errors.Is(err, errInvalid) {
+		return &entrygen.Fault{Kind: "Invalid", Message: err.Error()}
+	}
+	return err
+}
+
+// tooLarge is the text of http.MaxBytesError.
+var tooLarge = (&http.MaxBytesError{}).Error()
+
+func statusOf(kind string) int {
+	if kind == "Busy" {
+		return http.StatusServiceUnavailable
+	}
+	return http.StatusBadRequest
+}
+
+// faultBody is the body of an error; it has the fields of the design's Fault.
+type faultBody struct {
+	Kind    string
+	Message string
+	status  int
+}
+
+var _ goahttp.Statuser = (*faultBody)(nil)
+
+// StatusCode implements goahttp.Statuser.
+func (f *faultBody) StatusCode() int { return f.status }
+
+// fault gives an error its body: the service's own have kind and remedy, those
+// of the generated decoder get them here.
+func fault(_ context.Context, err error) goahttp.Statuser {
+	var own *entrygen.Fault
+	if errors.As(err, &own) {
+		return &faultBody{Kind: own.Kind, Message: own.Message, status: statusOf(own.Kind)}
+	}
+	var ops *opsgen.Fault
+	if errors.As(err, &ops) {
+		return &faultBody{Kind: ops.Kind, Message: ops.Message, status: statusOf(ops.Kind)}
+	}
+	// The decoder keeps only the text of the error of http.MaxBytesReader.
+	if strings.Contains(err.Error(), tooLarge) {
+		return &faultBody{Kind: "Invalid", Message: fmt.Sprintf("body over %d bytes: send a shorter statement", wire.MaxBody), status: http.StatusRequestEntityTooLarge}
+	}
+	var g *goa.ServiceError
+	if errors.As(err, &g) && !g.Fault {
+		return &faultBody{Kind: "Invalid", Message: g.Message + ": correct the field; docs/PROTOCOLS.md has the format", status: http.StatusBadRequest}
+	}
+	return &faultBody{Kind: "Internal", Message: "the host failed to answer: ask again, and give operators the time", status: http.StatusInternalServerError}
+}
--- a/tier/entry/successor.go
+++ b/tier/entry/successor.go
@@ -12,28 +12,29 @@
 	entrygen "loomgap/tier/gen/entry"
 	"loomgap/tier/kernel"
 	"loomgap/tier/peers"
-	"loomgap/tier/wire"
 )
 
-// MethodAdopt is the peer method that hands tickets over at a planned stop.
-const MethodAdopt = "Adopt"
+// methodAdopt is the peer method that hands tickets over at a planned stop.
+const methodAdopt = "Adopt"
 
-// Bounds of handing over.
+// Limits of handing over. None is measured.
 const (
-	// handedAtOnce is how many tickets one message has.
+	// handedAtOnce is the number of tickets in one message.
 	handedAtOnce = 500
-	// maxAdopted is how many processes' tickets a host keeps.
+	// maxAdopted is the number of processes whose tickets a host keeps.
 	maxAdopted = 64
-	// successorsAsked is how many hosts are asked for a ticket whose process is gone.
+	// successorsAsked is the number of hosts that are asked for a ticket whose process
+	// has stopped: the successor, and the next one in case hosts' views differ.
 	successorsAsked = 2
-	adoptBound      = 2 * time.Second
+	// adoptTimeout is the longest time for one message of tickets.
+	adoptTimeout = 2 * time.Second
 )
 
 // errNotSuccessor is returned by a host that has not adopted a ticket.
 var errNotSuccessor = errors.New("ticket not held here")
 
-// HandedTicket is a ticket on its way to another host.
-type HandedTicket struct {
+// handedTicket is a ticket as one host hands it to another.
+type handedTicket struct {
 	Counter uint64
 	// Left is how long it is still to be remembered.
 	Left time.Duration
@@ -48,26 +49,27 @@
 	Host, Incarnation string
 	// Next is the counter of the first ticket that was never minted.
 	Next    uint64
-	Tickets []HandedTicket
+	Tickets []handedTicket
 }
 
-// GiveAway ends all claims here, for good, and then gives the tickets that do
-// not run. Since nothing here can run them any more, another host may.
-func (t *Tickets) GiveAway(now time.Duration) []HandedTicket {
+// giveAway refuses all later claims in this process, and returns the tickets whose
+// orders are not running. Nothing here can run those any more, so another host may.
+func (t *ticketStore) giveAway(now time.Duration) []handedTicket {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.given = true
-	var out []HandedTicket
+	var out []handedTicket
 	for n, s := range t.states {
 		if s.settled == nil && now < s.expires {
-			out = append(out, HandedTicket{Counter: n, Left: s.expires - now, Statement: s.statement, Answer: s.answer})
+			out = append(out, handedTicket{Counter: n, Left: s.expires - now, Statement: s.statement, Answer: s.answer})
 		}
 	}
 	return out
 }
 
-// take adds handed tickets to those of the same process.
-func (t *Tickets) take(now time.Duration, next uint64, handed []HandedTicket) {
+// take adds handed tickets to those of the same process. A ticket that is known
+// already keeps its state, so a message that arrives twice frees nothing.
+func (t *ticketStore) take(now time.Duration, next uint64, handed []handedTicket) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.next = max(t.next, next)
@@ -79,18 +81,19 @@
 	}
 }
 
-// adopted holds the tickets of processes that stopped as planned.
-type adopted struct {
+// adoptedTickets holds the tickets of processes that stopped as planned.
+type adoptedTickets struct {
 	mu  sync.Mutex
-	all map[string]*Tickets
+	all map[string]*ticketStore
 	// order lists the processes by when they were adopted.
 	order []string
 }
 
+// processOf names the process that minted a ticket.
 func processOf(host, incarnation string) string { return host + "/" + incarnation }
 
-// find returns the tickets of a process; nil if they are not held here.
-func (a *adopted) find(process string) *Tickets {
+// find returns the tickets of a process; nil if this host has not adopted them.
+func (a *adoptedTickets) find(process string) *ticketStore {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.all[process]
@@ -98,7 +101,7 @@
 
 // open returns the tickets of a process, made empty at first; the oldest process
 // is dropped when there are too many, and its tickets are Unknown from then on.
-func (a *adopted) open(host, incarnation string, life time.Duration) *Tickets {
+func (a *adoptedTickets) open(host, incarnation string, life time.Duration) *ticketStore {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	process := processOf(host, incarnation)
@@ -109,28 +112,28 @@
 		delete(a.all, a.order[0])
 		a.order = a.order[1:]
 	}
-	t := NewTickets(TicketsConfig{Host: host, Incarnation: incarnation, Life: life})
+	t := newTicketStore(ticketsConfig{Host: host, Incarnation: incarnation, Life: life})
 	if a.all == nil {
-		a.all = map[string]*Tickets{}
+		a.all = map[string]*ticketStore{}
 	}
 	a.all[process] = t
 	a.order = append(a.order, process)
 	return t
 }
 
-// list gives all that was adopted.
-func (a *adopted) list() []*Tickets {
+// list returns the tickets of all processes that were adopted.
+func (a *adoptedTickets) list() []*ticketStore {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	var out []*Tickets
+	var out []*ticketStore
 	for _, p := range a.order {
 		out = append(out, a.all[p])
 	}
 	return out
 }
 
-// onAdopt takes tickets in.
-func (e *Engine) onAdopt(_ context.Context, params json.RawMessage) (any, error) {
+// serveAdopt adopts the tickets that another host sent with hand.
+func (e *engine) serveAdopt(_ context.Context, params json.RawMessage) (any, error) {
 	var in adoptRequest
 	if err := json.Unmarshal(params, &in); err != nil {
 		return nil, fmt.Errorf("bad tickets: %w", err)
@@ -151,11 +154,11 @@
 
 // handOver gives this host's tickets, and those it adopted, to other hosts. Each
 // ticket is sent once: if a message is lost, its tickets are Unknown.
-func (e *Engine) handOver() {
+func (e *engine) handOver() {
 	for _, t := range append(e.adopted.list(), e.tickets) {
 		process := processOf(t.host, t.incarnation)
 		ranked := successors(e.kernel.View(), &e.kernel.Settings, process)
-		handed := t.GiveAway(e.kernel.Now())
+		handed := t.giveAway(e.kernel.Now())
 		if len(handed) == 0 || len(ranked) == 0 {
 			continue
 		}
@@ -165,33 +168,22 @@
 	}
 }
 
-func (e *Engine) hand(heir string, r *adoptRequest) {
-	ctx, cancel := context.WithTimeout(context.Background(), adoptBound)
+// hand sends tickets to their successor.
+func (e *engine) hand(successor string, r *adoptRequest) {
+	ctx, cancel := context.WithTimeout(context.Background(), adoptTimeout)
 	defer cancel()
 	var out struct{}
-	err := e.kernel.Peers.Call(ctx, heir, MethodAdopt, r, &out)
-	e.kernel.Log.Info().Err(err).Str("Heir", heir).Int("Tickets", len(r.Tickets)).Msg("tickets handed over")
+	err := e.kernel.Peers.Call(ctx, successor, methodAdopt, r, &out)
+	e.kernel.Log.Info().Err(err).Str("Successor", successor).Int("Tickets", len(r.Tickets)).Msg("tickets handed over")
 }
 
-// askHeirs sends an order to the hosts that may have adopted its ticket.
-func (e *Engine) askHeirs(ctx context.Context, t Ticket, in *entrygen.OrderPayload, h *held) *entrygen.Answer {
-	ranked := successors(h.view, &e.kernel.Settings, processOf(t.Host, t.Incarnation))
+// askSuccessors sends an order to the hosts that may have adopted its ticket.
+func (e *engine) askSuccessors(ctx context.Context, o *order) *entrygen.Answer {
+	ranked := successors(o.view, &e.kernel.Settings, processOf(o.ticket.Host, o.ticket.Incarnation))
 	for _, n := range ranked[:min(successorsAsked, len(ranked))] {
-		var out entrygen.Answer
-		if e.sendOrder(ctx, n, in, h, &out) == nil {
-			return &out
+		if answer, err := e.sendOrder(ctx, n, o); err == nil {
+			return answer
 		}
 	}
-	return e.unknown(in, "no host that was reached holds the ticket; ask again with the same ticket, then look the record up before placing it again")
-}
-
-// sendOrder sends an order to another host, within the deadline.
-func (e *Engine) sendOrder(ctx context.Context, host string, in *entrygen.OrderPayload, h *held, out *entrygen.Answer) error {
-	left := h.deadline - e.kernel.Now()
-	ctx, cancel := context.WithTimeout(ctx, left)
-	defer cancel()
-	return e.kernel.Peers.Call(ctx, host, MethodOrder, wire.OrderRequest{
-		Ticket: in.Ticket, Statement: in.Statement, Class: in.Class,
-		DeadlineMillis: left.Milliseconds(), Trace: wire.TraceOf(ctx),
-	}, out)
+	return e.unknown(o.payload, "no host that was reached holds the ticket; ask again with the same ticket, then look the record up before placing it again")
 }
--- a/tier/entry/ticket.go
+++ b/tier/entry/ticket.go
@@ -11,69 +11,72 @@
 	entrygen "loomgap/tier/gen/entry"
 )
 
-// maxTickets bounds the tickets that a host remembers.
+// maxTickets bounds the tickets that one process remembers, so that a flood of
+// requests for tickets can't exhaust its memory. Not measured.
 const maxTickets = 200_000
 
 // Errors of tickets.
 var (
-	ErrTicket      = errors.New("bad ticket")
-	ErrTicketsFull = errors.New("too many tickets are out")
+	errTicket      = errors.New("bad ticket")
+	errTicketsFull = errors.New("too many tickets are out")
 )
 
-// Ticket names one not-repeatable request. Only the process that minted it may
+// ticket names one not-repeatable request. Only the process that minted it may
 // ever run the request, so no agreement between hosts is needed, and a pause
 // or a cut cannot make it run twice.
-type Ticket struct {
+type ticket struct {
 	Host        string
 	Incarnation string
 	Counter     uint64
 }
 
 // String writes a ticket as <host>/<incarnation>/<counter>.
-func (t Ticket) String() string {
+func (t ticket) String() string {
 	return fmt.Sprintf("%s/%s/%d", t.Host, t.Incarnation, t.Counter)
 }
 
-// ParseTicket reads a ticket.
-func ParseTicket(s string) (Ticket, error) {
+// parseTicket reads a ticket.
+func parseTicket(s string) (ticket, error) {
 	p := strings.Split(s, "/")
 	if len(p) != 3 || p[0] == "" || p[1] == "" {
-		return Ticket{}, fmt.Errorf("%w %q: send the ticket as /tickets gave it", ErrTicket, s)
+		return ticket{}, fmt.Errorf("%w %q: send the ticket as /tickets gave it", errTicket, s)
 	}
 	n, err := strconv.ParseUint(p[2], 10, 64)
 	if err != nil {
-		return Ticket{}, fmt.Errorf("%w %q: send the ticket as /tickets gave it", ErrTicket, s)
+		return ticket{}, fmt.Errorf("%w %q: send the ticket as /tickets gave it", errTicket, s)
 	}
-	return Ticket{Host: p[0], Incarnation: p[1], Counter: n}, nil
+	return ticket{Host: p[0], Incarnation: p[1], Counter: n}, nil
 }
 
-// ClaimKind says what a claim of a ticket found.
-type ClaimKind string
+// claimKind says what a claim of a ticket found.
+type claimKind string
 
 // The kinds of claim.
 const (
-	// ClaimRun lets the claimer run the request; Settle must follow.
-	ClaimRun ClaimKind = "Run"
-	// ClaimWait tells that the request is running.
-	ClaimWait ClaimKind = "Wait"
-	// ClaimDone gives the answer that the request had.
-	ClaimDone ClaimKind = "Done"
-	// ClaimForgotten tells that the ticket expired: the request may have run.
-	ClaimForgotten ClaimKind = "Forgotten"
-	// ClaimNever tells that no such ticket was minted.
-	ClaimNever ClaimKind = "Never"
-	// ClaimGiven tells that the tickets were given to another host.
-	ClaimGiven ClaimKind = "Given"
-	// ClaimOther tells that the ticket was used for another request.
-	ClaimOther ClaimKind = "Other"
+	// claimRun lets the claimer run the request; settle must follow.
+	claimRun claimKind = "Run"
+	// claimWait tells that the request is running.
+	claimWait claimKind = "Wait"
+	// claimDone gives the answer that the request had.
+	claimDone claimKind = "Done"
+	// claimForgotten tells that the ticket expired: the request may have run.
+	claimForgotten claimKind = "Forgotten"
+	// claimNever tells that no such ticket was minted.
+	claimNever claimKind = "Never"
+	// claimGiven tells that the tickets were given to another host.
+	claimGiven claimKind = "Given"
+	// claimOther tells that the ticket was used for another request.
+	claimOther claimKind = "Other"
 )
 
-// Claim is the result of claiming a ticket.
-type Claim struct {
-	Kind ClaimKind
-	// Settled is closed when a running request has its answer.
-	Settled <-chan struct{}
-	Answer  *entrygen.Answer
+// claim is the result of claiming a ticket.
+type claim struct {
+	kind claimKind
+	// settled is closed when a running request has its answer; nil unless kind is
+	// claimWait.
+	settled <-chan struct{}
+	// answer is the final answer; nil unless kind is claimDone.
+	answer *entrygen.Answer
 }
 
 type ticketState struct {
@@ -86,8 +89,8 @@
 	answer *entrygen.Answer
 }
 
-// Tickets remembers the tickets of one process. It is safe for concurrent use.
-type Tickets struct {
+// ticketStore remembers the tickets of one process. It is safe for concurrent use.
+type ticketStore struct {
 	mu          sync.Mutex
 	host        string
 	incarnation string
@@ -101,37 +104,37 @@
 	given bool
 }
 
-// TicketsConfig configures Tickets.
-type TicketsConfig struct {
+// ticketsConfig configures a ticketStore.
+type ticketsConfig struct {
 	Host, Incarnation string
 	// Life is how long a ticket is remembered.
 	Life time.Duration
 }
 
-// NewTickets makes an empty memory.
-func NewTickets(c TicketsConfig) *Tickets {
-	return &Tickets{
+// newTicketStore makes an empty memory.
+func newTicketStore(c ticketsConfig) *ticketStore {
+	return &ticketStore{
 		host: c.Host, incarnation: c.Incarnation, life: c.Life,
 		next: 1, oldest: 1, states: map[uint64]*ticketState{},
 	}
 }
 
-// Mint makes a ticket.
-func (t *Tickets) Mint(now time.Duration) (Ticket, error) {
+// mint makes a ticket.
+func (t *ticketStore) mint(now time.Duration) (ticket, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.forget(now)
 	if t.given || len(t.states) >= maxTickets {
-		return Ticket{}, fmt.Errorf("%w: ask again in %s", ErrTicketsFull, t.life)
+		return ticket{}, fmt.Errorf("%w: ask again in %s", errTicketsFull, t.life)
 	}
 	n := t.next
 	t.next++
 	t.states[n] = &ticketState{expires: now + t.life}
-	return Ticket{Host: t.host, Incarnation: t.incarnation, Counter: n}, nil
+	return ticket{Host: t.host, Incarnation: t.incarnation, Counter: n}, nil
 }
 
 // forget drops expired tickets. A running one is kept until it is settled.
-func (t *Tickets) forget(now time.Duration) {
+func (t *ticketStore) forget(now time.Duration) {
 	for t.oldest < t.next {
 		s := t.states[t.oldest]
 		if s != nil && (now < s.expires || s.settled != nil) {
@@ -142,48 +145,48 @@
 	}
 }
 
-// Claim takes a ticket of this process for a request.
-func (t *Tickets) Claim(now time.Duration, counter uint64, statement string) Claim {
+// claim takes a ticket of this process for a request.
+func (t *ticketStore) claim(now time.Duration, counter uint64, statement string) claim {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.forget(now)
 	s := t.states[counter]
 	switch {
 	case t.given:
-		return Claim{Kind: ClaimGiven}
+		return claim{kind: claimGiven}
 	case counter >= t.next || counter == 0:
-		return Claim{Kind: ClaimNever}
+		return claim{kind: claimNever}
 	case s == nil:
-		return Claim{Kind: ClaimForgotten}
+		return claim{kind: claimForgotten}
 	case s.statement != "" && s.statement != statement:
-		return Claim{Kind: ClaimOther}
+		return claim{kind: claimOther}
 	case s.answer != nil:
-		return Claim{Kind: ClaimDone, Answer: s.answer}
+		return claim{kind: claimDone, answer: s.answer}
 	case s.settled != nil:
-		return Claim{Kind: ClaimWait, Settled: s.settled}
+		return claim{kind: claimWait, settled: s.settled}
 	case now >= s.expires:
-		return Claim{Kind: ClaimForgotten}
+		return claim{kind: claimForgotten}
 	}
 	s.statement = statement
 	s.settled = make(chan struct{})
-	return Claim{Kind: ClaimRun}
+	return claim{kind: claimRun}
 }
 
-// Settle records the answer of a claimed ticket. After NotRun the request may
+// settle records the answer of a claimed ticket. After NotRun the request may
 // be tried again; any other answer is final.
-func (t *Tickets) Settle(counter uint64, a *entrygen.Answer) {
+func (t *ticketStore) settle(counter uint64, a *entrygen.Answer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.states[counter]
-	if a.Outcome != OutcomeNotRun {
+	if a.Outcome != outcomeNotRun {
 		s.answer = a
 	}
 	close(s.settled)
 	s.settled = nil
 }
 
-// Answer returns the final answer of a ticket; nil if it has none.
-func (t *Tickets) Answer(counter uint64) *entrygen.Answer {
+// answer returns the final answer of a ticket; nil if it has none.
+func (t *ticketStore) answer(counter uint64) *entrygen.Answer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.states[counter]; s != nil {
