--- /dev/null
+++ b/loomfake/golden_test.go
@@ -0,0 +1,149 @@
+package main
+
+import (
+	"bytes"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io"
+	"io/fs"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/go-json-experiment/json"
+	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
+)
+
+// programCommands are the commands of the three programs, by program.
+var programCommands = map[string][]string{
+	"loomd":    {"serve", "version"},
+	"loomctl":  {"ask", "order", "status", "plan", "check", "drain", "version"},
+	"loomfake": {"document", "platform", "upstream", "link", "load", "replay", "soak"},
+}
+
+// TestHelpStaysAsItIs compares the help of each command, with its flags, with
+// testdata/golden. Operators' scripts and the deploy file use these flags.
+func TestHelpStaysAsItIs(t *testing.T) {
+	for program, names := range programCommands {
+		for _, name := range names {
+			t.Run(program+" "+name, func(t *testing.T) {
+				var out bytes.Buffer
+				c := exec.Command(filepath.Join(programs, program), "help", name)
+				c.Stdout, c.Stderr = &out, &out
+				assert.NilError(t, c.Run())
+				golden.Assert(t, out.String(), "golden/"+program+"_"+name+".txt")
+			})
+		}
+	}
+}
+
+// metricName is the name of a metric, without its labels.
+var metricName = regexp.MustCompile(`loomgap_[a-z_]+`)
+
+// TestMetricNamesStayAsTheyAre compares the names of all metrics that stand in
+// the code with testdata/golden/metrics.txt.
+func TestMetricNamesStayAsTheyAre(t *testing.T) {
+	names := map[string]bool{}
+	for _, module := range []string{"tier", "platform", "loomd"} {
+		err := filepath.WalkDir(filepath.Join("..", module), func(path string, d fs.DirEntry, err error) error {
+			if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+				return err
+			}
+			return collectMetrics(path, names)
+		})
+		assert.NilError(t, err)
+	}
+	golden.Assert(t, sortedLines(names), "golden/metrics.txt")
+}
+
+// collectMetrics adds the metrics that a file names in its string literals.
+func collectMetrics(path string, names map[string]bool) error {
+	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+	if err != nil {
+		return err
+	}
+	ast.Inspect(file, func(n ast.Node) bool {
+		if l, ok := n.(*ast.BasicLit); ok && l.Kind == token.STRING {
+			for _, name := range metricName.FindAllString(l.Value, -1) {
+				names[name] = true
+			}
+		}
+		return true
+	})
+	return nil
+}
+
+func sortedLines(names map[string]bool) string {
+	var out []string
+	for n := range names {
+		out = append(out, n)
+	}
+	slices.Sort(out)
+	return strings.Join(out, "\n") + "\n"
+}
+
+// TestStatusAndMetricsStayAsTheyAre starts two daemons, counts once at the first, and compares
+// the fields of its /status with testdata/golden/status.txt, and the labels of
+// metrics with those that dashboards use.
+func TestStatusAndMetricsStayAsTheyAre(t *testing.T) {
+	port := portStart + int(firstPort.Add(portBlock))
+	s := &scene{t: t, port: port, dir: t.TempDir(), env: os.Environ(), processes: map[string]*process{}, answers: &history{}}
+	defer s.stopAll()
+	assert.NilError(t, s.tier(2, 2, nil))
+	var counted struct{ Outcome string }
+	assert.NilError(t, call(http.MethodPost, s.listen(1)+"/ask", map[string]string{"Statement": "count Orders", "Class": "Tally"}, &counted))
+	assert.Equal(t, counted.Outcome, "Complete")
+
+	var status any
+	assert.NilError(t, call(http.MethodGet, s.operate(1)+"/status", nil, &status))
+	fields := map[string]bool{}
+	collectFields("", status, fields)
+	golden.Assert(t, sortedLines(fields), "golden/status.txt")
+
+	reply, err := quick.Get("http://" + s.operate(1) + "/metrics")
+	assert.NilError(t, err)
+	defer func() { _ = reply.Body.Close() }()
+	text, err := io.ReadAll(reply.Body)
+	assert.NilError(t, err)
+	for _, want := range []string{
+		`loomgap_requests_total{Class="Tally",Outcome="Complete"} 1`,
+		`loomgap_request_seconds_count{Class="Tally",Outcome="Complete"} 1`,
+		`loomgap_parts_asked_total 2`,
+		`loomgap_parts_missing_total 0`,
+		`loomgap_upstream_calls_total{Outcome="OK"} `,
+		`loomgap_platform_reads_total `,
+		`loomgap_peer_bytes_in `,
+	} {
+		assert.Check(t, strings.Contains(string(text), want), "%s in\n%s", want, text)
+	}
+}
+
+// collectFields adds the paths of all fields of a JSON value, with the kind of
+// each value that is neither object nor list.
+func collectFields(path string, value any, fields map[string]bool) {
+	switch v := value.(type) {
+	case map[string]any:
+		for name, field := range v {
+			collectFields(path+"."+name, field, fields)
+		}
+	case []any:
+		fields[path+"[]"] = true
+		for _, element := range v {
+			collectFields(path+"[]", element, fields)
+		}
+	default:
+		text, _ := json.Marshal(v) // it was read from JSON a moment ago
+		kind := map[byte]string{'"': "text", 't': "truth", 'f': "truth", 'n': "null"}[text[0]]
+		if kind == "" {
+			kind = "number"
+		}
+		fields[path+" "+kind] = true
+	}
+}
