--- a/tier/pass/forward_test.go
+++ b/tier/pass/forward_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"io"
 	"net"
 	"net/http"
 	"testing"
@@ -22,10 +23,15 @@
 }
 
 func newForwarding(t *testing.T, reply func(shard, replica int) replyFunc) *forwarding {
+	return newForwardingLogged(t, reply, nil)
+}
+
+// newForwardingLogged is newForwarding with a log of the weak host.
+func newForwardingLogged(t *testing.T, reply func(shard, replica int) replyFunc, log io.Writer) *forwarding {
 	w := newCable()
 	f := &forwarding{
 		cable:  w,
-		weak:   newHost(t, hostConfig{name: "Weak", hall: "A", peers: w, cores: 0.2}),
+		weak:   newHost(t, hostConfig{name: "Weak", hall: "A", peers: w, cores: 0.2, log: log}),
 		strong: newHost(t, hostConfig{name: "Strong", hall: "A", peers: w}),
 	}
 	// What is not the matter of a test does not depend on the machine's speed.
--- /dev/null
+++ b/tier/pass/golden_test.go
@@ -0,0 +1,279 @@
+package pass
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"net/http"
+	"net/netip"
+	"reflect"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
+
+	"loomgap/tier/config"
+	"loomgap/tier/kernel"
+	"loomgap/tier/policy"
+	"loomgap/tier/query"
+)
+
+// messages are the messages between hosts with every field set.
+var messages = []any{
+	&GatherRequest{
+		ID: "b-1", Route: "Find", RequestID: "r-1", Method: "POST", Head: "POST / HTTP/1.1\r\n", Body: []byte("body"),
+		Upstreams: []string{"U1", "U2"}, Top: 50, Of: 25, FirstMillis: 40, DeadlineMillis: 900, Trace: "00-trace",
+	},
+	&GatherReply{
+		ID: "b-1",
+		Ended: []GatheredCall{
+			{Index: 1, Stamp: "stamp", TookMicros: 1500},
+			{Index: 2, Outcome: string(policy.CallStalled), TookMicros: 7},
+		},
+		Records: []byte("0123456789abcdef"), Cut: 2, Due: true, ProgressSent: 3,
+		Conditions: []policy.Condition{{Upstream: "U1", Slowness: 4, FaultPercent: 30}}, HeldMicros: 2500,
+	},
+	&GatheredCall{Index: 1, Stamp: "stamp", Outcome: string(policy.CallOK), TookMicros: 1500},
+	&StopRequest{ID: "b-1", Left: true},
+	&RecordsRequest{ID: "b-1", Cut: 2},
+	&RecordsReply{Records: []byte("0123456789abcdef")},
+	&ForwardRequest{
+		ID: "f-1", RequestID: "r-1", HostName: "shop.example", Path: "/find/x", Route: 1 << 63, Method: "POST",
+		Head: "POST / HTTP/1.1\r\n", Body: []byte("body"), Caller: netip.MustParseAddr("192.0.2.1"),
+		SpentMicros: 1500, LeftMillis: 900, Trace: "00-trace",
+	},
+	&ForwardReply{
+		Declined: DeclineNotBegun, Status: 200, Outcome: outcomePartial, Header: map[string]string{"X-Missing": "1"},
+		Body: []byte("body"), HeldMicros: 2500,
+	},
+	&ForwardSign{ID: "f-1"},
+}
+
+// TestMessagesBetweenHosts pins each message as JSON, with every field set and with
+// none, and that the JSON is read back to the same value. A host of the version
+// before must understand a host of this one.
+func TestMessagesBetweenHosts(t *testing.T) {
+	var b strings.Builder
+	for _, full := range messages {
+		kind := reflect.TypeOf(full).Elem()
+		for i := range kind.NumField() {
+			assert.Assert(t, !reflect.ValueOf(full).Elem().Field(i).IsZero(), "%s.%s is not set", kind.Name(), kind.Field(i).Name)
+		}
+		for _, message := range []any{full, reflect.New(kind).Interface()} {
+			text, err := json.Marshal(message)
+			assert.NilError(t, err)
+			fmt.Fprintf(&b, "%s\n", text)
+			back := reflect.New(kind).Interface()
+			assert.NilError(t, json.Unmarshal(text, back))
+			assert.Assert(t, reflect.DeepEqual(back, message), "%s", text)
+		}
+	}
+	golden.Assert(t, b.String(), "messages.golden")
+}
+
+// TestMethodsBetweenHosts pins the names of the methods, and that each is served.
+func TestMethodsBetweenHosts(t *testing.T) {
+	methods := map[string]string{
+		MethodGather: "Gather", MethodProgress: "GatherProgress", MethodStop: "GatherStop", MethodRecords: "GatherRecords",
+		MethodForward: "Forward", MethodForwardSign: "ForwardSign", MethodForwardBegin: "ForwardBegin", MethodForwardStop: "ForwardStop",
+	}
+	h := newHost(t, hostConfig{name: "H1", hall: "A"})
+	for got, want := range methods {
+		assert.Equal(t, got, want)
+		assert.Assert(t, h.kernel.Handler(want) != nil, want)
+	}
+}
+
+// TestWordsOfOutcomes pins the words of logs, metrics and messages.
+func TestWordsOfOutcomes(t *testing.T) {
+	got := []string{
+		outcomeServed, outcomePartial, outcomeFailed, outcomeNotRun, outcomeUnknown, outcomeLate, outcomeNoRoute,
+		outcomeInvalid, outcomeGivenUp, outcomeUncover, outcomeTooLarge,
+		string(DeclineStopping), string(DeclineRoute), string(DeclineNotBegun),
+	}
+	assert.DeepEqual(t, got, []string{
+		"Served", "Partial", "Failed", "NotRun", "Unknown", "Late", "NoRoute",
+		"Invalid", "GivenUp", "BelowCoverage", "TooLarge",
+		"Stopping", "Route", "NotBegun",
+	})
+}
+
+// observed is what callers and log readers see of some requests.
+type observed struct {
+	answers strings.Builder
+	// logs holds the messages with the names of their fields.
+	logs map[string]bool
+}
+
+// answer notes the status, the names of the headers and the text of an answer.
+func (o *observed) answer(name string, r got) {
+	body := r.body
+	if strings.HasPrefix(r.header.Get("Content-Type"), "application/octet-stream") {
+		body = fmt.Sprint(len(body), " bytes")
+	}
+	if r.header.Get(names.Parts) != "" {
+		// The stamps come as the calls end.
+		r.header.Set(names.Parts, fmt.Sprint(len(stampsOf(r)), " stamps"))
+	}
+	var headers []string
+	for _, n := range slices.Sorted(maps.Keys(r.header)) {
+		if n != "Date" && n != "Retry-After" {
+			n += "=" + r.header.Get(n)
+		}
+		headers = append(headers, n)
+	}
+	fmt.Fprintf(&o.answers, "%s: %d %q\n  %s\n", name, r.status, body, strings.Join(headers, "\n  "))
+}
+
+// take notes the fields of the lines of a log, by message.
+func (o *observed) take(t *testing.T, log *lockedBuffer) {
+	for _, text := range strings.Split(strings.TrimSpace(log.String()), "\n") {
+		var line map[string]any
+		assert.NilError(t, json.Unmarshal([]byte(text), &line))
+		if line["RequestID"] == nil {
+			continue
+		}
+		message := fmt.Sprint(line["message"])
+		if outcome := line["Outcome"]; outcome != nil && message != "call ended" {
+			message += " " + fmt.Sprint(outcome)
+		}
+		delete(line, "message")
+		o.logs[message+": "+strings.Join(slices.Sorted(maps.Keys(line)), " ")] = true
+	}
+}
+
+// observeSingle has requests to one group meet each of their ends.
+func (o *observed) observeSingle(t *testing.T) {
+	var log lockedBuffer
+	h := newHost(t, hostConfig{name: "H1", hall: "A", log: &log})
+	o.answer("no configuration", h.ask(http.MethodGet, "/read/", "early", 2000, ""))
+	h.accept(singles())
+	o.answer("no directory", h.ask(http.MethodGet, "/read/", "alone", 2000, ""))
+	u := newUpstream(t, "U1", good("well"))
+	h.list("Orders", "A", u, false)
+	o.answer("no upstream of the group", h.ask(http.MethodGet, "/read/deep/", "deep", 2000, ""))
+	ask := func(name string, reply replyFunc) {
+		u.mu.Lock()
+		u.reply = reply
+		u.mu.Unlock()
+		o.answer(name, h.ask(http.MethodPost, "/place/", name, 2000, "b"))
+	}
+	ask("served", good("well"))
+	ask("failed", failing(500, false))
+	ask("shed", failing(503, true))
+	ask("promise-without-word", failing(503, false))
+	ask("reset", reset)
+	o.answer("no route", h.ask(http.MethodPost, "/none/", "no-route", 2000, "b"))
+	o.answer("no ID", h.ask(http.MethodPost, "/place/", "", 2000, "b"))
+	o.answer("bad deadline", h.ask(http.MethodPost, "/place/", "bad", 0, "b"))
+	o.answer("too large", h.ask(http.MethodPost, "/place/", "large", 2000, strings.Repeat("b", 1001)))
+	h.evacuate("A")
+	up := h.kernel.Fleet.Find("U1")
+	assert.Assert(t, !h.engine.admits(h.kernel.Now(), &admission{route: "Read", request: "barred"}, up))
+	o.take(t, &log)
+}
+
+// observeForwarded has a gather handed over to a coordinator in each of its states.
+func (o *observed) observeForwarded(t *testing.T) {
+	soon := forwardTimes{firstSign: time.Millisecond, silent: testBound}
+	cases := []struct {
+		name   string
+		change func(f *forwarding)
+	}{
+		{"forwarded", func(*forwarding) {}},
+		{"forwarded, cut off", func(f *forwarding) { f.cable.cut["Strong"] = true }},
+		{"forwarded, frozen", func(f *forwarding) { f.cable.mute["Strong"] = true; f.weak.engine.times = soon }},
+		{"forwarded, not told to begin", func(f *forwarding) { f.cable.broken = map[string]bool{MethodForwardBegin: true} }},
+		{"forwarded, stopping", func(f *forwarding) { f.strong.kernel.SetPhase(kernel.PhaseDraining) }},
+		{"forwarded, refused", func(f *forwarding) {
+			f.strong.do(func(s *kernel.State) { s.List(&config.DirectoryChange{Revision: 1000, Whole: true}) })
+		}},
+		{"forwarded, lost", func(f *forwarding) {
+			for _, us := range f.upstreams {
+				for _, u := range us {
+					u.reply = silent
+				}
+			}
+			f.cable.pushes = 1
+			f.weak.engine.times.silent = 300 * time.Millisecond
+		}},
+	}
+	for _, c := range cases {
+		var log lockedBuffer
+		f := newForwardingLogged(t, wellReplied, &log)
+		c.change(f)
+		o.answer(c.name, f.weak.ask(http.MethodGet, "/find/x", "one", 15000, ""))
+		o.take(t, &log)
+	}
+}
+
+// observeRelayed has the calls of a gather made by a host of another hall.
+func (o *observed) observeRelayed(t *testing.T) {
+	cases := []struct {
+		name   string
+		change func(w *cable)
+	}{
+		{"relayed", func(*cable) {}},
+		{"relayed, cut off", func(w *cable) { w.cut["Far"] = true }},
+		{"relayed, records cut off", func(w *cable) { w.broken = map[string]bool{MethodRecords: true} }},
+	}
+	for _, c := range cases {
+		var log lockedBuffer
+		w := newCable()
+		h := newHost(t, hostConfig{name: "H1", hall: "A", peers: w, log: &log})
+		far := newHost(t, hostConfig{name: "Far", hall: "B", peers: w})
+		w.hosts["Far"] = far
+		c.change(w)
+		for s := range shards {
+			hall, text := "A", part(s)
+			if s >= shards/2 {
+				hall, text = "B", strings.ReplaceAll(part(s), ".", "z")
+			}
+			if s >= shards/2 && w.broken != nil {
+				// The records of this hall come before all others.
+				text = regexp.MustCompile(".{16}").ReplaceAllStringFunc(text, func(r string) string { return "z" + r[1:] })
+			}
+			h.list(fmt.Sprint("S", s), hall, newUpstream(t, fmt.Sprint("U", s), good(text)), false)
+		}
+		far.do(func(s *kernel.State) {
+			whole := h.kernel.View().Directory.Whole()
+			s.List(&whole)
+		})
+		d := gatherDoc(0.4, 25)
+		h.accept(d)
+		far.accept(d)
+		h.member(far)
+		o.answer(c.name, h.ask(http.MethodGet, "/find/x", "one", 1500, ""))
+		o.take(t, &log)
+	}
+}
+
+// TestWhatCallersAndLogReadersSee pins the answers to callers with their headers,
+// the fields of the log lines of requests, and the metrics.
+func TestWhatCallersAndLogReadersSee(t *testing.T) {
+	o := &observed{logs: map[string]bool{}}
+	o.observeSingle(t)
+	o.observeForwarded(t)
+	o.observeRelayed(t)
+	golden.Assert(t, o.answers.String(), "answers.golden")
+	golden.Assert(t, strings.Join(slices.Sorted(maps.Keys(o.logs)), "\n")+"\n", "logs.golden")
+
+	label := regexp.MustCompile(`="[^"]*"`)
+	of := regexp.MustCompile(`^loomgap_(routed|carried|relayed|calls_barred)_`)
+	seen := map[string]bool{}
+	for _, name := range metrics.ListMetricNames() {
+		if of.MatchString(name) {
+			seen[label.ReplaceAllString(name, "")] = true
+		}
+	}
+	assert.DeepEqual(t, slices.Sorted(maps.Keys(seen)), []string{
+		"loomgap_calls_barred_total{Reason}", "loomgap_carried_requests_total", "loomgap_relayed_calls_total",
+		"loomgap_routed_seconds{Route,Outcome}", "loomgap_routed_total{Route,Outcome}",
+	})
+	assert.Assert(t, slices.Contains(metrics.ListMetricNames(), `loomgap_calls_barred_total{Reason="`+string(query.ReasonEvacuated)+`"}`))
+}
