--- /dev/null
+++ b/tier/peers/wire_test.go
@@ -0,0 +1,139 @@
+package peers
+
+import (
+	"encoding/json"
+	"net/netip"
+	"os"
+	"reflect"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp/cmpopts"
+	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
+
+	"loomgap/tier/config"
+	"loomgap/tier/wire"
+)
+
+// filler gives each field of a message a value of its own, in order of the fields.
+type filler struct{ next int }
+
+// fill sets all fields that v holds, also those of what it points to; a slice gets
+// two items.
+func (f *filler) fill(v reflect.Value) {
+	f.next++
+	switch at := v.Addr().Interface().(type) {
+	case *netip.AddrPort:
+		*at = netip.AddrPortFrom(netip.AddrFrom4([4]byte{192, 0, 2, byte(f.next)}), uint16(f.next))
+		return
+	case *netip.Addr:
+		*at = netip.AddrFrom4([4]byte{192, 0, 2, byte(f.next)})
+		return
+	case *[]byte:
+		*at = []byte{byte(f.next)}
+		return
+	}
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			f.fill(v.Field(i))
+		}
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		f.fill(v.Elem())
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
+		f.fill(v.Index(0))
+		f.fill(v.Index(1))
+	case reflect.String:
+		v.SetString("text " + strconv.Itoa(f.next))
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Int, reflect.Int64:
+		v.SetInt(int64(f.next))
+	case reflect.Uint64:
+		v.SetUint(uint64(f.next))
+	case reflect.Float64:
+		v.SetFloat(float64(f.next))
+	default:
+		panic("no value for a " + v.Type().String())
+	}
+}
+
+// TestMessagesKeepTheirForm compares every message between hosts with its text in
+// testdata, with every field set and with none, and reads that text back.
+func TestMessagesKeepTheirForm(t *testing.T) {
+	tests := []struct {
+		name    string
+		message any
+	}{
+		{"heartbeat", &Heartbeat{}},
+		{"announcement", &Announcement{}},
+		{"strikes", &StrikesMessage{}},
+		{"packed-document", &wire.PackedDocument{}},
+		{"directory", &config.DirectoryChange{}},
+	}
+	for _, tt := range tests {
+		for _, form := range []string{"full", "zero"} {
+			t.Run(tt.name+" "+form, func(t *testing.T) {
+				message := reflect.New(reflect.TypeOf(tt.message).Elem())
+				if form == "full" {
+					(&filler{}).fill(message.Elem())
+				}
+				text, err := json.MarshalIndent(message.Interface(), "", "\t")
+				assert.NilError(t, err)
+				file := tt.name + "-" + form + ".json"
+				golden.Assert(t, string(text)+"\n", file)
+				back := reflect.New(message.Type().Elem())
+				assert.NilError(t, json.Unmarshal(golden.Get(t, file), back.Interface()))
+				assert.DeepEqual(t, back.Interface(), message.Interface(), cmpopts.EquateComparable(netip.AddrPort{}, netip.Addr{}))
+			})
+		}
+	}
+}
+
+// TestMethodsKeepTheirNames compares the methods that hosts call with their names on
+// the wire.
+func TestMethodsKeepTheirNames(t *testing.T) {
+	assert.Equal(t, MethodHeartbeat, "Beat")
+	assert.Equal(t, MethodDocument, "Document")
+	assert.Equal(t, MethodDirectory, "Directory")
+	assert.Equal(t, MethodAnnounce, "Announce")
+	assert.Equal(t, MethodStrikes, "Strikes")
+	assert.Equal(t, MethodKnownStrikes, "KnownStrikes")
+	assert.Equal(t, codeBusy, -32000)
+}
+
+// TestDictionaryKeepsItsText compares the text that both ends of a connection compress
+// with.
+func TestDictionaryKeepsItsText(t *testing.T) {
+	golden.Assert(t, string(dictionary), "dictionary.txt")
+}
+
+// outside finds what operators read: names of metrics with their labels, log lines and
+// the fields of these.
+var outside = regexp.MustCompile(`loomgap_\w+(?:\{\w+)?|\.Msg\("[^"]+"\)|\b(?:Str|Strs|Stringer|Int|Int64|Uint64|Bool|Dur|Interface)\("[A-Z]\w+"`)
+
+// TestOperatorsReadTheSameWords compares the metrics, log lines and log fields of this
+// package and of the kernel with those in testdata.
+func TestOperatorsReadTheSameWords(t *testing.T) {
+	var found []string
+	for _, folder := range []string{".", "../kernel"} {
+		files, err := os.ReadDir(folder)
+		assert.NilError(t, err)
+		for _, f := range files {
+			if !strings.HasSuffix(f.Name(), ".go") || strings.HasSuffix(f.Name(), "_test.go") {
+				continue
+			}
+			text, err := os.ReadFile(folder + "/" + f.Name())
+			assert.NilError(t, err)
+			found = append(found, outside.FindAllString(string(text), -1)...)
+		}
+	}
+	slices.Sort(found)
+	golden.Assert(t, strings.Join(slices.Compact(found), "\n")+"\n", "operators.txt")
+}
