--- /dev/null
+++ b/tier/policy/action.go
@@ -0,0 +1,42 @@
+package policy
+
+import "time"
+
+// ActionKind says what a run wants done.
+type ActionKind string
+
+// The kinds of action.
+const (
+	// ActionSend asks for the attempt to be sent to its upstream. Its slot is
+	// held; Fleet.Finish gives it back.
+	ActionSend ActionKind = "Send"
+	// ActionCancel asks for a sent attempt to be given up.
+	ActionCancel ActionKind = "Cancel"
+	// ActionLinger asks for a sent attempt to be given up in a while: its answer
+	// is not wanted, but shows when the upstream answers again.
+	ActionLinger ActionKind = "Linger"
+	// ActionTake asks for the attempt's part to be merged into the answer.
+	ActionTake ActionKind = "Take"
+	// ActionFree asks for Fleet.Free: a slot was granted and is not wanted.
+	ActionFree ActionKind = "Free"
+	// ActionFinish tells that the answer is to be given now. It comes once.
+	ActionFinish ActionKind = "Finish"
+)
+
+// Action is one thing to be done for a run.
+type Action struct {
+	Kind ActionKind
+	// Attempt is the number of the attempt within the run.
+	Attempt int
+	// Part is the index of the shard within the run.
+	Part     int
+	Upstream *Upstream
+	// Pool is where the latency of a sent attempt belongs.
+	Pool *Pool
+	// HedgeIn is after what time a sent attempt is hedged; 0 if it will not be.
+	HedgeIn time.Duration
+	// Outcome is what a cancelled attempt is to be reported as.
+	Outcome CallOutcome
+	// For is how long an attempt lingers.
+	For time.Duration
+}
--- a/tier/policy/admit.go
+++ b/tier/policy/admit.go
@@ -16,39 +16,6 @@
 	costWeight       = 0.05
 )
 
-// budget is a token bucket that is filled by needed calls.
-type budget struct {
-	tokens float64
-}
-
-func (b *budget) earn(calls int, ratio float64) {
-	b.fill(ratio*float64(calls), max(budgetDepth, 2*ratio*float64(calls)))
-}
-
-// fill adds tokens up to a depth.
-func (b *budget) fill(tokens, depth float64) { b.tokens = min(b.tokens+tokens, depth) }
-
-func (b *budget) take() bool {
-	if b.tokens < 1 {
-		return false
-	}
-	b.tokens--
-	return true
-}
-
-// draw takes a token, or with less than one in the budget, one with that
-// probability, and then all. So many hosts that earn little each take as many
-// tokens together as they earn, up to the chance of the draw.
-func (b *budget) draw(r Random) bool {
-	if b.tokens >= 1 {
-		b.tokens--
-		return true
-	}
-	p := b.tokens
-	b.tokens = 0
-	return r.Float64() < p
-}
-
 // classState is what the requests of a class share in one host.
 type classState struct {
 	hedges  budget
@@ -118,13 +85,6 @@
 	return top
 }
 
-// retryAfter is the excess of expected work, spread at random so that callers
-// do not come back together.
-func (f *Fleet) retryAfter(r *Run, excess time.Duration) time.Duration {
-	base := max(excess, r.pool.Median(), leastRetryAfter)
-	return time.Duration(float64(base) * (1 + f.random.Float64())).Round(time.Millisecond)
-}
-
 // expected counts the parts whose best replica is expected to answer within
 // the time allowed, and gives the shortest expected time of the others.
 func (r *Run) expected(allowed time.Duration) (inTime int, shortest time.Duration) {
--- /dev/null
+++ b/tier/policy/result.go
@@ -0,0 +1,55 @@
+package policy
+
+import "loomgap/tier/query"
+
+// Missing says why a part is not in the answer.
+type Missing struct {
+	// Part is the index of the shard within the run.
+	Part int
+	// Reason is never empty.
+	Reason query.Reason
+	// Sends counts the calls sent for the part.
+	Sends int
+	// Unhedged is why no second upstream was asked; empty if one was, or if the
+	// call was not yet due to be hedged.
+	Unhedged HedgeObstacle
+}
+
+// missing lists the parts that a finished run has no answer for.
+func (r *Run) missing() []Missing {
+	var out []Missing
+	for i := range r.parts {
+		p := &r.parts[i]
+		if p.included {
+			continue
+		}
+		out = append(out, Missing{Part: i, Reason: p.reason, Sends: p.sends, Unhedged: p.unhedged})
+	}
+	return out
+}
+
+// Result describes a finished run.
+type Result struct {
+	// Reasons holds for each part why it is missing, empty if it is included.
+	Reasons []query.Reason
+	// Missing explains the parts that are not included.
+	Missing []Missing
+	// Included counts the included parts.
+	Included int
+	// Attempts counts the upstream calls that were sent, cancelled ones included.
+	Attempts int
+	// Ran counts the upstream calls that may have run.
+	Ran int
+	// Unknown is true if a not-repeatable request may have run unseen.
+	Unknown bool
+}
+
+// Result returns the account of the run after ActionFinish.
+func (r *Run) Result() Result {
+	out := Result{Included: r.included, Attempts: r.calls, Unknown: r.unknown, Missing: r.missing()}
+	for i := range r.parts {
+		out.Reasons = append(out.Reasons, r.parts[i].reason)
+		out.Ran += r.parts[i].ran
+	}
+	return out
+}
--- a/tier/policy/retryafter.go
+++ b/tier/policy/retryafter.go
@@ -41,3 +41,10 @@
 	}
 	return best, found
 }
+
+// retryAfter is the excess of expected work, spread at random so that callers
+// do not come back together.
+func (f *Fleet) retryAfter(r *Run, excess time.Duration) time.Duration {
+	base := max(excess, r.pool.Median(), leastRetryAfter)
+	return time.Duration(float64(base) * (1 + f.random.Float64())).Round(time.Millisecond)
+}
--- a/tier/policy/route.go
+++ b/tier/policy/route.go
@@ -97,22 +97,3 @@
 	earliest := p.Quantile(hedgeEarliest)
 	return max(min(p.Quantile(r.config.HedgeQuantile), latest), earliest, hedgeLeast)
 }
-
-// DelayHedge postpones the hedge of an attempt that is part of a batch: progress
-// is reported for the whole batch at once.
-func (r *Run) DelayHedge(n int) {
-	a := &r.attempts[n]
-	a.hedgeAge += a.hedgeAge/2 + batchHedgeDelay
-}
-
-// Overdue hedges attempts now that are known to take long.
-func (r *Run) Overdue(now time.Duration, attempts []int) []Action {
-	if r.finished {
-		return nil
-	}
-	for _, n := range attempts {
-		a := &r.attempts[n]
-		a.hedgeAge = min(a.hedgeAge, now-a.sentAt)
-	}
-	return r.Wake(now)
-}
--- a/tier/policy/run.go
+++ b/tier/policy/run.go
@@ -14,45 +14,6 @@
 	hedgeLeast = 500 * time.Microsecond
 )
 
-// ActionKind says what a run wants done.
-type ActionKind string
-
-// The kinds of action.
-const (
-	// ActionSend asks for the attempt to be sent to its upstream. Its slot is
-	// held; Fleet.Finish gives it back.
-	ActionSend ActionKind = "Send"
-	// ActionCancel asks for a sent attempt to be given up.
-	ActionCancel ActionKind = "Cancel"
-	// ActionLinger asks for a sent attempt to be given up in a while: its answer
-	// is not wanted, but shows when the upstream answers again.
-	ActionLinger ActionKind = "Linger"
-	// ActionTake asks for the attempt's part to be merged into the answer.
-	ActionTake ActionKind = "Take"
-	// ActionFree asks for Fleet.Free: a slot was granted and is not wanted.
-	ActionFree ActionKind = "Free"
-	// ActionFinish tells that the answer is to be given now. It comes once.
-	ActionFinish ActionKind = "Finish"
-)
-
-// Action is one thing to be done for a run.
-type Action struct {
-	Kind ActionKind
-	// Attempt is the number of the attempt within the run.
-	Attempt int
-	// Part is the index of the shard within the run.
-	Part     int
-	Upstream *Upstream
-	// Pool is where the latency of a sent attempt belongs.
-	Pool *Pool
-	// HedgeIn is after what time a sent attempt is hedged; 0 if it will not be.
-	HedgeIn time.Duration
-	// Outcome is what a cancelled attempt is to be reported as.
-	Outcome CallOutcome
-	// For is how long an attempt lingers.
-	For time.Duration
-}
-
 // RunConfig describes one request.
 type RunConfig struct {
 	Fleet *Fleet
@@ -77,50 +38,6 @@
 	Granted func(attempt int)
 }
 
-type part struct {
-	replicas []*Upstream
-	// reason is empty while open or included.
-	reason   query.Reason
-	included bool
-	closed   bool
-	// held is true while the part waits for a call of another part: see doubt. It
-	// owes a retry if a call of it was given up for that.
-	held, owes bool
-	tries      int
-	// sends counts the attempts sent, arrivals those of them that may have
-	// reached an upstream, and ran those that may have run there.
-	sends, arrivals, ran int
-	// hedged is true once a second replica was asked; there is no third.
-	hedged bool
-	// unhedged is why no second replica was asked when it was last considered.
-	unhedged HedgeObstacle
-	live     []int
-	tried    []*Upstream
-	// retryAt is when a refused shard is tried again; 0 for never.
-	retryAt time.Duration
-}
-
-type phase string
-
-const (
-	phaseQueued phase = "Queued"
-	phaseSent   phase = "Sent"
-	phaseDone   phase = "Done"
-)
-
-type attempt struct {
-	part     int
-	upstream *Upstream
-	phase    phase
-	sentAt   time.Duration
-	// hedgeAge is how long after sentAt it is hedged.
-	hedgeAge time.Duration
-	waiter   *Waiter
-	// alone is true if the run was doubted and had no other call under way when it
-	// was sent; abandoned once it was given up though its part is open.
-	alone, abandoned bool
-}
-
 // Run is the life of one request: events and the time go in, actions come out.
 // It is not safe for concurrent use.
 type Run struct {
@@ -285,16 +202,6 @@
 	return r.finishIfDone(now, out)
 }
 
-// account takes an outcome out of what may have run and arrived.
-func (p *part) account(o CallOutcome) {
-	if o.NotRun() {
-		p.ran--
-	}
-	if !o.arrived() {
-		p.arrivals--
-	}
-}
-
 // Wake is to be called at the time that Next gives.
 func (r *Run) Wake(now time.Duration) []Action {
 	if r.finished {
@@ -398,64 +305,3 @@
 	r.next = math.MaxInt64
 	return append(out, Action{Kind: ActionFinish})
 }
-
-func (r *Run) sent(p *part) bool {
-	for _, n := range p.live {
-		if r.attempts[n].phase == phaseSent {
-			return true
-		}
-	}
-	return false
-}
-
-// Missing says why a part is not in the answer.
-type Missing struct {
-	// Part is the index of the shard within the run.
-	Part int
-	// Reason is never empty.
-	Reason query.Reason
-	// Sends counts the calls sent for the part.
-	Sends int
-	// Unhedged is why no second upstream was asked; empty if one was, or if the
-	// call was not yet due to be hedged.
-	Unhedged HedgeObstacle
-}
-
-// missing lists the parts that a finished run has no answer for.
-func (r *Run) missing() []Missing {
-	var out []Missing
-	for i := range r.parts {
-		p := &r.parts[i]
-		if p.included {
-			continue
-		}
-		out = append(out, Missing{Part: i, Reason: p.reason, Sends: p.sends, Unhedged: p.unhedged})
-	}
-	return out
-}
-
-// Result describes a finished run.
-type Result struct {
-	// Reasons holds for each part why it is missing, empty if it is included.
-	Reasons []query.Reason
-	// Missing explains the parts that are not included.
-	Missing []Missing
-	// Included counts the included parts.
-	Included int
-	// Attempts counts the upstream calls that were sent, cancelled ones included.
-	Attempts int
-	// Ran counts the upstream calls that may have run.
-	Ran int
-	// Unknown is true if a not-repeatable request may have run unseen.
-	Unknown bool
-}
-
-// Result returns the account of the run after ActionFinish.
-func (r *Run) Result() Result {
-	out := Result{Included: r.included, Attempts: r.calls, Unknown: r.unknown, Missing: r.missing()}
-	for i := range r.parts {
-		out.Reasons = append(out.Reasons, r.parts[i].reason)
-		out.Ran += r.parts[i].ran
-	}
-	return out
-}
