--- a/tier/policy/admit.go
+++ b/tier/policy/admit.go
@@ -10,7 +10,6 @@
 const (
 	budgetStart      = 4.0
 	budgetDepth      = 64.0
-	retryRatio       = 0.1
 	coverageExpected = 0.9
 	leastRetryAfter  = 10 * time.Millisecond
 	costWeight       = 0.05
--- a/tier/policy/attempt.go
+++ b/tier/policy/attempt.go
@@ -51,7 +51,7 @@
 func (r *Run) startAttempt(now time.Duration, i int, out []Action) []Action {
 	u := r.pick(now, i, false)
 	if u == nil {
-		r.markMissing(i, r.absence(now, i))
+		r.markMissing(i, r.rules.absence(now, i, &r.parts[i]))
 		return out
 	}
 	out = r.enter(now, i, u, out)
@@ -73,7 +73,7 @@
 	var best *Upstream
 	low := math.Inf(1)
 	for _, u := range p.replicas {
-		if u.leaving || p.hasTried(u) || r.coldBarred(now, u) {
+		if u.leaving || p.hasTried(u) || r.rules.barred(now, u) {
 			continue
 		}
 		if r.snapshot > 0 && u.window.Known && !u.window.Holds(r.snapshot) {
@@ -82,7 +82,7 @@
 		if fit && !u.fit(now) {
 			continue
 		}
-		s := r.chooser.Score(now, u, r.poolOf(u), r.fleet.random) * r.hallFactor(u)
+		s := r.score(now, u)
 		if u.cold.bounded(now) {
 			s += coldPenalty
 		}
@@ -93,17 +93,9 @@
 	return best
 }
 
-// absence is why a part has no upstream to ask.
-func (r *Run) absence(now time.Duration, i int) query.Reason {
-	for _, u := range r.parts[i].replicas {
-		if r.coldBarred(now, u) {
-			return query.ReasonCold
-		}
-	}
-	if r.routed != nil && len(r.routed.Absent) > i && r.routed.Absent[i] != "" {
-		return r.routed.Absent[i]
-	}
-	return query.ReasonUnreachable
+// score is how well an upstream suits a call now; the lowest is chosen.
+func (r *Run) score(now time.Duration, u *Upstream) float64 {
+	return r.chooser.Score(now, u, r.rules.poolOf(u), r.fleet.random) * r.rules.hallFactor(u)
 }
 
 func (r *Run) enter(now time.Duration, i int, u *Upstream, out []Action) []Action {
@@ -134,13 +126,13 @@
 	a.alone = r.doubted() && !r.sending()
 	a.phase = phaseSent
 	a.sentAt = now
-	a.hedgeAge = r.hedgeDelay(a.upstream)
+	a.hedgeAge = r.rules.hedgeDelay(a.upstream, r.deadline-r.begun)
 	r.parts[a.part].ran++
 	r.parts[a.part].sends++
 	r.parts[a.part].arrivals++
 	r.calls++
 	r.wakeBy(r.hedgeTime(now, a))
-	send := Action{Kind: ActionSend, Attempt: n, Part: a.part, Upstream: a.upstream, Pool: r.poolOf(a.upstream)}
+	send := Action{Kind: ActionSend, Attempt: n, Part: a.part, Upstream: a.upstream, Pool: r.rules.poolOf(a.upstream)}
 	if !r.parts[a.part].hedged {
 		send.HedgeIn = a.hedgeAge
 	}
@@ -161,6 +153,12 @@
 	r.open--
 }
 
+// linger reports whether an attempt that is not wanted any more may go on. One
+// whose caller is gone may not.
+func (r *Run) linger(a *attempt) bool {
+	return r.rules.lingers(a.upstream) && r.repeatable && !r.callerGone && !r.doubted() && a.upstream.linger()
+}
+
 // cancel gives up all attempts of a shard.
 func (r *Run) cancel(i int, o CallOutcome, out []Action) []Action {
 	p := &r.parts[i]
--- /dev/null
+++ b/tier/policy/class.go
@@ -0,0 +1,85 @@
+package policy
+
+import (
+	"time"
+
+	"loomgap/tier/config"
+	"loomgap/tier/query"
+)
+
+const (
+	// classTries is the number of attempts, queued ones included, for one part of a
+	// request of a class. Not measured.
+	classTries = 4
+	// classRetryRatio is the number of retries that each part of a request of a class
+	// earns. With 0.1 all shards are covered where an upstream's health endpoint lies,
+	// for 1.80% extra calls.
+	classRetryRatio = 0.1
+	// classHedgeDivisor divides the time to the deadline: a call is hedged after that
+	// part of it while the latencies of the service are not known. Not measured.
+	classHedgeDivisor = 3
+)
+
+// classRules are the rules of a request of a class. Its hedges and retries are paid
+// from two budgets that all requests of the class at this host share.
+type classRules struct {
+	fleet *Fleet
+	// pool holds the latencies of the service.
+	pool  *Pool
+	class *config.Class
+}
+
+var _ rules = (*classRules)(nil)
+
+// earn implements rules.
+func (c *classRules) earn(parts int) {
+	s := c.fleet.class(c.class.Name)
+	s.hedges.earn(parts, c.class.HedgeBudget)
+	s.retries.earn(parts, classRetryRatio)
+}
+
+// payHedge implements rules.
+func (c *classRules) payHedge(int, *part) bool { return c.fleet.class(c.class.Name).hedges.take() }
+
+// payRetry implements rules. A call that was shed costs the upstream next to nothing, so
+// that only classTries bounds how often it is made again.
+func (c *classRules) payRetry(_ int, _ *part, o CallOutcome) bool {
+	return o == CallShed || c.fleet.class(c.class.Name).retries.take()
+}
+
+// attemptsLeft implements rules.
+func (c *classRules) attemptsLeft(p *part) bool { return p.tries < classTries }
+
+// hedgeDelay implements rules: a call is hedged when it takes longer than nearly all
+// calls to the service.
+func (c *classRules) hedgeDelay(_ *Upstream, limit time.Duration) time.Duration {
+	if !c.pool.Known() {
+		return limit / classHedgeDivisor
+	}
+	return max(c.pool.Quantile(c.class.HedgeQuantile), hedgeLeast)
+}
+
+// hedgesAtSame implements rules: a call that straggles says little about the next call
+// to the same upstream.
+func (c *classRules) hedgesAtSame() bool { return true }
+
+// probes implements rules.
+func (c *classRules) probes() bool { return true }
+
+// lingers implements rules.
+func (c *classRules) lingers(*Upstream) bool { return false }
+
+// barred implements rules.
+func (c *classRules) barred(time.Duration, *Upstream) bool { return false }
+
+// hallFactor implements rules.
+func (c *classRules) hallFactor(*Upstream) float64 { return 1 }
+
+// poolOf implements rules.
+func (c *classRules) poolOf(*Upstream) *Pool { return c.pool }
+
+// absence implements rules.
+func (c *classRules) absence(time.Duration, int, *part) query.Reason { return query.ReasonUnreachable }
+
+// endsUncovered implements rules: whatever arrives by the deadline is answered.
+func (c *classRules) endsUncovered() bool { return false }
--- a/tier/policy/cold.go
+++ b/tier/policy/cold.go
@@ -183,17 +183,3 @@
 // owns reports whether this host makes the calls to a cold upstream; the fleet is
 // locked.
 func (f *Fleet) owns(u *Upstream) bool { return u.cold.owner != "" && u.cold.owner == f.self }
-
-// coldBarred reports whether a cold upstream gets no call of this run: it is not
-// this host's to call, and no other host makes calls for the run, or it has had
-// what it bears.
-func (r *Run) coldBarred(now time.Duration, u *Upstream) bool {
-	switch {
-	case r.routed == nil || !u.cold.bounded(now):
-		return false
-	case r.fleet.owns(u):
-		return !u.cold.admits(now)
-	default:
-		return u.cold.owner == "" || !r.routed.Relayed
-	}
-}
--- a/tier/policy/doubt.go
+++ b/tier/policy/doubt.go
@@ -153,7 +153,7 @@
 		i := r.bestHeld(now)
 		r.release(i)
 		p := &r.parts[i]
-		if p.owes && !r.mayRetry(i, CallBroken) {
+		if p.owes && !r.rules.payRetry(i, p, CallBroken) {
 			r.markMissing(i, query.ReasonSuspected)
 			continue
 		}
@@ -172,7 +172,7 @@
 		}
 		score := math.MaxFloat64
 		if u := r.pick(now, i, true); u != nil {
-			score = r.chooser.Score(now, u, r.poolOf(u), r.fleet.random) * r.hallFactor(u)
+			score = r.score(now, u)
 		}
 		if best < 0 || score < low {
 			best, low = i, score
@@ -212,7 +212,7 @@
 	if r.doubt.left >= aloneMost {
 		return r.finish(now, out)
 	}
-	if r.attemptsLeft(i) {
+	if r.rules.attemptsLeft(&r.parts[i]) {
 		return r.putOff(i, CallLate, out)
 	}
 	out = r.cancel(i, CallLate, out)
@@ -245,7 +245,7 @@
 	}
 	for i := range r.parts {
 		p := &r.parts[i]
-		if p.closed || !r.sent(p) || !r.attemptsLeft(i) {
+		if p.closed || !r.sent(p) || !r.rules.attemptsLeft(p) {
 			continue
 		}
 		for _, n := range p.live {
--- a/tier/policy/hedge.go
+++ b/tier/policy/hedge.go
@@ -6,6 +6,14 @@
 	"loomgap/tier/config"
 )
 
+// hedgeLeast is the least time after which a call is hedged. Not measured.
+const hedgeLeast = 500 * time.Microsecond
+
+// batchHedgeDelay is the least extra time until a call of a batch is hedged: the relay's
+// progress report may be late where that host is busy. Measured: without extra time there
+// are 27% extra calls; 15 ms alone, not half the delay besides, is level.
+const batchHedgeDelay = 15 * time.Millisecond
+
 // hedge asks another replica too, if it has a free slot and the budget allows.
 // Where no other replica is fit, the same one is asked a second time: a call
 // that straggles says little about the next call to the same upstream.
@@ -58,7 +66,7 @@
 		return HedgeCold
 	case !u.free():
 		return HedgeNoSlot
-	case !r.takeHedge(i):
+	case !r.rules.payHedge(i, &r.parts[i]):
 		return HedgeNoBudget
 	default:
 		return ""
@@ -68,7 +76,7 @@
 // sameAgain returns the upstream of the shard's one live attempt, if it is fit.
 func (r *Run) sameAgain(now time.Duration, i int) *Upstream {
 	u := r.attempts[r.parts[i].live[0]].upstream
-	if r.routed != nil || !u.free() || !u.fit(now) {
+	if !r.rules.hedgesAtSame() || !u.free() || !u.fit(now) {
 		return nil
 	}
 	return u
@@ -88,7 +96,7 @@
 // probe asks a slow replica besides the chosen one, so that its recovery is
 // seen without anybody waiting for it.
 func (r *Run) probe(now time.Duration, i int, out []Action) []Action {
-	if !r.repeatable || r.config.Hedge == config.HedgeNone || len(r.parts[i].live) == 0 || r.routed != nil {
+	if !r.repeatable || r.config.Hedge == config.HedgeNone || len(r.parts[i].live) == 0 || !r.rules.probes() {
 		return out
 	}
 	for _, u := range r.parts[i].replicas {
--- a/tier/policy/retry.go
+++ b/tier/policy/retry.go
@@ -13,7 +13,7 @@
 	if len(p.live) > 0 {
 		return nil
 	}
-	if !r.attemptsLeft(i) || !r.mayRetry(i, o) {
+	if !r.rules.attemptsLeft(p) || !r.rules.payRetry(i, p, o) {
 		r.markMissing(i, reasonOf(o))
 		return nil
 	}
--- a/tier/policy/retrybudget.go
+++ b/tier/policy/retrybudget.go
@@ -2,9 +2,6 @@
 
 // Bounds of the repeated calls of routed requests.
 const (
-	// routedSends bounds the sends of one part, those that were turned away
-	// included, so that a group that sheds is not asked for ever.
-	routedSends = 4
 	// retryBudgetShare is the part of the allowed retries that is ever used, since
 	// hosts count in windows of their own.
 	retryBudgetShare = 0.95
@@ -91,40 +88,3 @@
 	r := f.retryBudgets.of(group)
 	f.retriesOf(group).fill(r.Ratio, r.Depth)
 }
-
-// earnRetries lets a request earn its part of the retries at its groups.
-func (r *Run) earnRetries() {
-	for _, n := range r.routed.Groups {
-		r.fleet.earnRetry(n)
-	}
-}
-
-// takeHedge takes a hedge of a part from its budget.
-func (r *Run) takeHedge(i int) bool {
-	if r.routed != nil {
-		return r.attemptsLeft(i) && r.fleet.takeRetry(r.routed.Groups[i])
-	}
-	return r.fleet.class(r.class).hedges.take()
-}
-
-// attemptsLeft reports whether a part may go to one more upstream.
-func (r *Run) attemptsLeft(i int) bool {
-	p := &r.parts[i]
-	if r.routed == nil {
-		return p.tries < maxTries
-	}
-	return p.ran < r.routed.MaxAttempts && p.sends < routedSends
-}
-
-// mayRetry takes a retry from the budget. For a request of a class, a call
-// that was shed costs the upstream next to nothing, so only its tries are
-// bounded. A routed request pays for each call that arrived.
-func (r *Run) mayRetry(i int, o CallOutcome) bool {
-	if r.routed == nil {
-		return o == CallShed || r.fleet.class(r.class).retries.take()
-	}
-	if p := &r.parts[i]; p.arrivals == 0 {
-		return true
-	}
-	return r.fleet.takeRetry(r.routed.Groups[i])
-}
--- /dev/null
+++ b/tier/policy/routed.go
@@ -0,0 +1,164 @@
+package policy
+
+import (
+	"time"
+
+	"loomgap/tier/query"
+)
+
+const (
+	// routedSends is the number of calls for one part of a routed request, those that
+	// were turned away included, so that a group that sheds is not asked forever. Not
+	// measured.
+	routedSends = 4
+	// hedgeLatest is the share of the objective after which a call is hedged at the
+	// latest, while it is not known how long calls to other halls take. Not measured.
+	hedgeLatest = 0.4
+	// hedgeDone is the share of the objective by which a hedge is to be answered, if it
+	// takes no longer than hedgeFarQuantile of the far calls. Measured: 0.65 together with
+	// 0.8 as hedgeEarliest serves no more requests.
+	hedgeDone = 0.8
+	// hedgeFarQuantile is the quantile of the latencies of far calls that a hedge is
+	// expected to take. Not measured.
+	hedgeFarQuantile = 0.8
+	// hedgeEarliest is the quantile of the latencies of like calls before which no call
+	// is hedged: where calls are slow because hosts or upstreams are busy, more of them
+	// make it worse. Measured together with hedgeDone.
+	hedgeEarliest = 0.9
+	// hedgeUnknown is the share of the objective after which a call is hedged while the
+	// latencies of like calls are not known. Not measured.
+	hedgeUnknown = 0.25
+	// otherHallFactor multiplies the score of an upstream that is neither near nor in
+	// the preferred hall. It is more than latencies of like upstreams differ, so that
+	// calls to other halls go there together. Not measured.
+	otherHallFactor = 1.2
+)
+
+// Routed is what a routed request adds to a run.
+type Routed struct {
+	// Groups holds for each part the group whose retry budget its hedges and retries use.
+	Groups []string
+	// FarPool holds the latencies of calls to other halls than this host's.
+	FarPool *Pool
+	// MaxAttempts is the most upstreams that may run one part; 1 or more.
+	MaxAttempts int
+	// Hall is the data hall that is preferred among those other than this
+	// host's own, so that calls may go there together; empty for none.
+	Hall string
+	// Objective is the time within which an answer has its full worth.
+	Objective time.Duration
+	// Relayed is true if other hosts can make calls for the run.
+	Relayed bool
+	// Absent holds for each part why none of its upstreams may be asked; empty for
+	// those with an upstream.
+	Absent []query.Reason
+}
+
+// routedRules are the rules of a routed request. Its hedges and retries are paid from
+// this host's share of what each group allows.
+type routedRules struct {
+	fleet *Fleet
+	// near holds the latencies of the route's calls within this host's hall.
+	near *Pool
+	// hedgeQuantile is the quantile of like calls after which a call is hedged.
+	hedgeQuantile float64
+	routed        *Routed
+}
+
+var _ rules = (*routedRules)(nil)
+
+// earn implements rules: each of its groups earns a part of a retry.
+func (r *routedRules) earn(int) {
+	for _, n := range r.routed.Groups {
+		r.fleet.earnRetry(n)
+	}
+}
+
+// payHedge implements rules.
+func (r *routedRules) payHedge(i int, p *part) bool {
+	return r.attemptsLeft(p) && r.fleet.takeRetry(r.routed.Groups[i])
+}
+
+// payRetry implements rules: each call beyond the first that arrives is paid for.
+func (r *routedRules) payRetry(i int, p *part, _ CallOutcome) bool {
+	return p.arrivals == 0 || r.fleet.takeRetry(r.routed.Groups[i])
+}
+
+// attemptsLeft implements rules.
+func (r *routedRules) attemptsLeft(p *part) bool {
+	return p.ran < r.routed.MaxAttempts && p.sends < routedSends
+}
+
+// hedgeDelay implements rules: a call is hedged when it takes longer than nearly all
+// like calls, but a near one not so late that the answer of another hall would come
+// after the objective.
+func (r *routedRules) hedgeDelay(u *Upstream, _ time.Duration) time.Duration {
+	objective := float64(r.routed.Objective)
+	p := r.poolOf(u)
+	if !p.Known() {
+		return time.Duration(hedgeUnknown * objective)
+	}
+	latest := time.Duration(hedgeLatest * objective)
+	if far := r.routed.FarPool; far.Known() {
+		latest = time.Duration(hedgeDone*objective) - far.Quantile(hedgeFarQuantile)
+	}
+	earliest := p.Quantile(hedgeEarliest)
+	return max(min(p.Quantile(r.hedgeQuantile), latest), earliest, hedgeLeast)
+}
+
+// hedgesAtSame implements rules.
+func (r *routedRules) hedgesAtSame() bool { return false }
+
+// probes implements rules: each call beyond the first counts against what the group
+// allows.
+func (r *routedRules) probes() bool { return false }
+
+// lingers implements rules: a call to a near upstream shows when that one answers again.
+func (r *routedRules) lingers(u *Upstream) bool { return u.near }
+
+// barred implements rules: a cold upstream gets no call if it has had as many as it can
+// handle, or if this host is not the one that makes its calls and no other host makes
+// calls for the run.
+func (r *routedRules) barred(now time.Duration, u *Upstream) bool {
+	switch {
+	case !u.cold.bounded(now):
+		return false
+	case r.fleet.owns(u):
+		return !u.cold.admits(now)
+	default:
+		return u.cold.owner == "" || !r.routed.Relayed
+	}
+}
+
+// hallFactor implements rules.
+func (r *routedRules) hallFactor(u *Upstream) float64 {
+	if u.near || r.routed.Hall == "" || u.hall == r.routed.Hall {
+		return 1
+	}
+	return otherHallFactor
+}
+
+// poolOf implements rules. Far calls take longer than near ones, whatever the upstream
+// does.
+func (r *routedRules) poolOf(u *Upstream) *Pool {
+	if u.near {
+		return r.near
+	}
+	return r.routed.FarPool
+}
+
+// absence implements rules.
+func (r *routedRules) absence(now time.Duration, i int, p *part) query.Reason {
+	for _, u := range p.replicas {
+		if r.barred(now, u) {
+			return query.ReasonCold
+		}
+	}
+	if len(r.routed.Absent) > i && r.routed.Absent[i] != "" {
+		return r.routed.Absent[i]
+	}
+	return query.ReasonUnreachable
+}
+
+// endsUncovered implements rules: an answer without the least coverage is of no use.
+func (r *routedRules) endsUncovered() bool { return true }
--- a/tier/policy/run.go
+++ b/tier/policy/run.go
@@ -8,12 +8,6 @@
 	"loomgap/tier/query"
 )
 
-// Bounds of tries for one shard.
-const (
-	maxTries   = 4
-	hedgeLeast = 500 * time.Microsecond
-)
-
 // RunConfig describes one request.
 type RunConfig struct {
 	Fleet *Fleet
@@ -50,7 +44,7 @@
 	deadline   time.Duration
 	snapshot   uint64
 	repeatable bool
-	routed     *Routed
+	rules      rules
 	granted    func(int)
 	parts      []part
 	attempts   []attempt
@@ -59,7 +53,6 @@
 	included int
 	begun    time.Duration
 	patience time.Duration
-	admitted bool
 	finished bool
 	// callerGone is true once the caller is gone.
 	callerGone bool
@@ -84,7 +77,7 @@
 	r := &Run{
 		config: c.Class, class: c.Class.Name, fleet: c.Fleet, pool: c.Pool,
 		chooser: chooser, admission: admission, deadline: c.Deadline,
-		snapshot: c.Snapshot, repeatable: c.Repeatable, routed: c.Routed, granted: c.Granted,
+		snapshot: c.Snapshot, repeatable: c.Repeatable, rules: newRules(&c), granted: c.Granted,
 		parts:    make([]part, len(c.Replicas)),
 		attempts: make([]attempt, 0, len(c.Replicas)+4),
 		open:     len(c.Replicas),
@@ -111,15 +104,9 @@
 		r.finished = true
 		return nil, err
 	}
-	r.admitted = true
 	r.begun = now
 	r.patience = now + time.Duration(r.config.Patience)
-	c := r.fleet.class(r.class)
-	c.hedges.earn(len(r.parts), r.config.HedgeBudget)
-	c.retries.earn(len(r.parts), retryRatio)
-	if r.routed != nil {
-		r.earnRetries()
-	}
+	r.rules.earn(len(r.parts))
 	var out []Action
 	for i := range r.parts {
 		out = r.startOrHold(now, i, out)
@@ -129,17 +116,6 @@
 	return r.finishIfDone(now, out), nil
 }
 
-// hedgeDelay is after what time a call to an upstream is hedged.
-func (r *Run) hedgeDelay(u *Upstream) time.Duration {
-	if r.routed != nil {
-		return r.routedHedgeDelay(u)
-	}
-	if !r.pool.Known() {
-		return (r.deadline - r.begun) / 3
-	}
-	return max(r.pool.Quantile(r.config.HedgeQuantile), hedgeLeast)
-}
-
 // Granted tells that a queued attempt has its slot.
 func (r *Run) Granted(now time.Duration, n int) []Action {
 	a := &r.attempts[n]
@@ -283,6 +259,14 @@
 	return next
 }
 
+// coverageUnreachable reports whether waiting for the rest is of no use, since the least
+// coverage of the request is out of reach.
+func (r *Run) coverageUnreachable() bool {
+	possible := r.included + r.open
+	return r.rules.endsUncovered() && possible < len(r.parts) &&
+		float64(possible) < r.config.Coverage*float64(len(r.parts))
+}
+
 func (r *Run) finish(now time.Duration, out []Action) []Action {
 	r.finished = true
 	r.strikeAtEnd(now)
