--- a/tier/policy/admit.go
+++ b/tier/policy/admit.go
@@ -52,13 +52,13 @@
 
 // admit decides whether a run may begin; the fleet is locked.
 func (f *Fleet) admit(r *Run, now time.Duration) error {
-	c := f.class(r.class)
-	c.worth = float64(r.config.Worth)
-	if c.inFlight >= r.config.MaxInFlight {
-		return &Refusal{Reason: "too many requests of class " + r.class + " in flight", RetryAfter: f.retryAfter(r, 0)}
+	c := f.class(r.request.Class.Name)
+	c.worth = float64(r.request.Class.Worth)
+	if c.inFlight >= r.request.Class.MaxInFlight {
+		return &Refusal{Reason: "too many requests of class " + r.request.Class.Name + " in flight", RetryAfter: f.retryAfter(r, 0)}
 	}
-	need := min(r.config.Coverage, coverageExpected)
-	slack := r.deadline - now
+	need := min(r.request.Class.Coverage, coverageExpected)
+	slack := r.request.Deadline - now
 	allowed := r.admission.Allow(slack, c.worth/c.costOr(len(r.parts)), f.topDensity())
 	inTime, shortest := r.expected(allowed)
 	if float64(inTime) < need*float64(len(r.parts)) {
@@ -92,7 +92,7 @@
 		best := time.Duration(math.MaxInt64)
 		for _, u := range r.parts[i].replicas {
 			if !u.leaving {
-				best = min(best, u.wait(r.pool)+u.latencyOr(r.pool.Median()))
+				best = min(best, u.wait(r.request.Pool)+u.latencyOr(r.request.Pool.Median()))
 			}
 		}
 		switch {
--- a/tier/policy/attempt.go
+++ b/tier/policy/attempt.go
@@ -32,7 +32,7 @@
 		p.retryAt = 0
 		return r.startOrHold(now, i, out)
 	}
-	if p.hedged || len(p.live) == 0 || r.config.Hedge == config.HedgeNone || !r.repeatable {
+	if p.hedged || len(p.live) == 0 || r.request.Class.Hedge == config.HedgeNone || !r.request.Repeatable {
 		return out
 	}
 	a := &r.attempts[p.live[0]]
@@ -76,7 +76,7 @@
 		if u.leaving || p.hasTried(u) || r.rules.barred(now, u) {
 			continue
 		}
-		if r.snapshot > 0 && u.window.Known && !u.window.Holds(r.snapshot) {
+		if r.request.Snapshot > 0 && u.window.Known && !u.window.Holds(r.request.Snapshot) {
 			continue
 		}
 		if fit && !u.fit(now) {
@@ -101,7 +101,7 @@
 func (r *Run) enter(now time.Duration, i int, u *Upstream, out []Action) []Action {
 	p := &r.parts[i]
 	n := len(r.attempts)
-	w := &Waiter{Upstream: u, Deadline: r.deadline, Granted: func() { r.granted(n) }}
+	w := &Waiter{Upstream: u, Deadline: r.request.Deadline, Granted: func() { r.request.Granted(n) }}
 	granted, queued := r.fleet.enter(w)
 	p.tries++
 	p.tried = append(p.tried, u)
@@ -126,7 +126,7 @@
 	a.alone = r.doubted() && !r.sending()
 	a.phase = phaseSent
 	a.sentAt = now
-	a.hedgeAge = r.rules.hedgeDelay(a.upstream, r.deadline-r.begun)
+	a.hedgeAge = r.rules.hedgeDelay(a.upstream, r.request.Deadline-r.times.begun)
 	r.parts[a.part].ran++
 	r.parts[a.part].sends++
 	r.parts[a.part].arrivals++
@@ -142,21 +142,21 @@
 func (r *Run) include(i int, out []Action) []Action {
 	p := &r.parts[i]
 	p.included, p.closed = true, true
-	r.included++
-	r.open--
+	r.progress.included++
+	r.progress.open--
 	return r.cancel(i, CallCancelled, out)
 }
 
 func (r *Run) markMissing(i int, reason query.Reason) {
 	p := &r.parts[i]
 	p.reason, p.closed = reason, true
-	r.open--
+	r.progress.open--
 }
 
 // linger reports whether an attempt that is not wanted any more may go on. One
 // whose caller is gone may not.
 func (r *Run) linger(a *attempt) bool {
-	return r.rules.lingers(a.upstream) && r.repeatable && !r.callerGone && !r.doubted() && a.upstream.linger()
+	return r.rules.lingers(a.upstream) && r.request.Repeatable && !r.callerGone && !r.doubted() && a.upstream.linger()
 }
 
 // cancel gives up all attempts of a shard.
--- a/tier/policy/doubt_test.go
+++ b/tier/policy/doubt_test.go
@@ -13,8 +13,8 @@
 	t.Helper()
 	r, _ := routedRun(t, f, now, groups, 2, 1, true)
 	again, err := NewRun(RunConfig{
-		Fleet: f, Pool: r.pool, Class: r.config, Deadline: now + 2*time.Second, Replicas: replicasOf(r),
-		Repeatable: true, Routed: r.rules.(*routedRules).routed, Subject: Subject{Fingerprint: "F"}, Granted: func(int) {},
+		Fleet: f, Pool: r.request.Pool, Class: r.request.Class, Deadline: now + 2*time.Second, Replicas: replicasOf(r),
+		Repeatable: true, Routed: r.request.Routed, Subject: Subject{Fingerprint: "F"}, Granted: func(int) {},
 	})
 	assert.NilError(t, err)
 	actions, err := again.Begin(now)
--- a/tier/policy/hedge.go
+++ b/tier/policy/hedge.go
@@ -83,8 +83,8 @@
 }
 
 func (r *Run) hedgeTime(now time.Duration, a *attempt) time.Duration {
-	if r.config.Hedge == config.HedgeNone || !r.repeatable {
-		return r.deadline
+	if r.request.Class.Hedge == config.HedgeNone || !r.request.Repeatable {
+		return r.request.Deadline
 	}
 	first := a.sentAt + a.hedgeAge
 	if a.phase == phaseSent && first > now {
@@ -96,14 +96,14 @@
 // probe asks a slow replica besides the chosen one, so that its recovery is
 // seen without anybody waiting for it.
 func (r *Run) probe(now time.Duration, i int, out []Action) []Action {
-	if !r.repeatable || r.config.Hedge == config.HedgeNone || len(r.parts[i].live) == 0 || !r.rules.probes() {
+	if !r.request.Repeatable || r.request.Class.Hedge == config.HedgeNone || len(r.parts[i].live) == 0 || !r.rules.probes() {
 		return out
 	}
 	for _, u := range r.parts[i].replicas {
 		if !u.slow || u.leaving || now < u.nextProbe || now < u.ejectedUntil || !u.free() {
 			continue
 		}
-		if u == r.attempts[r.parts[i].live[0]].upstream || !r.fleet.class(r.class).hedges.take() {
+		if u == r.attempts[r.parts[i].live[0]].upstream || !r.fleet.class(r.request.Class.Name).hedges.take() {
 			continue
 		}
 		u.nextProbe = now + probeEvery
--- a/tier/policy/result.go
+++ b/tier/policy/result.go
@@ -46,7 +46,7 @@
 
 // Result returns the account of the run after ActionFinish.
 func (r *Run) Result() Result {
-	out := Result{Included: r.included, Attempts: r.calls, Unknown: r.unknown, Missing: r.missing()}
+	out := Result{Included: r.progress.included, Attempts: r.calls, Unknown: r.unknown, Missing: r.missing()}
 	for i := range r.parts {
 		out.Reasons = append(out.Reasons, r.parts[i].reason)
 		out.Ran += r.parts[i].ran
--- a/tier/policy/retry.go
+++ b/tier/policy/retry.go
@@ -5,7 +5,7 @@
 // failed decides what follows a failed attempt.
 func (r *Run) failed(now time.Duration, i int, o CallOutcome) []Action {
 	p := &r.parts[i]
-	if !r.repeatable && !o.NotRun() {
+	if !r.request.Repeatable && !o.NotRun() {
 		r.unknown = true
 		r.markMissing(i, reasonOf(o))
 		return nil
@@ -26,7 +26,7 @@
 	}
 	// No other replica is fit: after a pause a shedding one may take it.
 	p.tried = nil
-	p.retryAt = now + time.Duration(float64(r.pool.Median())*(0.5+r.fleet.random.Float64()))
+	p.retryAt = now + time.Duration(float64(r.request.Pool.Median())*(0.5+r.fleet.random.Float64()))
 	r.wakeBy(p.retryAt)
 	return nil
 }
--- a/tier/policy/run.go
+++ b/tier/policy/run.go
@@ -1,11 +1,9 @@
 package policy
 
 import (
-	"math"
 	"time"
 
 	"loomgap/tier/config"
-	"loomgap/tier/query"
 )
 
 // RunConfig describes one request.
@@ -35,35 +33,44 @@
 // Run is the life of one request: events and the time go in, actions come out.
 // It is not safe for concurrent use.
 type Run struct {
-	config     *config.Class
-	class      string
-	fleet      *Fleet
-	pool       *Pool
-	chooser    Chooser
-	admission  Admission
-	deadline   time.Duration
-	snapshot   uint64
-	repeatable bool
-	rules      rules
-	granted    func(int)
-	parts      []part
-	attempts   []attempt
-	// open counts parts that are not closed.
-	open     int
-	included int
-	begun    time.Duration
-	patience time.Duration
+	fleet *Fleet
+	// request is what NewRun was given; it is not changed.
+	request RunConfig
+	// rules are what depends on whether the request is routed.
+	rules     rules
+	chooser   Chooser
+	admission Admission
+	parts     []part
+	// attempts holds all attempts ever made; an attempt is known by its index.
+	attempts []attempt
+	progress progress
+	times    times
+	// calls counts the attempts that were sent.
+	calls int
+	// finished is true once ActionFinish was given, or the request refused.
 	finished bool
 	// callerGone is true once the caller is gone.
 	callerGone bool
 	// unknown is true once a not-repeatable attempt may have run unseen.
 	unknown bool
-	// calls counts the attempts that were sent.
-	calls int
-	next  time.Duration
-	doubt doubt
+	doubt   doubt
+}
+
+// times are the moments of a run.
+type times struct {
+	// begun is when the request was admitted.
+	begun time.Duration
+	// patience is when an answer that meets the least coverage is given, though parts
+	// of it are missing.
+	patience time.Duration
+	// next is when Wake is to be called.
+	next time.Duration
 }
 
+// spareAttempts is the room for hedges and retries that a run is made with, so that few
+// runs need more memory for them. Not measured.
+const spareAttempts = 4
+
 // NewRun prepares a request.
 func NewRun(c RunConfig) (*Run, error) {
 	chooser, err := ChooserNamed(c.Class.Choice)
@@ -75,12 +82,10 @@
 		return nil, err
 	}
 	r := &Run{
-		config: c.Class, class: c.Class.Name, fleet: c.Fleet, pool: c.Pool,
-		chooser: chooser, admission: admission, deadline: c.Deadline,
-		snapshot: c.Snapshot, repeatable: c.Repeatable, rules: newRules(&c), granted: c.Granted,
+		fleet: c.Fleet, request: c, rules: newRules(&c), chooser: chooser, admission: admission,
 		parts:    make([]part, len(c.Replicas)),
-		attempts: make([]attempt, 0, len(c.Replicas)+4),
-		open:     len(c.Replicas),
+		attempts: make([]attempt, 0, len(c.Replicas)+spareAttempts),
+		progress: progress{parts: len(c.Replicas), open: len(c.Replicas)},
 		doubt:    doubt{subject: c.Subject},
 	}
 	for i := range r.parts {
@@ -104,22 +109,22 @@
 		r.finished = true
 		return nil, err
 	}
-	r.begun = now
-	r.patience = now + time.Duration(r.config.Patience)
+	r.times.begun = now
+	r.times.patience = now + time.Duration(r.request.Class.Patience)
 	r.rules.earn(len(r.parts))
 	var out []Action
 	for i := range r.parts {
 		out = r.startOrHold(now, i, out)
 		out = r.probe(now, i, out)
 	}
-	r.next = r.nextWake(now)
+	r.times.next = r.nextWake(now)
 	return r.finishIfDone(now, out), nil
 }
 
 // Granted tells that a queued attempt has its slot.
 func (r *Run) Granted(now time.Duration, n int) []Action {
 	a := &r.attempts[n]
-	if r.finished || a.phase != phaseQueued || r.parts[a.part].closed || now >= r.deadline {
+	if r.finished || a.phase != phaseQueued || r.parts[a.part].closed || now >= r.request.Deadline {
 		a.phase = phaseDone
 		return r.freeSlot(n)
 	}
@@ -167,7 +172,7 @@
 		return r.finishIfDone(now, r.include(a.part, out))
 	}
 	if o == CallCrashed && r.crashed(now, a) {
-		r.unknown = !r.repeatable
+		r.unknown = !r.request.Repeatable
 		r.markMissing(a.part, reasonOf(o))
 		return r.finish(now, nil)
 	}
@@ -185,7 +190,7 @@
 	}
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
-	if now >= r.deadline {
+	if now >= r.request.Deadline {
 		return r.finish(now, nil)
 	}
 	var out []Action
@@ -195,12 +200,12 @@
 		}
 		out = r.wakePart(now, i, out)
 	}
-	r.next = r.nextWake(now)
+	r.times.next = r.nextWake(now)
 	return r.finishIfDone(now, out)
 }
 
 // Next is when Wake is to be called.
-func (r *Run) Next() time.Duration { return r.next }
+func (r *Run) Next() time.Duration { return r.times.next }
 
 // GiveUp tells that the caller is gone.
 func (r *Run) GiveUp(now time.Duration) []Action {
@@ -213,36 +218,14 @@
 	return r.finish(now, nil)
 }
 
-// finishIfDone finishes the run if it is time, else it starts what waits.
-func (r *Run) finishIfDone(now time.Duration, out []Action) []Action {
-	if r.finished {
-		return out
-	}
-	if !r.done(now) {
-		// Parts that cannot be started are missing.
-		out = r.resume(now, out)
-	}
-	if r.done(now) {
-		return r.finish(now, out)
-	}
-	return out
-}
-
-// done reports whether it is time to finish.
-func (r *Run) done(now time.Duration) bool {
-	enough := now >= r.patience && r.included < len(r.parts) &&
-		float64(r.included) >= r.config.Coverage*float64(len(r.parts)) && r.repeatable
-	return r.open == 0 || now >= r.deadline || enough || r.coverageUnreachable()
-}
-
 // wakeBy makes sure that the run is woken by a time. A wake that turns out to
 // be needless does no harm.
-func (r *Run) wakeBy(t time.Duration) { r.next = min(r.next, t) }
+func (r *Run) wakeBy(t time.Duration) { r.times.next = min(r.times.next, t) }
 
 func (r *Run) nextWake(now time.Duration) time.Duration {
-	next := r.deadline
-	if r.patience > now {
-		next = min(next, r.patience)
+	next := r.request.Deadline
+	if r.times.patience > now {
+		next = min(next, r.times.patience)
 	}
 	for i := range r.parts {
 		p := &r.parts[i]
@@ -258,34 +241,3 @@
 	}
 	return next
 }
-
-// coverageUnreachable reports whether waiting for the rest is of no use, since the least
-// coverage of the request is out of reach.
-func (r *Run) coverageUnreachable() bool {
-	possible := r.included + r.open
-	return r.rules.endsUncovered() && possible < len(r.parts) &&
-		float64(possible) < r.config.Coverage*float64(len(r.parts))
-}
-
-func (r *Run) finish(now time.Duration, out []Action) []Action {
-	r.finished = true
-	r.strikeAtEnd(now)
-	for i := range r.parts {
-		p := &r.parts[i]
-		if p.closed {
-			continue
-		}
-		if !r.repeatable && r.sent(p) {
-			r.unknown = true
-		}
-		out = r.cancel(i, CallLate, out)
-		reason := query.ReasonLate
-		if p.held {
-			reason = query.ReasonSuspected
-		}
-		r.markMissing(i, reason)
-	}
-	r.fleet.class(r.class).inFlight--
-	r.next = math.MaxInt64
-	return append(out, Action{Kind: ActionFinish})
-}
