--- a/tier/policy/conditions.go
+++ b/tier/policy/conditions.go
@@ -12,7 +12,7 @@
 	var out []Condition
 	for _, u := range f.upstreams {
 		c := &u.condition
-		if !u.listed || !u.near || u.leaving || u.latency.samples == 0 || !c.worthReporting(now) {
+		if !u.kind.inHall || !u.near || u.leaving || u.latency.samples == 0 || !c.worthReporting(now) {
 			continue
 		}
 		out = append(out, Condition{
--- a/tier/policy/fleet.go
+++ b/tier/policy/fleet.go
@@ -5,18 +5,6 @@
 	"time"
 )
 
-// Constants of smoothing.
-const (
-	latencyWeight = 0.1
-	// latencyLeap bounds how far one sample counts above the smoothed latency,
-	// so that one straggler does not make an upstream slow, but four do.
-	latencyLeap = 4
-	// listedWeight and listedLeap are the same for listed upstreams, of which
-	// this host sees few calls.
-	listedWeight = 0.25
-	listedLeap   = 8
-)
-
 // Fleet holds the upstreams and what all requests of a host share about them.
 // It is safe for concurrent use.
 type Fleet struct {
@@ -64,8 +52,8 @@
 	// more, 0 for Slots.
 	Most    int
 	Leaving bool
-	// Listed is true for an upstream of a routed group: it is judged by its
-	// silence, not by how its latency compares, and needs no slow start.
+	// Listed is true for an upstream that listed itself with the platform, false for
+	// one that the document declares.
 	Listed bool
 	// Hall is the data hall of a listed upstream; Near is true if it is the
 	// hall of this host.
@@ -89,8 +77,8 @@
 		}
 		u.slots.set(s.Slots, s.Most)
 		u.leaving = s.Leaving || u.gone
-		u.listed, u.near, u.hall = s.Listed, s.Near, s.Hall
-		if s.Listed {
+		u.kind, u.near, u.hall = kindOf(&s), s.Near, s.Hall
+		if u.kind.inHall {
 			u.condition.hall = f.conditionsOf(s.Hall)
 			u.cold.take(now, s.Cold)
 		}
--- a/tier/policy/upstream.go
+++ b/tier/policy/upstream.go
@@ -12,7 +12,9 @@
 // fields belong to the fleet and are used with the fleet locked.
 type Upstream struct {
 	// Name is the name in the document.
-	Name  string
+	Name string
+	// kind is what its kind does differently.
+	kind  *kind
 	slots slots
 	// leaving is true from the first sign that it leaves, from whatever source.
 	leaving  bool
@@ -20,9 +22,10 @@
 	ejection ejection
 	backoff  backoff
 	outlier  outlier
-	// listed, near, hall: see Share.
-	listed, near bool
-	hall         string
+	// hall is its data hall, near is true if that is this host's; both are set for
+	// listed upstreams only.
+	hall string
+	near bool
 	// gone is true once another upstream answered at its address; its name
 	// never comes back.
 	gone bool
@@ -47,7 +50,7 @@
 
 // starting reports whether the upstream is in its slow start: it gets one call at a
 // time until it has answered some.
-func (u *Upstream) starting() bool { return u.latency.samples < warmSamples && !u.listed }
+func (u *Upstream) starting() bool { return u.kind.slowStart && u.latency.samples < warmSamples }
 
 // grant gives free slots to the waiters with the earliest deadlines. Waiters
 // past their deadline are dropped; their requests have answered by then.
@@ -104,9 +107,7 @@
 		if c.Took > u.latency.or(c.Pool.Median()) {
 			u.observe(c.Took, c.Pool)
 		}
-		if u.listed {
-			// Left out, the slow calls that hedges end would make the pool's
-			// quantiles sink, and hedges come ever earlier.
+		if u.kind.poolsCancelled {
 			c.Pool.Record(c.Took)
 		}
 	case CallLate:
@@ -125,7 +126,7 @@
 		u.backoff.shed(now)
 	case o == CallLeaving:
 		u.leaving = true
-	case o == CallMoved && u.listed:
+	case o == CallMoved && u.kind.movedIsGone:
 		u.leaving, u.gone = true, true
 	case o.broken():
 		u.ejection.failed(now)
@@ -136,7 +137,7 @@
 func (u *Upstream) learnSlots(c Call) {
 	s := &u.slots
 	switch {
-	case c.Crowded && u.listed:
+	case c.Crowded && u.kind.learnsLimit:
 		s.limit.reset(s.inUse)
 	case c.Outcome == CallOK:
 		s.limit.succeeded(s.share + s.borrowing.borrowed)
@@ -150,11 +151,7 @@
 
 // observe takes in how long a call took, or counts for.
 func (u *Upstream) observe(d time.Duration, p *Pool) {
-	s := smoothing{weight: latencyWeight, leap: latencyLeap}
-	if u.listed {
-		s = smoothing{weight: listedWeight, leap: listedLeap}
-	}
-	counted, weight := u.latency.observe(d, s)
+	counted, weight := u.latency.observe(d, u.kind.smoothing)
 	u.condition.observeRatio(counted.Seconds()/p.Median().Seconds(), weight)
 }
 
@@ -164,7 +161,7 @@
 
 // linger reports whether a call may linger, and notes it; one does at a time.
 func (u *Upstream) linger() bool {
-	if !u.listed || u.stall.lingering || u.load.perSlot > 0 {
+	if !u.kind.lingers || u.stall.lingering || u.load.perSlot > 0 {
 		return false
 	}
 	u.stall.lingering = true
@@ -178,7 +175,7 @@
 
 // compare updates whether the upstream is an outlier of its pool.
 func (u *Upstream) compare(p *Pool) {
-	if u.latency.samples == 0 || !p.Known() || u.listed {
+	if u.latency.samples == 0 || !p.Known() || !u.kind.comparesLatency {
 		return
 	}
 	u.outlier.update(u.latency.smoothed, p.Median())
