--- a/tier/policy/attempt.go
+++ b/tier/policy/attempt.go
@@ -79,7 +79,7 @@
 		if r.request.Snapshot > 0 && u.status.window.Known && !u.status.window.holds(r.request.Snapshot) {
 			continue
 		}
-		if fit && !u.fit(now) {
+		if fit && !u.eligible(now) {
 			continue
 		}
 		s := r.score(now, u)
--- /dev/null
+++ b/tier/policy/calls.go
@@ -0,0 +1,54 @@
+package policy
+
+import "time"
+
+// Finish gives the slot of a call back and learns from its outcome. The
+// waiters that got a slot are returned, for Deliver.
+func (f *Fleet) Finish(now time.Duration, c Call) []*Waiter {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	c.Upstream.learn(now, c)
+	if c.Elsewhere {
+		return nil
+	}
+	c.Upstream.slots.inUse--
+	return c.Upstream.grant(now)
+}
+
+// Free gives an unused slot back.
+func (f *Fleet) Free(now time.Duration, u *Upstream) []*Waiter {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	u.slots.inUse--
+	return u.grant(now)
+}
+
+// Sent notes that a call is sent to an upstream now.
+func (f *Fleet) Sent(now time.Duration, u *Upstream) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	u.stall.sent(now)
+}
+
+// Stalled reports whether an upstream answers nobody for the moment, as far as
+// this host knows from its own calls.
+func (f *Fleet) Stalled(now time.Duration, u *Upstream) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return u.stalled(now)
+}
+
+// Linger reports whether a call whose answer is not wanted any more may go on for a
+// while; Finish is then called with Lingering set.
+func (f *Fleet) Linger(u *Upstream) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return u.linger()
+}
+
+// Lingered releases what Linger took for a call that ended before it could linger.
+func (f *Fleet) Lingered(u *Upstream) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	u.stall.lingering = false
+}
--- a/tier/policy/hedge.go
+++ b/tier/policy/hedge.go
@@ -76,7 +76,7 @@
 // sameAgain returns the upstream of the shard's one live attempt, if it is fit.
 func (r *Run) sameAgain(now time.Duration, i int) *Upstream {
 	u := r.attempts[r.parts[i].live[0]].upstream
-	if !r.rules.hedgesAtSame() || !u.free() || !u.fit(now) {
+	if !r.rules.hedgesAtSame() || !u.free() || !u.eligible(now) {
 		return nil
 	}
 	return u
--- /dev/null
+++ b/tier/policy/learn.go
@@ -0,0 +1,118 @@
+package policy
+
+import "time"
+
+// Call is a finished call, as reported to the fleet.
+type Call struct {
+	Upstream *Upstream
+	// Pool holds the latencies of like calls.
+	Pool    *Pool
+	Outcome CallOutcome
+	// Took is the time from dispatch to the outcome.
+	Took time.Duration
+	// Load is what the upstream reported with its answer; zero for nothing.
+	Load Load
+	// Elsewhere is true for a call that another host made: it held no slot.
+	Elsewhere bool
+	// Lingering is true for a call that went on though it was not wanted.
+	Lingering bool
+	// Crowded is true for a call whose new connection was reset before any answer:
+	// the upstream may have reached its bound of connections.
+	Crowded bool
+}
+
+// learn updates all that calls show of an upstream. The slot of the call is still in
+// use.
+func (u *Upstream) learn(now time.Duration, c Call) {
+	u.condition.observeOutcome(now, c.Outcome)
+	u.learnStall(now, c)
+	u.load.take(now, c.Load)
+	u.learnLatency(c)
+	u.learnHealth(now, c.Outcome)
+	u.compare(c.Pool)
+	u.learnSlots(c)
+}
+
+// learnStall updates whether the upstream is unresponsive.
+func (u *Upstream) learnStall(now time.Duration, c Call) {
+	if c.Lingering {
+		u.stall.lingering = false
+	}
+	switch {
+	case c.Outcome == CallStalled:
+		u.stall.assume(now)
+	case c.Outcome.answered():
+		u.stall.answered(now, u.slots.inUse > 1)
+	case u.slots.inUse <= 1 && !c.Elsewhere:
+		// The call had no answer, and no other is under way that could show one.
+		u.stall.unansweredSince = 0
+		u.stall.assume(now)
+	}
+}
+
+// learnLatency takes in how long a call took, or how long it took at least.
+func (u *Upstream) learnLatency(c Call) {
+	switch c.Outcome {
+	case CallOK:
+		c.Pool.Record(c.Took)
+		u.observe(c.Took, c.Pool)
+	case CallCancelled:
+		// The call would have taken at least this long: a lower bound.
+		if c.Took > u.latency.or(c.Pool.Median()) {
+			u.observe(c.Took, c.Pool)
+		}
+		if u.kind.poolsCancelled {
+			c.Pool.Record(c.Took)
+		}
+	case CallLate:
+		u.observe(c.Took, c.Pool)
+	default:
+	}
+}
+
+// learnHealth updates ejection, backoff and the signs of leaving.
+func (u *Upstream) learnHealth(now time.Duration, o CallOutcome) {
+	switch {
+	case o == CallOK:
+		u.ejection.succeeded()
+		u.backoff.succeeded()
+	case o == CallShed:
+		u.backoff.shed(now)
+	case o == CallLeaving:
+		u.leaving = true
+	case o == CallMoved && u.kind.movedIsGone:
+		u.leaving, u.gone = true, true
+	case o.broken():
+		u.ejection.failed(now)
+	}
+}
+
+// learnSlots updates how many calls the upstream gets.
+func (u *Upstream) learnSlots(c Call) {
+	s := &u.slots
+	switch {
+	case c.Crowded && u.kind.learnsLimit:
+		s.limit.reset(s.inUse)
+	case c.Outcome == CallOK:
+		s.limit.succeeded(s.share + s.borrowing.borrowed)
+	}
+	if c.Outcome == CallShed {
+		s.borrowing.shed()
+		return
+	}
+	s.borrowing.succeeded(s.ceiling - s.share)
+}
+
+// observe compares the time of a call with that of like calls.
+func (u *Upstream) observe(d time.Duration, p *Pool) {
+	counted, weight := u.latency.observe(d, u.kind.smoothing)
+	u.condition.observeRatio(counted.Seconds()/p.Median().Seconds(), weight)
+}
+
+// compare updates whether the upstream is an outlier of its pool.
+func (u *Upstream) compare(p *Pool) {
+	if u.latency.samples == 0 || !p.Known() || !u.kind.comparesLatency {
+		return
+	}
+	u.outlier.update(u.latency.smoothed, p.Median())
+}
--- a/tier/policy/route_test.go
+++ b/tier/policy/route_test.go
@@ -320,7 +320,7 @@
 		for range 2 * ejectAfter {
 			f.Finish(0, Call{Upstream: u, Pool: near, Outcome: o, Took: time.Millisecond, Elsewhere: true})
 		}
-		assert.Assert(t, u.fit(0) && u.condition.faults == 0, "%s: %+v", o, u)
+		assert.Assert(t, u.eligible(0) && u.condition.faults == 0, "%s: %+v", o, u)
 	}
 }
 
--- a/tier/policy/stall.go
+++ b/tier/policy/stall.go
@@ -2,53 +2,60 @@
 
 import "time"
 
-// Constants of stalls: upstreams that answer nobody for a moment.
+// Constants of stalls. Without the rule, worth falls by 0.010 to 0.032 and 29% more
+// gathers are partial (mean of eight days in simulated time).
 const (
-	// stalledFactor is how many latencies may pass without any answer before an
-	// upstream is taken to stand still, stalledLeast the least such time.
+	// stalledFactor is how many latencies may pass without any answer until an
+	// upstream is considered unresponsive. Measured: 1.5 makes no difference; waiting
+	// for the 0.95 quantile of like calls costs 0.04 of worth.
 	stalledFactor = 2
-	stalledLeast  = 10 * time.Millisecond
-	// stalledFor is how long that is believed without a call that could tell;
-	// pauses of upstreams take some 100 ms.
+	// stalledLeast is the least such time; it also holds while the latency is not
+	// known. Measured: to exempt unknown latencies changes worth by 0.002 (noise).
+	stalledLeast = 10 * time.Millisecond
+	// stalledFor is how long an upstream is considered unresponsive while no call of
+	// this host waits there that could show otherwise. Pauses of upstreams take some
+	// 100 ms. Not measured.
 	stalledFor = 100 * time.Millisecond
-	// LingerFor is how long a call goes on that is not wanted any more, longer
-	// than upstreams pause.
+	// LingerFor is how long a call goes on whose answer is not wanted any more; longer
+	// than upstreams pause, so that it shows the end of a pause without a probe. Not
+	// measured by itself; without lingering calls worth falls by up to 0.011.
 	LingerFor = 300 * time.Millisecond
 )
 
-// stall is what is known of an upstream's standing still.
+// stall detects an upstream that accepts calls and answers none for a moment, as
+// while its process pauses. It is called only if all others are worse.
 type stall struct {
-	// unansweredSince is when the first call was sent that had no answer since the
-	// last answer came; 0 if none is waited for.
+	// unansweredSince is when the first call was sent after the last answer came; 0 if
+	// no answer is pending.
 	unansweredSince time.Duration
-	// until is until when the upstream is believed to stand still though no call
-	// of this host waits there.
+	// until is how long the upstream is considered unresponsive though no call of this
+	// host is pending there.
 	until time.Duration
-	// lingering is true while a call goes on to show when it answers again.
+	// lingering is true while a call goes on to show when the upstream answers again.
 	lingering bool
 }
 
-// sent notes that a call leaves.
+// sent notes that a call is sent.
 func (s *stall) sent(now time.Duration) {
 	if s.unansweredSince == 0 {
 		s.unansweredSince = now
 	}
 }
 
-// believe has the upstream stand still for a while.
-func (s *stall) believe(now time.Duration) { s.until = now + stalledFor }
+// assume considers the upstream unresponsive for a while.
+func (s *stall) assume(now time.Duration) { s.until = now + stalledFor }
 
-// answered notes an answer; more is true if other calls still wait.
-func (s *stall) answered(now time.Duration, more bool) {
+// answered notes an answer; pending is true if other calls wait for theirs.
+func (s *stall) answered(now time.Duration, pending bool) {
 	s.unansweredSince, s.until = 0, 0
-	if more {
+	if pending {
 		s.unansweredSince = now
 	}
 }
 
-// holds reports whether the upstream stands still, whose calls take as long as
-// given.
-func (s *stall) holds(now, latency time.Duration) bool {
+// active reports whether the upstream is considered unresponsive now, given its
+// smoothed latency.
+func (s *stall) active(now, latency time.Duration) bool {
 	if now < s.until {
 		return true
 	}
--- a/tier/policy/state_golden_test.go
+++ b/tier/policy/state_golden_test.go
@@ -161,7 +161,7 @@
 		u := t.fleet.Find(s.Name)
 		r := rand.New(rand.NewPCG(1, 1))
 		out = append(out, fmt.Sprintf("%v fit %v free %v wait %v least %.9g listed %.9g first %.9g",
-			s, u.fit(t.now), u.free(), u.wait(t.pool),
+			s, u.eligible(t.now), u.free(), u.wait(t.pool),
 			leastTime{}.Score(t.now, u, t.pool, r), leastLatency{}.Score(t.now, u, t.pool, r), first{}.Score(t.now, u, t.pool, r)))
 	}
 	return strings.Join(out, "\n")
