--- a/tier/policy/latency.go
+++ b/tier/policy/latency.go
@@ -33,7 +33,7 @@
 func (leastLatency) Score(now time.Duration, u *Upstream, p *Pool, r Random) float64 {
 	slowness, faults := u.condition(now)
 	latency := p.Median().Seconds() * slowness
-	ahead := float64(u.inUse+u.queue.Len()) / float64(max(u.share, 1))
+	ahead := u.slots.ahead()
 	if age := now - u.waitingAt; age < loadLife {
 		ahead += u.waiting * (1 - age.Seconds()/loadLife.Seconds())
 	}
@@ -45,10 +45,10 @@
 	if !u.near {
 		score *= farFactor
 	}
-	if now < u.backoffUntil {
+	if u.backoff.active(now) {
 		score += slowPenalty
 	}
-	if now < u.ejectedUntil {
+	if u.ejection.active(now) {
 		score += ejectedPenalty
 	}
 	return score
--- a/tier/policy/upstream.go
+++ b/tier/policy/upstream.go
@@ -12,49 +12,22 @@
 // fields belong to the fleet and are used with the fleet locked.
 type Upstream struct {
 	// Name is the name in the document.
-	Name string
-	// share is how many calls this host may have at work there; 0 means that
-	// another host of the hall calls on this one's behalf.
-	share int
-	// most is the slots of the upstream; at least share.
-	most int
-	// borrowed is how many calls over share this host may have at work there,
-	// 0 to most-share. It rises while the upstream takes them and falls to 0
-	// when the upstream sheds.
-	borrowed int
-	// patience is how many calls must go well before borrowed rises.
-	patience int
-	// taken counts calls that were not shed since borrowed last changed.
-	taken int
-	// inUse counts granted calls that have not been given back; at most
-	// share+borrowed, but for a while after that has shrunk.
-	inUse int
-	queue waiters
+	Name  string
+	slots slots
 	// leaving is true from the first sign that it leaves, from whatever source.
-	leaving bool
-	latency time.Duration
-	samples int
-	// failures counts failures in a row.
-	failures     int
-	ejectedUntil time.Duration
-	// sheds counts sheds in a row; until backoffUntil others are asked first.
-	sheds        int
-	backoffUntil time.Duration
-	// slow is true from when its calls take much longer than the pool's until
-	// they are nearly as quick again.
-	slow      bool
-	nextProbe time.Duration
-	window    Window
+	leaving  bool
+	latency  time.Duration
+	samples  int
+	ejection ejection
+	backoff  backoff
+	outlier  outlier
+	window   Window
 	// listed, near, hall: see Share.
 	listed, near bool
 	hall         string
 	// gone is true once another upstream answered at its address; its name
 	// never comes back.
 	gone bool
-	// limit is how many calls it takes from this host, as learnt from connections
-	// that it reset; 0 for no limit. goodCalls counts those that went well since
-	// limit last changed.
-	limit, goodCalls int
 	// stall is whether it answers nobody for the moment.
 	stall stall
 	// cold is whether it bears few calls for the moment.
@@ -90,28 +63,29 @@
 	return w.Known && w.Oldest <= snapshot && snapshot <= w.Newest
 }
 
-// free reports whether a call may start. A cold upstream gets one at a time.
+// free reports whether a call may start.
 func (u *Upstream) free() bool {
-	limit := u.share + u.borrowed
-	if u.samples < warmSamples && !u.listed {
+	limit := u.slots.allowed()
+	if u.starting() {
 		limit = min(limit, 1)
 	}
-	if u.limit > 0 {
-		limit = min(limit, u.limit)
-	}
-	return u.inUse < limit
+	return u.slots.inUse < limit
 }
 
+// starting reports whether the upstream is in its slow start: it gets one call at a
+// time until it has answered some.
+func (u *Upstream) starting() bool { return u.samples < warmSamples && !u.listed }
+
 // grant gives free slots to the waiters with the earliest deadlines. Waiters
 // past their deadline are dropped; their requests have answered by then.
 func (u *Upstream) grant(now time.Duration) []*Waiter {
 	var out []*Waiter
-	for u.queue.Len() > 0 && u.free() {
-		w := heap.Pop(&u.queue).(*Waiter)
+	for u.slots.queue.Len() > 0 && u.free() {
+		w := heap.Pop(&u.slots.queue).(*Waiter)
 		if w.Deadline <= now {
 			continue
 		}
-		u.inUse++
+		u.slots.inUse++
 		w.place = placeGranted
 		out = append(out, w)
 	}
@@ -122,15 +96,14 @@
 func (u *Upstream) learn(now time.Duration, c Call) {
 	u.sampledAt = now
 	u.count(c.Outcome)
-	u.adaptLimit(c)
 	u.learnStall(now, c)
 	if c.Load.Slots > 0 {
 		u.waiting, u.waitingAt = float64(c.Load.Waiting)/float64(c.Load.Slots), now
 	}
 	u.learnLatency(c)
 	u.learnHealth(now, c.Outcome)
-	u.judge(c.Pool)
-	u.borrow(c.Outcome)
+	u.compare(c.Pool)
+	u.learnSlots(c)
 }
 
 // learnStall updates whether the upstream stands still.
@@ -142,8 +115,8 @@
 	case c.Outcome == CallStalled:
 		u.stall.believe(now)
 	case c.Outcome.answered():
-		u.stall.answered(now, u.inUse > 1)
-	case u.inUse <= 1 && !c.Elsewhere:
+		u.stall.answered(now, u.slots.inUse > 1)
+	case u.slots.inUse <= 1 && !c.Elsewhere:
 		// Nobody waits for an answer any more that could tell.
 		u.stall.unansweredSince = 0
 		u.stall.believe(now)
@@ -176,44 +149,33 @@
 func (u *Upstream) learnHealth(now time.Duration, o CallOutcome) {
 	switch {
 	case o == CallOK:
-		u.failures, u.sheds = 0, 0
-		u.ejectedUntil, u.backoffUntil = 0, 0
+		u.ejection.succeeded()
+		u.backoff.succeeded()
 	case o == CallShed:
-		u.backoffUntil = now + min(shedBackoffFirst<<min(u.sheds, 10), shedBackoffMost)
-		u.sheds++
+		u.backoff.shed(now)
 	case o == CallLeaving:
 		u.leaving = true
 	case o == CallMoved && u.listed:
 		u.leaving, u.gone = true, true
 	case o.broken():
-		u.fail(now)
+		u.ejection.failed(now)
 	}
 }
 
-// Constants of the limit that is learnt from connections that were reset.
-const (
-	// limitLeast is the least limit, limitGrowth how many times the limit in calls
-	// must go well until it grows by one.
-	limitLeast  = 2
-	limitGrowth = 4
-)
-
-// adaptLimit lowers the limit of calls when a new connection is reset, and raises
-// it by one while calls go well.
-func (u *Upstream) adaptLimit(c Call) {
+// learnSlots updates how many calls the upstream gets.
+func (u *Upstream) learnSlots(c Call) {
+	s := &u.slots
 	switch {
 	case c.Crowded && u.listed:
-		u.limit, u.goodCalls = max(u.inUse-1, limitLeast), 0
-	case c.Outcome == CallOK && u.limit > 0:
-		u.goodCalls++
-		if u.goodCalls < limitGrowth*u.limit {
-			return
-		}
-		u.limit, u.goodCalls = u.limit+1, 0
-		if u.limit >= u.share+u.borrowed {
-			u.limit = 0
-		}
+		s.limit.reset(s.inUse)
+	case c.Outcome == CallOK:
+		s.limit.succeeded(s.share + s.borrowing.borrowed)
 	}
+	if c.Outcome == CallShed {
+		s.borrowing.shed()
+		return
+	}
+	s.borrowing.succeeded(s.ceiling - s.share)
 }
 
 // count takes an outcome into the share of faults; those that say nothing of
@@ -227,32 +189,6 @@
 	}
 }
 
-// borrow lets this host use slots beyond its own share for as long as the
-// upstream does not shed: either the other hosts leave them idle, or the
-// upstream queues. The calls that must go well before the next slot is borrowed
-// are four times as many after a shed, so an upstream that queues nothing
-// sheds but few calls for it; they halve when borrowing goes well.
-func (u *Upstream) borrow(o CallOutcome) {
-	if o == CallShed {
-		if u.borrowed > 0 {
-			u.patience = min(4*u.borrowAfter(), borrowLatest)
-		}
-		u.borrowed, u.taken = 0, 0
-		return
-	}
-	u.taken++
-	if u.taken < u.borrowAfter() {
-		return
-	}
-	u.taken = 0
-	if u.borrowed > 0 {
-		u.patience = max(u.patience/2, borrowFirst)
-	}
-	u.borrowed = min(u.borrowed+1, u.most-u.share)
-}
-
-func (u *Upstream) borrowAfter() int { return max(u.patience, borrowFirst) }
-
 func (u *Upstream) observe(d time.Duration, p *Pool) {
 	u.samples++
 	if u.latency == 0 {
@@ -272,15 +208,6 @@
 	u.slowness += weight * (ratio - u.slowness)
 }
 
-func (u *Upstream) fail(now time.Duration) {
-	u.failures++
-	if u.failures < ejectAfter {
-		return
-	}
-	rest := min(ejectFirst<<min(u.failures-ejectAfter, 10), ejectLongest)
-	u.ejectedUntil = now + rest
-}
-
 func (u *Upstream) latencyOr(d time.Duration) time.Duration {
 	if u.latency == 0 {
 		return d
@@ -303,33 +230,22 @@
 
 // fit reports whether nothing speaks against a call now.
 func (u *Upstream) fit(now time.Duration) bool {
-	return !u.leaving && !u.slow && now >= u.ejectedUntil && now >= u.backoffUntil && !u.cold.bounded(now)
+	return !u.leaving && !u.outlier.marked && !u.ejection.active(now) && !u.backoff.active(now) && !u.cold.bounded(now)
 }
 
-// judge decides whether the upstream is slow. The bound for becoming slow is
-// well above the one for being quick again: calls that are hedged and cancelled
-// show a slow upstream less slow than it is, and without the gap it would be
-// trusted again and again.
-func (u *Upstream) judge(p *Pool) {
+// compare updates whether the upstream is an outlier of its pool.
+func (u *Upstream) compare(p *Pool) {
 	if u.samples == 0 || !p.Known() || u.listed {
 		return
 	}
-	m := p.Median()
-	if u.slow {
-		u.slow = 2*u.latency > quickHalves*m
-		return
-	}
-	u.slow = u.latency > slowFactor*m && u.latency-m > slowLeast
+	u.outlier.update(u.latency, p.Median())
 }
 
 // wait is how long a new call is expected to wait for a slot.
 func (u *Upstream) wait(p *Pool) time.Duration {
-	if u.share == 0 {
-		return 0
-	}
-	ahead := u.inUse + u.queue.Len() - u.share + 1
-	if ahead <= 0 {
+	s := &u.slots
+	if s.share == 0 || s.excess() == 0 {
 		return 0
 	}
-	return u.latencyOr(p.Median()) * time.Duration(ahead) / time.Duration(u.share)
+	return u.latencyOr(p.Median()) * time.Duration(s.excess()) / time.Duration(s.share)
 }
