--- /dev/null
+++ b/tier/replay/golden_test.go
@@ -0,0 +1,66 @@
+package replay
+
+import (
+	"bytes"
+	"os"
+	"slices"
+	"strings"
+	"testing"
+
+	"gotest.tools/v3/assert"
+)
+
+// quickCases are the cases that TestReplayStaysTheSame plays, each within a few
+// seconds: both policies, both classes of a mixed load, and a relay through an
+// owner.
+var quickCases = []string{
+	"overload, plain",
+	"overload, chosen",
+	"small, 30% use, queue 0, Borrow",
+	"small, 30% use, queue 4, Owner",
+}
+
+// TestReplayStaysTheSame compares quick cases with their lines in
+// testdata/replay.golden to the digit. To compare all cases, which takes some
+// minutes:
+//
+//	go run ./loomfake replay | diff - tier/replay/testdata/replay.golden
+func TestReplayStaysTheSame(t *testing.T) {
+	text, err := os.ReadFile("testdata/replay.golden")
+	assert.NilError(t, err)
+	want := strings.SplitAfter(string(text), "\n")
+	var quick []Case
+	for _, c := range Cases() {
+		if slices.Contains(quickCases, c.Name) {
+			quick = append(quick, c)
+		}
+	}
+	assert.Equal(t, len(quick), len(quickCases))
+	for _, r := range runAll(t, quick...) {
+		var got bytes.Buffer
+		r.Print(&got)
+		for line := range strings.Lines(got.String()) {
+			assert.Check(t, slices.Contains(want, line), "not in the golden file: %s", line)
+		}
+	}
+}
+
+// TestGoldenHasEachCase holds the golden file to the cases: the same ones in the
+// same order.
+func TestGoldenHasEachCase(t *testing.T) {
+	text, err := os.ReadFile("testdata/replay.golden")
+	assert.NilError(t, err)
+	rows, found := strings.CutPrefix(string(text), Header)
+	assert.Assert(t, found)
+	var want []string
+	for _, c := range Cases() {
+		for _, l := range c.Loads {
+			want = append(want, "| "+c.Name+" | "+l.Class.Name+" |")
+		}
+	}
+	lines := strings.Split(strings.TrimSuffix(rows, "\n"), "\n")
+	assert.Equal(t, len(lines), len(want))
+	for i, line := range lines {
+		assert.Check(t, strings.HasPrefix(line, want[i]), line)
+	}
+}
