--- a/loomfake/commands_test.go
+++ b/loomfake/commands_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"io"
 	"net/http"
+	"net/netip"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -336,27 +337,27 @@
 	return ""
 }
 
-// balance starts what the platform's balancer does.
+// balance starts the stand-in of the platform's balancer.
 func (s *scene) balance() error {
-	s.balancer = &load{client: quick}
+	s.balancer = &balancer{client: quick, probeBound: balanceBound}
 	for i := 1; i <= 3; i++ {
-		listen, errListen := addresses(s.listen(i))
-		operate, errOperate := addresses(s.operate(i))
+		listen, errListen := netip.ParseAddrPort(s.listen(i))
+		operate, errOperate := netip.ParseAddrPort(s.operate(i))
 		if errListen != nil || errOperate != nil {
 			return errors.Join(errListen, errOperate)
 		}
-		s.balancer.config.Hosts = append(s.balancer.config.Hosts, listen...)
-		s.balancer.config.Operate = append(s.balancer.config.Operate, operate...)
+		s.balancer.hosts = append(s.balancer.hosts, listen)
+		s.balancer.operate = append(s.balancer.operate, operate)
 	}
-	s.balancer.ready.Store(&s.balancer.config.Hosts)
-	go s.balancer.balance(s.t.Context())
+	s.balancer.ready.Store(&s.balancer.hosts)
+	go s.balancer.run(s.t.Context())
 	return nil
 }
 
 // pick returns the address of a host for a client.
 func (s *scene) pick(hosts []int, n int) string {
 	if s.balancer != nil {
-		return s.balancer.host().String()
+		return s.balancer.next().String()
 	}
 	return s.listen(hosts[n%len(hosts)])
 }
--- a/loomfake/golden_test.go
+++ b/loomfake/golden_test.go
@@ -25,7 +25,7 @@
 var programCommands = map[string][]string{
 	"loomd":    {"serve", "version"},
 	"loomctl":  {"ask", "order", "status", "plan", "check", "drain", "version"},
-	"loomfake": {"document", "platform", "upstream", "link", "load", "replay", "soak"},
+	"loomfake": {"document", "platform", "upstream", "link", "replay", "soak"},
 }
 
 // TestHelpStaysAsItIs compares the help of each command, with its flags, with
--- a/loomfake/history_test.go
+++ b/loomfake/history_test.go
@@ -12,6 +12,24 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
+// askBody, orderBody and ticketBody are messages of the callers' service as
+// clients of a scenario write and read them; answerBody is what they read of an
+// answer.
+type (
+	askBody struct {
+		Statement, Class string
+	}
+	orderBody struct {
+		Ticket, Statement, Class string
+	}
+	ticketBody struct {
+		Ticket string
+	}
+	answerBody struct {
+		Outcome string
+	}
+)
+
 // history is what clients saw; it is checked when they are done.
 type history struct {
 	mu         sync.Mutex
--- a/loomfake/main.go
+++ b/loomfake/main.go
@@ -1,6 +1,10 @@
-// Package main runs the stand-ins of the project: a platform, upstreams, a
-// load of callers, and documents to try them with. Each is a process of its
-// own. They serve loopback addresses only.
+// Package main runs the stand-ins of the project, for the demo and the
+// scenarios: a platform, upstreams, links that can be cut, and documents to try
+// them with. It also replays decisions in virtual time (replay) and runs daemons
+// under random faults (soak). It owns nothing that the daemon needs, and serves
+// loopback addresses only.
+//
+// Begin with command.go; each command has a file of its name.
 package main
 
 import (
@@ -22,6 +26,6 @@
 func commands() []subcommands.Command {
 	return []subcommands.Command{
 		subcommands.HelpCommand(), subcommands.FlagsCommand(),
-		&documentCommand{}, &platformCommand{}, &upstreamCommand{}, &linkCommand{}, &loadCommand{}, &replayCommand{}, &soakCommand{},
+		&documentCommand{}, &platformCommand{}, &upstreamCommand{}, &linkCommand{}, &replayCommand{}, &soakCommand{},
 	}
 }
--- a/loomfake/scene_test.go
+++ b/loomfake/scene_test.go
@@ -30,7 +30,7 @@
 	processes     map[string]*process
 	answers       *history
 	// balancer knows which hosts are ready; nil while clients ask any.
-	balancer *load
+	balancer *balancer
 	load     chan error
 	halt     chan struct{}
 	// endless is true if the clients go on until halt is closed.
