--- a/tier/policy/choose.go
+++ b/tier/policy/choose.go
@@ -38,7 +38,7 @@
 
 // Score implements Chooser.
 func (leastTime) Score(now time.Duration, u *Upstream, p *Pool, r Random) float64 {
-	latency := u.latency.or(p.Median())
+	latency := u.latency.or(p.median())
 	score := latency.Seconds() * (1 + u.slots.ahead()) * jitter(r)
 	if u.outlier.marked || u.backoff.active(now) {
 		score += outlierPenalty
--- a/tier/policy/choose_test.go
+++ b/tier/policy/choose_test.go
@@ -29,7 +29,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r, p := rand.New(rand.NewPCG(1, 0)), NewPool()
+			r, p := rand.New(rand.NewPCG(1, 0)), newPool(poolWindow)
 			better, worse := tt.chooser.Score(now, &tt.better, p, r), tt.chooser.Score(now, &tt.worse, p, r)
 			assert.Assert(t, better < worse, "%f %f", better, worse)
 		})
@@ -57,7 +57,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r, p := rand.New(rand.NewPCG(1, 0)), NewPool()
+			r, p := rand.New(rand.NewPCG(1, 0)), newPool(poolWindow)
 			plain := near(func(*Upstream) {})
 			better, worse := leastLatency{}.Score(now, &plain, p, r), leastLatency{}.Score(now, &tt.worse, p, r)
 			assert.Assert(t, better < worse, "%f %f", better, worse)
@@ -69,7 +69,7 @@
 // while: it scores better than one that is known to be as slow.
 func TestUnseenUpstreamIsAskedAgain(t *testing.T) {
 	const now = time.Minute
-	r, p := rand.New(rand.NewPCG(1, 0)), NewPool()
+	r, p := rand.New(rand.NewPCG(1, 0)), newPool(poolWindow)
 	seen := Upstream{near: true, condition: condition{slowness: 4, seenAt: now}}
 	unseen := Upstream{near: true, condition: condition{slowness: 4, seenAt: now - staleFull}}
 	assert.Assert(t, leastLatency{}.Score(now, &unseen, p, r) < 0.6*leastLatency{}.Score(now, &seen, p, r))
--- a/tier/policy/class.go
+++ b/tier/policy/class.go
@@ -53,10 +53,10 @@
 // hedgeDelay implements rules: a call is hedged when it takes longer than nearly all
 // calls to the service.
 func (c *classRules) hedgeDelay(_ *Upstream, limit time.Duration) time.Duration {
-	if !c.pool.Known() {
+	if !c.pool.known() {
 		return limit / classHedgeDivisor
 	}
-	return max(c.pool.Quantile(c.class.HedgeQuantile), hedgeLeast)
+	return max(c.pool.quantile(c.class.HedgeQuantile), hedgeLeast)
 }
 
 // hedgesAtSame implements rules: a call that straggles says little about the next call
--- a/tier/policy/fleet.go
+++ b/tier/policy/fleet.go
@@ -130,7 +130,7 @@
 func (f *Fleet) Pool(service string) *Pool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.pool(service, NewPool)
+	return f.pool(service, poolWindow)
 }
 
 // RoutedPools give the latencies of a route's calls within this host's hall and
@@ -139,14 +139,14 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	// A route may have the name of a service.
-	return f.pool("near "+route, newRoutedPool), f.pool("far "+route, newRoutedPool)
+	return f.pool("near "+route, routedWindow), f.pool("far "+route, routedWindow)
 }
 
 // pool finds or makes a pool; the fleet is locked.
-func (f *Fleet) pool(name string, make func() *Pool) *Pool {
+func (f *Fleet) pool(name string, window int64) *Pool {
 	p := f.pools[name]
 	if p == nil {
-		p = make()
+		p = newPool(window)
 		f.pools[name] = p
 	}
 	return p
--- a/tier/policy/learn.go
+++ b/tier/policy/learn.go
@@ -54,15 +54,15 @@
 func (u *Upstream) learnLatency(c Call) {
 	switch c.Outcome {
 	case CallOK:
-		c.Pool.Record(c.Took)
+		c.Pool.record(c.Took)
 		u.observe(c.Took, c.Pool)
 	case CallCancelled:
 		// The call would have taken at least this long: a lower bound.
-		if c.Took > u.latency.or(c.Pool.Median()) {
+		if c.Took > u.latency.or(c.Pool.median()) {
 			u.observe(c.Took, c.Pool)
 		}
 		if u.kind.poolsCancelled {
-			c.Pool.Record(c.Took)
+			c.Pool.record(c.Took)
 		}
 	case CallLate:
 		u.observe(c.Took, c.Pool)
@@ -106,13 +106,13 @@
 // observe compares the time of a call with that of like calls.
 func (u *Upstream) observe(d time.Duration, p *Pool) {
 	counted, weight := u.latency.observe(d, u.kind.smoothing)
-	u.condition.observeRatio(counted.Seconds()/p.Median().Seconds(), weight)
+	u.condition.observeRatio(counted.Seconds()/p.median().Seconds(), weight)
 }
 
 // compare updates whether the upstream is an outlier of its pool.
 func (u *Upstream) compare(p *Pool) {
-	if u.latency.samples == 0 || !p.Known() || !u.kind.comparesLatency {
+	if u.latency.samples == 0 || !p.known() || !u.kind.comparesLatency {
 		return
 	}
-	u.outlier.update(u.latency.smoothed, p.Median())
+	u.outlier.update(u.latency.smoothed, p.median())
 }
--- a/tier/policy/leastlatency.go
+++ b/tier/policy/leastlatency.go
@@ -23,7 +23,7 @@
 // Score implements Chooser.
 func (leastLatency) Score(now time.Duration, u *Upstream, p *Pool, r Random) float64 {
 	slowness, faults := u.condition.expected(now, u.Name)
-	latency := p.Median().Seconds() * slowness
+	latency := p.median().Seconds() * slowness
 	ahead := u.slots.ahead() + u.load.ahead(now)
 	score := latency * (1 + ahead) * jitter(r)
 	score += faults * faultCost.Seconds()
--- a/tier/policy/pool.go
+++ b/tier/policy/pool.go
@@ -6,51 +6,66 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of a pool's histogram, in microseconds, and its refresh.
+// Constants of a pool.
 const (
-	poolLowest   = 1
-	poolHighest  = 60_000_000
-	poolDigits   = 2
-	poolRefresh  = 64
-	poolWindow   = 20_000
+	// poolLowest is the least latency that is told from others, in microseconds. Not
+	// measured.
+	poolLowest = 1
+	// poolHighest is the greatest latency, in microseconds: a minute, longer than any
+	// request of today takes. Not measured.
+	poolHighest = 60_000_000
+	// poolDigits is the number of significant digits of a latency, 1 to 5 for the
+	// histogram. Not measured.
+	poolDigits = 2
+	// poolRefresh is the number of new latencies after which quantiles are read from
+	// the histogram anew. Not measured.
+	poolRefresh = 64
+	// poolWindow is the number of latencies after which older ones are dropped, in the
+	// pool of a service. Not measured.
+	poolWindow = 20_000
+	// routedWindow is the same in the pool of a route, whose requests go to other
+	// upstreams from one moment to the next. Not measured.
 	routedWindow = 2_000
-	poolEnough   = 50
+	// poolSettled divides the window: quantiles are those of the window before until
+	// so large a part of the present one has come. Not measured.
+	poolSettled = 4
+	// poolEnough is the number of latencies from which on a pool is known. Not
+	// measured.
+	poolEnough = 50
+	// poolFallback is the median of a pool that is not known. Not measured.
 	poolFallback = 10 * time.Millisecond
 )
 
 // Pool holds the latencies of all replicas of one service. A quantile of one
-// upstream would hide that the upstream is slow; the pool's shows it.
+// upstream would hide that the upstream is slow; the pool's shows it. It is used with
+// the fleet locked.
 type Pool struct {
+	// current and previous are the histograms of the present window and the one before.
 	current  *hdrhistogram.Histogram
 	previous *hdrhistogram.Histogram
-	// window is how many samples are looked at before older ones are dropped.
+	// window is how many latencies are looked at before older ones are dropped.
 	window int64
-	// fresh counts samples since the cached quantiles were made.
-	fresh     int
-	median    time.Duration
+	// fresh counts latencies since the cached quantiles were made.
+	fresh int
+	// quantiles caches what was read from the histogram; middle is that of 0.5, which
+	// each score reads, 0 if it was not read.
 	quantiles map[float64]time.Duration
+	middle    time.Duration
 }
 
-// NewPool makes an empty pool.
-func NewPool() *Pool {
+// newPool makes an empty pool with a window of so many latencies.
+func newPool(window int64) *Pool {
 	return &Pool{
 		current:   hdrhistogram.New(poolLowest, poolHighest, poolDigits),
 		previous:  hdrhistogram.New(poolLowest, poolHighest, poolDigits),
 		quantiles: map[float64]time.Duration{},
-		window:    poolWindow,
+		window:    window,
 	}
 }
 
-// newRoutedPool makes an empty pool that follows changes sooner: a route's
-// requests go to other upstreams from one moment to the next.
-func newRoutedPool() *Pool {
-	p := NewPool()
-	p.window = routedWindow
-	return p
-}
-
-// Record takes a latency in.
-func (p *Pool) Record(d time.Duration) {
+// record takes a latency in.
+func (p *Pool) record(d time.Duration) {
+	// A value between the bounds of the histogram is never an error.
 	_ = p.current.RecordValue(min(max(d.Microseconds(), poolLowest), poolHighest))
 	p.fresh++
 	if p.current.TotalCount() >= p.window {
@@ -58,43 +73,36 @@
 		p.current.Reset()
 	}
 	if p.fresh >= poolRefresh {
-		p.refresh()
+		p.fresh, p.middle = 0, 0
+		clear(p.quantiles)
 	}
 }
 
-func (p *Pool) refresh() {
-	p.fresh = 0
-	p.median = 0
-	clear(p.quantiles)
-}
-
-// Known reports whether there are enough samples to learn from.
-func (p *Pool) Known() bool {
-	return p.Count() >= poolEnough
-}
+// known reports whether there are enough latencies to learn from.
+func (p *Pool) known() bool { return p.Count() >= poolEnough }
 
-// Count is how many samples are looked at.
+// Count is how many latencies are looked at.
 func (p *Pool) Count() int64 { return p.current.TotalCount() + p.previous.TotalCount() }
 
-// Median is the middle latency, or a fixed guess while little is known.
-func (p *Pool) Median() time.Duration {
-	if !p.Known() {
+// median is the middle latency, or a fixed guess while little is known.
+func (p *Pool) median() time.Duration {
+	if !p.known() {
 		return poolFallback
 	}
-	if p.median == 0 {
-		p.median = p.Quantile(0.5)
+	if p.middle == 0 {
+		p.middle = p.quantile(0.5)
 	}
-	return p.median
+	return p.middle
 }
 
-// Quantile is a latency quantile of the recent calls. It is read from the
-// histogram once in many samples and kept between.
-func (p *Pool) Quantile(q float64) time.Duration {
+// quantile is a latency quantile of the recent calls, 0 to 1. It is read from the
+// histogram once in many latencies and cached between.
+func (p *Pool) quantile(q float64) time.Duration {
 	if d, ok := p.quantiles[q]; ok {
 		return d
 	}
 	h := p.current
-	if h.TotalCount() < p.window/4 && p.previous.TotalCount() > 0 {
+	if h.TotalCount() < p.window/poolSettled && p.previous.TotalCount() > 0 {
 		h = p.previous
 	}
 	d := time.Duration(h.ValueAtQuantile(q*100)) * time.Microsecond
--- a/tier/policy/retry.go
+++ b/tier/policy/retry.go
@@ -26,7 +26,7 @@
 	}
 	// No other replica is fit: after a pause a shedding one may take it.
 	p.tried = nil
-	p.retryAt = now + time.Duration(float64(r.request.Pool.Median())*(0.5+r.fleet.random.Float64()))
+	p.retryAt = now + time.Duration(float64(r.request.Pool.median())*(0.5+r.fleet.random.Float64()))
 	r.wakeBy(p.retryAt)
 	return nil
 }
--- a/tier/policy/retryafter.go
+++ b/tier/policy/retryafter.go
@@ -45,6 +45,6 @@
 // retryAfter is the excess of expected work, spread at random so that callers
 // do not come back together.
 func (f *Fleet) retryAfter(r *Run, excess time.Duration) time.Duration {
-	base := max(excess, r.request.Pool.Median(), leastRetryAfter)
+	base := max(excess, r.request.Pool.median(), leastRetryAfter)
 	return time.Duration(float64(base) * (1 + f.random.Float64())).Round(time.Millisecond)
 }
--- a/tier/policy/route_test.go
+++ b/tier/policy/route_test.go
@@ -288,7 +288,7 @@
 	f.Lingered(u)
 	assert.Assert(t, f.Linger(u))
 	u.slots.inUse++
-	f.Finish(0, Call{Upstream: u, Pool: NewPool(), Outcome: CallCancelled, Took: time.Millisecond, Lingering: true})
+	f.Finish(0, Call{Upstream: u, Pool: newPool(poolWindow), Outcome: CallCancelled, Took: time.Millisecond, Lingering: true})
 	assert.Assert(t, f.Linger(u))
 }
 
@@ -350,7 +350,7 @@
 func TestLimitIsLearntFromResets(t *testing.T) {
 	f := NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(1, 2))})
 	f.Apply(0, []Share{{Name: "U", Slots: 6, Listed: true, Near: true}})
-	u, p := f.Find("U"), NewPool()
+	u, p := f.Find("U"), newPool(poolWindow)
 	enter := func() int {
 		n := 0
 		for u.free() {
--- a/tier/policy/routed.go
+++ b/tier/policy/routed.go
@@ -95,15 +95,15 @@
 func (r *routedRules) hedgeDelay(u *Upstream, _ time.Duration) time.Duration {
 	objective := float64(r.routed.Objective)
 	p := r.poolOf(u)
-	if !p.Known() {
+	if !p.known() {
 		return time.Duration(hedgeUnknown * objective)
 	}
 	latest := time.Duration(hedgeLatest * objective)
-	if far := r.routed.FarPool; far.Known() {
-		latest = time.Duration(hedgeDone*objective) - far.Quantile(hedgeFarQuantile)
+	if far := r.routed.FarPool; far.known() {
+		latest = time.Duration(hedgeDone*objective) - far.quantile(hedgeFarQuantile)
 	}
-	earliest := p.Quantile(hedgeEarliest)
-	return max(min(p.Quantile(r.hedgeQuantile), latest), earliest, hedgeLeast)
+	earliest := p.quantile(hedgeEarliest)
+	return max(min(p.quantile(r.hedgeQuantile), latest), earliest, hedgeLeast)
 }
 
 // hedgesAtSame implements rules.
--- a/tier/policy/upstream.go
+++ b/tier/policy/upstream.go
@@ -99,5 +99,5 @@
 	if s.share == 0 || s.excess() == 0 {
 		return 0
 	}
-	return u.latency.or(p.Median()) * time.Duration(s.excess()) / time.Duration(s.share)
+	return u.latency.or(p.median()) * time.Duration(s.excess()) / time.Duration(s.share)
 }
