--- a/tier/policy/attempt.go
+++ b/tier/policy/attempt.go
@@ -19,7 +19,7 @@
 			continue
 		}
 		p.remove(n)
-		r.fleet.abandon(a.waiter)
+		a.waiter.abandon()
 		a.phase = phaseDone
 		p.tries--
 		p.forget(a.upstream)
@@ -102,7 +102,7 @@
 	p := &r.parts[i]
 	n := len(r.attempts)
 	w := &Waiter{Upstream: u, Deadline: r.request.Deadline, Granted: func() { r.request.Granted(n) }}
-	granted, queued := r.fleet.enter(w)
+	granted, queued := u.enter(w)
 	p.tries++
 	p.tried = append(p.tried, u)
 	if !granted && !queued {
@@ -166,7 +166,7 @@
 		a := &r.attempts[n]
 		switch a.phase {
 		case phaseQueued:
-			r.fleet.abandon(a.waiter)
+			a.waiter.abandon()
 			a.phase = phaseDone
 		case phaseSent:
 			if r.linger(a) {
--- a/tier/policy/queue.go
+++ b/tier/policy/queue.go
@@ -2,16 +2,18 @@
 
 import (
 	"container/heap"
-	"context"
 	"time"
 )
 
-// queueForOneSlot bounds the queue of an upstream, for each slot of the share.
-const queueForOneSlot = 256
+// queuePerSlot bounds the queue of an upstream, in calls for each slot of the share.
+// Not measured.
+const queuePerSlot = 256
 
-// Places of a waiter that is not in a queue.
+// The place of a waiter that is not in a queue; one that is has its index, 0 or more.
 const (
-	placeOut     = -1
+	// placeOut is that of a waiter that was not granted a slot.
+	placeOut = -1
+	// placeGranted is that of a waiter that was.
 	placeGranted = -2
 )
 
@@ -22,82 +24,60 @@
 	Deadline time.Duration
 	// Granted is called, with no lock held, when the slot is there.
 	Granted func()
-	// place is its index in the queue, or one of the places above.
+	// place is its index in the queue, placeOut or placeGranted.
 	place int
 }
 
-// Enter asks for a slot outside a run, as for a call on another host's behalf.
-// It reports whether the slot was granted at once, or else whether the waiter
-// is queued.
-func (f *Fleet) Enter(w *Waiter) (granted, queued bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.enter(w)
-}
-
-// Abandon takes a waiter out of its queue. It reports true if the slot has been
-// granted meanwhile, which is then the caller's to give back.
-func (f *Fleet) Abandon(w *Waiter) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.abandon(w)
-	return w.place == placeGranted
-}
-
-// Acquire waits for a slot outside a run until a deadline or the end of the
-// context, and tells whether the slot was granted.
-func (f *Fleet) Acquire(ctx context.Context, u *Upstream, deadline time.Duration, now func() time.Duration) bool {
-	got := make(chan struct{})
-	w := &Waiter{Upstream: u, Deadline: deadline, Granted: func() { close(got) }}
-	granted, queued := f.Enter(w)
-	if !queued {
-		return granted
-	}
-	timer := time.NewTimer(deadline - now())
-	defer timer.Stop()
-	select {
-	case <-got:
-		return true
-	case <-timer.C:
-	case <-ctx.Done():
+// Deliver tells waiters that they got their slots. No lock may be held.
+func Deliver(granted []*Waiter) {
+	for _, w := range granted {
+		w.Granted()
 	}
-	return f.Abandon(w)
 }
 
-// enter asks for a slot; the fleet is locked. It reports whether the slot was
-// granted at once; if not, the waiter is queued unless the queue is full.
-func (f *Fleet) enter(w *Waiter) (granted, queued bool) {
-	u := w.Upstream
+// enter grants a waiter a slot, or else queues it unless the queue is full.
+func (u *Upstream) enter(w *Waiter) (granted, queued bool) {
 	w.place = placeOut
 	if u.free() {
 		u.slots.inUse++
 		w.place = placeGranted
 		return true, false
 	}
-	if u.slots.queue.Len() >= queueForOneSlot*max(u.slots.share, 1) {
+	if u.slots.queue.Len() >= queuePerSlot*max(u.slots.share, 1) {
 		return false, false
 	}
 	heap.Push(&u.slots.queue, w)
 	return false, true
 }
 
-// abandon takes a waiter out of its queue; the fleet is locked.
-func (f *Fleet) abandon(w *Waiter) {
+// abandon takes the waiter out of its queue, if it is in one.
+func (w *Waiter) abandon() {
 	if w.place >= 0 {
 		heap.Remove(&w.Upstream.slots.queue, w.place)
 	}
 }
 
-// Deliver tells waiters that they got their slots. No lock may be held.
-func Deliver(granted []*Waiter) {
-	for _, w := range granted {
-		w.Granted()
+// grant gives free slots to the waiters with the earliest deadlines. Waiters
+// past their deadline are dropped; their requests have been answered by then.
+func (u *Upstream) grant(now time.Duration) []*Waiter {
+	var out []*Waiter
+	for u.slots.queue.Len() > 0 && u.free() {
+		w := heap.Pop(&u.slots.queue).(*Waiter)
+		if w.Deadline <= now {
+			continue
+		}
+		u.slots.inUse++
+		w.place = placeGranted
+		out = append(out, w)
 	}
+	return out
 }
 
 // waiters is a queue by deadline, for container/heap.
 type waiters []*Waiter
 
+var _ heap.Interface = (*waiters)(nil)
+
 // Len implements heap.Interface.
 func (q waiters) Len() int { return len(q) }
 
--- a/tier/policy/queue_test.go
+++ b/tier/policy/queue_test.go
@@ -38,3 +38,40 @@
 		assert.Equal(t, f.State(now())[0].Queued, 0)
 	})
 }
+
+func TestQueueGrantsTheEarliestDeadlineFirst(t *testing.T) {
+	const ms = time.Millisecond
+	u := &Upstream{kind: &listedKind, slots: slots{share: 1, ceiling: 1}}
+	w := func(deadline time.Duration) *Waiter { return &Waiter{Upstream: u, Deadline: deadline} }
+	first, late, early, gone, past := w(time.Second), w(90*ms), w(50*ms), w(60*ms), w(10*ms)
+	granted, queued := u.enter(first)
+	assert.Assert(t, granted && !queued)
+	for _, x := range []*Waiter{late, early, gone, past} {
+		granted, queued = u.enter(x)
+		assert.Assert(t, !granted && queued)
+	}
+	assert.Equal(t, len(u.grant(20*ms)), 0, "no slot is free")
+	gone.abandon()
+	gone.abandon()
+	for _, want := range []*Waiter{early, late} {
+		u.slots.inUse--
+		got := u.grant(20 * ms)
+		assert.Equal(t, len(got), 1)
+		assert.Assert(t, got[0] == want, "%s", got[0].Deadline)
+		assert.Equal(t, want.place, placeGranted)
+	}
+	assert.Equal(t, past.place, placeOut)
+	assert.Equal(t, u.slots.queue.Len(), 0)
+}
+
+func TestQueueIsBounded(t *testing.T) {
+	for _, share := range []int{0, 1, 2} {
+		u := &Upstream{kind: &declaredKind, slots: slots{share: share, ceiling: share, inUse: share}}
+		for range queuePerSlot * max(share, 1) {
+			_, queued := u.enter(&Waiter{Upstream: u})
+			assert.Assert(t, queued)
+		}
+		granted, queued := u.enter(&Waiter{Upstream: u})
+		assert.Assert(t, !granted && !queued)
+	}
+}
--- a/tier/policy/upstream.go
+++ b/tier/policy/upstream.go
@@ -1,9 +1,6 @@
 package policy
 
-import (
-	"container/heap"
-	"time"
-)
+import "time"
 
 // never is a time before all others.
 const never = time.Duration(-1 << 62)
@@ -58,22 +55,6 @@
 // time until it has answered some.
 func (u *Upstream) starting() bool { return u.kind.slowStart && u.latency.samples < warmSamples }
 
-// grant gives free slots to the waiters with the earliest deadlines. Waiters
-// past their deadline are dropped; their requests have answered by then.
-func (u *Upstream) grant(now time.Duration) []*Waiter {
-	var out []*Waiter
-	for u.slots.queue.Len() > 0 && u.free() {
-		w := heap.Pop(&u.slots.queue).(*Waiter)
-		if w.Deadline <= now {
-			continue
-		}
-		u.slots.inUse++
-		w.place = placeGranted
-		out = append(out, w)
-	}
-	return out
-}
-
 // stalled reports whether calls have waited without any answer for much longer
 // than they take.
 func (u *Upstream) stalled(now time.Duration) bool { return u.stall.active(now, u.latency.smoothed) }
