--- a/tier/pass/forward.go
+++ b/tier/pass/forward.go
@@ -98,7 +98,7 @@
 		if tried[c.Host] || now < r.hall(c.Hall).backoff.until || !r.answers(c.Host, now) {
 			continue
 		}
-		c.Unheard, c.RoundTrip = r.state(c.Host).open, r.hall(c.Hall).roundTrip
+		c.Pending, c.RoundTrip = r.state(c.Host).open, r.hall(c.Hall).roundTrip
 		out = append(out, c)
 	}
 	return out
--- a/tier/pass/places.go
+++ b/tier/pass/places.go
@@ -12,8 +12,8 @@
 )
 
 // places says where requests may go as of a view.
-func (e *Engine) places(v *kernel.View) *policy.Places {
-	return &policy.Places{Regions: e.kernel.Settings.Regions, Directory: v.Directory}
+func (e *Engine) places(v *kernel.View) *policy.Placement {
+	return &policy.Placement{Regions: e.kernel.Settings.Regions, Directory: v.Directory}
 }
 
 // barrier returns why an upstream may get no call of a route now; empty if it may.
--- a/tier/policy/coordinator.go
+++ b/tier/policy/coordinator.go
@@ -2,22 +2,41 @@
 
 import (
 	"cmp"
+	"math"
 	"slices"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
 )
 
-// coordinatorAdvantage is how many times the capacity of another host a
-// coordinator has. A gather of 180 calls takes a host of 0.19 core with a link of
-// 22 Mbit/s some 140 ms of its own, one of 0.8 core with 200 Mbit/s 20 ms;
-// between hosts alike a forwarded request costs two messages and gains nothing.
-const coordinatorAdvantage = 2
+// Constants of capacity and of coordinators.
+const (
+	// coreCapacity is the capacity of one core with an unlimited link.
+	coreCapacity = 1000
+	// linkPerCore is the link, in Mbit/s, that carries as many upstream calls a second
+	// as one core works on: a call has 1.4 KB on the wire and takes 50 us.
+	linkPerCore = 220
+	// coordinatorAdvantage is how many times the capacity of another host a coordinator
+	// has. A gather of 180 calls takes a host of 0.19 core with a link of 22 Mbit/s some
+	// 140 ms of its own, one of 0.8 core with 200 Mbit/s 20 ms; between hosts alike a
+	// forwarded request costs two messages and gains nothing.
+	coordinatorAdvantage = 2
+	// coordinatorSlack is the share of the slack of retries that coordinators divide
+	// where there are weaker hosts, 0 to 1. The rest is for those hosts, which make
+	// calls by themselves only where no coordinator answers. Not measured.
+	coordinatorSlack = 0.8
+)
 
-// coordinatorSlack is the part of the slack of retries that coordinators share
-// where there are weaker hosts. The rest is for those hosts, which make calls by
-// themselves only where no coordinator answers.
-const coordinatorSlack = 0.8
+// Capacity is how much a host can carry, in thousandths of what a core with an
+// unlimited link does: its core and its link work one after the other for each
+// call, so their times add up. The link is in Mbit/s; 0 is unlimited.
+func Capacity(cores, linkMbits float64) int {
+	seconds := 1 / cores
+	if linkMbits > 0 {
+		seconds += linkPerCore / linkMbits
+	}
+	return max(int(math.Round(coreCapacity/seconds)), 1)
+}
 
 // Candidate is an entry host that may carry a request out.
 type Candidate struct {
@@ -27,8 +46,8 @@
 	Capacity int
 	// RoundTrip is the time of a message to its hall and back; 0 if not known.
 	RoundTrip time.Duration
-	// Unheard counts the requests that it was sent and gave no sign of yet.
-	Unheard int
+	// Pending counts the requests that it was sent and has not yet acknowledged.
+	Pending int
 }
 
 // IsCoordinator reports whether a host of some capacity carries requests out
@@ -39,7 +58,7 @@
 // the best first; none if none does that much better than the host itself. Those
 // in the same hall go first, then those of the hall that is nearest. Hosts spread
 // over those alike: each of these then sees its part of the calls and learns how
-// upstreams do, where a host alone in hundreds meets nearly all of them for the
+// upstreams do, where a host alone in hundreds calls nearly all of them for the
 // first time.
 func Coordinators(self Candidate, all []Candidate) []Candidate {
 	strongest := self.Capacity
@@ -49,37 +68,36 @@
 	if IsCoordinator(self.Capacity, strongest) {
 		return nil
 	}
-	fit := slices.DeleteFunc(slices.Clone(all), func(c Candidate) bool { return !IsCoordinator(c.Capacity, strongest) })
-	slices.SortFunc(fit, func(a, b Candidate) int {
+	out := slices.DeleteFunc(slices.Clone(all), func(c Candidate) bool { return !IsCoordinator(c.Capacity, strongest) })
+	slices.SortFunc(out, func(a, b Candidate) int {
 		return cmp.Or(
 			cmp.Compare(distance(&self, &a), distance(&self, &b)),
-			cmp.Compare(a.Unheard, b.Unheard),
+			cmp.Compare(a.Pending, b.Pending),
 			cmp.Compare(affinity(self.Host, a.Host), affinity(self.Host, b.Host)),
 		)
 	})
-	return fit
+	return out
 }
 
 // distance is the round trip to a candidate; hosts of one hall are nearest, and
-// what is not known is farthest.
+// those whose round trip is not known are farthest.
 func distance(self, c *Candidate) time.Duration {
 	switch {
 	case c.Hall == self.Hall:
 		return 0
 	case c.RoundTrip == 0:
-		return 1<<63 - 1
+		return math.MaxInt64
 	}
 	return c.RoundTrip
 }
 
-// affinity spreads hosts over coordinators, each always over the same.
-func affinity(host, coordinator string) uint64 {
-	return xxhash.Sum64String(host + "\x00" + coordinator)
-}
+// affinity ranks hosts for a key (rendezvous hashing): keys spread over hosts, and
+// each key has the same order of hosts everywhere.
+func affinity(key, host string) uint64 { return xxhash.Sum64String(key + "\x00" + host) }
 
 // RetryShares returns among how many hosts the slack of retries is divided, as
-// one host is to reckon: all hosts where they are alike; else the coordinators
-// divide most of it, and the others the rest.
+// one host is to count them: all hosts where they are alike; else the coordinators
+// divide coordinatorSlack of it, and the others the rest. It is above 0.
 func RetryShares(own int, capacities []int) float64 {
 	strongest := own
 	for _, c := range capacities {
--- a/tier/policy/margin.go
+++ b/tier/policy/margin.go
@@ -1,29 +1,42 @@
 package policy
 
-import "time"
+import (
+	"math"
+	"time"
+)
 
-// Weights of a margin: those of the retransmission timer of TCP (RFC 6298).
+// Weights of a margin. The first two are those of the retransmission timer of TCP
+// (RFC 6298), which adds four mean deviations.
 const (
-	marginMeanWeight      = 1.0 / 8
+	// marginMeanWeight is how much a new time counts in the mean.
+	marginMeanWeight = 1.0 / 8
+	// marginDeviationWeight is how much a new deviation counts in the mean deviation.
 	marginDeviationWeight = 1.0 / 4
-	marginDeviations      = 2
+	// marginFirstDeviation is the share of the first time that is taken for its
+	// deviation (RFC 6298).
+	marginFirstDeviation = 1.0 / 2
+	// marginDeviations is the number of mean deviations above the mean that are kept
+	// back. Not measured.
+	marginDeviations = 2
 )
 
 // Margin estimates how long something takes that must fit in before a deadline,
 // by its mean and mean deviation so far. It is not safe for concurrent use.
 type Margin struct {
+	// mean and deviation are in nanoseconds; 0 until known.
 	mean, deviation float64
-	known           bool
+	// known is true once a time was observed.
+	known bool
 }
 
 // Observe takes in how long it took once.
 func (m *Margin) Observe(took time.Duration) {
 	x := float64(took)
 	if !m.known {
-		m.mean, m.deviation, m.known = x, x/2, true
+		m.mean, m.deviation, m.known = x, x*marginFirstDeviation, true
 		return
 	}
-	m.deviation += marginDeviationWeight * (max(x-m.mean, m.mean-x) - m.deviation)
+	m.deviation += marginDeviationWeight * (math.Abs(x-m.mean) - m.deviation)
 	m.mean += marginMeanWeight * (x - m.mean)
 }
 
--- a/tier/policy/placement.go
+++ b/tier/policy/placement.go
@@ -5,10 +5,10 @@
 	"loomgap/tier/query"
 )
 
-// Places says where the requests of a route may go: data halls lie in regions,
-// routes may have homes among these, and halls may be evacuated. Every call to an
-// upstream and every hand-over of a request to another host goes by it.
-type Places struct {
+// Placement says where the requests of a route may go: data halls lie in regions,
+// routes may have homes among these, and halls may be evacuated. It applies to every
+// call to an upstream and every hand-over of a request to another host.
+type Placement struct {
 	// Regions says where halls lie; a hall that it does not name is no home.
 	Regions config.Regions
 	// Directory says which upstreams are listed and which halls are evacuated.
@@ -17,7 +17,7 @@
 
 // Barrier returns why an upstream may not get requests of a route with these
 // homes; empty if it may.
-func (p *Places) Barrier(l *config.Listing, homes []string) query.Reason {
+func (p *Placement) Barrier(l *config.Listing, homes []string) query.Reason {
 	switch {
 	case l.Leaving:
 		return query.ReasonUnreachable
@@ -32,7 +32,7 @@
 
 // Usable names the upstreams of a group that may get requests of a route with
 // these homes, in order of name. If there is none, the reason says why.
-func (p *Places) Usable(group string, homes []string) (names []string, reason query.Reason) {
+func (p *Placement) Usable(group string, homes []string) (names []string, reason query.Reason) {
 	listed := p.Directory.Group(group)
 	names = make([]string, 0, len(listed))
 	reason = query.ReasonUnreachable
@@ -52,20 +52,16 @@
 	return names, reason
 }
 
-// MayCarry reports whether a request of a route with these homes may be handed to
-// a host of a hall. The region of the caller may be another than that of the host
-// that it reached, where that hall's own hosts are down: it is no reason.
-func (p *Places) MayCarry(hall string, homes []string) bool { return p.Regions.IsHome(hall, homes) }
-
 // Carriers returns the candidates that may be handed a request of a route with
-// these homes.
-func (p *Places) Carriers(all []Candidate, homes []string) []Candidate {
+// these homes: by their own halls. The region of the caller may be another than that
+// of the host that it reached, where the caller's own hosts are down, and is ignored.
+func (p *Placement) Carriers(all []Candidate, homes []string) []Candidate {
 	if len(homes) == 0 {
 		return all
 	}
 	var out []Candidate
 	for _, c := range all {
-		if p.MayCarry(c.Hall, homes) {
+		if p.Regions.IsHome(c.Hall, homes) {
 			out = append(out, c)
 		}
 	}
--- a/tier/policy/snapshot.go
+++ b/tier/policy/snapshot.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// candidateSnapshots bounds how many snapshots are weighed for one request.
+// candidateSnapshots is the number of snapshots, the newest first, that are compared
+// for one request. Not measured.
 const candidateSnapshots = 16
 
 // Plan resolves the replicas of each shard and picks the snapshot that covers
@@ -24,6 +25,8 @@
 	return out, best(out, candidates)
 }
 
+// best returns the candidate that covers the most parts, the newest of several; 0 if
+// there is none.
 func best(parts [][]*Upstream, candidates []uint64) uint64 {
 	slices.Sort(candidates)
 	slices.Reverse(candidates)
@@ -39,6 +42,7 @@
 	return snapshot
 }
 
+// covered counts the parts of which an upstream that stays holds a snapshot.
 func covered(parts [][]*Upstream, snapshot uint64) int {
 	n := 0
 	for _, replicas := range parts {
