--- a/tier/pass/engine.go
+++ b/tier/pass/engine.go
@@ -58,12 +58,12 @@
 	splitters sync.Map
 	// relays are the hosts that make calls for this one, relayed the calls that
 	// this host makes for others.
-	relays  relays
-	relayed relayedBatches
+	relays        relays
+	servedBatches servedBatches
 	// batches are those that relays make the calls of.
-	batches sentBatches
-	// whole holds for each route until when all records are asked for.
-	whole sync.Map
+	sentBatches sentBatches
+	// allRecords holds for each route until when all records are asked for.
+	allRecords sync.Map
 	// configured is closed once there is a view to serve requests from.
 	configured     chan struct{}
 	configuredOnce sync.Once
@@ -141,11 +141,11 @@
 func NewEngine(k *kernel.Kernel, h kernel.Headers) (*Engine, func()) {
 	e := &Engine{
 		kernel: k, headers: h, configured: make(chan struct{}),
-		relays: newRelays(), relayed: relayedBatches{batches: map[string]*batch{}},
-		batches: sentBatches{prefix: strconv.FormatUint(rand.Uint64()>>batchPrefixSpare, 36) + "-"},
+		relays: newRelays(), servedBatches: servedBatches{batches: map[string]*servedBatch{}},
+		sentBatches: sentBatches{prefix: strconv.FormatUint(rand.Uint64()>>batchPrefixSpare, 36) + "-"},
 	}
 	e.times = forwardTimes{firstSign: forwardFirstSign, silent: forwardSilent}
-	e.serveRelay()
+	e.handleRelay()
 	e.serveForwarded()
 	e.links.Store(&map[string]*link{})
 	k.OnView(e.follow)
--- a/tier/pass/forward.go
+++ b/tier/pass/forward.go
@@ -282,7 +282,7 @@
 	now := e.kernel.Now()
 	spent := max(now-q.begun, e.margins.aroundCoordinator())
 	return &ForwardRequest{
-		ID: e.batches.name(), RequestID: q.id, HostName: q.hostName, Path: q.path, Route: q.route.Digest(),
+		ID: e.sentBatches.name(), RequestID: q.id, HostName: q.hostName, Path: q.path, Route: q.route.Digest(),
 		Method: q.method, Head: string(q.head), Body: q.body, Caller: q.subject.Caller,
 		SpentMicros: spent.Microseconds(), LeftMillis: (q.deadline - now).Milliseconds(), Trace: wire.TraceOf(ctx),
 	}
--- a/tier/pass/gather_test.go
+++ b/tier/pass/gather_test.go
@@ -231,7 +231,7 @@
 				arrivals += n
 			}
 			assert.Assert(t, arrivals >= len(tt.in))
-			assert.Assert(t, w.called(MethodGather) > 0)
+			assert.Assert(t, w.called(methodBatch) > 0)
 		})
 	}
 }
@@ -342,16 +342,16 @@
 func TestRelayRefusesBadMessages(t *testing.T) {
 	h := newHost(t, hostConfig{name: "H1", hall: "A"})
 	for _, text := range []string{`{`, `{}`, `{"Upstreams":["a"],"Top":0}`, `{"Upstreams":[],"Top":1}`} {
-		_, err := h.engine.onGather(t.Context(), []byte(text))
+		_, err := h.engine.onBatch(t.Context(), []byte(text))
 		assert.Assert(t, err != nil, text)
 	}
-	_, err := h.engine.onProgress(t.Context(), []byte(`{"ID":"none"}`))
+	_, err := h.engine.onBatchProgress(t.Context(), []byte(`{"ID":"none"}`))
 	assert.ErrorIs(t, err, errNoBatch)
-	_, err = h.engine.onStop(t.Context(), []byte(`{"ID":"none"}`))
+	_, err = h.engine.onBatchStop(t.Context(), []byte(`{"ID":"none"}`))
 	assert.ErrorIs(t, err, errNoBatch)
-	out, err := h.engine.onGather(t.Context(), []byte(`{"ID":"x","Upstreams":["gone"],"Top":1,"FirstMillis":1000,"DeadlineMillis":1000}`))
+	out, err := h.engine.onBatch(t.Context(), []byte(`{"ID":"x","Upstreams":["gone"],"Top":1,"FirstMillis":1000,"DeadlineMillis":1000}`))
 	assert.NilError(t, err)
-	assert.Equal(t, out.(*GatherReply).Ended[0].Outcome, string(policy.CallUnreachable))
+	assert.Equal(t, out.(*batchReply).Ended[0].Outcome, string(policy.CallUnreachable))
 }
 
 // TestRelayedCallsHaveOneTrace looks at the spans of a gather through a near
--- a/tier/pass/golden_test.go
+++ b/tier/pass/golden_test.go
@@ -25,23 +25,23 @@
 
 // messages are the messages between hosts with every field set.
 var messages = []any{
-	&GatherRequest{
+	&batchRequest{
 		ID: "b-1", Route: "Find", RequestID: "r-1", Method: "POST", Head: "POST / HTTP/1.1\r\n", Body: []byte("body"),
 		Upstreams: []string{"U1", "U2"}, Top: 50, Of: 25, FirstMillis: 40, DeadlineMillis: 900, Trace: "00-trace",
 	},
-	&GatherReply{
+	&batchReply{
 		ID: "b-1",
-		Ended: []GatheredCall{
+		Ended: []callReport{
 			{Index: 1, Stamp: "stamp", TookMicros: 1500},
 			{Index: 2, Outcome: string(policy.CallStalled), TookMicros: 7},
 		},
 		Records: []byte("0123456789abcdef"), Cut: 2, Due: true, ProgressSent: 3,
 		Conditions: []policy.Condition{{Upstream: "U1", Slowness: 4, FaultPercent: 30}}, HeldMicros: 2500,
 	},
-	&GatheredCall{Index: 1, Stamp: "stamp", Outcome: string(policy.CallOK), TookMicros: 1500},
-	&StopRequest{ID: "b-1", Left: true},
-	&RecordsRequest{ID: "b-1", Cut: 2},
-	&RecordsReply{Records: []byte("0123456789abcdef")},
+	&callReport{Index: 1, Stamp: "stamp", Outcome: string(policy.CallOK), TookMicros: 1500},
+	&batchStop{ID: "b-1", CallerGone: true},
+	&recordsRequest{ID: "b-1", Cut: 2},
+	&recordsReply{Records: []byte("0123456789abcdef")},
 	&ForwardRequest{
 		ID: "f-1", RequestID: "r-1", HostName: "shop.example", Path: "/find/x", Route: 1 << 63, Method: "POST",
 		Head: "POST / HTTP/1.1\r\n", Body: []byte("body"), Caller: netip.MustParseAddr("192.0.2.1"),
@@ -79,7 +79,7 @@
 // TestMethodsBetweenHosts pins the names of the methods, and that each is served.
 func TestMethodsBetweenHosts(t *testing.T) {
 	methods := map[string]string{
-		MethodGather: "Gather", MethodProgress: "GatherProgress", MethodStop: "GatherStop", MethodRecords: "GatherRecords",
+		methodBatch: "Gather", methodBatchProgress: "GatherProgress", methodBatchStop: "GatherStop", methodRecords: "GatherRecords",
 		MethodForward: "Forward", MethodForwardSign: "ForwardSign", MethodForwardBegin: "ForwardBegin", MethodForwardStop: "ForwardStop",
 	}
 	h := newHost(t, hostConfig{name: "H1", hall: "A"})
@@ -220,7 +220,7 @@
 	}{
 		{"relayed", func(*cable) {}},
 		{"relayed, cut off", func(w *cable) { w.cut["Far"] = true }},
-		{"relayed, records cut off", func(w *cable) { w.broken = map[string]bool{MethodRecords: true} }},
+		{"relayed, records cut off", func(w *cable) { w.broken = map[string]bool{methodRecords: true} }},
 	}
 	for _, c := range cases {
 		var log lockedBuffer
--- a/tier/pass/batch.go
+++ b/tier/pass/relay_client.go
@@ -134,18 +134,18 @@
 	}
 	started := k.Now()
 	roundTrip := e.relays.roundTrip(host)
-	in := q.gatherRequest(batch, roundTrip)
+	in := q.newBatchRequest(batch, roundTrip)
 	due := started + roundTrip + time.Duration(in.FirstMillis)*time.Millisecond
 	if in.FirstMillis == 0 {
 		due = started + roundTrip + hedgesDue
 	}
 	e.relays.sent(host, due)
 	in.Trace = wire.TraceOf(ctx)
-	progress, forget := e.batches.open(in.ID)
+	progress, forget := e.sentBatches.open(in.ID)
 	defer forget()
 	s := &sentBatch{request: q, calls: batch, in: in, host: host, started: started, due: due, roundTrip: roundTrip, to: to}
 	answered := make(chan error, 1)
-	go func() { answered <- e.callRelay(ctx, host, MethodGather, in, &s.last, q.deadline) }()
+	go func() { answered <- e.callRelay(ctx, host, methodBatch, in, &s.last, q.deadline) }()
 	for {
 		select {
 		case p := <-progress:
@@ -162,7 +162,7 @@
 type sentBatch struct {
 	request *request
 	calls   []policy.Action
-	in      *GatherRequest
+	in      *batchRequest
 	host    string
 	// started is when it was sent, due when the first sign of it is due.
 	started, due time.Duration
@@ -175,7 +175,7 @@
 	// were said to be slow.
 	heard, overdue bool
 	// last is the answer.
-	last GatherReply
+	last batchReply
 }
 
 // hall is where the calls of the batch are made.
@@ -183,7 +183,7 @@
 
 // take reports the calls that a reply tells of. Those that are not in when the
 // first answer was due are hedged.
-func (s *sentBatch) take(g *GatherReply) {
+func (s *sentBatch) take(g *batchReply) {
 	s.received++
 	s.noteFirstReply(g)
 	s.report(g)
@@ -194,7 +194,7 @@
 }
 
 // noteFirstReply notes the first sign of the host, and how long the message took.
-func (s *sentBatch) noteFirstReply(g *GatherReply) {
+func (s *sentBatch) noteFirstReply(g *batchReply) {
 	if s.heard {
 		return
 	}
@@ -208,7 +208,7 @@
 }
 
 // finish takes the answer in, or that there is none.
-func (s *sentBatch) finish(ctx context.Context, progress <-chan *GatherReply, err error) {
+func (s *sentBatch) finish(ctx context.Context, progress <-chan *batchReply, err error) {
 	if err != nil {
 		s.fail(ctx, err)
 		return
@@ -243,7 +243,7 @@
 		q.relaying.answered(host)
 	}
 	if ctx.Err() != nil {
-		e.stopRelay(host, StopRequest{ID: s.in.ID, Left: q.callerGone.Load()}, q.id)
+		e.stopBatch(host, batchStop{ID: s.in.ID, CallerGone: q.callerGone.Load()}, q.id)
 	} else {
 		e.kernel.Decisions.Info().Str("RequestID", q.id).Str("Relay", host).Int("Calls", len(s.calls)).
 			Str("Outcome", string(outcome)).Err(err).Msg("batch not answered")
@@ -255,14 +255,14 @@
 
 // report reports the calls that a reply tells of. Their records are kept as one
 // block that stands for all of them.
-func (s *sentBatch) report(g *GatherReply) {
+func (s *sentBatch) report(g *batchReply) {
 	fleet := s.request.engine.kernel.Fleet
 	fleet.TakeConditions(s.request.engine.kernel.Now(), s.hall(), g.Conditions)
 	block := &block{records: g.Records, stamps: map[int]string{}}
 	if g.Cut > 0 {
-		block.rest = &omitted{host: s.host, at: RecordsRequest{ID: s.in.ID, Cut: g.Cut}}
+		block.rest = &omitted{host: s.host, at: recordsRequest{ID: s.in.ID, Cut: g.Cut}}
 	}
-	ended := slices.DeleteFunc(g.Ended, func(c GatheredCall) bool { return c.Index < 0 || c.Index >= len(s.calls) })
+	ended := slices.DeleteFunc(g.Ended, func(c callReport) bool { return c.Index < 0 || c.Index >= len(s.calls) })
 	for _, c := range ended {
 		if c.Stamp != "" {
 			block.stamps[s.calls[c.Index].Part] = c.Stamp
@@ -282,7 +282,7 @@
 	// prefix begins the names of this process's batches; no other has it.
 	prefix string
 	count  atomic.Uint64
-	// byID holds a chan *GatherReply for each batch under way.
+	// byID holds a chan *batchReply for each batch under way.
 	byID sync.Map
 }
 
@@ -290,24 +290,24 @@
 func (s *sentBatches) name() string { return s.prefix + strconv.FormatUint(s.count.Add(1), 36) }
 
 // open returns what is told of a batch until it is forgotten.
-func (s *sentBatches) open(id string) (progress <-chan *GatherReply, forget func()) {
-	c := make(chan *GatherReply, progressBacklog)
+func (s *sentBatches) open(id string) (progress <-chan *batchReply, forget func()) {
+	c := make(chan *batchReply, progressBacklog)
 	s.byID.Store(id, c)
 	return c, func() { s.byID.Delete(id) }
 }
 
-// onProgress takes in what a host tells of a batch before its answer.
-func (e *Engine) onProgress(_ context.Context, params json.RawMessage) (any, error) {
-	var in GatherReply
+// onBatchProgress takes in what a host tells of a batch before its answer.
+func (e *Engine) onBatchProgress(_ context.Context, params json.RawMessage) (any, error) {
+	var in batchReply
 	if err := json.Unmarshal(params, &in); err != nil {
 		return nil, fmt.Errorf("bad progress: %w", err)
 	}
-	c, ok := e.batches.byID.Load(in.ID)
+	c, ok := e.sentBatches.byID.Load(in.ID)
 	if !ok {
 		return nil, fmt.Errorf("%w: %q ended", errNoBatch, in.ID)
 	}
 	select {
-	case c.(chan *GatherReply) <- &in:
+	case c.(chan *batchReply) <- &in:
 		return struct{}{}, nil
 	default:
 		return nil, fmt.Errorf("too much is told of batch %q", in.ID)
@@ -316,15 +316,15 @@
 
 // gatherRequest describes a batch for the host that makes its calls. The first
 // answer is to be here before the calls that it lacks are hedged.
-func (q *request) gatherRequest(batch []policy.Action, roundTrip time.Duration) *GatherRequest {
+func (q *request) newBatchRequest(batch []policy.Action, roundTrip time.Duration) *batchRequest {
 	now := q.engine.kernel.Now()
-	in := &GatherRequest{
-		ID:    q.engine.batches.name(),
+	in := &batchRequest{
+		ID:    q.engine.sentBatches.name(),
 		Route: q.route.Name, RequestID: q.id, Method: q.method, Head: string(q.head), Body: q.body, Top: q.route.Gather.Top,
 		FirstMillis:    q.firstDue(batch, roundTrip).Milliseconds(),
 		DeadlineMillis: (q.deadline - now).Milliseconds(),
 	}
-	if !q.engine.wholeRecords(q.route.Name) {
+	if !q.engine.wantsAllRecords(q.route.Name) {
 		in.Of = len(q.plan.groups)
 	}
 	for _, a := range batch {
@@ -343,7 +343,7 @@
 		}
 		due = min(due, a.HedgeIn)
 	}
-	return max(due-roundTrip-gatherReserve, gatherLeast)
+	return max(due-roundTrip-firstReplyReserve, firstReplyLeast)
 }
 
 // callRelay calls another host and gives up with the context or the deadline.
@@ -353,11 +353,11 @@
 	return e.kernel.Peers.Call(ctx, host, method, in, out)
 }
 
-// stopRelay tells a host that the calls of a batch are not wanted any more.
-func (e *Engine) stopRelay(host string, name StopRequest, request string) {
+// stopBatch tells a host that the calls of a batch are not wanted any more.
+func (e *Engine) stopBatch(host string, name batchStop, request string) {
 	ctx, cancel := context.WithTimeout(context.Background(), stopBound)
 	defer cancel()
-	if err := e.kernel.Peers.Notify(ctx, host, MethodStop, name); err != nil {
+	if err := e.kernel.Peers.Notify(ctx, host, methodBatchStop, name); err != nil {
 		e.kernel.Decisions.Info().Str("RequestID", request).Str("Relay", host).Err(err).Msg("batch not stopped")
 	}
 }
--- a/tier/pass/rest.go
+++ b/tier/pass/relay_records.go
@@ -9,9 +9,6 @@
 	"time"
 )
 
-// MethodRecords asks for the records that an answer for a batch left out.
-const MethodRecords = "GatherRecords"
-
 // Constants of records that are not sent at once.
 const (
 	// spareRecords and spareDeviations are how many records are sent beyond those
@@ -19,9 +16,9 @@
 	// three deviations about one answer in a thousand has to ask for more.
 	spareRecords    = 2
 	spareDeviations = 3
-	// wholeFor is how long all records of a route are asked for after some were
+	// allRecordsFor is how long all records of a route are asked for after some were
 	// lacking: its great records are not spread evenly over the shards.
-	wholeFor = time.Minute
+	allRecordsFor = time.Minute
 	// recordsBound is how long records that lack may take: the answer is complete
 	// but for them.
 	recordsBound = 100 * time.Millisecond
@@ -30,19 +27,7 @@
 // omitted names records that were not sent.
 type omitted struct {
 	host string
-	at   RecordsRequest
-}
-
-// RecordsRequest names the records that an answer for a batch left out.
-type RecordsRequest struct {
-	// ID is that of the batch, Cut the number that the answer gave.
-	ID  string
-	Cut int
-}
-
-// RecordsReply has the records that an answer left out, the greatest first.
-type RecordsReply struct {
-	Records []byte
+	at   recordsRequest
 }
 
 // recordsFor is how many of the greatest records are sent for some of all parts:
@@ -59,7 +44,7 @@
 
 // cutRecords cuts the records for an answer about some parts, and keeps the rest; the
 // batch is locked.
-func (b *batch) cutRecords(records []byte, parts int) (given []byte, cut int) {
+func (b *servedBatch) cutRecords(records []byte, parts int) (given []byte, cut int) {
 	n := recordsFor(b.in.Top, parts, b.in.Of) * recordBytes
 	if len(records) <= n {
 		return records, 0
@@ -70,11 +55,11 @@
 
 // onRecords gives records that an answer left out.
 func (e *Engine) onRecords(_ context.Context, params json.RawMessage) (any, error) {
-	var in RecordsRequest
+	var in recordsRequest
 	if err := json.Unmarshal(params, &in); err != nil {
 		return nil, fmt.Errorf("bad request for records: %w", err)
 	}
-	b, err := e.relayed.find(in.ID)
+	b, err := e.servedBatches.find(in.ID)
 	if err != nil {
 		return nil, err
 	}
@@ -83,12 +68,12 @@
 	if in.Cut < 1 || in.Cut > len(b.cut) {
 		return nil, fmt.Errorf("bad request for records: cut %d of %d", in.Cut, len(b.cut))
 	}
-	return &RecordsReply{Records: b.cut[in.Cut-1]}, nil
+	return &recordsReply{Records: b.cut[in.Cut-1]}, nil
 }
 
-// wholeRecords reports whether all records of a route's parts are to be sent.
-func (e *Engine) wholeRecords(route string) bool {
-	until, ok := e.whole.Load(route)
+// wantsAllRecords reports whether all records of a route's parts are to be sent.
+func (e *Engine) wantsAllRecords(route string) bool {
+	until, ok := e.allRecords.Load(route)
 	return ok && e.kernel.Now() < until.(time.Duration)
 }
 
@@ -101,7 +86,7 @@
 		if len(lacking) == 0 {
 			return
 		}
-		e.whole.Store(q.route.Name, e.kernel.Now()+wholeFor)
+		e.allRecords.Store(q.route.Name, e.kernel.Now()+allRecordsFor)
 		errs := make([]error, len(lacking))
 		var all sync.WaitGroup
 		for i, b := range lacking {
@@ -122,8 +107,8 @@
 func (q *request) fetchOmitted(ctx context.Context, b *block) error {
 	ctx, cancel := context.WithTimeout(ctx, recordsBound)
 	defer cancel()
-	var out RecordsReply
-	if err := q.engine.kernel.Peers.Call(ctx, b.rest.host, MethodRecords, b.rest.at, &out); err != nil {
+	var out recordsReply
+	if err := q.engine.kernel.Peers.Call(ctx, b.rest.host, methodRecords, b.rest.at, &out); err != nil {
 		return err
 	}
 	b.records = append(b.records, out.Records...)
--- a/tier/pass/rest_test.go
+++ b/tier/pass/relay_records_test.go
@@ -70,7 +70,7 @@
 			far := newHost(t, hostConfig{name: "Far", hall: "B", peers: w})
 			w.hosts["Far"] = far
 			if tt.cut {
-				w.broken = map[string]bool{MethodRecords: true}
+				w.broken = map[string]bool{methodRecords: true}
 			}
 			var all []string
 			for s := range shards {
@@ -101,15 +101,15 @@
 			slices.Reverse(all)
 			assert.Equal(t, r.body, strings.Join(all[:top], ""))
 			assert.Equal(t, len(stampsOf(r)), tt.shards)
-			assert.Equal(t, w.called(MethodRecords) > 0, tt.asked)
-			assert.Equal(t, h.engine.wholeRecords("Find"), tt.asked)
+			assert.Equal(t, w.called(methodRecords) > 0, tt.asked)
+			assert.Equal(t, h.engine.wantsAllRecords("Find"), tt.asked)
 			if !tt.asked || tt.cut {
 				return
 			}
 			// From now on all records are sent at once.
-			before := w.called(MethodRecords)
+			before := w.called(methodRecords)
 			assert.Equal(t, h.ask(http.MethodGet, "/find/x", "two", 1500, "").body, r.body)
-			assert.Equal(t, w.called(MethodRecords), before)
+			assert.Equal(t, w.called(methodRecords), before)
 		})
 	}
 }
@@ -119,8 +119,8 @@
 func TestBatchKeepsWhatItLeftOut(t *testing.T) {
 	b := newBatch(t, 1, 0, time.Second)
 	b.in.Top, b.in.Of, b.merger.top = 25, 50, 25
-	b.engine.relayed.batches["B"] = b
-	b.end(GatheredCall{Stamp: "S"}, []byte(strings.Repeat("0123456789abcdef", 25)))
+	b.engine.servedBatches.batches["B"] = b
+	b.end(callReport{Stamp: "S"}, []byte(strings.Repeat("0123456789abcdef", 25)))
 	out, last := b.wait()
 	assert.Assert(t, last)
 	given := len(out.Records) / recordBytes
@@ -132,5 +132,5 @@
 	}
 	rest, err := b.engine.onRecords(t.Context(), []byte(`{"ID":"B","Cut":1}`))
 	assert.NilError(t, err)
-	assert.Equal(t, len(rest.(*RecordsReply).Records)/recordBytes, 25-given)
+	assert.Equal(t, len(rest.(*recordsReply).Records)/recordBytes, 25-given)
 }
--- a/tier/pass/relay.go
+++ b/tier/pass/relay_server.go
@@ -19,26 +19,12 @@
 	"loomgap/tier/wire"
 )
 
-// Methods of the peer protocol.
-const (
-	// MethodGather has a host near some upstreams make calls and merge what
-	// they answer. It is answered when all calls have ended.
-	MethodGather = "Gather"
-	// MethodProgress reports calls to the sender of Gather that ended before: when
-	// the first answer is due, soon after a call has failed, so that another
-	// upstream can be asked, and from then on soon after any call ended, so that
-	// a call that is stuck does not hold back the others.
-	MethodProgress = "GatherProgress"
-	// MethodStop cancels the calls still under way.
-	MethodStop = "GatherStop"
-)
-
 // Bounds of calls made for another host.
 const (
-	// gatherReserve is how much earlier than a hedge the first answer comes.
-	gatherReserve = 4 * time.Millisecond
-	// gatherLeast is the least time that the calls have for the first answer.
-	gatherLeast = 5 * time.Millisecond
+	// firstReplyReserve is how much earlier than a hedge the first answer comes.
+	firstReplyReserve = 4 * time.Millisecond
+	// firstReplyLeast is the least time that the calls have for the first answer.
+	firstReplyLeast = 5 * time.Millisecond
 	// failureDelay and progressDelay are how long after a call has failed, or has ended
 	// when the first answer was due before, others are waited for: one message
 	// costs as much as several calls of one.
@@ -46,92 +32,22 @@
 	progressDelay = 8 * time.Millisecond
 	// cutGrace is how long records that were left out are kept after the deadline.
 	cutGrace = time.Second
-	// maxGathered bounds the calls of one message.
-	maxGathered = 4096
-	// maxGatherTime bounds how long another host may keep calls going.
-	maxGatherTime = 10 * time.Minute
-)
-
-// GatherRequest asks for calls to upstreams in the hall of the host it goes to.
-type GatherRequest struct {
-	// ID names the batch among those of the sender.
-	ID string
-	// Route names the route whose latencies the calls belong to.
-	Route     string
-	RequestID string
-	Method    string
-	// Head is the request as it goes to every upstream.
-	Head string
-	Body []byte `json:",omitempty"`
-	// Upstreams are called once each.
-	Upstreams []string
-	// Top is how many records the answer to the caller has, Of how many parts it
-	// is made of. Records that are hardly needed may be left out of an answer;
-	// with 0 for Of none are.
-	Top int
-	Of  int `json:",omitempty"`
-	// FirstMillis is when the first answer is due, 0 if any call that ends is to be
-	// told of; DeadlineMillis is when the calls end; both from now.
-	FirstMillis, DeadlineMillis int64
-	Trace                       string `json:",omitempty"`
-}
-
-// GatherReply reports the calls that ended and were not reported before.
-type GatherReply struct {
-	// ID is that of the batch, for GatherProgress only.
-	ID string `json:",omitempty"`
-	// Ended are the calls that ended, by index of Upstreams.
-	Ended []GatheredCall
-	// Records are the greatest records of all calls in Ended that went well, the
-	// greatest first. With Cut above 0 there are more, which GatherRecords gives
-	// under that number.
-	Records []byte
-	Cut     int `json:",omitempty"`
-	// Due is true once the first answer was due: calls not reported are slow.
-	Due bool `json:",omitempty"`
-	// ProgressSent is how many times GatherProgress reported the batch before, in
-	// the answer to Gather.
-	ProgressSent int `json:",omitempty"`
-	// Conditions are the upstreams of the answering host's hall that do worse than
-	// others at the moment.
-	Conditions []policy.Condition `json:",omitempty"`
-	// HeldMicros is how long the answer was waited for here.
-	HeldMicros int64
-}
-
-// GatheredCall tells what became of one call.
-type GatheredCall struct {
-	Index int
-	// Stamp is the upstream's proof; only if the call went well.
-	Stamp string `json:",omitempty"`
-	// Outcome is empty if the call went well.
-	Outcome    string `json:",omitempty"`
-	TookMicros int64
-}
-
-// StopRequest names a batch that was asked for before.
-type StopRequest struct {
-	ID string
-	// Left is true if the caller of the request is gone.
-	Left bool `json:",omitempty"`
-}
-
-// Errors of batches.
-var (
-	errNoBatch = errors.New("no such batch")
-	errStopped = errors.New("batch was stopped")
+	// maxBatchCalls bounds the calls of one message.
+	maxBatchCalls = 4096
+	// maxBatchTime bounds how long another host may keep calls going.
+	maxBatchTime = 10 * time.Minute
 )
 
-// relayedBatches holds the relayedBatches of other hosts that have calls under way.
-type relayedBatches struct {
+// servedBatches holds the servedBatches of other hosts that have calls under way.
+type servedBatches struct {
 	mu      sync.Mutex
-	batches map[string]*batch
+	batches map[string]*servedBatch
 }
 
-// batch is a set of calls made for another host.
-type batch struct {
+// servedBatch is a set of calls made for another host.
+type servedBatch struct {
 	engine *Engine
-	in     *GatherRequest
+	in     *batchRequest
 	// subject is what the request is remembered by. Its caller is not known here, and
 	// its fingerprint is made from the head: sent along, both would be a tenth of the
 	// bytes between regions.
@@ -141,14 +57,14 @@
 
 	mu sync.Mutex
 	// ended are calls that were not reported yet, with their records.
-	ended  []GatheredCall
+	ended  []callReport
 	merger merger
 	// cut are the records that answers left out, for GatherRecords.
 	cut [][]byte
 	// open counts the calls under way.
 	open int
 	// calls are the calls under way, by index.
-	calls map[int]*relayedCall
+	calls map[int]*servedCall
 	// finished is closed when no call is under way any more.
 	finished chan struct{}
 	// begun is when the calls began, due when the first answer is due.
@@ -161,8 +77,8 @@
 	changed chan struct{}
 }
 
-// relayedCall is one call under way for another host.
-type relayedCall struct {
+// servedCall is one call under way for another host.
+type servedCall struct {
 	cancel context.CancelFunc
 	// upstream is nil until its slot is held.
 	upstream *policy.Upstream
@@ -170,21 +86,21 @@
 	lingering bool
 }
 
-func (e *Engine) serveRelay() {
-	e.kernel.Handle(MethodGather, e.onGather)
-	e.kernel.Handle(MethodProgress, e.onProgress)
-	e.kernel.Handle(MethodStop, e.onStop)
-	e.kernel.Handle(MethodRecords, e.onRecords)
+func (e *Engine) handleRelay() {
+	e.kernel.Handle(methodBatch, e.onBatch)
+	e.kernel.Handle(methodBatchProgress, e.onBatchProgress)
+	e.kernel.Handle(methodBatchStop, e.onBatchStop)
+	e.kernel.Handle(methodRecords, e.onRecords)
 }
 
-// onGather makes the calls, tells of those that ended and answers when all have.
-func (e *Engine) onGather(ctx context.Context, params json.RawMessage) (any, error) {
-	var in GatherRequest
+// onBatch makes the calls, tells of those that ended and answers when all have.
+func (e *Engine) onBatch(ctx context.Context, params json.RawMessage) (any, error) {
+	var in batchRequest
 	if err := json.Unmarshal(params, &in); err != nil {
 		return nil, fmt.Errorf("bad gather: %w", err)
 	}
-	if len(in.Upstreams) == 0 || len(in.Upstreams) > maxGathered || in.Top < 1 {
-		return nil, fmt.Errorf("bad gather: %d upstreams, top %d: send 1 to %d, and a top of 1 or more", len(in.Upstreams), in.Top, maxGathered)
+	if len(in.Upstreams) == 0 || len(in.Upstreams) > maxBatchCalls || in.Top < 1 {
+		return nil, fmt.Errorf("bad gather: %d upstreams, top %d: send 1 to %d, and a top of 1 or more", len(in.Upstreams), in.Top, maxBatchCalls)
 	}
 	e.kernel.InFlight.Add(1)
 	defer e.kernel.InFlight.Add(-1)
@@ -195,39 +111,39 @@
 		switch {
 		case b.isStopped():
 			// Nobody wants to know; calls that linger end by themselves.
-			return nil, errStopped
+			return nil, errBatchStopped
 		case last:
 			out.ProgressSent = told
 			return out, nil
 		}
 		out.ID = in.ID
-		if err := kernel.Push(ctx, MethodProgress, out); err != nil {
+		if err := kernel.Push(ctx, methodBatchProgress, out); err != nil {
 			b.stop(0)
 			return nil, fmt.Errorf("tell of batch %s: %w", in.ID, err)
 		}
 	}
 }
 
-func (e *Engine) startBatch(in *GatherRequest) *batch {
-	left := min(time.Duration(in.DeadlineMillis)*time.Millisecond, maxGatherTime)
+func (e *Engine) startBatch(in *batchRequest) *servedBatch {
+	left := min(time.Duration(in.DeadlineMillis)*time.Millisecond, maxBatchTime)
 	ctx, cancel := context.WithTimeout(wire.TraceInto(context.Background(), in.Trace), left)
 	now := e.kernel.Now()
-	b := &batch{
+	b := &servedBatch{
 		engine: e, in: in, subject: e.subjectOf(in), deadline: now + left, cancel: cancel,
 		begun: now, due: now + min(time.Duration(in.FirstMillis)*time.Millisecond, left),
-		merger: merger{top: in.Top}, open: len(in.Upstreams), calls: map[int]*relayedCall{},
+		merger: merger{top: in.Top}, open: len(in.Upstreams), calls: map[int]*servedCall{},
 		finished: make(chan struct{}), changed: make(chan struct{}, 1),
 	}
-	e.relayed.mu.Lock()
-	e.relayed.batches[in.ID] = b
-	e.relayed.mu.Unlock()
+	e.servedBatches.mu.Lock()
+	e.servedBatches.batches[in.ID] = b
+	e.servedBatches.mu.Unlock()
 	// Nobody may ask for records that were left out.
-	time.AfterFunc(left+cutGrace, func() { e.relayed.drop(in.ID) })
+	time.AfterFunc(left+cutGrace, func() { e.servedBatches.drop(in.ID) })
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i, name := range in.Upstreams {
 		ctx, cancel := context.WithCancel(ctx)
-		c := &relayedCall{cancel: cancel}
+		c := &servedCall{cancel: cancel}
 		b.calls[i] = c
 		go b.call(ctx, i, name, c)
 	}
@@ -236,7 +152,7 @@
 
 // subjectOf returns what a relayed request is remembered by; the zero value while no
 // request is remembered.
-func (e *Engine) subjectOf(in *GatherRequest) policy.Subject {
+func (e *Engine) subjectOf(in *batchRequest) policy.Subject {
 	if !e.kernel.Fleet.HasSuspects() {
 		return policy.Subject{}
 	}
@@ -245,7 +161,7 @@
 }
 
 // call makes one call within this host's slots.
-func (b *batch) call(ctx context.Context, i int, name string, c *relayedCall) {
+func (b *servedBatch) call(ctx context.Context, i int, name string, c *servedCall) {
 	defer c.cancel()
 	k := b.engine.kernel
 	reply := runner.Reply[*answer]{Outcome: policy.CallUnreachable}
@@ -270,7 +186,7 @@
 			reply.Outcome = policy.CallNotSent
 		}
 	}
-	out := GatheredCall{Index: i, TookMicros: (k.Now() - started).Microseconds()}
+	out := callReport{Index: i, TookMicros: (k.Now() - started).Microseconds()}
 	if reply.Outcome != policy.CallOK {
 		out.Outcome = string(reply.Outcome)
 		b.end(out, nil)
@@ -280,14 +196,14 @@
 	b.end(out, reply.Part.body)
 }
 
-func (b *batch) holdSlot(c *relayedCall, u *policy.Upstream) {
+func (b *servedBatch) holdSlot(c *servedCall, u *policy.Upstream) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c.upstream = u
 }
 
 // release takes a call out of those that may linger, and reports whether it did.
-func (b *batch) release(i int, c *relayedCall) bool {
+func (b *servedBatch) release(i int, c *servedCall) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.calls, i)
@@ -296,7 +212,7 @@
 
 // stop ends the calls that nobody wants any more. Those that may linger go on
 // for a while, since their answers show when an upstream answers again.
-func (b *batch) stop(linger time.Duration) {
+func (b *servedBatch) stop(linger time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.stopped = true
@@ -311,7 +227,7 @@
 	}
 }
 
-func (b *batch) exchange(ctx context.Context, l *link, u *policy.Upstream) runner.Reply[*answer] {
+func (b *servedBatch) exchange(ctx context.Context, l *link, u *policy.Upstream) runner.Reply[*answer] {
 	k := b.engine.kernel
 	left := b.deadline - k.Now()
 	if left <= 0 || !k.Awake() || ctx.Err() != nil {
@@ -336,7 +252,7 @@
 }
 
 // end notes a call that ended, with its records if it went well.
-func (b *batch) end(c GatheredCall, records []byte) {
+func (b *servedBatch) end(c callReport, records []byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.merger.add(records)
@@ -356,12 +272,12 @@
 
 // wait returns what ended, as soon as there is something to tell; last is true if
 // nothing follows. What is given is not given again.
-func (b *batch) wait() (out *GatherReply, last bool) {
+func (b *servedBatch) wait() (out *batchReply, last bool) {
 	b.await(b.engine.kernel.Now())
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.engine.kernel.Now()
-	out = &GatherReply{Ended: b.ended, Due: now >= b.due, Conditions: b.engine.kernel.Fleet.Conditions(now), HeldMicros: (now - b.begun).Microseconds()}
+	out = &batchReply{Ended: b.ended, Due: now >= b.due, Conditions: b.engine.kernel.Fleet.Conditions(now), HeldMicros: (now - b.begun).Microseconds()}
 	out.Records, out.Cut = b.cutRecords(b.merger.result(), goodCalls(b.ended))
 	b.ended, b.merger.records, b.failed = nil, nil, false
 	last = b.open == 0 || now >= b.deadline
@@ -371,14 +287,14 @@
 	return out, last
 }
 
-func (b *batch) isStopped() bool {
+func (b *servedBatch) isStopped() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.stopped
 }
 
 // goodCalls counts the calls that went well.
-func goodCalls(ended []GatheredCall) int {
+func goodCalls(ended []callReport) int {
 	n := 0
 	for _, c := range ended {
 		if c.Stamp != "" {
@@ -390,16 +306,16 @@
 
 // forget drops a batch that nobody asks for any more, but for records that were
 // left out; it is locked. Those are dropped some time after the deadline.
-func (b *batch) forget() {
+func (b *servedBatch) forget() {
 	if len(b.cut) == 0 {
-		b.engine.relayed.drop(b.in.ID)
+		b.engine.servedBatches.drop(b.in.ID)
 	}
 }
 
 // await returns when all calls have ended, when the first answer is due, soon
 // after a call has failed, and once the first answer was due, soon after any
 // call has ended.
-func (b *batch) await(now time.Duration) {
+func (b *servedBatch) await(now time.Duration) {
 	due := now >= b.due
 	until := b.due
 	if due {
@@ -425,7 +341,7 @@
 
 // progressDue returns how long what ended may wait for others; false if it need not be
 // told of by itself.
-func (b *batch) progressDue(due bool) (time.Duration, bool) {
+func (b *servedBatch) progressDue(due bool) (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch {
@@ -438,7 +354,7 @@
 	}
 }
 
-func (r *relayedBatches) find(id string) (*batch, error) {
+func (r *servedBatches) find(id string) (*servedBatch, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if b := r.batches[id]; b != nil {
@@ -447,25 +363,25 @@
 	return nil, fmt.Errorf("%w: %q ended or was never begun", errNoBatch, id)
 }
 
-func (r *relayedBatches) drop(id string) {
+func (r *servedBatches) drop(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.batches, id)
 }
 
-// onStop ends the calls of a batch.
-func (e *Engine) onStop(_ context.Context, params json.RawMessage) (any, error) {
-	var in StopRequest
+// onBatchStop ends the calls of a batch.
+func (e *Engine) onBatchStop(_ context.Context, params json.RawMessage) (any, error) {
+	var in batchStop
 	if err := json.Unmarshal(params, &in); err != nil {
 		return nil, fmt.Errorf("bad batch name: %w", err)
 	}
-	b, err := e.relayed.find(in.ID)
+	b, err := e.servedBatches.find(in.ID)
 	if err != nil {
 		return nil, err
 	}
 	linger := policy.LingerFor
 	verdict, _ := e.kernel.Fleet.Judge(e.kernel.Now(), b.subject)
-	if in.Left || verdict != policy.VerdictSound {
+	if in.CallerGone || verdict != policy.VerdictSound {
 		linger = 0
 	}
 	b.stop(linger)
--- a/tier/pass/relay_test.go
+++ b/tier/pass/relay_server_test.go
@@ -17,16 +17,16 @@
 )
 
 // newBatch makes a batch of calls whose ends the test tells of.
-func newBatch(t *testing.T, calls int, due, deadline time.Duration) *batch {
+func newBatch(t *testing.T, calls int, due, deadline time.Duration) *servedBatch {
 	k, closeKernel := kernel.New(kernel.Config{
 		Log: zerolog.Nop(), Tracer: noop.NewTracerProvider().Tracer(""), Started: time.Now(),
 		Fleet: policy.NewFleet(policy.FleetConfig{}),
 	})
 	t.Cleanup(closeKernel)
-	return &batch{
-		engine: &Engine{kernel: k, relayed: relayedBatches{batches: map[string]*batch{}}}, in: &GatherRequest{ID: "B"},
+	return &servedBatch{
+		engine: &Engine{kernel: k, servedBatches: servedBatches{batches: map[string]*servedBatch{}}}, in: &batchRequest{ID: "B"},
 		due: due, deadline: deadline, cancel: func() {}, merger: merger{top: 1}, open: calls,
-		calls: map[int]*relayedCall{}, finished: make(chan struct{}), changed: make(chan struct{}, 1),
+		calls: map[int]*servedCall{}, finished: make(chan struct{}), changed: make(chan struct{}, 1),
 	}
 }
 
@@ -68,16 +68,16 @@
 				for i, e := range tt.ends {
 					go func() {
 						time.Sleep(e.after)
-						c := GatheredCall{Index: i, Stamp: "S"}
+						c := callReport{Index: i, Stamp: "S"}
 						if e.failed {
-							c = GatheredCall{Index: i, Outcome: string(policy.CallStalled)}
+							c = callReport{Index: i, Outcome: string(policy.CallStalled)}
 						}
 						b.end(c, nil)
 					}()
 				}
 				var got []told
 				for last := false; !last; {
-					var r *GatherReply
+					var r *batchReply
 					r, last = b.wait()
 					got = append(got, told{b.engine.kernel.Now(), len(r.Ended)})
 				}
