--- a/tier/pass/coord.go
+++ b/tier/pass/coord.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"encoding/json"
 	"fmt"
 	"net/http"
 	"net/netip"
@@ -146,22 +145,19 @@
 }
 
 func (e *Engine) serveForwarded() {
-	e.kernel.Handle(MethodForward, e.onForward)
-	e.kernel.Handle(MethodForwardSign, e.onForwardSign)
-	e.kernel.Handle(MethodForwardBegin, e.onForwardBegin)
-	e.kernel.Handle(MethodForwardStop, e.onForwardStop)
+	const name = "name of a forwarded request"
+	handle(e, MethodForward, "forwarded request", e.onForward)
+	handle(e, MethodForwardSign, name, e.onForwardSign)
+	handle(e, MethodForwardBegin, name, e.onForwardBegin)
+	handle(e, MethodForwardStop, name, e.onForwardStop)
 }
 
 // onForward carries a request out for another host.
-func (e *Engine) onForward(ctx context.Context, params json.RawMessage) (any, error) {
-	var in ForwardRequest
-	if err := json.Unmarshal(params, &in); err != nil {
-		return nil, fmt.Errorf("bad forwarded request: %w", err)
-	}
+func (e *Engine) onForward(ctx context.Context, in *ForwardRequest) (any, error) {
 	if in.ID == "" || in.RequestID == "" || in.LeftMillis <= 0 {
 		return nil, fmt.Errorf("bad forwarded request %q: send ID, RequestID and LeftMillis above 0", in.ID)
 	}
-	q, declined := e.accept(&in)
+	q, declined := e.accept(in)
 	if declined != "" {
 		return &ForwardReply{Declined: declined}, nil
 	}
@@ -221,29 +217,12 @@
 	}
 }
 
-// decodeSign reads the name of a request.
-func decodeSign(params json.RawMessage) (ForwardSign, error) {
-	var in ForwardSign
-	if err := json.Unmarshal(params, &in); err != nil {
-		return in, fmt.Errorf("bad name of a forwarded request: %w", err)
-	}
-	return in, nil
-}
-
-func (e *Engine) onForwardSign(_ context.Context, params json.RawMessage) (any, error) {
-	in, err := decodeSign(params)
-	if err != nil {
-		return nil, err
-	}
+func (e *Engine) onForwardSign(_ context.Context, in *ForwardSign) (any, error) {
 	e.forwards.sign(in.ID)
 	return struct{}{}, nil
 }
 
-func (e *Engine) onForwardBegin(_ context.Context, params json.RawMessage) (any, error) {
-	in, err := decodeSign(params)
-	if err != nil {
-		return nil, err
-	}
+func (e *Engine) onForwardBegin(_ context.Context, in *ForwardSign) (any, error) {
 	r := e.carried.find(in.ID)
 	if r == nil {
 		return nil, fmt.Errorf("request %q ended or was never sent", in.ID)
@@ -252,11 +231,7 @@
 	return struct{}{}, nil
 }
 
-func (e *Engine) onForwardStop(_ context.Context, params json.RawMessage) (any, error) {
-	in, err := decodeSign(params)
-	if err != nil {
-		return nil, err
-	}
+func (e *Engine) onForwardStop(_ context.Context, in *ForwardSign) (any, error) {
 	e.carried.stop(in.ID)
 	return struct{}{}, nil
 }
--- a/tier/pass/gather_test.go
+++ b/tier/pass/gather_test.go
@@ -342,14 +342,14 @@
 func TestRelayRefusesBadMessages(t *testing.T) {
 	h := newHost(t, hostConfig{name: "H1", hall: "A"})
 	for _, text := range []string{`{`, `{}`, `{"Upstreams":["a"],"Top":0}`, `{"Upstreams":[],"Top":1}`} {
-		_, err := h.engine.onBatch(t.Context(), []byte(text))
+		_, err := h.kernel.Handler(methodBatch)(t.Context(), []byte(text))
 		assert.Assert(t, err != nil, text)
 	}
-	_, err := h.engine.onBatchProgress(t.Context(), []byte(`{"ID":"none"}`))
+	_, err := h.kernel.Handler(methodBatchProgress)(t.Context(), []byte(`{"ID":"none"}`))
 	assert.ErrorIs(t, err, errNoBatch)
-	_, err = h.engine.onBatchStop(t.Context(), []byte(`{"ID":"none"}`))
+	_, err = h.kernel.Handler(methodBatchStop)(t.Context(), []byte(`{"ID":"none"}`))
 	assert.ErrorIs(t, err, errNoBatch)
-	out, err := h.engine.onBatch(t.Context(), []byte(`{"ID":"x","Upstreams":["gone"],"Top":1,"FirstMillis":1000,"DeadlineMillis":1000}`))
+	out, err := h.kernel.Handler(methodBatch)(t.Context(), []byte(`{"ID":"x","Upstreams":["gone"],"Top":1,"FirstMillis":1000,"DeadlineMillis":1000}`))
 	assert.NilError(t, err)
 	assert.Equal(t, out.(*batchReply).Ended[0].Outcome, string(policy.CallUnreachable))
 }
--- a/tier/pass/relay_client.go
+++ b/tier/pass/relay_client.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"slices"
 	"strconv"
@@ -297,17 +296,13 @@
 }
 
 // onBatchProgress takes in what a host tells of a batch before its answer.
-func (e *Engine) onBatchProgress(_ context.Context, params json.RawMessage) (any, error) {
-	var in batchReply
-	if err := json.Unmarshal(params, &in); err != nil {
-		return nil, fmt.Errorf("bad progress: %w", err)
-	}
+func (e *Engine) onBatchProgress(_ context.Context, in *batchReply) (any, error) {
 	c, ok := e.sentBatches.byID.Load(in.ID)
 	if !ok {
 		return nil, fmt.Errorf("%w: %q ended", errNoBatch, in.ID)
 	}
 	select {
-	case c.(chan *batchReply) <- &in:
+	case c.(chan *batchReply) <- in:
 		return struct{}{}, nil
 	default:
 		return nil, fmt.Errorf("too much is told of batch %q", in.ID)
--- a/tier/pass/relay_records.go
+++ b/tier/pass/relay_records.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"math"
 	"sync"
@@ -54,11 +53,7 @@
 }
 
 // onRecords gives records that an answer left out.
-func (e *Engine) onRecords(_ context.Context, params json.RawMessage) (any, error) {
-	var in recordsRequest
-	if err := json.Unmarshal(params, &in); err != nil {
-		return nil, fmt.Errorf("bad request for records: %w", err)
-	}
+func (e *Engine) onRecords(_ context.Context, in *recordsRequest) (any, error) {
 	b, err := e.servedBatches.find(in.ID)
 	if err != nil {
 		return nil, err
--- a/tier/pass/relay_records_test.go
+++ b/tier/pass/relay_records_test.go
@@ -120,6 +120,7 @@
 	b := newBatch(t, 1, 0, time.Second)
 	b.in.Top, b.in.Of, b.merger.top = 25, 50, 25
 	b.engine.servedBatches.batches["B"] = b
+	b.engine.handleRelay()
 	b.end(callReport{Stamp: "S"}, []byte(strings.Repeat("0123456789abcdef", 25)))
 	out, last := b.wait()
 	assert.Assert(t, last)
@@ -127,10 +128,10 @@
 	assert.Equal(t, given, recordsFor(25, 1, 50))
 	assert.Equal(t, out.Cut, 1)
 	for _, bad := range []string{`{`, `{"ID":"B"}`, `{"ID":"B","Cut":2}`, `{"ID":"C","Cut":1}`} {
-		_, err := b.engine.onRecords(t.Context(), []byte(bad))
+		_, err := b.engine.kernel.Handler(methodRecords)(t.Context(), []byte(bad))
 		assert.Assert(t, err != nil, bad)
 	}
-	rest, err := b.engine.onRecords(t.Context(), []byte(`{"ID":"B","Cut":1}`))
+	rest, err := b.engine.kernel.Handler(methodRecords)(t.Context(), []byte(`{"ID":"B","Cut":1}`))
 	assert.NilError(t, err)
 	assert.Equal(t, len(rest.(*recordsReply).Records)/recordBytes, 25-given)
 }
--- a/tier/pass/relay_server.go
+++ b/tier/pass/relay_server.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"sync"
@@ -87,25 +86,21 @@
 }
 
 func (e *Engine) handleRelay() {
-	e.kernel.Handle(methodBatch, e.onBatch)
-	e.kernel.Handle(methodBatchProgress, e.onBatchProgress)
-	e.kernel.Handle(methodBatchStop, e.onBatchStop)
-	e.kernel.Handle(methodRecords, e.onRecords)
+	handle(e, methodBatch, "gather", e.onBatch)
+	handle(e, methodBatchProgress, "progress", e.onBatchProgress)
+	handle(e, methodBatchStop, "batch name", e.onBatchStop)
+	handle(e, methodRecords, "request for records", e.onRecords)
 }
 
 // onBatch makes the calls, tells of those that ended and answers when all have.
-func (e *Engine) onBatch(ctx context.Context, params json.RawMessage) (any, error) {
-	var in batchRequest
-	if err := json.Unmarshal(params, &in); err != nil {
-		return nil, fmt.Errorf("bad gather: %w", err)
-	}
+func (e *Engine) onBatch(ctx context.Context, in *batchRequest) (any, error) {
 	if len(in.Upstreams) == 0 || len(in.Upstreams) > maxBatchCalls || in.Top < 1 {
 		return nil, fmt.Errorf("bad gather: %d upstreams, top %d: send 1 to %d, and a top of 1 or more", len(in.Upstreams), in.Top, maxBatchCalls)
 	}
 	e.kernel.InFlight.Add(1)
 	defer e.kernel.InFlight.Add(-1)
 	metrics.GetOrCreateCounter("loomgap_relayed_calls_total").Add(len(in.Upstreams))
-	b := e.startBatch(&in)
+	b := e.startBatch(in)
 	for told := 0; ; told++ {
 		out, last := b.wait()
 		switch {
@@ -370,11 +365,7 @@
 }
 
 // onBatchStop ends the calls of a batch.
-func (e *Engine) onBatchStop(_ context.Context, params json.RawMessage) (any, error) {
-	var in batchStop
-	if err := json.Unmarshal(params, &in); err != nil {
-		return nil, fmt.Errorf("bad batch name: %w", err)
-	}
+func (e *Engine) onBatchStop(_ context.Context, in *batchStop) (any, error) {
 	b, err := e.servedBatches.find(in.ID)
 	if err != nil {
 		return nil, err
