--- a/tier/pass/places_test.go
+++ b/tier/pass/admit_test.go
@@ -247,7 +247,7 @@
 			f.weak.accept(d)
 			f.strong.accept(d)
 			f.weak.ask(http.MethodGet, "/find/x", "one", 900, "")
-			assert.Equal(t, f.cable.called(MethodForward) > 0, tt.forwarded)
+			assert.Equal(t, f.cable.called(methodCoordinate) > 0, tt.forwarded)
 		})
 	}
 }
--- a/tier/pass/call.go
+++ b/tier/pass/call.go
@@ -56,8 +56,11 @@
 	// upstream is the name that the upstream must have to run the request.
 	upstream string
 	left     time.Duration
-	// unrepeatable requests go on new connections only.
+	// unrepeatable is true for a request that goes on new connections only, or on one
+	// that was used a moment ago.
 	unrepeatable bool
+	// gathered is true for one part of a gather.
+	gathered bool
 }
 
 // result is what became of a call.
@@ -72,9 +75,9 @@
 
 // call makes a call and tells what it means. One that was cancelled before it
 // left, while its connection was being made, says nothing of the upstream.
-func (l *link) call(ctx context.Context, c *call, gathered bool) runner.Reply[*answer] {
+func (l *link) call(ctx context.Context, c *call) runner.Reply[*answer] {
 	r := l.do(ctx, c)
-	out := judge(c.headers, r, gathered)
+	out := judge(c, r)
 	out.Crowded = r.crowded
 	if out.Outcome == policy.CallUnreachable && ctx.Err() != nil {
 		out.Outcome = policy.CallNotSent
@@ -217,7 +220,7 @@
 
 // judge tells what a call's result means. A reply carries the answer only if
 // it may be given to the caller or merged.
-func judge(h *kernel.Headers, r result, gathered bool) runner.Reply[*answer] {
+func judge(c *call, r result) runner.Reply[*answer] {
 	switch {
 	case r.err != nil && !r.sent:
 		return runner.Reply[*answer]{Outcome: policy.CallUnreachable}
@@ -227,15 +230,15 @@
 		return runner.Reply[*answer]{Outcome: policy.CallBroken}
 	}
 	a := r.answer
-	out := runner.Reply[*answer]{Load: loadOf(a.header.Get(h.Load)), Part: a}
+	out := runner.Reply[*answer]{Load: loadOf(a.header.Get(c.headers.Load)), Part: a}
 	switch {
 	case a.status == http.StatusMisdirectedRequest:
 		out.Outcome = policy.CallMoved
-	case a.header.Get(h.NotRun) != "":
+	case a.header.Get(c.headers.NotRun) != "":
 		out.Outcome = policy.CallShed
-	case a.status < 300 && a.header.Get(h.Stamp) == "":
+	case a.status < 300 && a.header.Get(c.headers.Stamp) == "":
 		out.Outcome, out.Part = policy.CallGarbage, nil
-	case a.status < 300 || a.status < 500 && !gathered && !promises(a.status):
+	case a.status < 300 || a.status < 500 && !c.gathered && !promisesNotRun(a.status):
 		out.Outcome = policy.CallOK
 	default:
 		out.Outcome = policy.CallFailed
@@ -243,8 +246,8 @@
 	return out
 }
 
-// promises reports whether a status says that the request did not run.
-func promises(status int) bool {
+// promisesNotRun reports whether a status says that the request did not run.
+func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
--- /dev/null
+++ b/tier/pass/coordinate_client.go
@@ -0,0 +1,255 @@
+package pass
+
+import (
+	"context"
+	"net/http"
+	"sync"
+	"time"
+
+	"github.com/rs/zerolog"
+	"go.opentelemetry.io/otel/attribute"
+	"go.opentelemetry.io/otel/trace"
+
+	"loomgap/tier/policy"
+	"loomgap/tier/wire"
+)
+
+// This file is the sender's end of the exchange with a coordinator: a weak host hands
+// a whole gather over to a stronger one.
+
+const (
+	// coordinatorsTried is how many coordinators are tried before the host carries
+	// the request out itself. Not measured.
+	coordinatorsTried = 2
+	// firstSignBound is how long, beyond the round trip, the first sign of a
+	// coordinator is waited for. A busy one needs up to 20 ms. A host that is frozen
+	// or cut off takes no more than a sixth of an objective of 300 ms.
+	firstSignBound = 50 * time.Millisecond
+	// signBound is how long a coordinator may be silent after a sign: it misses three
+	// signs in a row. Not measured.
+	signBound = 150 * time.Millisecond
+	// signEvery is the time from one sign of a coordinator to the next. Not measured.
+	signEvery = 40 * time.Millisecond
+)
+
+// signTimes are the times within which a coordinator shows that it works on a request.
+type signTimes struct {
+	// first is waited for beyond the round trip, next from one sign to the next.
+	first, next time.Duration
+}
+
+// handOver has a coordinator carry the request out, and reports whether the caller has
+// its answer. If a coordinator does not begin, the next is asked. If one has begun and
+// is lost, its calls may have run, and calls of this host would exceed what a request
+// may have.
+func (q *request) handOver(ctx context.Context, w http.ResponseWriter) bool {
+	if q.route.Gather == nil || !q.route.Repeatable {
+		return false
+	}
+	tried := map[string]bool{}
+	for range coordinatorsTried {
+		to, ok := q.coordinator(tried)
+		if !ok {
+			return false
+		}
+		tried[to.Host] = true
+		s := &sentRequest{request: q, to: to}
+		reply := s.carryOut(ctx)
+		switch {
+		case ctx.Err() != nil:
+			q.log(outcomeGivenUp, 0).Str("Coordinator", to.Host).Msg("request given up by its caller")
+			return true
+		case reply != nil:
+			q.answerCoordinated(w, to.Host, reply)
+			return true
+		case s.begun:
+			q.log(outcomeUnknown, http.StatusBadGateway).Str("Coordinator", to.Host).Msg("coordinator lost")
+			http.Error(w, noAnswer(outcomeUnknown), http.StatusBadGateway)
+			return true
+		}
+	}
+	return false
+}
+
+// answerCoordinated gives the caller what a coordinator answered.
+func (q *request) answerCoordinated(w http.ResponseWriter, coordinator string, a *coordinateReply) {
+	h := w.Header()
+	for name, value := range a.Header {
+		h.Set(name, value)
+	}
+	held := time.Duration(a.HeldMicros) * time.Microsecond
+	q.log(a.Outcome, a.Status).Str("Coordinator", coordinator).Int64("HeldMillis", held.Milliseconds()).Msg("request answered by a coordinator")
+	q.write(w, a.Status, http.Header{}, a.Body)
+	q.engine.overhead.observeHandOver(q.engine.kernel.Now() - q.times.begun - held)
+}
+
+// sentRequest is a request that a coordinator carries out. It is used by one
+// goroutine.
+type sentRequest struct {
+	request *request
+	to      policy.Candidate
+	started time.Duration
+	// heard is true once there was a sign of the coordinator.
+	heard bool
+	// begun is true once the coordinator was told to begin: before that it makes no
+	// calls.
+	begun bool
+	reply coordinateReply
+}
+
+// carryOut sends the request and waits for its answer; nil if the coordinator gave
+// none, or declined.
+func (s *sentRequest) carryOut(ctx context.Context) *coordinateReply {
+	q, e := s.request, s.request.engine
+	ctx, span := e.kernel.Tracer.Start(ctx, "forward", trace.WithSpanKind(trace.SpanKindClient))
+	defer span.End()
+	if span.IsRecording() {
+		span.SetAttributes(attribute.String("Coordinator", s.to.Host))
+	}
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	s.started = e.kernel.Now()
+	in := q.coordinateRequest(ctx)
+	first := e.hosts.roundTrip(s.to.Host) + e.coordinate.times.first
+	e.hosts.sent(s.to.Host, s.started+first)
+	signs, forget := e.coordinate.sent.open(in.ID)
+	defer forget()
+	bounded, stop := q.untilDeadline(ctx)
+	defer stop()
+	answered := make(chan error, 1)
+	go func() { answered <- e.kernel.Peers.Call(bounded, s.to.Host, methodCoordinate, in, &s.reply) }()
+	timer := time.NewTimer(first)
+	defer timer.Stop()
+	for {
+		select {
+		case <-signs:
+			if !s.begin(ctx, in.ID) {
+				return nil
+			}
+			timer.Reset(e.coordinate.times.next)
+		case err := <-answered:
+			return s.finish(err)
+		case <-timer.C:
+			s.giveUp(in.ID, false)
+			return nil
+		case <-ctx.Done():
+			s.giveUp(in.ID, true)
+			return nil
+		}
+	}
+}
+
+// coordinateRequest describes the request for a coordinator.
+func (q *request) coordinateRequest(ctx context.Context) *coordinateRequest {
+	e := q.engine
+	now := e.kernel.Now()
+	spent := max(now-q.times.begun, e.overhead.ofHandOver())
+	return &coordinateRequest{
+		ID: e.ids.next(), RequestID: q.in.id, HostName: q.in.hostName, Path: q.in.path, Route: q.route.Digest(),
+		Method: q.in.method, Head: string(q.in.head), Body: q.in.body, Caller: q.in.subject.Caller,
+		SpentMicros: spent.Microseconds(), LeftMillis: (q.times.deadline - now).Milliseconds(), Trace: wire.TraceOf(ctx),
+	}
+}
+
+// begin tells the coordinator to begin after its first sign, and reports whether it
+// was told. That costs a round trip; without it, a coordinator that was frozen or cut
+// off could begin a request that another host carries out meanwhile.
+func (s *sentRequest) begin(ctx context.Context, id string) bool {
+	if s.begun {
+		return true
+	}
+	s.noteSign(0)
+	e := s.request.engine
+	if err := e.kernel.Peers.Notify(ctx, s.to.Host, methodCoordinateBegin, coordinateID{ID: id}); err != nil {
+		s.log().Err(err).Msg("coordinator not told to begin")
+		// The message may have arrived all the same.
+		s.begun = !neverArrived(err)
+		return false
+	}
+	s.begun = true
+	return true
+}
+
+// noteSign notes the first sign of the coordinator, which had the request for a while
+// before it.
+func (s *sentRequest) noteSign(held time.Duration) {
+	if s.heard {
+		return
+	}
+	s.heard = true
+	e := s.request.engine
+	now := e.kernel.Now()
+	e.hosts.answered(s.to.Host, s.to.Hall, now, max(now-s.started-held, time.Microsecond))
+}
+
+// finish takes the answer in, or that there is none.
+func (s *sentRequest) finish(err error) *coordinateReply {
+	e := s.request.engine
+	if err != nil {
+		if !s.heard {
+			e.hosts.unanswered(s.to.Host, s.to.Hall, e.kernel.Now(), true)
+		}
+		s.log().Bool("Begun", s.begun).Err(err).Msg("request not answered by a coordinator")
+		return nil
+	}
+	s.noteSign(time.Duration(s.reply.HeldMicros) * time.Microsecond)
+	if s.reply.Declined != "" {
+		e.hosts.declined(s.to.Host, e.kernel.Now(), s.reply.Declined)
+		s.log().Str("Declined", string(s.reply.Declined)).Msg("request declined by a coordinator")
+		return nil
+	}
+	return &s.reply
+}
+
+// giveUp ends the request at the coordinator: it is silent, or the caller is gone.
+func (s *sentRequest) giveUp(id string, callerGone bool) {
+	e := s.request.engine
+	if !s.heard {
+		e.hosts.unanswered(s.to.Host, s.to.Hall, e.kernel.Now(), !callerGone)
+	}
+	if !callerGone {
+		s.log().Bool("Begun", s.begun).Msg("coordinator is silent")
+	}
+	go s.stop(id)
+}
+
+// stop tells the coordinator that the answer is not wanted any more.
+func (s *sentRequest) stop(id string) {
+	ctx, cancel := context.WithTimeout(context.Background(), stopBound)
+	defer cancel()
+	if err := s.request.engine.kernel.Peers.Notify(ctx, s.to.Host, methodCoordinateStop, coordinateID{ID: id}); err != nil {
+		s.log().Err(err).Msg("forwarded request not stopped")
+	}
+}
+
+// log begins a line about the request at its coordinator.
+func (s *sentRequest) log() *zerolog.Event {
+	return s.request.engine.kernel.Decisions.Info().Str("RequestID", s.request.in.id).Str("Coordinator", s.to.Host)
+}
+
+// sentRequests are the requests of this host that coordinators carry out. It is safe
+// for concurrent use.
+type sentRequests struct {
+	// byID holds a chan struct{}, for signs, for each request under way.
+	byID sync.Map
+}
+
+// open returns the signs of a request's coordinator until it is forgotten.
+func (s *sentRequests) open(id string) (signs <-chan struct{}, forget func()) {
+	c := make(chan struct{}, 1)
+	s.byID.Store(id, c)
+	return c, func() { s.byID.Delete(id) }
+}
+
+// onCoordinateSign takes in that a coordinator works on a request.
+func (e *Engine) onCoordinateSign(_ context.Context, in *coordinateID) (any, error) {
+	c, ok := e.coordinate.sent.byID.Load(in.ID)
+	if !ok {
+		return struct{}{}, nil // the request has its answer
+	}
+	select {
+	case c.(chan struct{}) <- struct{}{}:
+	default: // the sign before it was not taken in yet
+	}
+	return struct{}{}, nil
+}
--- /dev/null
+++ b/tier/pass/coordinate_server.go
@@ -0,0 +1,202 @@
+package pass
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"net/http"
+	"sync"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+
+	"loomgap/tier/kernel"
+	"loomgap/tier/policy"
+	"loomgap/tier/wire"
+)
+
+// This file is the coordinator's end of the exchange: it carries whole gathers out for
+// weaker hosts.
+
+// beginBound is how long a coordinator waits to be told to begin: longer than a message
+// takes to a busy host and back, and shorter than most objectives. Not measured.
+const beginBound = 200 * time.Millisecond
+
+// servedRequests are the requests that this host carries out for others. It is safe
+// for concurrent use.
+type servedRequests struct {
+	mu   sync.Mutex
+	byID map[string]*servedRequest
+}
+
+// servedRequest is one request that this host carries out for another.
+type servedRequest struct {
+	// begin is closed, once, when the request may begin.
+	begin     chan struct{}
+	beginOnce sync.Once
+	cancel    context.CancelFunc
+}
+
+// await waits until the request may begin, and reports whether it may.
+func (r *servedRequest) await(ctx context.Context) bool {
+	timer := time.NewTimer(beginBound)
+	defer timer.Stop()
+	select {
+	case <-r.begin:
+		return true
+	case <-timer.C:
+		return false
+	case <-ctx.Done():
+		return false
+	}
+}
+
+// add makes a request known until it is dropped.
+func (s *servedRequests) add(id string, cancel context.CancelFunc) (r *servedRequest, drop func()) {
+	r = &servedRequest{begin: make(chan struct{}), cancel: cancel}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.byID == nil {
+		s.byID = map[string]*servedRequest{}
+	}
+	s.byID[id] = r
+	return r, func() {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		delete(s.byID, id)
+	}
+}
+
+func (s *servedRequests) find(id string) *servedRequest {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.byID[id]
+}
+
+// stop ends a request; one that has ended already needs nothing.
+func (s *servedRequests) stop(id string) {
+	if r := s.find(id); r != nil {
+		r.cancel()
+	}
+}
+
+// handleCoordinate registers the methods of both ends of the exchange.
+func (e *Engine) handleCoordinate() {
+	const name = "name of a forwarded request"
+	handle(e, methodCoordinate, "forwarded request", e.onCoordinate)
+	handle(e, methodCoordinateSign, name, e.onCoordinateSign)
+	handle(e, methodCoordinateBegin, name, e.onCoordinateBegin)
+	handle(e, methodCoordinateStop, name, e.onCoordinateStop)
+}
+
+// onCoordinate carries a request out for another host.
+func (e *Engine) onCoordinate(ctx context.Context, in *coordinateRequest) (any, error) {
+	if in.ID == "" || in.RequestID == "" || in.LeftMillis <= 0 {
+		return nil, fmt.Errorf("bad forwarded request %q: send ID, RequestID and LeftMillis above 0", in.ID)
+	}
+	q, declined := e.accept(in)
+	if declined != "" {
+		return &coordinateReply{Declined: declined}, nil
+	}
+	e.kernel.InFlight.Add(1)
+	defer e.kernel.InFlight.Add(-1)
+	metrics.GetOrCreateCounter("loomgap_carried_requests_total").Inc()
+	run, cancel := context.WithCancel(wire.TraceInto(context.Background(), in.Trace))
+	defer cancel()
+	served, drop := e.coordinate.served.add(in.ID, cancel)
+	defer drop()
+	started := e.kernel.Now()
+	go e.signWhile(ctx, run, in.ID)
+	if !served.await(run) {
+		return &coordinateReply{Declined: declineNotBegun}, nil
+	}
+	w := &recorder{header: http.Header{}}
+	q.serve(run, w)
+	return w.reply(q.outcome, e.kernel.Now()-started), nil
+}
+
+// accept makes the request that another host has sent, or declines it.
+func (e *Engine) accept(in *coordinateRequest) (*request, declineReason) {
+	e.kernel.Wake()
+	if e.kernel.Phase() != kernel.PhaseReady {
+		return nil, declineStopping
+	}
+	now := e.kernel.Now()
+	q := &request{
+		engine: e, view: e.kernel.View(),
+		in: inbound{id: in.RequestID, hostName: in.HostName, path: in.Path, method: in.Method, subject: policy.Subject{Caller: in.Caller}},
+		times: requestTimes{
+			begun:    now - max(time.Duration(in.SpentMicros)*time.Microsecond, 0),
+			deadline: now + time.Duration(in.LeftMillis)*time.Millisecond,
+		},
+	}
+	q.in.setContent([]byte(in.Head), in.Body)
+	q.route, q.class = q.view.Index.Route(in.HostName, in.Path)
+	if q.route == nil || q.route.Digest() != in.Route {
+		return nil, declineRoute
+	}
+	return q, ""
+}
+
+// signWhile tells the sender of a request that this host works on it, until it ends.
+func (e *Engine) signWhile(ctx, run context.Context, id string) {
+	tick := time.NewTicker(signEvery)
+	defer tick.Stop()
+	for {
+		if err := kernel.Push(ctx, methodCoordinateSign, coordinateID{ID: id}); err != nil {
+			e.kernel.Decisions.Info().Err(err).Msg("sender of a request is gone")
+			e.coordinate.served.stop(id)
+			return
+		}
+		select {
+		case <-run.Done():
+			return
+		case <-tick.C:
+		}
+	}
+}
+
+func (e *Engine) onCoordinateBegin(_ context.Context, in *coordinateID) (any, error) {
+	r := e.coordinate.served.find(in.ID)
+	if r == nil {
+		return nil, fmt.Errorf("request %q ended or was never sent", in.ID)
+	}
+	r.beginOnce.Do(func() { close(r.begin) })
+	return struct{}{}, nil
+}
+
+func (e *Engine) onCoordinateStop(_ context.Context, in *coordinateID) (any, error) {
+	e.coordinate.served.stop(in.ID)
+	return struct{}{}, nil
+}
+
+// recorder keeps an answer that is for another host's caller.
+type recorder struct {
+	status int
+	header http.Header
+	body   bytes.Buffer
+}
+
+var _ http.ResponseWriter = (*recorder)(nil)
+
+// Header implements http.ResponseWriter.
+func (r *recorder) Header() http.Header { return r.header }
+
+// Write implements http.ResponseWriter.
+func (r *recorder) Write(b []byte) (int, error) { return r.body.Write(b) }
+
+// WriteHeader implements http.ResponseWriter.
+func (r *recorder) WriteHeader(status int) { r.status = status }
+
+// reply describes the answer for the host that sent the request.
+func (r *recorder) reply(o outcome, held time.Duration) *coordinateReply {
+	out := &coordinateReply{
+		Status: r.status, Outcome: o, Header: map[string]string{}, Body: r.body.Bytes(), HeldMicros: held.Microseconds(),
+	}
+	for name := range r.header {
+		if v := r.header.Get(name); v != "" {
+			out.Header[name] = v
+		}
+	}
+	return out
+}
--- a/tier/pass/forward_test.go
+++ b/tier/pass/coordinate_test.go
@@ -35,7 +35,7 @@
 		strong: newHost(t, hostConfig{name: "Strong", hall: "A", peers: w}),
 	}
 	// What is not the matter of a test does not depend on the machine's speed.
-	f.weak.engine.times = forwardTimes{firstSign: testBound, silent: testBound}
+	f.weak.engine.coordinate.times = signTimes{first: testBound, next: testBound}
 	w.hosts["Strong"] = f.strong
 	f.upstreams = gatherers(t, f.weak, [2]string{"A", "A"}, reply)
 	f.strong.do(func(s *kernel.State) {
@@ -65,7 +65,7 @@
 // state that this one can be in: the caller has the whole answer, and no shard is
 // asked twice.
 func TestGatherIsForwardedToAStrongerHost(t *testing.T) {
-	soon := forwardTimes{firstSign: time.Millisecond, silent: testBound}
+	soon := signTimes{first: time.Millisecond, next: testBound}
 	tests := []struct {
 		name   string
 		change func(f *forwarding)
@@ -74,9 +74,9 @@
 	}{
 		{"well", func(*forwarding) {}, true},
 		{"cut off", func(f *forwarding) { f.cable.cut["Strong"] = true }, false},
-		{"frozen", func(f *forwarding) { f.cable.mute["Strong"] = true; f.weak.engine.times = soon }, false},
-		{"its sign is lost", func(f *forwarding) { f.cable.pushes = 0; f.weak.engine.times = soon }, false},
-		{"cannot be told to begin", func(f *forwarding) { f.cable.broken = map[string]bool{MethodForwardBegin: true} }, false},
+		{"frozen", func(f *forwarding) { f.cable.mute["Strong"] = true; f.weak.engine.coordinate.times = soon }, false},
+		{"its sign is lost", func(f *forwarding) { f.cable.pushes = 0; f.weak.engine.coordinate.times = soon }, false},
+		{"cannot be told to begin", func(f *forwarding) { f.cable.broken = map[string]bool{methodCoordinateBegin: true} }, false},
 		{"stopping", func(f *forwarding) { f.strong.kernel.SetPhase(kernel.PhaseDraining) }, false},
 		{"with an older route", func(f *forwarding) {
 			d := gatherDoc(0.8, 14)
@@ -103,7 +103,7 @@
 			assert.Equal(t, r.header.Get(names.Missing), "0")
 			assert.Equal(t, r.header.Get(names.RequestID), "one")
 			assert.DeepEqual(t, f.asked("one"), []int{1, 1, 1, 1, 1, 1})
-			assert.Equal(t, f.cable.called(MethodForward), 1)
+			assert.Equal(t, f.cable.called(methodCoordinate), 1)
 			f.cable.mu.Lock()
 			defer f.cable.mu.Unlock()
 			assert.Equal(t, f.strong.carried(), tt.begun)
@@ -122,7 +122,7 @@
 func TestLostCoordinatorIsNotReplaced(t *testing.T) {
 	f := newForwarding(t, func(int, int) replyFunc { return silent })
 	f.cable.pushes = 1
-	f.weak.engine.times.silent = 300 * time.Millisecond
+	f.weak.engine.coordinate.times.next = 300 * time.Millisecond
 	r := f.weak.ask(http.MethodGet, "/find/x", "one", 15000, "")
 	assert.NilError(t, r.err)
 	assert.Equal(t, r.status, http.StatusBadGateway)
@@ -186,5 +186,5 @@
 	for i := range 5 {
 		assert.Equal(t, h.ask(http.MethodGet, "/find/x", fmt.Sprint(i), 15000, "").status, http.StatusOK)
 	}
-	assert.Equal(t, w.called(MethodForward), 0)
+	assert.Equal(t, w.called(methodCoordinate), 0)
 }
--- /dev/null
+++ b/tier/pass/coordinators.go
@@ -0,0 +1,81 @@
+package pass
+
+import (
+	"sync/atomic"
+
+	"loomgap/tier/config"
+	"loomgap/tier/kernel"
+	"loomgap/tier/policy"
+)
+
+// upstreamShare is the part of the upstreams of the hall with the most that a hall must
+// list for its hosts to be coordinators: elsewhere most calls would go to another hall
+// again. Not measured.
+const upstreamShare = 0.5
+
+// coordinators are the hosts that may carry gathers out. It is changed on the control
+// thread and read by requests.
+type coordinators struct {
+	// candidates are the other live hosts of halls that have the upstreams of gathers;
+	// nil until there is a view to take them from. The slice is never changed.
+	candidates atomic.Pointer[[]policy.Candidate]
+	// halls are those with many upstreams in directory, which changes less often than
+	// the members do; used on the control thread only.
+	halls     map[string]bool
+	directory *config.Directory
+}
+
+// follow takes the candidates from a view; it runs on the control thread.
+func (c *coordinators) follow(v *kernel.View) {
+	if v.Directory != c.directory {
+		c.directory, c.halls = v.Directory, hallsWithUpstreams(v.Directory)
+	}
+	all := liveHosts(v, func(hall string) bool { return c.halls[hall] })
+	c.candidates.Store(&all)
+}
+
+// hallsWithUpstreams names the halls that list many upstreams.
+func hallsWithUpstreams(d *config.Directory) map[string]bool {
+	listed := d.PerHall()
+	most := 0
+	for _, n := range listed {
+		most = max(most, n)
+	}
+	out := map[string]bool{}
+	for h, n := range listed {
+		out[h] = float64(n) >= upstreamShare*float64(most)
+	}
+	return out
+}
+
+// coordinator picks the host that is to carry the request out; false for this one.
+func (q *request) coordinator(tried map[string]bool) (policy.Candidate, bool) {
+	e := q.engine
+	all := e.coordinators.candidates.Load()
+	if all == nil {
+		return policy.Candidate{}, false
+	}
+	carriers := e.places(q.view).Carriers(*all, q.route.Homes)
+	best := policy.Coordinators(e.self(), e.hosts.candidates(carriers, e.kernel.Now(), tried))
+	if len(best) == 0 {
+		return policy.Candidate{}, false
+	}
+	return best[0], true
+}
+
+// self describes this host as a candidate.
+func (e *Engine) self() policy.Candidate {
+	s := &e.kernel.Settings
+	return policy.Candidate{Host: s.Host, Hall: s.Hall, Capacity: s.Capacity()}
+}
+
+// liveHosts describes the other live hosts that are not leaving, of some halls.
+func liveHosts(v *kernel.View, of func(hall string) bool) []policy.Candidate {
+	var out []policy.Candidate
+	for n, m := range v.Members {
+		if m.Callable() && of(m.Hall) {
+			out = append(out, policy.Candidate{Host: n, Hall: m.Hall, Capacity: m.Capacity})
+		}
+	}
+	return out
+}
--- /dev/null
+++ b/tier/pass/doc.go
@@ -0,0 +1,58 @@
+// Package pass serves routed requests: it finds the route of an opaque HTTP request,
+// passes the request on to one upstream, or to one of each shard, and gives the caller
+// the upstream's answer, or the greatest records of all.
+//
+// # What it owns
+//
+// The callers' server, the connections to upstreams (link), and what this host knows
+// of other hosts as relays and coordinators (hostTracker). All of it lives in memory
+// and ends with the process.
+//
+// # What it relies on
+//
+// Package policy decides: which upstream gets a call, when a call is hedged or retried,
+// when a run ends, which host coordinates. Package runner carries these decisions out
+// and calls back. Package kernel gives the view of configuration and hosts, and the
+// calls between hosts. This package decides only what its constants say, beside each.
+//
+// # The way of a request
+//
+// Begin reading at ServeHTTP in serve.go, which lists the stages. Each has its file,
+// and a request passes them from top to bottom:
+//
+//	serve.go              the stages
+//	start.go              wait for the first configuration
+//	inbound.go            find the route, read the request; header.go what is passed on
+//	refuse.go             refuse, with each Retry-After
+//	coordinate_client.go  hand a gather over to a coordinator (coordinators.go)
+//	plan.go               which upstreams may answer; split.go which group
+//	run.go                make the calls; admit.go whether a call may be sent
+//	call.go               one call to an upstream, on a connection of conn.go
+//	relay_client.go       calls to another hall, through a relay there
+//	merge.go              merge the parts; relay_records.go fetch what they lack
+//	answer.go             answer the caller; outcome.go the log line and metrics
+//
+// # Exchanges between hosts
+//
+// A relay is a host of another hall that makes a batch of calls for this one. A
+// coordinator is a stronger host that carries a whole gather out for this one. The
+// files of both are named alike: relay_messages.go, relay_client.go, relay_server.go;
+// coordinate_messages.go, coordinate_client.go, coordinate_server.go. What waits at the
+// client is a sentBatch or sentRequest; the server has a servedBatch or servedRequest.
+//
+// # Views
+//
+// Engine.follow takes each view of the kernel in: shares of upstreams (shares.go),
+// connections made ahead (preconnect.go), owners of cold upstreams (warmup.go).
+//
+// # Concurrency
+//
+// The control thread runs follow and what it calls. Each request has a goroutine of
+// its caller, or of the host that sent it, and calls run in goroutines of the runner.
+// A request takes one view and keeps it, but for the check just before each call.
+//
+// # Embedding
+//
+// Importing the package registers its plug-in, which serves routed requests if an
+// adapter is set. NewEngine and Engine are for programs with a server of their own.
+package pass
--- a/tier/pass/gather_test.go
+++ b/tier/pass/gather_test.go
@@ -308,7 +308,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var g gathered
+			var g gatheredParts
 			for _, p := range tt.single {
 				g.take(p, of(p))
 			}
--- a/tier/pass/golden_test.go
+++ b/tier/pass/golden_test.go
@@ -42,16 +42,16 @@
 	&batchStop{ID: "b-1", CallerGone: true},
 	&recordsRequest{ID: "b-1", Cut: 2},
 	&recordsReply{Records: []byte("0123456789abcdef")},
-	&ForwardRequest{
+	&coordinateRequest{
 		ID: "f-1", RequestID: "r-1", HostName: "shop.example", Path: "/find/x", Route: 1 << 63, Method: "POST",
 		Head: "POST / HTTP/1.1\r\n", Body: []byte("body"), Caller: netip.MustParseAddr("192.0.2.1"),
 		SpentMicros: 1500, LeftMillis: 900, Trace: "00-trace",
 	},
-	&ForwardReply{
-		Declined: DeclineNotBegun, Status: 200, Outcome: outcomePartial, Header: map[string]string{"X-Missing": "1"},
+	&coordinateReply{
+		Declined: declineNotBegun, Status: 200, Outcome: outcomePartial, Header: map[string]string{"X-Missing": "1"},
 		Body: []byte("body"), HeldMicros: 2500,
 	},
-	&ForwardSign{ID: "f-1"},
+	&coordinateID{ID: "f-1"},
 }
 
 // TestMessagesBetweenHosts pins each message as JSON, with every field set and with
@@ -80,7 +80,7 @@
 func TestMethodsBetweenHosts(t *testing.T) {
 	methods := map[string]string{
 		methodBatch: "Gather", methodBatchProgress: "GatherProgress", methodBatchStop: "GatherStop", methodRecords: "GatherRecords",
-		MethodForward: "Forward", MethodForwardSign: "ForwardSign", MethodForwardBegin: "ForwardBegin", MethodForwardStop: "ForwardStop",
+		methodCoordinate: "Forward", methodCoordinateSign: "ForwardSign", methodCoordinateBegin: "ForwardBegin", methodCoordinateStop: "ForwardStop",
 	}
 	h := newHost(t, hostConfig{name: "H1", hall: "A"})
 	for got, want := range methods {
@@ -91,16 +91,14 @@
 
 // TestWordsOfOutcomes pins the words of logs, metrics and messages.
 func TestWordsOfOutcomes(t *testing.T) {
-	got := []string{
+	assert.DeepEqual(t, []outcome{
 		outcomeServed, outcomePartial, outcomeFailed, outcomeNotRun, outcomeUnknown, outcomeLate, outcomeNoRoute,
-		outcomeInvalid, outcomeGivenUp, outcomeUncover, outcomeTooLarge,
-		string(DeclineStopping), string(DeclineRoute), string(DeclineNotBegun),
-	}
-	assert.DeepEqual(t, got, []string{
+		outcomeInvalid, outcomeGivenUp, outcomeBelowCoverage, outcomeTooLarge,
+	}, []outcome{
 		"Served", "Partial", "Failed", "NotRun", "Unknown", "Late", "NoRoute",
 		"Invalid", "GivenUp", "BelowCoverage", "TooLarge",
-		"Stopping", "Route", "NotBegun",
 	})
+	assert.DeepEqual(t, []declineReason{declineStopping, declineRoute, declineNotBegun}, []declineReason{"Stopping", "Route", "NotBegun"})
 }
 
 // observed is what callers and log readers see of some requests.
@@ -180,15 +178,15 @@
 
 // observeForwarded has a gather handed over to a coordinator in each of its states.
 func (o *observed) observeForwarded(t *testing.T) {
-	soon := forwardTimes{firstSign: time.Millisecond, silent: testBound}
+	soon := signTimes{first: time.Millisecond, next: testBound}
 	cases := []struct {
 		name   string
 		change func(f *forwarding)
 	}{
 		{"forwarded", func(*forwarding) {}},
 		{"forwarded, cut off", func(f *forwarding) { f.cable.cut["Strong"] = true }},
-		{"forwarded, frozen", func(f *forwarding) { f.cable.mute["Strong"] = true; f.weak.engine.times = soon }},
-		{"forwarded, not told to begin", func(f *forwarding) { f.cable.broken = map[string]bool{MethodForwardBegin: true} }},
+		{"forwarded, frozen", func(f *forwarding) { f.cable.mute["Strong"] = true; f.weak.engine.coordinate.times = soon }},
+		{"forwarded, not told to begin", func(f *forwarding) { f.cable.broken = map[string]bool{methodCoordinateBegin: true} }},
 		{"forwarded, stopping", func(f *forwarding) { f.strong.kernel.SetPhase(kernel.PhaseDraining) }},
 		{"forwarded, refused", func(f *forwarding) {
 			f.strong.do(func(s *kernel.State) { s.List(&config.DirectoryChange{Revision: 1000, Whole: true}) })
@@ -200,7 +198,7 @@
 				}
 			}
 			f.cable.pushes = 1
-			f.weak.engine.times.silent = 300 * time.Millisecond
+			f.weak.engine.coordinate.times.next = 300 * time.Millisecond
 		}},
 	}
 	for _, c := range cases {
--- /dev/null
+++ b/tier/pass/inbound.go
@@ -0,0 +1,136 @@
+package pass
+
+import (
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"net/netip"
+	"strconv"
+	"strings"
+	"time"
+
+	"loomgap/tier/policy"
+)
+
+const (
+	// responseReserve is kept back from a caller's deadline, so that the answer is
+	// there while the caller still waits: a link's delay and a late timer. Not
+	// measured.
+	responseReserve = 10 * time.Millisecond
+	// responseReserveParts bounds the reserve to one of so many parts of the time
+	// limit. Not measured.
+	responseReserveParts = 4
+	// defaultBody bounds a request's body, in bytes, where the document says nothing.
+	// Not measured.
+	defaultBody = 1 << 20
+)
+
+// inbound is what the caller sent.
+type inbound struct {
+	id string
+	// hostName and path are what the route is found by.
+	hostName, path string
+	method         string
+	// head is the request line and the headers that all upstreams get alike.
+	head, body []byte
+	// subject identifies the request if it crashes upstreams; its fingerprint is empty
+	// until the request is read.
+	subject policy.Subject
+}
+
+// setContent sets what the request asks for, and the fingerprint of that.
+func (i *inbound) setContent(head, body []byte) {
+	i.head, i.body = head, body
+	content := contentOf(head, body)
+	i.subject.Fingerprint = content.Fingerprint()
+}
+
+// callerOf returns the address that a request came from; the zero value if the server
+// does not give one.
+func callerOf(r *http.Request) netip.Addr {
+	at, err := netip.ParseAddrPort(r.RemoteAddr)
+	if err != nil {
+		return netip.Addr{}
+	}
+	return at.Addr().Unmap()
+}
+
+// findRoute finds the route of a request; it answers a request that has none.
+func (q *request) findRoute(w http.ResponseWriter, r *http.Request) bool {
+	path, _, _ := strings.Cut(r.RequestURI, "?")
+	if !strings.HasPrefix(path, "/") {
+		path = r.URL.EscapedPath()
+	}
+	q.in.hostName, q.in.path = hostOnly(r.Host), path
+	q.route, q.class = q.view.Index.Route(q.in.hostName, q.in.path)
+	if q.route == nil {
+		q.reject(w, http.StatusNotFound, outcomeNoRoute, "no route for "+r.Host+path)
+		return false
+	}
+	return true
+}
+
+// hostOnly takes the port off a Host header.
+func hostOnly(host string) string {
+	if h, _, err := net.SplitHostPort(host); err == nil {
+		return h
+	}
+	return host
+}
+
+// read reads ID, deadline, headers and body; it answers a request that is wrong.
+func (q *request) read(w http.ResponseWriter, r *http.Request) bool {
+	if q.in.id == "" {
+		q.reject(w, http.StatusBadRequest, outcomeInvalid, "header "+q.engine.headers.RequestID+" is missing: send an ID of the request")
+		return false
+	}
+	if !q.readDeadline(w, r) {
+		return false
+	}
+	body, ok := q.readBody(w, r)
+	if ok {
+		q.in.setContent(headOf(r, &q.engine.headers, len(body)), body)
+	}
+	return ok
+}
+
+// readDeadline sets the deadline: the route's time limit, or the caller's if that is
+// shorter, less what is kept back for the response.
+func (q *request) readDeadline(w http.ResponseWriter, r *http.Request) bool {
+	limit := time.Duration(q.route.TimeLimit)
+	if text := r.Header.Get(q.engine.headers.DeadlineMillis); text != "" {
+		millis, err := strconv.ParseInt(text, 10, 64)
+		if err != nil || millis <= 0 {
+			q.reject(w, http.StatusBadRequest, outcomeInvalid, "header "+q.engine.headers.DeadlineMillis+": write milliseconds above 0")
+			return false
+		}
+		limit = min(limit, time.Duration(millis)*time.Millisecond)
+	}
+	q.times.deadline = q.times.begun + limit - min(responseReserve, limit/responseReserveParts)
+	return true
+}
+
+// readBody reads the body; ok is false if the request was answered.
+func (q *request) readBody(w http.ResponseWriter, r *http.Request) (body []byte, ok bool) {
+	if r.Body == nil || r.Body == http.NoBody {
+		return nil, true
+	}
+	most := q.view.Index.Document.Limits.Body
+	if most <= 0 {
+		most = defaultBody
+	}
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
+	var tooLarge *http.MaxBytesError
+	switch {
+	case errors.As(err, &tooLarge):
+		q.reject(w, http.StatusRequestEntityTooLarge, outcomeTooLarge, "body over "+strconv.FormatInt(most, 10)+" bytes: send a shorter one")
+		return nil, false
+	case err != nil:
+		q.log(outcomeInvalid, http.StatusBadRequest).Err(err).Msg("request not read")
+		w.Header().Set("Connection", "close")
+		w.WriteHeader(http.StatusBadRequest)
+		return nil, false
+	}
+	return body, true
+}
--- a/tier/pass/merge.go
+++ b/tier/pass/merge.go
@@ -43,28 +43,28 @@
 	records []byte
 	// stamps are the proofs of the parts, by number of the part.
 	stamps map[int]string
-	// rest tells where the least records are that were not sent; nil if all were.
-	rest *omitted
+	// leftOut says where the least records are that were not sent; nil if all were.
+	leftOut *leftOutAt
 }
 
 // lacks reports whether records that were not sent may belong to an answer whose
 // least record is given, nil for an answer with room for more.
 func (b *block) lacks(least []byte) bool {
-	if b.rest == nil || len(b.records) < recordBytes {
-		return b.rest != nil
+	if b.leftOut == nil || len(b.records) < recordBytes {
+		return b.leftOut != nil
 	}
 	last := b.records[len(b.records)-recordBytes:]
 	return least == nil || bytes.Compare(last, least) > 0
 }
 
-// gathered collects the parts of one answer.
-type gathered struct {
+// gatheredParts collects the parts of one answer.
+type gatheredParts struct {
 	// single are the parts that came by themselves, by number of the part.
 	single map[int]*answer
 	blocks []*block
 }
 
-func (g *gathered) take(part int, a *answer) {
+func (g *gatheredParts) take(part int, a *answer) {
 	switch {
 	case a.block == nil:
 		if g.single == nil {
@@ -77,7 +77,7 @@
 }
 
 // merged merges what makes the answer, and returns that too.
-func (g *gathered) merged(top int) (m merger, blocks []*block, single map[int]*answer) {
+func (g *gatheredParts) merged(top int) (m merger, blocks []*block, single map[int]*answer) {
 	m = merger{top: top}
 	blocks, single = g.choose()
 	for _, b := range blocks {
@@ -91,7 +91,7 @@
 
 // lacking lists the blocks of the answer of which records that were not sent may
 // belong to it.
-func (g *gathered) lacking(top int) []*block {
+func (g *gatheredParts) lacking(top int) []*block {
 	m, blocks, _ := g.merged(top)
 	m.cut()
 	var least []byte
@@ -102,13 +102,13 @@
 }
 
 // drop leaves a block out of the answer.
-func (g *gathered) drop(b *block) {
+func (g *gatheredParts) drop(b *block) {
 	g.blocks = slices.DeleteFunc(g.blocks, func(other *block) bool { return other == b })
 }
 
 // choose returns blocks with no part in common, the largest first, and the
 // single parts that no block has.
-func (g *gathered) choose() (blocks []*block, single map[int]*answer) {
+func (g *gatheredParts) choose() (blocks []*block, single map[int]*answer) {
 	slices.SortStableFunc(g.blocks, func(a, b *block) int { return len(b.stamps) - len(a.stamps) })
 	in := map[int]bool{}
 	for _, b := range g.blocks {
@@ -139,7 +139,7 @@
 }
 
 // merge returns the greatest records and the stamps of the parts they are from.
-func (g *gathered) merge(top int, stampHeader string) (records []byte, stamps []string) {
+func (g *gatheredParts) merge(top int, stampHeader string) (records []byte, stamps []string) {
 	m, blocks, single := g.merged(top)
 	for _, b := range blocks {
 		for _, s := range b.stamps {
--- /dev/null
+++ b/tier/pass/overhead.go
@@ -0,0 +1,50 @@
+package pass
+
+import (
+	"sync"
+	"time"
+
+	"loomgap/tier/config"
+	"loomgap/tier/policy"
+)
+
+// linkReserve is how long an answer may be on its way to the caller, besides what this
+// host takes to make and write it. Not measured.
+const linkReserve = 8 * time.Millisecond
+
+// overhead is the time that this host observes itself to add to the calls of a request.
+// Without it, the answers of a weak host come late by that time when the objective is
+// nearly spent. It is safe for concurrent use.
+type overhead struct {
+	mu sync.Mutex
+	// handOver is the time of a request beyond its coordinator's part, answer the time
+	// from the decision on an answer until it is written.
+	handOver, answer policy.Margin
+}
+
+func (o *overhead) observeHandOver(took time.Duration) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.handOver.Observe(took)
+}
+
+func (o *overhead) observeAnswer(took time.Duration) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.answer.Observe(took)
+}
+
+// ofHandOver is what a request takes beyond its coordinator's part.
+func (o *overhead) ofHandOver() time.Duration {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.handOver.Estimate()
+}
+
+// beyondReserve is how much longer this host takes to make and write an answer than
+// the time that every route keeps back, config.ResponseReserve.
+func (o *overhead) beyondReserve() time.Duration {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return max(o.answer.Estimate()+linkReserve-time.Duration(config.ResponseReserve), 0)
+}
--- a/tier/pass/plugin.go
+++ b/tier/pass/plugin.go
@@ -11,11 +11,15 @@
 	"loomgap/tier/kernel"
 )
 
-// Bounds of the callers' server, wider than any document's limits.
+// The server for callers is bounded more widely than any document's limits.
 const (
-	headerBound = 10 * time.Second
-	idleBound   = 2 * time.Minute
-	headerBytes = 64 << 10
+	// callerHeaderBound is how long a caller may take to send the headers of a
+	// request. Not measured.
+	callerHeaderBound = 10 * time.Second
+	// callerIdleBound is how long a caller's connection may be idle. Not measured.
+	callerIdleBound = 2 * time.Minute
+	// callerHeaderBytes bounds the headers of a request, in bytes. Not measured.
+	callerHeaderBytes = 64 << 10
 )
 
 // plugin serves routed requests.
@@ -45,8 +49,8 @@
 		return nil, fmt.Errorf("listen at %s: %w: free the address or set -Listen", k.Settings.Listen, err)
 	}
 	e, closeEngine := NewEngine(k, a.Headers)
-	k.OnView(func(v *kernel.View) { ready(k, v) })
-	s := &http.Server{Handler: e, ReadHeaderTimeout: headerBound, IdleTimeout: idleBound, MaxHeaderBytes: headerBytes}
+	k.OnView(func(v *kernel.View) { markReady(k, v) })
+	s := &http.Server{Handler: e, ReadHeaderTimeout: callerHeaderBound, IdleTimeout: callerIdleBound, MaxHeaderBytes: callerHeaderBytes}
 	go func() {
 		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 			k.Log.Error().Err(err).Msg("callers are no longer served")
@@ -65,21 +69,3 @@
 		closeEngine()
 	}, nil
 }
-
-// ready makes the host ready once it knows documents and upstreams, and that
-// they are no older than what the platform or a peer has.
-func ready(k *kernel.Kernel, v *kernel.View) {
-	if v.Index == nil || v.Directory == nil || k.Phase() != kernel.PhaseStarting {
-		return
-	}
-	if !v.Confirmed && k.Now() < confirmBound {
-		return
-	}
-	k.SetPhase(kernel.PhaseReady)
-	k.Log.Info().Uint64("Revision", v.Index.Revision).Bool("Confirmed", v.Confirmed).
-		Int("Upstreams", v.Directory.Size()).Msg("host ready")
-}
-
-// confirmBound is how long a host that starts waits for somebody to confirm
-// its document; then it serves on what it has.
-const confirmBound = 5 * time.Second
--- a/tier/pass/relay_client.go
+++ b/tier/pass/relay_client.go
@@ -4,9 +4,7 @@
 	"context"
 	"fmt"
 	"slices"
-	"strconv"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"go.opentelemetry.io/otel/attribute"
@@ -17,76 +15,75 @@
 	"loomgap/tier/wire"
 )
 
-// Bounds of batches that go to another host.
+// This file is the sender's end of the exchange with a relay: calls to upstreams of
+// another hall go there in batches, through a host of that hall.
+
 const (
-	// relaySilent is how long the first sign of a host may be late until others
-	// are asked first, and relayBackoff how long it is left alone then: twice as long
-	// each time until it answers, relayBackoffMost at most. Each try of a host that
-	// is cut off costs the calls of a batch.
-	relaySilent      = 100 * time.Millisecond
-	relayBackoff     = 2 * time.Second
-	relayBackoffMost = 16 * time.Second
-	// hallSilent is how many hosts of a hall in a row leave a batch unanswered
-	// until its upstreams are called directly: this host may be cut off from the
-	// hosts there, and not from the upstreams.
-	hallSilent = 2
-	// hedgesDue is when the first sign is due for a batch of hedges, which is told
-	// of when a call ends: upstreams that pause answer within that.
+	// hedgesDue is when the first sign is due for a batch of hedges, of which each call
+	// is reported as it ends: upstreams that pause answer within that time.
 	hedgesDue = policy.LingerFor
-	// progressBacklog is how many replies before the answer may wait to be taken
-	// in, and lateProgress how long they may come after it.
+	// firstReplyReserve is how much earlier than the hedges of its calls the first
+	// reply to a batch is due. Without the wait for what is reported late, there were
+	// 27% extra calls.
+	firstReplyReserve = 4 * time.Millisecond
+	// firstReplyLeast is the least time that the calls have until the first reply. Not
+	// measured.
+	firstReplyLeast = 5 * time.Millisecond
+	// progressBacklog is how many progress messages of a batch may wait to be taken
+	// in. Not measured.
 	progressBacklog = 64
-	lateProgress    = 20 * time.Millisecond
-	// stopBound is how long telling a host to stop may take.
+	// progressGrace is how long progress messages that were sent before the last reply
+	// may come after it. Not measured.
+	progressGrace = 20 * time.Millisecond
+	// stopBound is how long telling a host to stop may take. Not measured.
 	stopBound = time.Second
 )
 
 var _ runner.Batcher[*answer] = (*request)(nil)
 
-// relaying is which hosts make calls for one request.
-type relaying struct {
+// requestRelays are the relays of one request. It is safe for concurrent use.
+type requestRelays struct {
 	mu sync.Mutex
-	// hosts are those that make the calls of a batch, by number of the batch's
-	// first attempt.
-	hosts map[int]string
-	// outstanding counts the batches that a host has not answered. A hedge must not
-	// wait for the same host as the call that it hedges.
-	outstanding map[string]int
+	// byAttempt has the relay of each batch, by number of the batch's first attempt.
+	byAttempt map[int]string
+	// pending counts the batches that a relay gave no sign of yet. A hedge must not
+	// wait for the same relay as the call that it hedges.
+	pending map[string]int
 }
 
-// begin notes a batch that goes to a host; it is used with mu held.
-func (r *relaying) begin(attempt int, host string) {
-	if r.hosts == nil {
-		r.hosts, r.outstanding = map[int]string{}, map[string]int{}
+// assign notes the relay of a batch; mu is held.
+func (r *requestRelays) assign(attempt int, host string) {
+	if r.byAttempt == nil {
+		r.byAttempt, r.pending = map[int]string{}, map[string]int{}
 	}
-	r.hosts[attempt] = host
-	r.outstanding[host]++
+	r.byAttempt[attempt] = host
+	r.pending[host]++
 }
 
-// hostOf returns the host that a batch goes to.
-func (r *relaying) hostOf(attempt int) string {
+// relayOf returns the relay of a batch.
+func (r *requestRelays) relayOf(attempt int) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.hosts[attempt]
+	return r.byAttempt[attempt]
 }
 
-func (r *relaying) answered(host string) {
+func (r *requestRelays) answered(host string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.outstanding[host]--
+	r.pending[host]--
 }
 
 // Batches implements runner.Batcher: calls to upstreams of one other hall go
-// together through a host there. Even a single call does: that host has
-// connections to the upstream, and making one from afar takes longer than the
-// call. Calls to a cold upstream go through its owner, whatever the hall.
+// together through a relay there. Even a single call does: the relay has connections
+// to the upstream, and making one from afar takes longer than the call. Calls to an
+// upstream that warms up go through its owner, whatever the hall.
 func (q *request) Batches(sends []policy.Action) (batches [][]policy.Action, apart []policy.Action) {
 	if q.route.Gather == nil {
 		return nil, sends
 	}
 	k := q.engine.kernel
-	q.relaying.mu.Lock()
-	defer q.relaying.mu.Unlock()
+	q.relays.mu.Lock()
+	defer q.relays.mu.Unlock()
 	now := k.Now()
 	byDestination := map[policy.Destination][]policy.Action{}
 	for _, a := range sends {
@@ -94,97 +91,148 @@
 		byDestination[d] = append(byDestination[d], a)
 	}
 	for d, calls := range byDestination {
-		host := q.relayTo(d, now)
-		if host == "" {
+		relay := q.relayTo(d, now)
+		if relay == "" {
 			apart = append(apart, calls...)
 			continue
 		}
-		q.relaying.begin(calls[0].Attempt, host)
+		q.relays.assign(calls[0].Attempt, relay)
 		batches = append(batches, calls)
 	}
 	return batches, apart
 }
 
-// relayTo returns the host that is to make calls to a destination; empty if this
-// host is, or if none answers.
+// relayTo returns the relay for calls to a destination; empty if this host is to make
+// them itself, also because no host there is responsive.
 func (q *request) relayTo(d policy.Destination, now time.Duration) string {
 	s := &q.engine.kernel.Settings
 	switch {
 	case d.Owner == s.Host:
 		return ""
 	case d.Owner != "":
-		return q.engine.relays.answering(q.view, d.Owner, now)
+		return q.engine.hosts.ifResponsive(q.view, d.Owner, now)
 	case d.Hall == s.Hall:
 		return ""
 	default:
-		return q.engine.relays.choose(q.view, d.Hall, now, q.relaying.outstanding)
+		return q.engine.hosts.leastPending(q.view, d.Hall, now, q.relays.pending)
 	}
 }
 
 // CallBatch implements runner.Batcher.
 func (q *request) CallBatch(ctx context.Context, batch []policy.Action, to runner.Reporter[*answer]) {
-	e := q.engine
-	k := e.kernel
-	host := q.relaying.hostOf(batch[0].Attempt)
+	k := q.engine.kernel
+	relay := q.relays.relayOf(batch[0].Attempt)
 	ctx, span := k.Tracer.Start(ctx, "relay", trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
 	if span.IsRecording() {
-		span.SetAttributes(attribute.String("Relay", host), attribute.Int("Calls", len(batch)))
+		span.SetAttributes(attribute.String("Relay", relay), attribute.Int("Calls", len(batch)))
 	}
-	started := k.Now()
-	roundTrip := e.relays.roundTrip(host)
+	s := q.newSentBatch(batch, relay, to)
+	s.in.Trace = wire.TraceOf(ctx)
+	s.carryOut(ctx)
+}
+
+// newSentBatch describes a batch for its relay.
+func (q *request) newSentBatch(batch []policy.Action, relay string, to runner.Reporter[*answer]) *sentBatch {
+	e := q.engine
+	started, roundTrip := e.kernel.Now(), e.hosts.roundTrip(relay)
 	in := q.newBatchRequest(batch, roundTrip)
 	due := started + roundTrip + time.Duration(in.FirstMillis)*time.Millisecond
 	if in.FirstMillis == 0 {
 		due = started + roundTrip + hedgesDue
 	}
-	e.relays.sent(host, due)
-	in.Trace = wire.TraceOf(ctx)
-	progress, forget := e.sentBatches.open(in.ID)
-	defer forget()
-	s := &sentBatch{request: q, calls: batch, in: in, host: host, started: started, due: due, roundTrip: roundTrip, to: to}
-	answered := make(chan error, 1)
-	go func() { answered <- e.callRelay(ctx, host, methodBatch, in, &s.last, q.deadline) }()
-	for {
-		select {
-		case p := <-progress:
-			s.take(p)
-		case err := <-answered:
-			s.finish(ctx, progress, err)
-			return
+	return &sentBatch{request: q, calls: batch, in: in, relay: relay, started: started, due: due, roundTrip: roundTrip, to: to}
+}
+
+// newBatchRequest describes a batch for its relay. The first reply is to be here before
+// the calls that it lacks are hedged.
+func (q *request) newBatchRequest(batch []policy.Action, roundTrip time.Duration) *batchRequest {
+	e := q.engine
+	now := e.kernel.Now()
+	in := &batchRequest{
+		ID:    e.ids.next(),
+		Route: q.route.Name, RequestID: q.in.id, Method: q.in.method, Head: string(q.in.head), Body: q.in.body, Top: q.route.Gather.Top,
+		FirstMillis:    q.firstReplyIn(batch, roundTrip).Milliseconds(),
+		DeadlineMillis: (q.times.deadline - now).Milliseconds(),
+	}
+	if !e.relay.allRecords.wanted(q.route.Name, now) {
+		in.Of = len(q.plan.groups)
+	}
+	for _, a := range batch {
+		in.Upstreams = append(in.Upstreams, a.Upstream.Name)
+	}
+	return in
+}
+
+// firstReplyIn is in what time the first reply to a batch is to leave its relay: before
+// its calls are hedged. Hedges are not hedged again: each is reported as it ends.
+func (q *request) firstReplyIn(batch []policy.Action, roundTrip time.Duration) time.Duration {
+	due := q.times.patience - q.engine.kernel.Now()
+	for _, a := range batch {
+		if a.HedgeIn == 0 {
+			return 0
 		}
+		due = min(due, a.HedgeIn)
 	}
+	return max(due-roundTrip-firstReplyReserve, firstReplyLeast)
 }
 
-// sentBatch is a batch that another host makes the calls of. It is used by one
-// goroutine.
+// sentBatch is a batch that a relay makes the calls of. It is used by one goroutine.
 type sentBatch struct {
 	request *request
 	calls   []policy.Action
 	in      *batchRequest
-	host    string
+	relay   string
 	// started is when it was sent, due when the first sign of it is due.
 	started, due time.Duration
-	// roundTrip is how long a message takes there and back, as far as is known.
+	// roundTrip is how long the message and its reply take: the least known for the
+	// relay, and once there was a sign what that took.
 	roundTrip time.Duration
 	to        runner.Reporter[*answer]
-	// received counts what came before the answer.
-	received int
-	// heard is true once anything came, overdue once the calls that are not in
-	// were said to be slow.
-	heard, overdue bool
-	// last is the answer.
+	// progressTaken counts the progress messages taken in.
+	progressTaken int
+	// heard is true once there was a sign of the relay.
+	heard bool
+	// overdue is true once the calls that are not in were reported as slow.
+	overdue bool
+	// last is the last reply.
 	last batchReply
 }
 
+// carryOut sends the batch and reports its calls until all have ended.
+func (s *sentBatch) carryOut(ctx context.Context) {
+	e := s.request.engine
+	e.hosts.sent(s.relay, s.due)
+	progress, forget := e.relay.sent.open(s.in.ID)
+	defer forget()
+	bounded, cancel := s.request.untilDeadline(ctx)
+	defer cancel()
+	answered := make(chan error, 1)
+	go func() { answered <- e.kernel.Peers.Call(bounded, s.relay, methodBatch, s.in, &s.last) }()
+	for {
+		select {
+		case p := <-progress:
+			s.takeProgress(p)
+		case err := <-answered:
+			s.finish(ctx, progress, err)
+			return
+		}
+	}
+}
+
+// untilDeadline bounds a message to another host by the deadline.
+func (q *request) untilDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(ctx, q.times.deadline-q.engine.kernel.Now())
+}
+
 // hall is where the calls of the batch are made.
 func (s *sentBatch) hall() string { return s.request.engine.kernel.Fleet.HallOf(s.calls[0].Upstream) }
 
-// take reports the calls that a reply tells of. Those that are not in when the
-// first answer was due are hedged.
-func (s *sentBatch) take(g *batchReply) {
-	s.received++
-	s.noteFirstReply(g)
+// takeProgress reports the calls of a progress message. Those that are not in when the
+// first reply was due are hedged.
+func (s *sentBatch) takeProgress(g *batchReply) {
+	s.progressTaken++
+	s.noteSign(g)
 	s.report(g)
 	if g.Due && !s.overdue {
 		s.overdue = true
@@ -192,8 +240,8 @@
 	}
 }
 
-// noteFirstReply notes the first sign of the host, and how long the message took.
-func (s *sentBatch) noteFirstReply(g *batchReply) {
+// noteSign notes the first sign of the relay, and how long the message took.
+func (s *sentBatch) noteSign(g *batchReply) {
 	if s.heard {
 		return
 	}
@@ -202,49 +250,49 @@
 	now := e.kernel.Now()
 	held := time.Duration(g.HeldMicros) * time.Microsecond
 	s.roundTrip = max(now-s.started-held, time.Microsecond)
-	e.relays.answered(s.host, s.hall(), now, s.roundTrip)
-	s.request.relaying.answered(s.host)
+	e.hosts.answered(s.relay, s.hall(), now, s.roundTrip)
+	s.request.relays.answered(s.relay)
 }
 
-// finish takes the answer in, or that there is none.
+// finish takes the last reply in, or that there is none.
 func (s *sentBatch) finish(ctx context.Context, progress <-chan *batchReply, err error) {
 	if err != nil {
 		s.fail(ctx, err)
 		return
 	}
-	s.noteFirstReply(&s.last)
+	s.noteSign(&s.last)
 	s.report(&s.last)
-	// What was told before the answer may be handled after it.
-	timer := time.NewTimer(lateProgress)
+	// Progress that was sent before the last reply may be handled after it.
+	timer := time.NewTimer(progressGrace)
 	defer timer.Stop()
-	for s.received < s.last.ProgressSent {
+	for s.progressTaken < s.last.ProgressSent {
 		select {
 		case p := <-progress:
-			s.take(p)
+			s.takeProgress(p)
 		case <-timer.C:
 			return
 		}
 	}
 }
 
-// fail reports the calls of a batch without an answer. That says nothing of the
-// upstreams.
+// fail reports the calls of a batch without a last reply. That is no evidence against
+// the upstreams.
 func (s *sentBatch) fail(ctx context.Context, err error) {
-	q, host := s.request, s.host
+	q := s.request
 	e := q.engine
 	outcome := policy.CallLost
-	if unreached(err) && !s.heard {
+	if neverArrived(err) && !s.heard {
 		outcome = policy.CallNotSent
 	}
 	if !s.heard {
 		now := e.kernel.Now()
-		e.relays.unanswered(host, s.hall(), now, ctx.Err() == nil || now-s.due > relaySilent)
-		q.relaying.answered(host)
+		e.hosts.unanswered(s.relay, s.hall(), now, ctx.Err() == nil || now-s.due > replyGrace)
+		q.relays.answered(s.relay)
 	}
 	if ctx.Err() != nil {
-		e.stopBatch(host, batchStop{ID: s.in.ID, CallerGone: q.callerGone.Load()}, q.id)
+		s.stop()
 	} else {
-		e.kernel.Decisions.Info().Str("RequestID", q.id).Str("Relay", host).Int("Calls", len(s.calls)).
+		e.kernel.Decisions.Info().Str("RequestID", q.in.id).Str("Relay", s.relay).Int("Calls", len(s.calls)).
 			Str("Outcome", string(outcome)).Err(err).Msg("batch not answered")
 	}
 	for i := range s.calls {
@@ -252,52 +300,59 @@
 	}
 }
 
-// report reports the calls that a reply tells of. Their records are kept as one
-// block that stands for all of them.
+// stop tells the relay that the calls are not wanted any more.
+func (s *sentBatch) stop() {
+	q := s.request
+	k := q.engine.kernel
+	ctx, cancel := context.WithTimeout(context.Background(), stopBound)
+	defer cancel()
+	if err := k.Peers.Notify(ctx, s.relay, methodBatchStop, batchStop{ID: s.in.ID, CallerGone: q.callerGone.Load()}); err != nil {
+		k.Decisions.Info().Str("RequestID", q.in.id).Str("Relay", s.relay).Err(err).Msg("batch not stopped")
+	}
+}
+
+// report reports the calls of a reply. Their records are kept as one block that stands
+// for all of them.
 func (s *sentBatch) report(g *batchReply) {
-	fleet := s.request.engine.kernel.Fleet
-	fleet.TakeConditions(s.request.engine.kernel.Now(), s.hall(), g.Conditions)
-	block := &block{records: g.Records, stamps: map[int]string{}}
+	k := s.request.engine.kernel
+	k.Fleet.TakeConditions(k.Now(), s.hall(), g.Conditions)
+	b := &block{records: g.Records, stamps: map[int]string{}}
 	if g.Cut > 0 {
-		block.rest = &omitted{host: s.host, at: recordsRequest{ID: s.in.ID, Cut: g.Cut}}
+		b.leftOut = &leftOutAt{relay: s.relay, at: recordsRequest{ID: s.in.ID, Cut: g.Cut}}
 	}
 	ended := slices.DeleteFunc(g.Ended, func(c callReport) bool { return c.Index < 0 || c.Index >= len(s.calls) })
+	// The block is whole before the first of its parts is reported.
 	for _, c := range ended {
 		if c.Stamp != "" {
-			block.stamps[s.calls[c.Index].Part] = c.Stamp
+			b.stamps[s.calls[c.Index].Part] = c.Stamp
 		}
 	}
 	for _, c := range ended {
 		r := runner.Reply[*answer]{Outcome: policy.CallOutcome(c.Outcome), Took: time.Duration(c.TookMicros)*time.Microsecond + s.roundTrip}
 		if c.Stamp != "" {
-			r.Outcome, r.Part = policy.CallOK, &answer{block: block}
+			r.Outcome, r.Part = policy.CallOK, &answer{block: b}
 		}
 		s.to.Report(c.Index, r)
 	}
 }
 
-// sentBatches are the batches of this host that others make the calls of.
+// sentBatches are the batches of this host that relays make the calls of. It is safe
+// for concurrent use.
 type sentBatches struct {
-	// prefix begins the names of this process's batches; no other has it.
-	prefix string
-	count  atomic.Uint64
-	// byID holds a chan *batchReply for each batch under way.
+	// byID holds a chan *batchReply, for progress, for each batch under way.
 	byID sync.Map
 }
 
-// name returns a name for a batch that no other has.
-func (s *sentBatches) name() string { return s.prefix + strconv.FormatUint(s.count.Add(1), 36) }
-
-// open returns what is told of a batch until it is forgotten.
+// open returns the progress of a batch until it is forgotten.
 func (s *sentBatches) open(id string) (progress <-chan *batchReply, forget func()) {
 	c := make(chan *batchReply, progressBacklog)
 	s.byID.Store(id, c)
 	return c, func() { s.byID.Delete(id) }
 }
 
-// onBatchProgress takes in what a host tells of a batch before its answer.
+// onBatchProgress takes in what a relay reports of a batch before its last reply.
 func (e *Engine) onBatchProgress(_ context.Context, in *batchReply) (any, error) {
-	c, ok := e.sentBatches.byID.Load(in.ID)
+	c, ok := e.relay.sent.byID.Load(in.ID)
 	if !ok {
 		return nil, fmt.Errorf("%w: %q ended", errNoBatch, in.ID)
 	}
@@ -308,51 +363,3 @@
 		return nil, fmt.Errorf("too much is told of batch %q", in.ID)
 	}
 }
-
-// gatherRequest describes a batch for the host that makes its calls. The first
-// answer is to be here before the calls that it lacks are hedged.
-func (q *request) newBatchRequest(batch []policy.Action, roundTrip time.Duration) *batchRequest {
-	now := q.engine.kernel.Now()
-	in := &batchRequest{
-		ID:    q.engine.sentBatches.name(),
-		Route: q.route.Name, RequestID: q.id, Method: q.method, Head: string(q.head), Body: q.body, Top: q.route.Gather.Top,
-		FirstMillis:    q.firstDue(batch, roundTrip).Milliseconds(),
-		DeadlineMillis: (q.deadline - now).Milliseconds(),
-	}
-	if !q.engine.wantsAllRecords(q.route.Name) {
-		in.Of = len(q.plan.groups)
-	}
-	for _, a := range batch {
-		in.Upstreams = append(in.Upstreams, a.Upstream.Name)
-	}
-	return in
-}
-
-// firstDue is in what time the first answer for a batch is wanted: before its
-// calls are hedged. Hedges are not hedged again: each that ends is told of.
-func (q *request) firstDue(batch []policy.Action, roundTrip time.Duration) time.Duration {
-	due := q.patience - q.engine.kernel.Now()
-	for _, a := range batch {
-		if a.HedgeIn == 0 {
-			return 0
-		}
-		due = min(due, a.HedgeIn)
-	}
-	return max(due-roundTrip-firstReplyReserve, firstReplyLeast)
-}
-
-// callRelay calls another host and gives up with the context or the deadline.
-func (e *Engine) callRelay(ctx context.Context, host, method string, in, out any, deadline time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, deadline-e.kernel.Now())
-	defer cancel()
-	return e.kernel.Peers.Call(ctx, host, method, in, out)
-}
-
-// stopBatch tells a host that the calls of a batch are not wanted any more.
-func (e *Engine) stopBatch(host string, name batchStop, request string) {
-	ctx, cancel := context.WithTimeout(context.Background(), stopBound)
-	defer cancel()
-	if err := e.kernel.Peers.Notify(ctx, host, methodBatchStop, name); err != nil {
-		e.kernel.Decisions.Info().Str("RequestID", request).Str("Relay", host).Err(err).Msg("batch not stopped")
-	}
-}
--- a/tier/pass/relay_records.go
+++ b/tier/pass/relay_records.go
@@ -8,29 +8,30 @@
 	"time"
 )
 
-// Constants of records that are not sent at once.
+// This file has both ends of what is done about records that a relay leaves out of
+// its replies: only those are sent that are likely to belong to the answer.
+
 const (
-	// spareRecords and spareDeviations are how many records are sent beyond those
-	// that some of the parts are expected to have among the greatest of all. With
-	// three deviations about one answer in a thousand has to ask for more.
-	spareRecords    = 2
+	// spareRecords is how many records are sent beyond the expected number and its
+	// deviations. Not measured.
+	spareRecords = 2
+	// spareDeviations is how many standard deviations of that number are sent besides;
+	// with three, about one answer in a thousand needs more.
 	spareDeviations = 3
-	// allRecordsFor is how long all records of a route are asked for after some were
-	// lacking: its great records are not spread evenly over the shards.
+	// leftOutGrace is how long records that were left out are kept after the deadline
+	// of their batch. Not measured.
+	leftOutGrace = time.Second
+	// allRecordsFor is how long relays send all records of a route after some were
+	// lacking: its great records are not spread evenly over the shards. Not measured.
 	allRecordsFor = time.Minute
-	// recordsBound is how long records that lack may take: the answer is complete
-	// but for them.
+	// recordsBound is how long fetching the records that lack may take; the answer is
+	// complete but for them. Not measured.
 	recordsBound = 100 * time.Millisecond
 )
 
-// omitted names records that were not sent.
-type omitted struct {
-	host string
-	at   recordsRequest
-}
-
-// recordsFor is how many of the greatest records are sent for some of all parts:
-// where the records are spread evenly, more are hardly ever needed.
+// recordsFor is how many of the greatest records are sent for the parts of one reply,
+// of all parts of the answer: where the records are spread evenly, more are hardly
+// ever needed.
 func recordsFor(top, parts, of int) int {
 	if of <= 0 || parts >= of {
 		return top
@@ -41,72 +42,91 @@
 	return min(top, int(math.Ceil(mean+spareDeviations*deviation))+spareRecords)
 }
 
-// cutRecords cuts the records for an answer about some parts, and keeps the rest; the
-// batch is locked.
-func (b *servedBatch) cutRecords(records []byte, parts int) (given []byte, cut int) {
-	n := recordsFor(b.in.Top, parts, b.in.Of) * recordBytes
+// leftOutRecords are the records that the replies of a batch left out, one item a
+// reply, in the order of the numbers from 1 that the replies gave.
+type leftOutRecords [][]byte
+
+// cut returns so many of the records, and the number under which the others are kept;
+// 0 if there are none.
+func (l *leftOutRecords) cut(records []byte, count int) (given []byte, number int) {
+	n := count * recordBytes
 	if len(records) <= n {
 		return records, 0
 	}
-	b.cut = append(b.cut, records[n:])
-	return records[:n], len(b.cut)
+	*l = append(*l, records[n:])
+	return records[:n], len(*l)
 }
 
-// onRecords gives records that an answer left out.
+// onRecords gives records that a reply left out.
 func (e *Engine) onRecords(_ context.Context, in *recordsRequest) (any, error) {
-	b, err := e.servedBatches.find(in.ID)
+	b, err := e.relay.served.find(in.ID)
 	if err != nil {
 		return nil, err
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if in.Cut < 1 || in.Cut > len(b.cut) {
-		return nil, fmt.Errorf("bad request for records: cut %d of %d", in.Cut, len(b.cut))
+	if in.Cut < 1 || in.Cut > len(b.leftOut) {
+		return nil, fmt.Errorf("bad request for records: cut %d of %d", in.Cut, len(b.leftOut))
 	}
-	return &recordsReply{Records: b.cut[in.Cut-1]}, nil
+	return &recordsReply{Records: b.leftOut[in.Cut-1]}, nil
+}
+
+// leftOutAt names records that a relay left out.
+type leftOutAt struct {
+	relay string
+	at    recordsRequest
+}
+
+// allRecords notes the routes for which relays are to send all records.
+type allRecords struct {
+	// until holds the time.Duration until which each route, by name, gets all.
+	until sync.Map
+}
+
+func (a *allRecords) begin(route string, now time.Duration) {
+	a.until.Store(route, now+allRecordsFor)
 }
 
-// wantsAllRecords reports whether all records of a route's parts are to be sent.
-func (e *Engine) wantsAllRecords(route string) bool {
-	until, ok := e.allRecords.Load(route)
-	return ok && e.kernel.Now() < until.(time.Duration)
+func (a *allRecords) wanted(route string, now time.Duration) bool {
+	until, ok := a.until.Load(route)
+	return ok && now < until.(time.Duration)
 }
 
-// complete asks for records that the answer may lack. A block whose records do
-// not come is left out.
+// complete fetches records that the answer may lack. A block whose records do not
+// come is left out of the answer.
 func (q *request) complete(ctx context.Context) {
 	e := q.engine
 	for {
-		lacking := q.parts.lacking(q.route.Gather.Top)
+		lacking := q.answers.parts.lacking(q.route.Gather.Top)
 		if len(lacking) == 0 {
 			return
 		}
-		e.allRecords.Store(q.route.Name, e.kernel.Now()+allRecordsFor)
+		e.relay.allRecords.begin(q.route.Name, e.kernel.Now())
 		errs := make([]error, len(lacking))
 		var all sync.WaitGroup
 		for i, b := range lacking {
-			all.Go(func() { errs[i] = q.fetchOmitted(ctx, b) })
+			all.Go(func() { errs[i] = q.fetchLeftOut(ctx, b) })
 		}
 		all.Wait()
 		for i, b := range lacking {
 			if errs[i] != nil {
-				q.parts.drop(b)
-				e.kernel.Decisions.Info().Str("RequestID", q.id).Str("Relay", b.rest.host).Int("Parts", len(b.stamps)).
+				q.answers.parts.drop(b)
+				e.kernel.Decisions.Info().Str("RequestID", q.in.id).Str("Relay", b.leftOut.relay).Int("Parts", len(b.stamps)).
 					Err(errs[i]).Msg("records not completed")
 			}
 		}
 	}
 }
 
-// fetchOmitted gets the records of a block that were not sent.
-func (q *request) fetchOmitted(ctx context.Context, b *block) error {
+// fetchLeftOut gets the records of a block that were left out.
+func (q *request) fetchLeftOut(ctx context.Context, b *block) error {
 	ctx, cancel := context.WithTimeout(ctx, recordsBound)
 	defer cancel()
 	var out recordsReply
-	if err := q.engine.kernel.Peers.Call(ctx, b.rest.host, methodRecords, b.rest.at, &out); err != nil {
+	if err := q.engine.kernel.Peers.Call(ctx, b.leftOut.relay, methodRecords, b.leftOut.at, &out); err != nil {
 		return err
 	}
 	b.records = append(b.records, out.Records...)
-	b.rest = nil
+	b.leftOut = nil
 	return nil
 }
--- a/tier/pass/relay_records_test.go
+++ b/tier/pass/relay_records_test.go
@@ -102,7 +102,7 @@
 			assert.Equal(t, r.body, strings.Join(all[:top], ""))
 			assert.Equal(t, len(stampsOf(r)), tt.shards)
 			assert.Equal(t, w.called(methodRecords) > 0, tt.asked)
-			assert.Equal(t, h.engine.wantsAllRecords("Find"), tt.asked)
+			assert.Equal(t, h.engine.relay.allRecords.wanted("Find", h.kernel.Now()), tt.asked)
 			if !tt.asked || tt.cut {
 				return
 			}
@@ -118,8 +118,8 @@
 // that it has not.
 func TestBatchKeepsWhatItLeftOut(t *testing.T) {
 	b := newBatch(t, 1, 0, time.Second)
-	b.in.Top, b.in.Of, b.merger.top = 25, 50, 25
-	b.engine.servedBatches.batches["B"] = b
+	b.in.Top, b.in.Of, b.unreported.merger.top = 25, 50, 25
+	b.engine.relay.served.add(b)
 	b.engine.handleRelay()
 	b.end(callReport{Stamp: "S"}, []byte(strings.Repeat("0123456789abcdef", 25)))
 	out, last := b.wait()
--- a/tier/pass/relay_server.go
+++ b/tier/pass/relay_server.go
@@ -18,73 +18,87 @@
 	"loomgap/tier/wire"
 )
 
-// Bounds of calls made for another host.
+// This file is the relay's end of the exchange: it makes the calls of a batch for a
+// host of another hall. The relay of package entry is another one: there the host that
+// owns an upstream's slots makes a single call for a host of the same hall.
+
 const (
-	// firstReplyReserve is how much earlier than a hedge the first answer comes.
-	firstReplyReserve = 4 * time.Millisecond
-	// firstReplyLeast is the least time that the calls have for the first answer.
-	firstReplyLeast = 5 * time.Millisecond
-	// failureDelay and progressDelay are how long after a call has failed, or has ended
-	// when the first answer was due before, others are waited for: one message
-	// costs as much as several calls of one.
-	failureDelay  = 2 * time.Millisecond
-	progressDelay = 8 * time.Millisecond
-	// cutGrace is how long records that were left out are kept after the deadline.
-	cutGrace = time.Second
-	// maxBatchCalls bounds the calls of one message.
+	// maxBatchCalls bounds the calls of one message. Not measured.
 	maxBatchCalls = 4096
-	// maxBatchTime bounds how long another host may keep calls going.
+	// maxBatchTime bounds how long another host may keep calls going. Not measured.
 	maxBatchTime = 10 * time.Minute
 )
 
-// servedBatches holds the servedBatches of other hosts that have calls under way.
+// servedBatches are the batches that this host makes calls of for others.
 type servedBatches struct {
-	mu      sync.Mutex
-	batches map[string]*servedBatch
+	mu sync.Mutex
+	// byID has each batch while it has calls under way or records that were left out.
+	byID map[string]*servedBatch
+}
+
+func newServedBatches() servedBatches { return servedBatches{byID: map[string]*servedBatch{}} }
+
+func (s *servedBatches) add(b *servedBatch) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.byID[b.in.ID] = b
 }
 
-// servedBatch is a set of calls made for another host.
+func (s *servedBatches) find(id string) (*servedBatch, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if b := s.byID[id]; b != nil {
+		return b, nil
+	}
+	return nil, fmt.Errorf("%w: %q ended or was never begun", errNoBatch, id)
+}
+
+func (s *servedBatches) drop(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.byID, id)
+}
+
+// servedBatch is a batch of calls that this host makes for another host. It is safe
+// for concurrent use.
 type servedBatch struct {
 	engine *Engine
 	in     *batchRequest
-	// subject is what the request is remembered by. Its caller is not known here, and
-	// its fingerprint is made from the head: sent along, both would be a tenth of the
-	// bytes between regions.
-	subject  policy.Subject
-	deadline time.Duration
-	cancel   context.CancelFunc
+	// subject identifies the request if it crashes upstreams. Its caller is unknown
+	// here, and its fingerprint is made from the head: to send both would add a tenth
+	// to the bytes between regions.
+	subject policy.Subject
+	// begun is when the calls began, firstDue when the first reply is due, deadline
+	// when the calls end.
+	begun, firstDue, deadline time.Duration
+	// cancel ends all calls.
+	cancel context.CancelFunc
 
-	mu sync.Mutex
-	// ended are calls that were not reported yet, with their records.
-	ended  []callReport
-	merger merger
-	// cut are the records that answers left out, for GatherRecords.
-	cut [][]byte
-	// open counts the calls under way.
+	mu         sync.Mutex
+	unreported unreported
+	leftOut    leftOutRecords
+	// open counts the calls that have not ended.
 	open int
-	// calls are the calls under way, by index.
+	// calls are those that may still be cancelled, by index.
 	calls map[int]*servedCall
-	// finished is closed when no call is under way any more.
+	// finished is closed when open is 0.
 	finished chan struct{}
-	// begun is when the calls began, due when the first answer is due.
-	begun, due time.Duration
-	// failed is true while ended has a call that did not go well.
-	failed bool
-	// stopped is true once nobody wants the calls any more.
+	// stopped is true once nobody wants the results any more.
 	stopped bool
-	// changed holds one item once a call has ended that was not reported.
+	// changed holds one item while a call has ended that await has not seen.
 	changed chan struct{}
 }
 
-// servedCall is one call under way for another host.
+// servedCall is one call of a batch under way.
 type servedCall struct {
 	cancel context.CancelFunc
 	// upstream is nil until its slot is held.
 	upstream *policy.Upstream
-	// lingering is true once the call goes on though it is not wanted.
+	// lingering is true once the call goes on though its answer is not wanted.
 	lingering bool
 }
 
+// handleRelay registers the methods of both ends of the exchange.
 func (e *Engine) handleRelay() {
 	handle(e, methodBatch, "gather", e.onBatch)
 	handle(e, methodBatchProgress, "progress", e.onBatchProgress)
@@ -92,7 +106,7 @@
 	handle(e, methodRecords, "request for records", e.onRecords)
 }
 
-// onBatch makes the calls, tells of those that ended and answers when all have.
+// onBatch makes the calls, reports those that ended, and returns when all have.
 func (e *Engine) onBatch(ctx context.Context, in *batchRequest) (any, error) {
 	if len(in.Upstreams) == 0 || len(in.Upstreams) > maxBatchCalls || in.Top < 1 {
 		return nil, fmt.Errorf("bad gather: %d upstreams, top %d: send 1 to %d, and a top of 1 or more", len(in.Upstreams), in.Top, maxBatchCalls)
@@ -101,14 +115,14 @@
 	defer e.kernel.InFlight.Add(-1)
 	metrics.GetOrCreateCounter("loomgap_relayed_calls_total").Add(len(in.Upstreams))
 	b := e.startBatch(in)
-	for told := 0; ; told++ {
+	for sent := 0; ; sent++ {
 		out, last := b.wait()
 		switch {
 		case b.isStopped():
-			// Nobody wants to know; calls that linger end by themselves.
+			// The sender does not wait for it; calls that linger end by themselves.
 			return nil, errBatchStopped
 		case last:
-			out.ProgressSent = told
+			out.ProgressSent = sent
 			return out, nil
 		}
 		out.ID = in.ID
@@ -119,21 +133,34 @@
 	}
 }
 
+// onBatchStop ends the calls of a batch.
+func (e *Engine) onBatchStop(_ context.Context, in *batchStop) (any, error) {
+	b, err := e.relay.served.find(in.ID)
+	if err != nil {
+		return nil, err
+	}
+	linger := policy.LingerFor
+	verdict, _ := e.kernel.Fleet.Judge(e.kernel.Now(), b.subject)
+	if in.CallerGone || verdict != policy.VerdictSound {
+		linger = 0
+	}
+	b.stop(linger)
+	return struct{}{}, nil
+}
+
 func (e *Engine) startBatch(in *batchRequest) *servedBatch {
 	left := min(time.Duration(in.DeadlineMillis)*time.Millisecond, maxBatchTime)
 	ctx, cancel := context.WithTimeout(wire.TraceInto(context.Background(), in.Trace), left)
 	now := e.kernel.Now()
 	b := &servedBatch{
-		engine: e, in: in, subject: e.subjectOf(in), deadline: now + left, cancel: cancel,
-		begun: now, due: now + min(time.Duration(in.FirstMillis)*time.Millisecond, left),
-		merger: merger{top: in.Top}, open: len(in.Upstreams), calls: map[int]*servedCall{},
+		engine: e, in: in, subject: e.subjectOf(in), cancel: cancel,
+		begun: now, firstDue: now + min(time.Duration(in.FirstMillis)*time.Millisecond, left), deadline: now + left,
+		unreported: unreported{merger: merger{top: in.Top}}, open: len(in.Upstreams), calls: map[int]*servedCall{},
 		finished: make(chan struct{}), changed: make(chan struct{}, 1),
 	}
-	e.servedBatches.mu.Lock()
-	e.servedBatches.batches[in.ID] = b
-	e.servedBatches.mu.Unlock()
-	// Nobody may ask for records that were left out.
-	time.AfterFunc(left+cutGrace, func() { e.servedBatches.drop(in.ID) })
+	e.relay.served.add(b)
+	// The sender may never ask for the records that were left out.
+	time.AfterFunc(left+leftOutGrace, func() { e.relay.served.drop(in.ID) })
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i, name := range in.Upstreams {
@@ -145,8 +172,8 @@
 	return b
 }
 
-// subjectOf returns what a relayed request is remembered by; the zero value while no
-// request is remembered.
+// subjectOf identifies the request of a batch; the zero value while no request is
+// suspected of anything.
 func (e *Engine) subjectOf(in *batchRequest) policy.Subject {
 	if !e.kernel.Fleet.HasSuspects() {
 		return policy.Subject{}
@@ -159,27 +186,21 @@
 func (b *servedBatch) call(ctx context.Context, i int, name string, c *servedCall) {
 	defer c.cancel()
 	k := b.engine.kernel
-	reply := runner.Reply[*answer]{Outcome: policy.CallUnreachable}
 	started := k.Now()
-	u, l := k.Fleet.Find(name), (*b.engine.links.Load())[name]
-	if u != nil && l != nil {
-		switch {
-		case k.Fleet.Stalled(started, u):
-			reply.Outcome = policy.CallStalled
-		case k.Fleet.Acquire(ctx, u, b.deadline, k.Now):
-			started = k.Now()
-			b.holdSlot(c, u)
-			k.Fleet.Sent(started, u)
-			reply = b.exchange(ctx, l, u)
-			now := k.Now()
-			near, _ := k.Fleet.RoutedPools(b.in.Route)
-			policy.Deliver(k.Fleet.Finish(now, policy.Call{
-				Upstream: u, Pool: near, Outcome: reply.Outcome, Took: now - started, Load: reply.Load, Crowded: reply.Crowded,
-				Lingering: b.release(i, c),
-			}))
-		default:
-			reply.Outcome = policy.CallNotSent
-		}
+	reply := runner.Reply[*answer]{Outcome: policy.CallUnreachable}
+	u, l := k.Fleet.Find(name), b.engine.link(name)
+	switch {
+	case u == nil || l == nil:
+	case k.Fleet.Stalled(started, u):
+		reply.Outcome = policy.CallStalled
+	case !k.Fleet.Acquire(ctx, u, b.deadline, k.Now):
+		reply.Outcome = policy.CallNotSent
+	default:
+		started = k.Now()
+		b.holdSlot(c, u)
+		k.Fleet.Sent(started, u)
+		reply = b.exchange(ctx, l, u)
+		b.freeSlot(i, c, &reply, started)
 	}
 	out := callReport{Index: i, TookMicros: (k.Now() - started).Microseconds()}
 	if reply.Outcome != policy.CallOK {
@@ -191,37 +212,7 @@
 	b.end(out, reply.Part.body)
 }
 
-func (b *servedBatch) holdSlot(c *servedCall, u *policy.Upstream) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	c.upstream = u
-}
-
-// release takes a call out of those that may linger, and reports whether it did.
-func (b *servedBatch) release(i int, c *servedCall) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	delete(b.calls, i)
-	return c.lingering
-}
-
-// stop ends the calls that nobody wants any more. Those that may linger go on
-// for a while, since their answers show when an upstream answers again.
-func (b *servedBatch) stop(linger time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.stopped = true
-	b.forget()
-	for _, c := range b.calls {
-		if linger > 0 && c.upstream != nil && b.engine.kernel.Fleet.Linger(c.upstream) {
-			c.lingering = true
-			time.AfterFunc(linger, c.cancel)
-			continue
-		}
-		c.cancel()
-	}
-}
-
+// exchange sends a call whose slot is held and returns what became of it.
 func (b *servedBatch) exchange(ctx context.Context, l *link, u *policy.Upstream) runner.Reply[*answer] {
 	k := b.engine.kernel
 	left := b.deadline - k.Now()
@@ -235,8 +226,8 @@
 	defer span.End()
 	out := l.call(ctx, &call{
 		headers: &b.engine.headers, method: b.in.Method, head: []byte(b.in.Head), body: b.in.Body,
-		id: b.in.RequestID, upstream: u.Name, left: left,
-	}, true)
+		id: b.in.RequestID, upstream: u.Name, left: left, gathered: true,
+	})
 	if out.Outcome == policy.CallBroken && ctx.Err() != nil {
 		out.Outcome = policy.CallCancelled
 	}
@@ -246,13 +237,37 @@
 	return out
 }
 
-// end notes a call that ended, with its records if it went well.
+func (b *servedBatch) holdSlot(c *servedCall, u *policy.Upstream) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	c.upstream = u
+}
+
+// freeSlot gives the slot of a call back that ended.
+func (b *servedBatch) freeSlot(i int, c *servedCall, r *runner.Reply[*answer], started time.Duration) {
+	k := b.engine.kernel
+	now := k.Now()
+	near, _ := k.Fleet.RoutedPools(b.in.Route)
+	policy.Deliver(k.Fleet.Finish(now, policy.Call{
+		Upstream: c.upstream, Pool: near, Outcome: r.Outcome, Took: now - started, Load: r.Load, Crowded: r.Crowded,
+		Lingering: b.release(i, c),
+	}))
+}
+
+// release takes a call out of those that may be cancelled, and reports whether it
+// lingered.
+func (b *servedBatch) release(i int, c *servedCall) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	delete(b.calls, i)
+	return c.lingering
+}
+
+// end notes a call that ended, with its records if it succeeded.
 func (b *servedBatch) end(c callReport, records []byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.merger.add(records)
-	b.ended = append(b.ended, c)
-	b.failed = b.failed || c.Stamp == ""
+	b.unreported.add(c, records)
 	delete(b.calls, c.Index)
 	if b.open--; b.open == 0 {
 		close(b.finished)
@@ -261,25 +276,25 @@
 	}
 	select {
 	case b.changed <- struct{}{}:
-	default: // the news before it was not taken in yet
+	default: // await has not seen the change before this one either
 	}
 }
 
-// wait returns what ended, as soon as there is something to tell; last is true if
-// nothing follows. What is given is not given again.
-func (b *servedBatch) wait() (out *batchReply, last bool) {
-	b.await(b.engine.kernel.Now())
+// stop ends the calls that nobody wants any more. Those that may linger go on for a
+// while, since their answers show when an upstream answers again.
+func (b *servedBatch) stop(linger time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	now := b.engine.kernel.Now()
-	out = &batchReply{Ended: b.ended, Due: now >= b.due, Conditions: b.engine.kernel.Fleet.Conditions(now), HeldMicros: (now - b.begun).Microseconds()}
-	out.Records, out.Cut = b.cutRecords(b.merger.result(), goodCalls(b.ended))
-	b.ended, b.merger.records, b.failed = nil, nil, false
-	last = b.open == 0 || now >= b.deadline
-	if last {
-		b.forget()
+	b.stopped = true
+	b.forget()
+	for _, c := range b.calls {
+		if linger > 0 && c.upstream != nil && b.engine.kernel.Fleet.Linger(c.upstream) {
+			c.lingering = true
+			time.AfterFunc(linger, c.cancel)
+			continue
+		}
+		c.cancel()
 	}
-	return out, last
 }
 
 func (b *servedBatch) isStopped() bool {
@@ -288,32 +303,39 @@
 	return b.stopped
 }
 
-// goodCalls counts the calls that went well.
-func goodCalls(ended []callReport) int {
-	n := 0
-	for _, c := range ended {
-		if c.Stamp != "" {
-			n++
-		}
+// forget drops a batch that nobody asks for any more; mu is held. One with records
+// that were left out is dropped some time after the deadline.
+func (b *servedBatch) forget() {
+	if len(b.leftOut) == 0 {
+		b.engine.relay.served.drop(b.in.ID)
 	}
-	return n
 }
 
-// forget drops a batch that nobody asks for any more, but for records that were
-// left out; it is locked. Those are dropped some time after the deadline.
-func (b *servedBatch) forget() {
-	if len(b.cut) == 0 {
-		b.engine.servedBatches.drop(b.in.ID)
+// wait returns a reply as soon as one is due; last is true if none follows. What a
+// reply reports is not reported again.
+func (b *servedBatch) wait() (out *batchReply, last bool) {
+	b.await(b.engine.kernel.Now())
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	now := b.engine.kernel.Now()
+	out = &batchReply{Due: now >= b.firstDue, Conditions: b.engine.kernel.Fleet.Conditions(now), HeldMicros: (now - b.begun).Microseconds()}
+	ended, records, succeeded := b.unreported.take()
+	out.Ended = ended
+	out.Records, out.Cut = b.leftOut.cut(records, recordsFor(b.in.Top, succeeded, b.in.Of))
+	last = b.open == 0 || now >= b.deadline
+	if last {
+		b.forget()
 	}
+	return out, last
 }
 
-// await returns when all calls have ended, when the first answer is due, soon
-// after a call has failed, and once the first answer was due, soon after any
-// call has ended.
+// await returns when a reply is due: when all calls have ended, when the first reply
+// is due, soon after a call has failed, and, once the first reply was due, soon after
+// any call has ended.
 func (b *servedBatch) await(now time.Duration) {
-	due := now >= b.due
-	until := b.due
-	if due {
+	firstWasDue := now >= b.firstDue
+	until := b.firstDue
+	if firstWasDue {
 		until = b.deadline
 	}
 	timer := time.NewTimer(until - now)
@@ -326,58 +348,20 @@
 			return
 		case <-b.changed:
 			now = b.engine.kernel.Now()
-			if soon, told := b.progressDue(due); told && now+soon < until {
-				until = now + soon
-				timer.Reset(soon)
+			if delay, due := b.replyDelay(firstWasDue); due && now+delay < until {
+				until = now + delay
+				timer.Reset(delay)
 			}
 		}
 	}
 }
 
-// progressDue returns how long what ended may wait for others; false if it need not be
-// told of by itself.
-func (b *servedBatch) progressDue(due bool) (time.Duration, bool) {
+func (b *servedBatch) replyDelay(firstWasDue bool) (delay time.Duration, due bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	switch {
-	case len(b.ended) == 0:
-		return 0, false
-	case b.failed:
-		return failureDelay, true
-	default:
-		return progressDelay, due
-	}
-}
-
-func (r *servedBatches) find(id string) (*servedBatch, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if b := r.batches[id]; b != nil {
-		return b, nil
-	}
-	return nil, fmt.Errorf("%w: %q ended or was never begun", errNoBatch, id)
-}
-
-func (r *servedBatches) drop(id string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	delete(r.batches, id)
-}
-
-// onBatchStop ends the calls of a batch.
-func (e *Engine) onBatchStop(_ context.Context, in *batchStop) (any, error) {
-	b, err := e.servedBatches.find(in.ID)
-	if err != nil {
-		return nil, err
-	}
-	linger := policy.LingerFor
-	verdict, _ := e.kernel.Fleet.Judge(e.kernel.Now(), b.subject)
-	if in.CallerGone || verdict != policy.VerdictSound {
-		linger = 0
-	}
-	b.stop(linger)
-	return struct{}{}, nil
+	return b.unreported.replyDelay(firstWasDue)
 }
 
-// unreached reports whether an error proves that no call of a batch was begun.
-func unreached(err error) bool { return errors.Is(err, peers.ErrNoPeer) }
+// neverArrived reports whether an error proves that a message did not reach its host,
+// so that nothing was begun there.
+func neverArrived(err error) bool { return errors.Is(err, peers.ErrNoPeer) }
--- a/tier/pass/relay_server_test.go
+++ b/tier/pass/relay_server_test.go
@@ -24,8 +24,8 @@
 	})
 	t.Cleanup(closeKernel)
 	return &servedBatch{
-		engine: &Engine{kernel: k, servedBatches: servedBatches{batches: map[string]*servedBatch{}}}, in: &batchRequest{ID: "B"},
-		due: due, deadline: deadline, cancel: func() {}, merger: merger{top: 1}, open: calls,
+		engine: &Engine{kernel: k, relay: relayExchange{served: newServedBatches()}}, in: &batchRequest{ID: "B"},
+		firstDue: due, deadline: deadline, cancel: func() {}, unreported: unreported{merger: merger{top: 1}}, open: calls,
 		calls: map[int]*servedCall{}, finished: make(chan struct{}), changed: make(chan struct{}, 1),
 	}
 }
@@ -91,28 +91,28 @@
 // TestSilentHostRestsLongerEachTime has a host of another hall leave batches
 // unanswered, and then answer one.
 func TestSilentHostRestsLongerEachTime(t *testing.T) {
-	r := newRelays()
+	r := newHostTracker()
 	now := time.Minute
-	for _, rest := range []time.Duration{relayBackoff, 2 * relayBackoff, 4 * relayBackoff, relayBackoffMost, relayBackoffMost} {
+	for _, rest := range []time.Duration{backoffFirst, 2 * backoffFirst, 4 * backoffFirst, backoffMost, backoffMost} {
 		r.sent("Far", now)
-		assert.Assert(t, r.answers("Far", now+relaySilent-1))
-		assert.Assert(t, !r.answers("Far", now+relaySilent))
+		assert.Assert(t, r.responsive("Far", now+replyGrace-1))
+		assert.Assert(t, !r.responsive("Far", now+replyGrace))
 		r.unanswered("Far", "B", now, true)
-		assert.Assert(t, !r.answers("Far", now+rest-1), "%s", rest)
+		assert.Assert(t, !r.responsive("Far", now+rest-1), "%s", rest)
 		now += rest
-		assert.Assert(t, r.answers("Far", now))
+		assert.Assert(t, r.responsive("Far", now))
 	}
 	r.sent("Far", now)
 	r.answered("Far", "B", now, time.Millisecond)
 	r.sent("Far", now)
 	r.unanswered("Far", "B", now, true)
-	assert.Assert(t, r.answers("Far", now+relayBackoff))
+	assert.Assert(t, r.responsive("Far", now+backoffFirst))
 }
 
 // TestSilentHallIsCalledDirectly has a host be cut off from ten hosts of another
 // hall: after two batches it calls the upstreams there itself, for a while.
 func TestSilentHallIsCalledDirectly(t *testing.T) {
-	r := newRelays()
+	r := newHostTracker()
 	v := &kernel.View{Members: map[string]kernel.Member{}}
 	for i := range 10 {
 		n := fmt.Sprint("B", i)
@@ -120,7 +120,7 @@
 	}
 	now := time.Minute
 	lost := func() string {
-		host := r.choose(v, "B", now, nil)
+		host := r.leastPending(v, "B", now, nil)
 		if host != "" {
 			r.sent(host, now)
 			r.unanswered(host, "B", now, true)
@@ -130,12 +130,12 @@
 	assert.Equal(t, lost(), "B0")
 	assert.Equal(t, lost(), "B1")
 	assert.Equal(t, lost(), "")
-	now += relayBackoff
+	now += backoffFirst
 	assert.Equal(t, lost(), "B0", "one batch looks whether the way is back")
 	assert.Equal(t, lost(), "")
-	now += 2 * relayBackoff
-	host := r.choose(v, "B", now, nil)
+	now += 2 * backoffFirst
+	host := r.leastPending(v, "B", now, nil)
 	r.sent(host, now)
 	r.answered(host, "B", now, time.Millisecond)
-	assert.Assert(t, r.choose(v, "B", now, nil) != "")
+	assert.Assert(t, r.leastPending(v, "B", now, nil) != "")
 }
--- /dev/null
+++ b/tier/pass/run.go
@@ -0,0 +1,99 @@
+package pass
+
+import (
+	"context"
+	"time"
+
+	"go.opentelemetry.io/otel/attribute"
+	"go.opentelemetry.io/otel/trace"
+
+	"loomgap/tier/config"
+	"loomgap/tier/policy"
+	"loomgap/tier/runner"
+)
+
+// run makes the calls that policy decides on, until the run of the request ends. The
+// runner calls back: Batches and CallBatch for calls through relays, Call for others,
+// Take and Ended with what became of them.
+func (q *request) run(ctx context.Context) (policy.Result, error) {
+	k := q.engine.kernel
+	near, far := k.Fleet.RoutedPools(q.route.Name)
+	spent := k.Now() - q.times.begun
+	x, err := runner.New(runner.Config[*answer]{
+		Kernel: k, Caller: q,
+		Run: policy.RunConfig{
+			Fleet: k.Fleet, Pool: near, Class: q.remainingClass(spent), Deadline: q.times.deadline,
+			Replicas: q.plan.replicas, Repeatable: q.route.Repeatable, Subject: q.in.subject,
+			Routed: &policy.Routed{
+				Groups: q.plan.groups, FarPool: far, MaxAttempts: q.route.MaxAttempts,
+				Objective: max(time.Duration(q.route.Objective)-spent, 0), Hall: q.plan.hall,
+				Relayed: q.route.Gather != nil, Absent: q.plan.absent,
+			},
+		},
+	})
+	if err != nil {
+		return policy.Result{}, err
+	}
+	stop := context.AfterFunc(ctx, func() { q.callerGone.Store(true) })
+	defer stop()
+	result, err := x.Run(ctx, ctx.Done())
+	q.times.decidedAt = x.DecidedAt()
+	return result, err
+}
+
+// remainingClass returns the route's class with the patience that is left: of it the
+// request has spent some, perhaps at another host, and this host needs some to make and
+// write the answer.
+func (q *request) remainingClass(spent time.Duration) *config.Class {
+	q.times.patience = q.times.begun + time.Duration(q.class.Patience) - q.engine.overhead.beyondReserve()
+	c := *q.class
+	c.Patience = config.Duration(max(q.times.patience-q.times.begun-spent, 0))
+	return &c
+}
+
+// Call implements runner.Caller.
+func (q *request) Call(ctx context.Context, a policy.Action) runner.Reply[*answer] {
+	e := q.engine
+	l := e.link(a.Upstream.Name)
+	if l == nil {
+		return runner.Reply[*answer]{Outcome: policy.CallUnreachable}
+	}
+	if !e.admits(e.kernel.Now(), &admission{route: q.route.Name, request: q.in.id, subject: q.in.subject}, a.Upstream) {
+		return runner.Reply[*answer]{Outcome: policy.CallBarred}
+	}
+	ctx, span := e.kernel.Tracer.Start(ctx, "upstream", trace.WithSpanKind(trace.SpanKindClient))
+	defer span.End()
+	out := l.call(ctx, &call{
+		headers: &e.headers, method: q.in.method, head: q.in.head, body: q.in.body, id: q.in.id,
+		upstream: a.Upstream.Name, left: q.times.deadline - e.kernel.Now(),
+		unrepeatable: !q.route.Repeatable, gathered: q.route.Gather != nil,
+	})
+	if span.IsRecording() {
+		span.SetAttributes(attribute.String("Upstream", a.Upstream.Name), attribute.String("Outcome", string(out.Outcome)))
+	}
+	return out
+}
+
+// Take implements runner.Caller.
+func (q *request) Take(part int, a *answer) {
+	if q.route.Gather == nil {
+		q.answers.single = a
+		return
+	}
+	q.answers.parts.take(part, a)
+}
+
+// Ended implements runner.Observer: it keeps an upstream's own failure, and logs the
+// calls that did not succeed.
+func (q *request) Ended(a policy.Action, r runner.Reply[*answer], took time.Duration, over bool) {
+	q.sends[a.Part]++
+	if r.Outcome == policy.CallOK {
+		return
+	}
+	if r.Outcome == policy.CallFailed && !over {
+		q.answers.failure = r.Part
+	}
+	q.engine.kernel.Decisions.Info().Str("RequestID", q.in.id).Str("Group", q.plan.groups[a.Part]).
+		Str("Upstream", a.Upstream.Name).Int("Call", q.sends[a.Part]).Str("Outcome", string(r.Outcome)).
+		Int64("TookMillis", took.Milliseconds()).Msg("call ended")
+}
--- /dev/null
+++ b/tier/pass/shares.go
@@ -0,0 +1,108 @@
+package pass
+
+import (
+	"loomgap/tier/config"
+	"loomgap/tier/kernel"
+	"loomgap/tier/policy"
+)
+
+const (
+	// leastHosts is the number of hosts that shares are made for while fewer are
+	// known: a host that has just started knows of none. Not measured.
+	leastHosts = 8
+	// leastInHall is the same for the hosts of this host's hall. Not measured.
+	leastInHall = 4
+	// hostsTolerance is the change in the number of hosts, as a fraction, that leaves
+	// shares as they are. Where hundreds of hosts start, each hears of a few others
+	// with every heartbeat: shares of 540 upstreams were worked out 290 times without
+	// it and some 40 times with it.
+	hostsTolerance = 0.1
+	// nearConnections is the part of an upstream's connections that the hosts of its
+	// own hall share. What it and farConnections leave is for hosts that are being
+	// replaced. Not measured.
+	nearConnections = 0.65
+	// farConnections is the part that the hosts of all other halls share. Calls from
+	// there go through relays, so that few of these hosts connect to the upstream.
+	// Not measured.
+	farConnections = 0.25
+	// burstShare is how many times its even part of the connections a host may use:
+	// hosts are not all busy with one upstream at the same moment. Not measured.
+	burstShare = 2
+	// slackShare is the part of the slack of retries that hosts divide; a host may not
+	// know of all others. Not measured.
+	slackShare = 0.9
+)
+
+// shareBasis is what this host's shares of upstreams and retry budgets depend on.
+type shareBasis struct {
+	index     *config.Index
+	directory *config.Directory
+	// hosts counts the hosts that are not leaving, hall those of this host's hall,
+	// both in hosts as strong as this one.
+	hosts, hall float64
+	// known counts all hosts that were heard of lately, which divide the slack of
+	// retries of requests to one group: a host that is cut off still retries.
+	known float64
+	// coordinating counts the hosts that divide the slack of shards.
+	coordinating float64
+	retryBudget  kernel.RetryBudget
+}
+
+func newShareBasis(v *kernel.View, s *kernel.Settings, r kernel.RetryBudget) shareBasis {
+	own := s.Capacity()
+	staying, hall := own, own
+	capacities := make([]int, 0, len(v.Members))
+	for _, m := range v.Members {
+		capacities = append(capacities, m.Capacity)
+		if !m.Live || m.Leaving {
+			continue
+		}
+		staying += m.Capacity
+		if m.Hall == s.Hall {
+			hall += m.Capacity
+		}
+	}
+	return shareBasis{
+		index: v.Index, directory: v.Directory, retryBudget: r,
+		hosts: max(float64(staying)/float64(own), leastHosts), hall: max(float64(hall)/float64(own), leastInHall),
+		known:        max(float64(len(capacities)+1), leastHosts),
+		coordinating: max(policy.RetryShares(own, capacities), leastHosts),
+	}
+}
+
+// like reports whether shares made from either differ by little.
+func (b *shareBasis) like(o *shareBasis) bool {
+	return b.index == o.index && b.directory == o.directory && b.retryBudget == o.retryBudget &&
+		similar(b.hosts, o.hosts) && similar(b.hall, o.hall) && similar(b.known, o.known) && similar(b.coordinating, o.coordinating)
+}
+
+// similar reports whether two numbers of hosts differ by little.
+func similar(a, b float64) bool { return max(a, b) <= (1+hostsTolerance)*min(a, b) }
+
+// retryBudgets divides the retries that groups allow among the hosts.
+func (b *shareBasis) retryBudgets() policy.RetryBudgets {
+	ratio, slack := b.retryBudget.Ratio, b.retryBudget.Slack*slackShare
+	return policy.RetryBudgets{
+		Shards: policy.ShareRetryBudget(ratio, slack, b.coordinating), Single: policy.ShareRetryBudget(ratio, slack, b.known),
+		IsShard: b.index.Shards(),
+	}
+}
+
+// share is this host's part of an upstream: as many calls as it may have connections
+// there.
+func (e *Engine) share(l *config.Listing, b *shareBasis) policy.Share {
+	near := l.Hall == e.kernel.Settings.Hall
+	connections := l.Slots
+	if g := b.index.Group(l.Group); g != nil {
+		connections = g.Connections
+	}
+	part, hosts := nearConnections, b.hall
+	if !near {
+		part, hosts = farConnections, max(b.hosts-b.hall, 1)
+	}
+	return policy.Share{
+		Name: l.Name, Slots: max(int(burstShare*part*float64(connections)/hosts), 1),
+		Leaving: l.Leaving || b.directory.Evacuated(l.Hall),
+		Listed:  true, Hall: l.Hall, Near: near, Cold: e.coldOf(l, b),
+	}
+}
--- a/tier/pass/single_test.go
+++ b/tier/pass/single_test.go
@@ -388,10 +388,10 @@
 	started := time.Now()
 	k := &link{name: "U1", address: at, now: func() time.Duration { return time.Since(started) }}
 	ctx, cancel := context.WithCancel(t.Context())
-	c := &call{headers: &names, method: http.MethodGet, id: "one", upstream: "U1", left: time.Second}
-	assert.Equal(t, k.call(ctx, c, true).Outcome, policy.CallUnreachable)
+	c := &call{headers: &names, method: http.MethodGet, id: "one", upstream: "U1", left: time.Second, gathered: true}
+	assert.Equal(t, k.call(ctx, c).Outcome, policy.CallUnreachable)
 	cancel()
-	assert.Equal(t, k.call(ctx, c, true).Outcome, policy.CallNotSent)
+	assert.Equal(t, k.call(ctx, c).Outcome, policy.CallNotSent)
 }
 
 func TestSilentUpstream(t *testing.T) {
@@ -507,7 +507,7 @@
 	assert.Equal(t, lines["looked-for"][0]["Outcome"], "Failed")
 	assert.Equal(t, lines["looked-for"][1]["Status"], 500.0)
 	assert.Equal(t, lines["looked-for"][1]["Route"], "Place")
-	assert.Equal(t, lines["rejected"][0]["Outcome"], outcomeNoRoute)
+	assert.Equal(t, lines["rejected"][0]["Outcome"], string(outcomeNoRoute))
 }
 
 type lockedBuffer struct {
@@ -549,7 +549,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), bound)
 		defer cancel()
 		head := "GET / HTTP/1.1\r\nHost: x\r\n" + names.RequestID + ": " + id + "\r\n"
-		return l.call(ctx, &call{headers: &names, method: http.MethodGet, head: []byte(head), id: id, upstream: "U1", left: testBound}, true).Outcome
+		return l.call(ctx, &call{headers: &names, method: http.MethodGet, head: []byte(head), id: id, upstream: "U1", left: testBound, gathered: true}).Outcome
 	}
 	assert.Equal(t, call("one", silentBound+silentBound/4), policy.CallBroken)
 	assert.Equal(t, call("two", testBound), policy.CallOK)
--- a/tier/pass/split.go
+++ b/tier/pass/split.go
@@ -8,6 +8,31 @@
 	"loomgap/tier/config"
 )
 
+// splitters holds the splitter of each route with a split. It is safe for concurrent
+// use; the zero value is ready.
+type splitters struct {
+	// byRoute holds a *splitter for each name of a route.
+	byRoute sync.Map
+}
+
+// target returns the one group that a request of a route goes to.
+func (s *splitters) target(r *config.Route) string {
+	if len(r.Split) == 0 {
+		return r.Group
+	}
+	old, ok := s.byRoute.Load(r.Name)
+	if ok && old.(*splitter).same(r.Split) {
+		return old.(*splitter).next()
+	}
+	n := newSplitter(r.Split)
+	if ok {
+		s.byRoute.CompareAndSwap(r.Name, old, n)
+	} else if winner, loaded := s.byRoute.LoadOrStore(r.Name, n); loaded {
+		n = winner.(*splitter)
+	}
+	return n.next()
+}
+
 // splitter divides the requests of a route between groups in proportion to
 // their weights: each turn goes to the group that lags most behind its part.
 // Drawing at random would stray from the weights in short spans.
--- /dev/null
+++ b/tier/pass/warmup.go
@@ -0,0 +1,45 @@
+package pass
+
+import (
+	"time"
+
+	"loomgap/tier/config"
+	"loomgap/tier/kernel"
+	"loomgap/tier/policy"
+)
+
+// coldOf describes an upstream that may not have warmed up.
+func (e *Engine) coldOf(l *config.Listing, b *shareBasis) policy.Cold {
+	out := policy.Cold{Left: time.Duration(l.Warmup), Revision: l.Revision, Evacuated: b.directory.Evacuated(l.Hall)}
+	if g := b.index.Group(l.Group); g != nil {
+		s := &e.kernel.Settings
+		out.Warmup, out.Calls = time.Duration(g.Warmup), policy.ColdCalls(g.ColdRate, s.ColdFactor, s.ColdSlack)
+	}
+	return out
+}
+
+// assignCold assigns each cold upstream that can handle a bounded number of calls to
+// one host of its hall; it runs on the control thread.
+func (e *Engine) assignCold(v *kernel.View) {
+	cold := e.kernel.Fleet.BoundedCold(e.kernel.Now())
+	if len(cold) == 0 {
+		return
+	}
+	owners, hosts := make(map[string]string, len(cold)), map[string][]policy.Candidate{}
+	for name, hall := range cold {
+		if _, known := hosts[hall]; !known {
+			hosts[hall] = e.hostsOf(v, hall)
+		}
+		owners[name] = policy.ColdOwner(name, hosts[hall])
+	}
+	e.kernel.Fleet.SetColdOwners(e.kernel.Settings.Host, owners)
+}
+
+// hostsOf describes the live hosts of a hall that are not leaving, this one included.
+func (e *Engine) hostsOf(v *kernel.View, hall string) []policy.Candidate {
+	out := liveHosts(v, func(other string) bool { return other == hall })
+	if hall == e.kernel.Settings.Hall {
+		out = append(out, e.self())
+	}
+	return out
+}
