--- a/tier/policy/admit.go
+++ b/tier/policy/admit.go
@@ -10,45 +10,11 @@
 const (
 	budgetStart      = 4.0
 	budgetDepth      = 64.0
-	retryRatio       = 0.1
 	coverageExpected = 0.9
 	leastRetryAfter  = 10 * time.Millisecond
 	costWeight       = 0.05
 )
 
-// budget is a token bucket that is filled by needed calls.
-type budget struct {
-	tokens float64
-}
-
-func (b *budget) earn(calls int, ratio float64) {
-	b.fill(ratio*float64(calls), max(budgetDepth, 2*ratio*float64(calls)))
-}
-
-// fill adds tokens up to a depth.
-func (b *budget) fill(tokens, depth float64) { b.tokens = min(b.tokens+tokens, depth) }
-
-func (b *budget) take() bool {
-	if b.tokens < 1 {
-		return false
-	}
-	b.tokens--
-	return true
-}
-
-// draw takes a token, or with less than one in the budget, one with that
-// probability, and then all. So many hosts that earn little each take as many
-// tokens together as they earn, up to the chance of the draw.
-func (b *budget) draw(r Random) bool {
-	if b.tokens >= 1 {
-		b.tokens--
-		return true
-	}
-	p := b.tokens
-	b.tokens = 0
-	return r.Float64() < p
-}
-
 // classState is what the requests of a class share in one host.
 type classState struct {
 	hedges  budget
@@ -86,13 +52,13 @@
 
 // admit decides whether a run may begin; the fleet is locked.
 func (f *Fleet) admit(r *Run, now time.Duration) error {
-	c := f.class(r.class)
-	c.worth = float64(r.config.Worth)
-	if c.inFlight >= r.config.MaxInFlight {
-		return &Refusal{Reason: "too many requests of class " + r.class + " in flight", RetryAfter: f.retryAfter(r, 0)}
+	c := f.class(r.request.Class.Name)
+	c.worth = float64(r.request.Class.Worth)
+	if c.inFlight >= r.request.Class.MaxInFlight {
+		return &Refusal{Reason: "too many requests of class " + r.request.Class.Name + " in flight", RetryAfter: f.retryAfter(r, 0)}
 	}
-	need := min(r.config.Coverage, coverageExpected)
-	slack := r.deadline - now
+	need := min(r.request.Class.Coverage, coverageExpected)
+	slack := r.request.Deadline - now
 	allowed := r.admission.Allow(slack, c.worth/c.costOr(len(r.parts)), f.topDensity())
 	inTime, shortest := r.expected(allowed)
 	if float64(inTime) < need*float64(len(r.parts)) {
@@ -118,13 +84,6 @@
 	return top
 }
 
-// retryAfter is the excess of expected work, spread at random so that callers
-// do not come back together.
-func (f *Fleet) retryAfter(r *Run, excess time.Duration) time.Duration {
-	base := max(excess, r.pool.Median(), leastRetryAfter)
-	return time.Duration(float64(base) * (1 + f.random.Float64())).Round(time.Millisecond)
-}
-
 // expected counts the parts whose best replica is expected to answer within
 // the time allowed, and gives the shortest expected time of the others.
 func (r *Run) expected(allowed time.Duration) (inTime int, shortest time.Duration) {
@@ -133,7 +92,7 @@
 		best := time.Duration(math.MaxInt64)
 		for _, u := range r.parts[i].replicas {
 			if !u.leaving {
-				best = min(best, u.wait(r.pool)+u.latencyOr(r.pool.Median()))
+				best = min(best, u.wait(r.request.Pool)+u.latencyOr(r.request.Pool.Median()))
 			}
 		}
 		switch {
--- a/tier/policy/attempt.go
+++ b/tier/policy/attempt.go
@@ -32,7 +32,7 @@
 		p.retryAt = 0
 		return r.startOrHold(now, i, out)
 	}
-	if p.hedged || len(p.live) == 0 || r.config.Hedge == config.HedgeNone || !r.repeatable {
+	if p.hedged || len(p.live) == 0 || r.request.Class.Hedge == config.HedgeNone || !r.request.Repeatable {
 		return out
 	}
 	a := &r.attempts[p.live[0]]
@@ -45,100 +45,13 @@
 	return r.hedge(now, i, out)
 }
 
-// hedge asks another replica too, if it has a free slot and the budget allows.
-// Where no other replica is fit, the same one is asked a second time: a call
-// that straggles says little about the next call to the same upstream.
-func (r *Run) hedge(now time.Duration, i int, out []Action) []Action {
-	if r.doubted() || r.unanswered() && r.hedging() {
-		r.parts[i].unhedged = HedgeDoubted
-		return out
-	}
-	u := r.pick(now, i, true)
-	if u == nil || !u.free() {
-		u = r.sameAgain(now, i)
-	}
-	if u == nil {
-		u = r.pick(now, i, false)
-	}
-	p := &r.parts[i]
-	p.unhedged = r.hedgeObstacle(now, i, u)
-	if p.unhedged != "" {
-		return out
-	}
-	p.hedged = true
-	return r.enter(now, i, u, out)
-}
-
-// HedgeObstacle says what kept a call from being hedged.
-type HedgeObstacle string
-
-// The obstacles to a hedge.
-const (
-	// HedgeNoUpstream means that no other upstream of the shard is listed.
-	HedgeNoUpstream HedgeObstacle = "NoUpstream"
-	// HedgeNoSlot means that this host's share of the other upstream is in use.
-	HedgeNoSlot HedgeObstacle = "NoSlot"
-	// HedgeCold means that the other upstream has not warmed up.
-	HedgeCold HedgeObstacle = "Cold"
-	// HedgeNoBudget means that the retry budget is spent, or that no further
-	// attempt is allowed.
-	HedgeNoBudget HedgeObstacle = "NoBudget"
-	// HedgeDoubted means that the request may be one that crashes upstreams, or that
-	// no upstream has answered it and another call is hedged already.
-	HedgeDoubted HedgeObstacle = "Doubted"
-)
-
-// hedgeObstacle takes a hedge of a part from its budget, or says why not.
-func (r *Run) hedgeObstacle(now time.Duration, i int, u *Upstream) HedgeObstacle {
-	switch {
-	case u == nil:
-		return HedgeNoUpstream
-	case u.cold.bounded(now):
-		return HedgeCold
-	case !u.free():
-		return HedgeNoSlot
-	case !r.takeHedge(i):
-		return HedgeNoBudget
-	default:
-		return ""
-	}
-}
-
-// sameAgain returns the upstream of the shard's one live attempt, if it is fit.
-func (r *Run) sameAgain(now time.Duration, i int) *Upstream {
-	u := r.attempts[r.parts[i].live[0]].upstream
-	if r.routed != nil || !u.free() || !u.fit(now) {
-		return nil
-	}
-	return u
-}
-
-// probe asks a slow replica besides the chosen one, so that its recovery is
-// seen without anybody waiting for it.
-func (r *Run) probe(now time.Duration, i int, out []Action) []Action {
-	if !r.repeatable || r.config.Hedge == config.HedgeNone || len(r.parts[i].live) == 0 || r.routed != nil {
-		return out
-	}
-	for _, u := range r.parts[i].replicas {
-		if !u.slow || u.leaving || now < u.nextProbe || now < u.ejectedUntil || !u.free() {
-			continue
-		}
-		if u == r.attempts[r.parts[i].live[0]].upstream || !r.fleet.class(r.class).hedges.take() {
-			continue
-		}
-		u.nextProbe = now + probeEvery
-		return r.enter(now, i, u, out)
-	}
-	return out
-}
-
 // startAttempt gives a shard its first attempt, or its next after a refusal.
 // Where no slot is free it waits for one at every fit replica, and the first to
 // come is taken: that costs no call.
 func (r *Run) startAttempt(now time.Duration, i int, out []Action) []Action {
 	u := r.pick(now, i, false)
 	if u == nil {
-		r.markMissing(i, r.absence(now, i))
+		r.markMissing(i, r.rules.absence(now, i, &r.parts[i]))
 		return out
 	}
 	out = r.enter(now, i, u, out)
@@ -160,16 +73,16 @@
 	var best *Upstream
 	low := math.Inf(1)
 	for _, u := range p.replicas {
-		if u.leaving || p.hasTried(u) || r.coldBarred(now, u) {
+		if u.leaving || p.hasTried(u) || r.rules.barred(now, u) {
 			continue
 		}
-		if r.snapshot > 0 && u.window.Known && !u.window.Holds(r.snapshot) {
+		if r.request.Snapshot > 0 && u.window.Known && !u.window.Holds(r.request.Snapshot) {
 			continue
 		}
 		if fit && !u.fit(now) {
 			continue
 		}
-		s := r.chooser.Score(now, u, r.poolOf(u), r.fleet.random) * r.hallFactor(u)
+		s := r.score(now, u)
 		if u.cold.bounded(now) {
 			s += coldPenalty
 		}
@@ -180,23 +93,15 @@
 	return best
 }
 
-// absence is why a part has no upstream to ask.
-func (r *Run) absence(now time.Duration, i int) query.Reason {
-	for _, u := range r.parts[i].replicas {
-		if r.coldBarred(now, u) {
-			return query.ReasonCold
-		}
-	}
-	if r.routed != nil && len(r.routed.Absent) > i && r.routed.Absent[i] != "" {
-		return r.routed.Absent[i]
-	}
-	return query.ReasonUnreachable
+// score is how well an upstream suits a call now; the lowest is chosen.
+func (r *Run) score(now time.Duration, u *Upstream) float64 {
+	return r.chooser.Score(now, u, r.rules.poolOf(u), r.fleet.random) * r.rules.hallFactor(u)
 }
 
 func (r *Run) enter(now time.Duration, i int, u *Upstream, out []Action) []Action {
 	p := &r.parts[i]
 	n := len(r.attempts)
-	w := &Waiter{Upstream: u, Deadline: r.deadline, Granted: func() { r.granted(n) }}
+	w := &Waiter{Upstream: u, Deadline: r.request.Deadline, Granted: func() { r.request.Granted(n) }}
 	granted, queued := r.fleet.enter(w)
 	p.tries++
 	p.tried = append(p.tried, u)
@@ -221,13 +126,13 @@
 	a.alone = r.doubted() && !r.sending()
 	a.phase = phaseSent
 	a.sentAt = now
-	a.hedgeAge = r.hedgeDelay(a.upstream)
+	a.hedgeAge = r.rules.hedgeDelay(a.upstream, r.request.Deadline-r.times.begun)
 	r.parts[a.part].ran++
 	r.parts[a.part].sends++
 	r.parts[a.part].arrivals++
 	r.calls++
 	r.wakeBy(r.hedgeTime(now, a))
-	send := Action{Kind: ActionSend, Attempt: n, Part: a.part, Upstream: a.upstream, Pool: r.poolOf(a.upstream)}
+	send := Action{Kind: ActionSend, Attempt: n, Part: a.part, Upstream: a.upstream, Pool: r.rules.poolOf(a.upstream)}
 	if !r.parts[a.part].hedged {
 		send.HedgeIn = a.hedgeAge
 	}
@@ -237,15 +142,21 @@
 func (r *Run) include(i int, out []Action) []Action {
 	p := &r.parts[i]
 	p.included, p.closed = true, true
-	r.included++
-	r.open--
+	r.progress.included++
+	r.progress.open--
 	return r.cancel(i, CallCancelled, out)
 }
 
 func (r *Run) markMissing(i int, reason query.Reason) {
 	p := &r.parts[i]
 	p.reason, p.closed = reason, true
-	r.open--
+	r.progress.open--
+}
+
+// linger reports whether an attempt that is not wanted any more may go on. One
+// whose caller is gone may not.
+func (r *Run) linger(a *attempt) bool {
+	return r.rules.lingers(a.upstream) && r.request.Repeatable && !r.callerGone && !r.doubted() && a.upstream.linger()
 }
 
 // cancel gives up all attempts of a shard.
@@ -269,87 +180,3 @@
 	p.live = nil
 	return out
 }
-
-// failed decides what follows a failed attempt.
-func (r *Run) failed(now time.Duration, i int, o CallOutcome) []Action {
-	p := &r.parts[i]
-	if !r.repeatable && !o.NotRun() {
-		r.unknown = true
-		r.markMissing(i, reasonOf(o))
-		return nil
-	}
-	if len(p.live) > 0 {
-		return nil
-	}
-	if !r.attemptsLeft(i) || !r.mayRetry(i, o) {
-		r.markMissing(i, reasonOf(o))
-		return nil
-	}
-	if r.pick(now, i, true) != nil || o != CallShed && r.pick(now, i, false) != nil {
-		return r.startOrHold(now, i, nil)
-	}
-	if o != CallShed {
-		r.markMissing(i, reasonOf(o))
-		return nil
-	}
-	// No other replica is fit: after a pause a shedding one may take it.
-	p.tried = nil
-	p.retryAt = now + time.Duration(float64(r.pool.Median())*(0.5+r.fleet.random.Float64()))
-	r.wakeBy(p.retryAt)
-	return nil
-}
-
-func reasonOf(o CallOutcome) query.Reason {
-	switch o {
-	case CallUnreachable, CallBroken, CallCrashed, CallLost, CallFailed:
-		return query.ReasonUnreachable
-	case CallSnapshotGone:
-		return query.ReasonSnapshotGone
-	case CallMoved:
-		return query.ReasonMoved
-	case CallGarbage:
-		return query.ReasonGarbage
-	case CallLate, CallCancelled, CallNotSent, CallStalled:
-		return query.ReasonLate
-	default:
-		return query.ReasonRefused
-	}
-}
-
-func (r *Run) hedgeTime(now time.Duration, a *attempt) time.Duration {
-	if r.config.Hedge == config.HedgeNone || !r.repeatable {
-		return r.deadline
-	}
-	first := a.sentAt + a.hedgeAge
-	if a.phase == phaseSent && first > now {
-		return first
-	}
-	return now + max(a.hedgeAge/4, hedgeLeast)
-}
-
-func (p *part) remove(n int) {
-	for i, m := range p.live {
-		if m == n {
-			p.live = append(p.live[:i], p.live[i+1:]...)
-			return
-		}
-	}
-}
-
-func (p *part) forget(u *Upstream) {
-	for i, t := range p.tried {
-		if t == u {
-			p.tried = append(p.tried[:i], p.tried[i+1:]...)
-			return
-		}
-	}
-}
-
-func (p *part) hasTried(u *Upstream) bool {
-	for _, t := range p.tried {
-		if t == u {
-			return true
-		}
-	}
-	return false
-}
--- a/tier/policy/run.go
+++ b/tier/policy/run.go
@@ -1,58 +1,11 @@
 package policy
 
 import (
-	"math"
 	"time"
 
 	"loomgap/tier/config"
-	"loomgap/tier/query"
 )
 
-// Bounds of tries for one shard.
-const (
-	maxTries   = 4
-	hedgeLeast = 500 * time.Microsecond
-)
-
-// ActionKind says what a run wants done.
-type ActionKind string
-
-// The kinds of action.
-const (
-	// ActionSend asks for the attempt to be sent to its upstream. Its slot is
-	// held; Fleet.Finish gives it back.
-	ActionSend ActionKind = "Send"
-	// ActionCancel asks for a sent attempt to be given up.
-	ActionCancel ActionKind = "Cancel"
-	// ActionLinger asks for a sent attempt to be given up in a while: its answer
-	// is not wanted, but shows when the upstream answers again.
-	ActionLinger ActionKind = "Linger"
-	// ActionTake asks for the attempt's part to be merged into the answer.
-	ActionTake ActionKind = "Take"
-	// ActionFree asks for Fleet.Free: a slot was granted and is not wanted.
-	ActionFree ActionKind = "Free"
-	// ActionFinish tells that the answer is to be given now. It comes once.
-	ActionFinish ActionKind = "Finish"
-)
-
-// Action is one thing to be done for a run.
-type Action struct {
-	Kind ActionKind
-	// Attempt is the number of the attempt within the run.
-	Attempt int
-	// Part is the index of the shard within the run.
-	Part     int
-	Upstream *Upstream
-	// Pool is where the latency of a sent attempt belongs.
-	Pool *Pool
-	// HedgeIn is after what time a sent attempt is hedged; 0 if it will not be.
-	HedgeIn time.Duration
-	// Outcome is what a cancelled attempt is to be reported as.
-	Outcome CallOutcome
-	// For is how long an attempt lingers.
-	For time.Duration
-}
-
 // RunConfig describes one request.
 type RunConfig struct {
 	Fleet *Fleet
@@ -77,83 +30,47 @@
 	Granted func(attempt int)
 }
 
-type part struct {
-	replicas []*Upstream
-	// reason is empty while open or included.
-	reason   query.Reason
-	included bool
-	closed   bool
-	// held is true while the part waits for a call of another part: see doubt. It
-	// owes a retry if a call of it was given up for that.
-	held, owes bool
-	tries      int
-	// sends counts the attempts sent, arrivals those of them that may have
-	// reached an upstream, and ran those that may have run there.
-	sends, arrivals, ran int
-	// hedged is true once a second replica was asked; there is no third.
-	hedged bool
-	// unhedged is why no second replica was asked when it was last considered.
-	unhedged HedgeObstacle
-	live     []int
-	tried    []*Upstream
-	// retryAt is when a refused shard is tried again; 0 for never.
-	retryAt time.Duration
-}
-
-type phase string
-
-const (
-	phaseQueued phase = "Queued"
-	phaseSent   phase = "Sent"
-	phaseDone   phase = "Done"
-)
-
-type attempt struct {
-	part     int
-	upstream *Upstream
-	phase    phase
-	sentAt   time.Duration
-	// hedgeAge is how long after sentAt it is hedged.
-	hedgeAge time.Duration
-	waiter   *Waiter
-	// alone is true if the run was doubted and had no other call under way when it
-	// was sent; abandoned once it was given up though its part is open.
-	alone, abandoned bool
-}
-
 // Run is the life of one request: events and the time go in, actions come out.
 // It is not safe for concurrent use.
 type Run struct {
-	config     *config.Class
-	class      string
-	fleet      *Fleet
-	pool       *Pool
-	chooser    Chooser
-	admission  Admission
-	deadline   time.Duration
-	snapshot   uint64
-	repeatable bool
-	routed     *Routed
-	granted    func(int)
-	parts      []part
-	attempts   []attempt
-	// open counts parts that are not closed.
-	open     int
-	included int
-	begun    time.Duration
-	patience time.Duration
-	admitted bool
+	fleet *Fleet
+	// request is what NewRun was given; it is not changed.
+	request RunConfig
+	// rules are what depends on whether the request is routed.
+	rules     rules
+	chooser   Chooser
+	admission Admission
+	parts     []part
+	// attempts holds all attempts ever made; an attempt is known by its index.
+	attempts []attempt
+	progress progress
+	times    times
+	// calls counts the attempts that were sent.
+	calls int
+	// finished is true once ActionFinish was given, or the request refused.
 	finished bool
 	// callerGone is true once the caller is gone.
 	callerGone bool
 	// unknown is true once a not-repeatable attempt may have run unseen.
 	unknown bool
-	// calls counts the attempts that were sent.
-	calls int
-	next  time.Duration
-	doubt doubt
+	doubt   doubt
+}
+
+// times are the moments of a run.
+type times struct {
+	// begun is when the request was admitted.
+	begun time.Duration
+	// patience is when an answer that meets the least coverage is given, though parts
+	// of it are missing.
+	patience time.Duration
+	// next is when Wake is to be called.
+	next time.Duration
 }
 
+// spareAttempts is the room for hedges and retries that a run is made with, so that few
+// runs need more memory for them. Not measured.
+const spareAttempts = 4
+
 // NewRun prepares a request.
 func NewRun(c RunConfig) (*Run, error) {
 	chooser, err := ChooserNamed(c.Class.Choice)
@@ -165,12 +82,10 @@
 		return nil, err
 	}
 	r := &Run{
-		config: c.Class, class: c.Class.Name, fleet: c.Fleet, pool: c.Pool,
-		chooser: chooser, admission: admission, deadline: c.Deadline,
-		snapshot: c.Snapshot, repeatable: c.Repeatable, routed: c.Routed, granted: c.Granted,
+		fleet: c.Fleet, request: c, rules: newRules(&c), chooser: chooser, admission: admission,
 		parts:    make([]part, len(c.Replicas)),
-		attempts: make([]attempt, 0, len(c.Replicas)+4),
-		open:     len(c.Replicas),
+		attempts: make([]attempt, 0, len(c.Replicas)+spareAttempts),
+		progress: progress{parts: len(c.Replicas), open: len(c.Replicas)},
 		doubt:    doubt{subject: c.Subject},
 	}
 	for i := range r.parts {
@@ -194,39 +109,22 @@
 		r.finished = true
 		return nil, err
 	}
-	r.admitted = true
-	r.begun = now
-	r.patience = now + time.Duration(r.config.Patience)
-	c := r.fleet.class(r.class)
-	c.hedges.earn(len(r.parts), r.config.HedgeBudget)
-	c.retries.earn(len(r.parts), retryRatio)
-	if r.routed != nil {
-		r.earnRetries()
-	}
+	r.times.begun = now
+	r.times.patience = now + time.Duration(r.request.Class.Patience)
+	r.rules.earn(len(r.parts))
 	var out []Action
 	for i := range r.parts {
 		out = r.startOrHold(now, i, out)
 		out = r.probe(now, i, out)
 	}
-	r.next = r.nextWake(now)
+	r.times.next = r.nextWake(now)
 	return r.finishIfDone(now, out), nil
 }
 
-// hedgeDelay is after what time a call to an upstream is hedged.
-func (r *Run) hedgeDelay(u *Upstream) time.Duration {
-	if r.routed != nil {
-		return r.routedHedgeDelay(u)
-	}
-	if !r.pool.Known() {
-		return (r.deadline - r.begun) / 3
-	}
-	return max(r.pool.Quantile(r.config.HedgeQuantile), hedgeLeast)
-}
-
 // Granted tells that a queued attempt has its slot.
 func (r *Run) Granted(now time.Duration, n int) []Action {
 	a := &r.attempts[n]
-	if r.finished || a.phase != phaseQueued || r.parts[a.part].closed || now >= r.deadline {
+	if r.finished || a.phase != phaseQueued || r.parts[a.part].closed || now >= r.request.Deadline {
 		a.phase = phaseDone
 		return r.freeSlot(n)
 	}
@@ -274,7 +172,7 @@
 		return r.finishIfDone(now, r.include(a.part, out))
 	}
 	if o == CallCrashed && r.crashed(now, a) {
-		r.unknown = !r.repeatable
+		r.unknown = !r.request.Repeatable
 		r.markMissing(a.part, reasonOf(o))
 		return r.finish(now, nil)
 	}
@@ -285,16 +183,6 @@
 	return r.finishIfDone(now, out)
 }
 
-// account takes an outcome out of what may have run and arrived.
-func (p *part) account(o CallOutcome) {
-	if o.NotRun() {
-		p.ran--
-	}
-	if !o.arrived() {
-		p.arrivals--
-	}
-}
-
 // Wake is to be called at the time that Next gives.
 func (r *Run) Wake(now time.Duration) []Action {
 	if r.finished {
@@ -302,7 +190,7 @@
 	}
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
-	if now >= r.deadline {
+	if now >= r.request.Deadline {
 		return r.finish(now, nil)
 	}
 	var out []Action
@@ -312,12 +200,12 @@
 		}
 		out = r.wakePart(now, i, out)
 	}
-	r.next = r.nextWake(now)
+	r.times.next = r.nextWake(now)
 	return r.finishIfDone(now, out)
 }
 
 // Next is when Wake is to be called.
-func (r *Run) Next() time.Duration { return r.next }
+func (r *Run) Next() time.Duration { return r.times.next }
 
 // GiveUp tells that the caller is gone.
 func (r *Run) GiveUp(now time.Duration) []Action {
@@ -330,36 +218,14 @@
 	return r.finish(now, nil)
 }
 
-// finishIfDone finishes the run if it is time, else it starts what waits.
-func (r *Run) finishIfDone(now time.Duration, out []Action) []Action {
-	if r.finished {
-		return out
-	}
-	if !r.done(now) {
-		// Parts that cannot be started are missing.
-		out = r.resume(now, out)
-	}
-	if r.done(now) {
-		return r.finish(now, out)
-	}
-	return out
-}
-
-// done reports whether it is time to finish.
-func (r *Run) done(now time.Duration) bool {
-	enough := now >= r.patience && r.included < len(r.parts) &&
-		float64(r.included) >= r.config.Coverage*float64(len(r.parts)) && r.repeatable
-	return r.open == 0 || now >= r.deadline || enough || r.coverageUnreachable()
-}
-
 // wakeBy makes sure that the run is woken by a time. A wake that turns out to
 // be needless does no harm.
-func (r *Run) wakeBy(t time.Duration) { r.next = min(r.next, t) }
+func (r *Run) wakeBy(t time.Duration) { r.times.next = min(r.times.next, t) }
 
 func (r *Run) nextWake(now time.Duration) time.Duration {
-	next := r.deadline
-	if r.patience > now {
-		next = min(next, r.patience)
+	next := r.request.Deadline
+	if r.times.patience > now {
+		next = min(next, r.times.patience)
 	}
 	for i := range r.parts {
 		p := &r.parts[i]
@@ -375,87 +241,3 @@
 	}
 	return next
 }
-
-func (r *Run) finish(now time.Duration, out []Action) []Action {
-	r.finished = true
-	r.strikeAtEnd(now)
-	for i := range r.parts {
-		p := &r.parts[i]
-		if p.closed {
-			continue
-		}
-		if !r.repeatable && r.sent(p) {
-			r.unknown = true
-		}
-		out = r.cancel(i, CallLate, out)
-		reason := query.ReasonLate
-		if p.held {
-			reason = query.ReasonSuspected
-		}
-		r.markMissing(i, reason)
-	}
-	r.fleet.class(r.class).inFlight--
-	r.next = math.MaxInt64
-	return append(out, Action{Kind: ActionFinish})
-}
-
-func (r *Run) sent(p *part) bool {
-	for _, n := range p.live {
-		if r.attempts[n].phase == phaseSent {
-			return true
-		}
-	}
-	return false
-}
-
-// Missing says why a part is not in the answer.
-type Missing struct {
-	// Part is the index of the shard within the run.
-	Part int
-	// Reason is never empty.
-	Reason query.Reason
-	// Sends counts the calls sent for the part.
-	Sends int
-	// Unhedged is why no second upstream was asked; empty if one was, or if the
-	// call was not yet due to be hedged.
-	Unhedged HedgeObstacle
-}
-
-// missing lists the parts that a finished run has no answer for.
-func (r *Run) missing() []Missing {
-	var out []Missing
-	for i := range r.parts {
-		p := &r.parts[i]
-		if p.included {
-			continue
-		}
-		out = append(out, Missing{Part: i, Reason: p.reason, Sends: p.sends, Unhedged: p.unhedged})
-	}
-	return out
-}
-
-// Result describes a finished run.
-type Result struct {
-	// Reasons holds for each part why it is missing, empty if it is included.
-	Reasons []query.Reason
-	// Missing explains the parts that are not included.
-	Missing []Missing
-	// Included counts the included parts.
-	Included int
-	// Attempts counts the upstream calls that were sent, cancelled ones included.
-	Attempts int
-	// Ran counts the upstream calls that may have run.
-	Ran int
-	// Unknown is true if a not-repeatable request may have run unseen.
-	Unknown bool
-}
-
-// Result returns the account of the run after ActionFinish.
-func (r *Run) Result() Result {
-	out := Result{Included: r.included, Attempts: r.calls, Unknown: r.unknown, Missing: r.missing()}
-	for i := range r.parts {
-		out.Reasons = append(out.Reasons, r.parts[i].reason)
-		out.Ran += r.parts[i].ran
-	}
-	return out
-}
