--- a/tier/pass/coordinate_client.go
+++ b/tier/pass/coordinate_client.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"net/http"
-	"sync"
 	"time"
 
 	"github.com/rs/zerolog"
@@ -80,7 +79,7 @@
 	held := time.Duration(a.HeldMicros) * time.Microsecond
 	q.log(a.Outcome, a.Status).Str("Coordinator", coordinator).Int64("HeldMillis", held.Milliseconds()).Msg("request answered by a coordinator")
 	q.write(w, a.Status, http.Header{}, a.Body)
-	q.engine.overhead.observeHandOver(q.engine.kernel.Now() - q.times.begun - held)
+	q.engine.overhead.handOver.observe(q.engine.kernel.Now() - q.times.begun - held)
 }
 
 // sentRequest is a request that a coordinator carries out. It is used by one
@@ -112,7 +111,7 @@
 	in := q.coordinateRequest(ctx)
 	first := e.hosts.roundTrip(s.to.Host) + e.coordinate.times.first
 	e.hosts.sent(s.to.Host, s.started+first)
-	signs, forget := e.coordinate.sent.open(in.ID)
+	signs, forget := e.coordinate.inboxes.open(in.ID, 1)
 	defer forget()
 	bounded, stop := q.untilDeadline(ctx)
 	defer stop()
@@ -143,7 +142,7 @@
 func (q *request) coordinateRequest(ctx context.Context) *coordinateRequest {
 	e := q.engine
 	now := e.kernel.Now()
-	spent := max(now-q.times.begun, e.overhead.ofHandOver())
+	spent := max(now-q.times.begun, e.overhead.handOver.estimate())
 	return &coordinateRequest{
 		ID: e.ids.next(), RequestID: q.in.id, HostName: q.in.hostName, Path: q.in.path, Route: q.route.Digest(),
 		Method: q.in.method, Head: string(q.in.head), Body: q.in.body, Caller: q.in.subject.Caller,
@@ -227,29 +226,9 @@
 	return s.request.engine.kernel.Decisions.Info().Str("RequestID", s.request.in.id).Str("Coordinator", s.to.Host)
 }
 
-// sentRequests are the requests of this host that coordinators carry out. It is safe
-// for concurrent use.
-type sentRequests struct {
-	// byID holds a chan struct{}, for signs, for each request under way.
-	byID sync.Map
-}
-
-// open returns the signs of a request's coordinator until it is forgotten.
-func (s *sentRequests) open(id string) (signs <-chan struct{}, forget func()) {
-	c := make(chan struct{}, 1)
-	s.byID.Store(id, c)
-	return c, func() { s.byID.Delete(id) }
-}
-
-// onCoordinateSign takes in that a coordinator works on a request.
-func (e *Engine) onCoordinateSign(_ context.Context, in *coordinateID) (any, error) {
-	c, ok := e.coordinate.sent.byID.Load(in.ID)
-	if !ok {
-		return struct{}{}, nil // the request has its answer
-	}
-	select {
-	case c.(chan struct{}) <- struct{}{}:
-	default: // the sign before it was not taken in yet
-	}
+// onCoordinateSign takes in that a coordinator works on a request. The request may have
+// its answer by now, or not have taken the sign before in.
+func (e *engine) onCoordinateSign(_ context.Context, in *coordinateID) (any, error) {
+	e.coordinate.inboxes.deliver(in.ID, struct{}{})
 	return struct{}{}, nil
 }
--- a/tier/pass/coordinate_server.go
+++ b/tier/pass/coordinate_server.go
@@ -22,13 +22,6 @@
 // takes to a busy host and back, and shorter than most objectives. Not measured.
 const beginBound = 200 * time.Millisecond
 
-// servedRequests are the requests that this host carries out for others. It is safe
-// for concurrent use.
-type servedRequests struct {
-	mu   sync.Mutex
-	byID map[string]*servedRequest
-}
-
 // servedRequest is one request that this host carries out for another.
 type servedRequest struct {
 	// begin is closed, once, when the request may begin.
@@ -51,37 +44,8 @@
 	}
 }
 
-// add makes a request known until it is dropped.
-func (s *servedRequests) add(id string, cancel context.CancelFunc) (r *servedRequest, drop func()) {
-	r = &servedRequest{begin: make(chan struct{}), cancel: cancel}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.byID == nil {
-		s.byID = map[string]*servedRequest{}
-	}
-	s.byID[id] = r
-	return r, func() {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		delete(s.byID, id)
-	}
-}
-
-func (s *servedRequests) find(id string) *servedRequest {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.byID[id]
-}
-
-// stop ends a request; one that has ended already needs nothing.
-func (s *servedRequests) stop(id string) {
-	if r := s.find(id); r != nil {
-		r.cancel()
-	}
-}
-
 // handleCoordinate registers the methods of both ends of the exchange.
-func (e *Engine) handleCoordinate() {
+func (e *engine) handleCoordinate() {
 	const name = "name of a forwarded request"
 	handle(e, methodCoordinate, "forwarded request", e.onCoordinate)
 	handle(e, methodCoordinateSign, name, e.onCoordinateSign)
@@ -90,7 +54,7 @@
 }
 
 // onCoordinate carries a request out for another host.
-func (e *Engine) onCoordinate(ctx context.Context, in *coordinateRequest) (any, error) {
+func (e *engine) onCoordinate(ctx context.Context, in *coordinateRequest) (any, error) {
 	if in.ID == "" || in.RequestID == "" || in.LeftMillis <= 0 {
 		return nil, fmt.Errorf("bad forwarded request %q: send ID, RequestID and LeftMillis above 0", in.ID)
 	}
@@ -103,10 +67,11 @@
 	metrics.GetOrCreateCounter("loomgap_carried_requests_total").Inc()
 	run, cancel := context.WithCancel(wire.TraceInto(context.Background(), in.Trace))
 	defer cancel()
-	served, drop := e.coordinate.served.add(in.ID, cancel)
-	defer drop()
+	served := &servedRequest{begin: make(chan struct{}), cancel: cancel}
+	e.coordinate.served.add(in.ID, served)
+	defer e.coordinate.served.drop(in.ID)
 	started := e.kernel.Now()
-	go e.signWhile(ctx, run, in.ID)
+	go e.signWhile(ctx, run, in.ID, cancel)
 	if !served.await(run) {
 		return &coordinateReply{Declined: declineNotBegun}, nil
 	}
@@ -116,7 +81,7 @@
 }
 
 // accept makes the request that another host has sent, or declines it.
-func (e *Engine) accept(in *coordinateRequest) (*request, declineReason) {
+func (e *engine) accept(in *coordinateRequest) (*request, declineReason) {
 	e.kernel.Wake()
 	if e.kernel.Phase() != kernel.PhaseReady {
 		return nil, declineStopping
@@ -139,13 +104,13 @@
 }
 
 // signWhile tells the sender of a request that this host works on it, until it ends.
-func (e *Engine) signWhile(ctx, run context.Context, id string) {
+func (e *engine) signWhile(ctx, run context.Context, id string, cancel context.CancelFunc) {
 	tick := time.NewTicker(signEvery)
 	defer tick.Stop()
 	for {
 		if err := kernel.Push(ctx, methodCoordinateSign, coordinateID{ID: id}); err != nil {
 			e.kernel.Decisions.Info().Err(err).Msg("sender of a request is gone")
-			e.coordinate.served.stop(id)
+			cancel()
 			return
 		}
 		select {
@@ -156,7 +121,7 @@
 	}
 }
 
-func (e *Engine) onCoordinateBegin(_ context.Context, in *coordinateID) (any, error) {
+func (e *engine) onCoordinateBegin(_ context.Context, in *coordinateID) (any, error) {
 	r := e.coordinate.served.find(in.ID)
 	if r == nil {
 		return nil, fmt.Errorf("request %q ended or was never sent", in.ID)
@@ -165,8 +130,11 @@
 	return struct{}{}, nil
 }
 
-func (e *Engine) onCoordinateStop(_ context.Context, in *coordinateID) (any, error) {
-	e.coordinate.served.stop(in.ID)
+// onCoordinateStop ends a request; one that has ended already needs nothing.
+func (e *engine) onCoordinateStop(_ context.Context, in *coordinateID) (any, error) {
+	if r := e.coordinate.served.find(in.ID); r != nil {
+		r.cancel()
+	}
 	return struct{}{}, nil
 }
 
--- a/tier/pass/coordinators.go
+++ b/tier/pass/coordinators.go
@@ -64,7 +64,7 @@
 }
 
 // self describes this host as a candidate.
-func (e *Engine) self() policy.Candidate {
+func (e *engine) self() policy.Candidate {
 	s := &e.kernel.Settings
 	return policy.Candidate{Host: s.Host, Hall: s.Hall, Capacity: s.Capacity()}
 }
--- a/tier/pass/doc.go
+++ b/tier/pass/doc.go
@@ -37,12 +37,13 @@
 // A relay is a host of another hall that makes a batch of calls for this one. A
 // coordinator is a stronger host that carries a whole gather out for this one. The
 // files of both are named alike: relay_messages.go, relay_client.go, relay_server.go;
-// coordinate_messages.go, coordinate_client.go, coordinate_server.go. What waits at the
-// client is a sentBatch or sentRequest; the server has a servedBatch or servedRequest.
+// coordinate_messages.go, coordinate_client.go, coordinate_server.go. The client has
+// a sentBatch or sentRequest, the server a servedBatch or servedRequest; exchange.go
+// has what both exchanges share.
 //
 // # Views
 //
-// Engine.follow takes each view of the kernel in: shares of upstreams (shares.go),
+// engine.follow takes each view of the kernel in: shares of upstreams (shares.go),
 // connections made ahead (preconnect.go), owners of cold upstreams (warmup.go).
 //
 // # Concurrency
@@ -54,5 +55,5 @@
 // # Embedding
 //
 // Importing the package registers its plug-in, which serves routed requests if an
-// adapter is set. NewEngine and Engine are for programs with a server of their own.
+// adapter is set; nothing is exported.
 package pass
--- a/tier/pass/engine.go
+++ b/tier/pass/engine.go
@@ -13,9 +13,9 @@
 // measured.
 const sweepEvery = time.Second
 
-// Engine serves routed requests. It is safe for concurrent use; fields that say so are
+// engine serves routed requests. It is safe for concurrent use; fields that say so are
 // used on the control thread only.
-type Engine struct {
+type engine struct {
 	kernel  *kernel.Kernel
 	headers kernel.Headers
 	// links holds a link for each listed upstream, by name; the map is never changed.
@@ -39,8 +39,10 @@
 
 // relayExchange is one host's part in the exchange with relays, at both ends.
 type relayExchange struct {
-	sent   sentBatches
-	served servedBatches
+	inboxes inboxes[*batchReply]
+	// served has each batch while it has calls under way or records that were left
+	// out.
+	served registry[servedBatch]
 	// allRecords notes the routes of this host's requests that need all records.
 	allRecords allRecords
 }
@@ -48,18 +50,17 @@
 // coordinateExchange is one host's part in the exchange with coordinators, at both
 // ends.
 type coordinateExchange struct {
-	sent   sentRequests
-	served servedRequests
+	inboxes inboxes[struct{}]
+	served  registry[servedRequest]
 	// times are for requests sent. They are changed by tests only.
 	times signTimes
 }
 
-// NewEngine makes an engine that follows the kernel's views, and returns what closes
+// newEngine makes an engine that follows the kernel's views, and returns what closes
 // its connections.
-func NewEngine(k *kernel.Kernel, h kernel.Headers) (*Engine, func()) {
-	e := &Engine{
+func newEngine(k *kernel.Kernel, h kernel.Headers) (*engine, func()) {
+	e := &engine{
 		kernel: k, headers: h, hosts: newHostTracker(), ids: newIDSource(), start: newStartGate(),
-		relay:      relayExchange{served: newServedBatches()},
 		coordinate: coordinateExchange{times: signTimes{first: firstSignBound, next: signBound}},
 	}
 	e.handleRelay()
@@ -77,7 +78,7 @@
 }
 
 // sweep closes connections that were idle for too long, until done.
-func (e *Engine) sweep(done <-chan struct{}) {
+func (e *engine) sweep(done <-chan struct{}) {
 	tick := time.NewTicker(sweepEvery)
 	defer tick.Stop()
 	for {
@@ -93,7 +94,7 @@
 }
 
 // follow takes a new view in; it runs on the control thread.
-func (e *Engine) follow(v *kernel.View) {
+func (e *engine) follow(v *kernel.View) {
 	if v.Index == nil || v.Directory == nil {
 		return
 	}
@@ -106,7 +107,7 @@
 
 // followShares sets shares, links and retry budgets, unless what they depend on is
 // much as before; it runs on the control thread.
-func (e *Engine) followShares(v *kernel.View) {
+func (e *engine) followShares(v *kernel.View) {
 	next := newShareBasis(v, &e.kernel.Settings, e.kernel.Live().RetryBudget)
 	if next.like(&e.basis) {
 		return
@@ -124,7 +125,7 @@
 }
 
 // followLinks makes the links to the listed upstreams and closes those to all others.
-func (e *Engine) followLinks(d *config.Directory) {
+func (e *engine) followLinks(d *config.Directory) {
 	old, links := *e.links.Load(), map[string]*link{}
 	for _, l := range d.All() {
 		n := old[l.Name]
@@ -142,4 +143,4 @@
 }
 
 // link returns the link to an upstream; nil if it is not listed.
-func (e *Engine) link(name string) *link { return (*e.links.Load())[name] }
+func (e *engine) link(name string) *link { return (*e.links.Load())[name] }
--- /dev/null
+++ b/tier/pass/exchange.go
@@ -0,0 +1,103 @@
+package pass
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"strconv"
+	"sync"
+	"sync/atomic"
+)
+
+// This file has what the exchanges with relays and coordinators share.
+
+// handle serves a method of the protocol between hosts with a typed handler; what is
+// the name of the message in the error for one that cannot be read.
+func handle[T any](e *engine, method, what string, serve func(ctx context.Context, in *T) (any, error)) {
+	e.kernel.Handle(method, func(ctx context.Context, params json.RawMessage) (any, error) {
+		var in T
+		if err := json.Unmarshal(params, &in); err != nil {
+			return nil, fmt.Errorf("bad %s: %w", what, err)
+		}
+		return serve(ctx, &in)
+	})
+}
+
+// idBitsSpare is how many of 64 random bits the prefix of IDs does without: with 48
+// left, two of 1,000 hosts draw the same once in 500 million times.
+const idBitsSpare = 16
+
+// idSource makes the IDs of what is sent to relays and coordinators. It is safe for
+// concurrent use.
+type idSource struct {
+	// prefix begins the IDs of this process; no other process has it.
+	prefix string
+	count  atomic.Uint64
+}
+
+func newIDSource() idSource {
+	return idSource{prefix: strconv.FormatUint(rand.Uint64()>>idBitsSpare, 36) + "-"}
+}
+
+// next returns an ID that nothing else sent by any host has.
+func (s *idSource) next() string { return s.prefix + strconv.FormatUint(s.count.Add(1), 36) }
+
+// inboxes deliver what other hosts push about something that they were sent: a batch or a
+// request. It is safe for concurrent use; the zero value is ready.
+type inboxes[T any] struct {
+	// byID holds a chan T for each ID under way.
+	byID sync.Map
+}
+
+// open returns what is pushed about an ID, of which so many may wait, until it is
+// forgotten.
+func (s *inboxes[T]) open(id string, backlog int) (pushed <-chan T, forget func()) {
+	c := make(chan T, backlog)
+	s.byID.Store(id, c)
+	return c, func() { s.byID.Delete(id) }
+}
+
+// deliver hands over what was pushed about an ID. known is false if the ID is not under way,
+// taken if too much waits already.
+func (s *inboxes[T]) deliver(id string, pushed T) (known, taken bool) {
+	c, ok := s.byID.Load(id)
+	if !ok {
+		return false, false
+	}
+	select {
+	case c.(chan T) <- pushed:
+		return true, true
+	default:
+		return true, false
+	}
+}
+
+// registry holds what this host does for others, by ID. It is safe for concurrent use; the
+// zero value is ready.
+type registry[T any] struct {
+	mu   sync.Mutex
+	byID map[string]*T
+}
+
+func (s *registry[T]) add(id string, item *T) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.byID == nil {
+		s.byID = map[string]*T{}
+	}
+	s.byID[id] = item
+}
+
+// find returns nil for an ID that ended or was never begun.
+func (s *registry[T]) find(id string) *T {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.byID[id]
+}
+
+func (s *registry[T]) drop(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.byID, id)
+}
--- a/tier/pass/host_test.go
+++ b/tier/pass/host_test.go
@@ -218,7 +218,7 @@
 type host struct {
 	t      testing.TB
 	kernel *kernel.Kernel
-	engine *Engine
+	engine *engine
 	server *httptest.Server
 	// revision is that of the last change.
 	revision uint64
@@ -255,7 +255,7 @@
 	})
 	k.Peers = c.peers
 	stopStrikes := peers.ServeStrikes(k)
-	e, closeEngine := NewEngine(k, names)
+	e, closeEngine := newEngine(k, names)
 	h := &host{t: t, kernel: k, engine: e, server: httptest.NewServer(e), revision: 1}
 	if w, ok := c.peers.(*cable); ok && w.sender == nil {
 		w.sender = h
--- a/tier/pass/overhead.go
+++ b/tier/pass/overhead.go
@@ -14,37 +14,34 @@
 
 // overhead is the time that this host observes itself to add to the calls of a request.
 // Without it, the answers of a weak host come late by that time when the objective is
-// nearly spent. It is safe for concurrent use.
+// nearly spent.
 type overhead struct {
-	mu sync.Mutex
-	// handOver is the time of a request beyond its coordinator's part, answer the time
-	// from the decision on an answer until it is written.
-	handOver, answer policy.Margin
+	// handOver is the time of a request beyond its coordinator's part.
+	handOver sharedMargin
+	// answer is the time from the decision on an answer until it is written.
+	answer sharedMargin
 }
 
-func (o *overhead) observeHandOver(took time.Duration) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.handOver.Observe(took)
+// beyondReserve is how much longer this host takes to make and write an answer than
+// the time that every route keeps back, config.ResponseReserve.
+func (o *overhead) beyondReserve() time.Duration {
+	return max(o.answer.estimate()+linkReserve-time.Duration(config.ResponseReserve), 0)
 }
 
-func (o *overhead) observeAnswer(took time.Duration) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.answer.Observe(took)
+// sharedMargin is a policy.Margin that is safe for concurrent use.
+type sharedMargin struct {
+	mu     sync.Mutex
+	margin policy.Margin
 }
 
-// ofHandOver is what a request takes beyond its coordinator's part.
-func (o *overhead) ofHandOver() time.Duration {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.handOver.Estimate()
+func (m *sharedMargin) observe(took time.Duration) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.margin.Observe(took)
 }
 
-// beyondReserve is how much longer this host takes to make and write an answer than
-// the time that every route keeps back, config.ResponseReserve.
-func (o *overhead) beyondReserve() time.Duration {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return max(o.answer.Estimate()+linkReserve-time.Duration(config.ResponseReserve), 0)
+func (m *sharedMargin) estimate() time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.margin.Estimate()
 }
--- a/tier/pass/plan.go
+++ b/tier/pass/plan.go
@@ -31,14 +31,14 @@
 }
 
 // plan makes the plan of a request of a route.
-func (e *Engine) plan(v *kernel.View, r *config.Route) plan {
+func (e *engine) plan(v *kernel.View, r *config.Route) plan {
 	if r.Gather != nil {
 		return e.planOf(v, r.Gather.Groups, r.Homes)
 	}
 	return e.planOf(v, []string{e.splitters.target(r)}, r.Homes)
 }
 
-func (e *Engine) planOf(v *kernel.View, groups, homes []string) plan {
+func (e *engine) planOf(v *kernel.View, groups, homes []string) plan {
 	names, absent := make([][]string, len(groups)), make([]query.Reason, len(groups))
 	places := e.places(v)
 	for i, g := range groups {
@@ -58,7 +58,7 @@
 
 // otherHall returns the hall of one of some upstreams that is not in this host's own,
 // drawn at random; empty if all are.
-func (e *Engine) otherHall(v *kernel.View, names []string) string {
+func (e *engine) otherHall(v *kernel.View, names []string) string {
 	for _, i := range rand.Perm(len(names)) {
 		if l, listed := v.Directory.Find(names[i]); listed && l.Hall != e.kernel.Settings.Hall {
 			return l.Hall
@@ -68,6 +68,6 @@
 }
 
 // places says where requests may go as of a view.
-func (e *Engine) places(v *kernel.View) *policy.Places {
+func (e *engine) places(v *kernel.View) *policy.Places {
 	return &policy.Places{Regions: e.kernel.Settings.Regions, Directory: v.Directory}
 }
--- a/tier/pass/plugin.go
+++ b/tier/pass/plugin.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen at %s: %w: free the address or set -Listen", k.Settings.Listen, err)
 	}
-	e, closeEngine := NewEngine(k, a.Headers)
+	e, closeEngine := newEngine(k, a.Headers)
 	k.OnView(func(v *kernel.View) { markReady(k, v) })
 	s := &http.Server{Handler: e, ReadHeaderTimeout: callerHeaderBound, IdleTimeout: callerIdleBound, MaxHeaderBytes: callerHeaderBytes}
 	go func() {
--- a/tier/pass/preconnect.go
+++ b/tier/pass/preconnect.go
@@ -23,7 +23,7 @@
 
 // preconnect connects to the hosts that calls and requests will go through, so that the
 // first of them does not wait; it runs on the control thread.
-func (e *Engine) preconnect(v *kernel.View) {
+func (e *engine) preconnect(v *kernel.View) {
 	next := map[string]bool{}
 	for _, h := range e.preconnectTo(v) {
 		next[h] = true
@@ -38,7 +38,7 @@
 // out itself takes the strongest of each other hall, its relays. A host that hands them
 // over takes the coordinators of its own hall, or, where that has none, one of each
 // hall that has, which shows which of them is nearest.
-func (e *Engine) preconnectTo(v *kernel.View) []string {
+func (e *engine) preconnectTo(v *kernel.View) []string {
 	self := e.self()
 	best := policy.Coordinators(self, *e.coordinators.candidates.Load())
 	switch {
@@ -73,7 +73,7 @@
 	return out
 }
 
-func (e *Engine) connect(host, hall string) {
+func (e *engine) connect(host, hall string) {
 	ctx, cancel := context.WithTimeout(context.Background(), preconnectBound)
 	defer cancel()
 	started := e.kernel.Now()
--- a/tier/pass/relay_client.go
+++ b/tier/pass/relay_client.go
@@ -203,7 +203,7 @@
 func (s *sentBatch) carryOut(ctx context.Context) {
 	e := s.request.engine
 	e.hosts.sent(s.relay, s.due)
-	progress, forget := e.relay.sent.open(s.in.ID)
+	progress, forget := e.relay.inboxes.open(s.in.ID, progressBacklog)
 	defer forget()
 	bounded, cancel := s.request.untilDeadline(ctx)
 	defer cancel()
@@ -336,30 +336,13 @@
 	}
 }
 
-// sentBatches are the batches of this host that relays make the calls of. It is safe
-// for concurrent use.
-type sentBatches struct {
-	// byID holds a chan *batchReply, for progress, for each batch under way.
-	byID sync.Map
-}
-
-// open returns the progress of a batch until it is forgotten.
-func (s *sentBatches) open(id string) (progress <-chan *batchReply, forget func()) {
-	c := make(chan *batchReply, progressBacklog)
-	s.byID.Store(id, c)
-	return c, func() { s.byID.Delete(id) }
-}
-
 // onBatchProgress takes in what a relay reports of a batch before its last reply.
-func (e *Engine) onBatchProgress(_ context.Context, in *batchReply) (any, error) {
-	c, ok := e.relay.sent.byID.Load(in.ID)
-	if !ok {
+func (e *engine) onBatchProgress(_ context.Context, in *batchReply) (any, error) {
+	switch known, taken := e.relay.inboxes.deliver(in.ID, in); {
+	case !known:
 		return nil, fmt.Errorf("%w: %q ended", errNoBatch, in.ID)
-	}
-	select {
-	case c.(chan *batchReply) <- in:
-		return struct{}{}, nil
-	default:
+	case !taken:
 		return nil, fmt.Errorf("too much is told of batch %q", in.ID)
 	}
+	return struct{}{}, nil
 }
--- a/tier/pass/relay_records.go
+++ b/tier/pass/relay_records.go
@@ -58,8 +58,8 @@
 }
 
 // onRecords gives records that a reply left out.
-func (e *Engine) onRecords(_ context.Context, in *recordsRequest) (any, error) {
-	b, err := e.relay.served.find(in.ID)
+func (e *engine) onRecords(_ context.Context, in *recordsRequest) (any, error) {
+	b, err := e.servedBatch(in.ID)
 	if err != nil {
 		return nil, err
 	}
--- a/tier/pass/relay_records_test.go
+++ b/tier/pass/relay_records_test.go
@@ -119,7 +119,7 @@
 func TestBatchKeepsWhatItLeftOut(t *testing.T) {
 	b := newBatch(t, 1, 0, time.Second)
 	b.in.Top, b.in.Of, b.unreported.merger.top = 25, 50, 25
-	b.engine.relay.served.add(b)
+	b.engine.relay.served.add("B", b)
 	b.engine.handleRelay()
 	b.end(callReport{Stamp: "S"}, []byte(strings.Repeat("0123456789abcdef", 25)))
 	out, last := b.wait()
--- a/tier/pass/relay_server.go
+++ b/tier/pass/relay_server.go
@@ -29,40 +29,10 @@
 	maxBatchTime = 10 * time.Minute
 )
 
-// servedBatches are the batches that this host makes calls of for others.
-type servedBatches struct {
-	mu sync.Mutex
-	// byID has each batch while it has calls under way or records that were left out.
-	byID map[string]*servedBatch
-}
-
-func newServedBatches() servedBatches { return servedBatches{byID: map[string]*servedBatch{}} }
-
-func (s *servedBatches) add(b *servedBatch) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.byID[b.in.ID] = b
-}
-
-func (s *servedBatches) find(id string) (*servedBatch, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if b := s.byID[id]; b != nil {
-		return b, nil
-	}
-	return nil, fmt.Errorf("%w: %q ended or was never begun", errNoBatch, id)
-}
-
-func (s *servedBatches) drop(id string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.byID, id)
-}
-
 // servedBatch is a batch of calls that this host makes for another host. It is safe
 // for concurrent use.
 type servedBatch struct {
-	engine *Engine
+	engine *engine
 	in     *batchRequest
 	// subject identifies the request if it crashes upstreams. Its caller is unknown
 	// here, and its fingerprint is made from the head: to send both would add a tenth
@@ -98,8 +68,16 @@
 	lingering bool
 }
 
+// servedBatch returns the batch with an ID.
+func (e *engine) servedBatch(id string) (*servedBatch, error) {
+	if b := e.relay.served.find(id); b != nil {
+		return b, nil
+	}
+	return nil, fmt.Errorf("%w: %q ended or was never begun", errNoBatch, id)
+}
+
 // handleRelay registers the methods of both ends of the exchange.
-func (e *Engine) handleRelay() {
+func (e *engine) handleRelay() {
 	handle(e, methodBatch, "gather", e.onBatch)
 	handle(e, methodBatchProgress, "progress", e.onBatchProgress)
 	handle(e, methodBatchStop, "batch name", e.onBatchStop)
@@ -107,7 +85,7 @@
 }
 
 // onBatch makes the calls, reports those that ended, and returns when all have.
-func (e *Engine) onBatch(ctx context.Context, in *batchRequest) (any, error) {
+func (e *engine) onBatch(ctx context.Context, in *batchRequest) (any, error) {
 	if len(in.Upstreams) == 0 || len(in.Upstreams) > maxBatchCalls || in.Top < 1 {
 		return nil, fmt.Errorf("bad gather: %d upstreams, top %d: send 1 to %d, and a top of 1 or more", len(in.Upstreams), in.Top, maxBatchCalls)
 	}
@@ -134,8 +112,8 @@
 }
 
 // onBatchStop ends the calls of a batch.
-func (e *Engine) onBatchStop(_ context.Context, in *batchStop) (any, error) {
-	b, err := e.relay.served.find(in.ID)
+func (e *engine) onBatchStop(_ context.Context, in *batchStop) (any, error) {
+	b, err := e.servedBatch(in.ID)
 	if err != nil {
 		return nil, err
 	}
@@ -148,7 +126,7 @@
 	return struct{}{}, nil
 }
 
-func (e *Engine) startBatch(in *batchRequest) *servedBatch {
+func (e *engine) startBatch(in *batchRequest) *servedBatch {
 	left := min(time.Duration(in.DeadlineMillis)*time.Millisecond, maxBatchTime)
 	ctx, cancel := context.WithTimeout(wire.TraceInto(context.Background(), in.Trace), left)
 	now := e.kernel.Now()
@@ -158,7 +136,7 @@
 		unreported: unreported{merger: merger{top: in.Top}}, open: len(in.Upstreams), calls: map[int]*servedCall{},
 		finished: make(chan struct{}), changed: make(chan struct{}, 1),
 	}
-	e.relay.served.add(b)
+	e.relay.served.add(in.ID, b)
 	// The sender may never ask for the records that were left out.
 	time.AfterFunc(left+leftOutGrace, func() { e.relay.served.drop(in.ID) })
 	b.mu.Lock()
@@ -174,7 +152,7 @@
 
 // subjectOf identifies the request of a batch; the zero value while no request is
 // suspected of anything.
-func (e *Engine) subjectOf(in *batchRequest) policy.Subject {
+func (e *engine) subjectOf(in *batchRequest) policy.Subject {
 	if !e.kernel.Fleet.HasSuspects() {
 		return policy.Subject{}
 	}
--- a/tier/pass/relay_server_test.go
+++ b/tier/pass/relay_server_test.go
@@ -24,7 +24,7 @@
 	})
 	t.Cleanup(closeKernel)
 	return &servedBatch{
-		engine: &Engine{kernel: k, relay: relayExchange{served: newServedBatches()}}, in: &batchRequest{ID: "B"},
+		engine: &engine{kernel: k}, in: &batchRequest{ID: "B"},
 		firstDue: due, deadline: deadline, cancel: func() {}, unreported: unreported{merger: merger{top: 1}}, open: calls,
 		calls: map[int]*servedCall{}, finished: make(chan struct{}), changed: make(chan struct{}, 1),
 	}
--- a/tier/pass/request.go
+++ b/tier/pass/request.go
@@ -13,7 +13,7 @@
 
 // request is one routed request on its way; serve.go has the stages that it passes.
 type request struct {
-	engine *Engine
+	engine *engine
 	// view is taken once; the request goes by it to its end.
 	view *kernel.View
 	// route and class are nil until the route is found.
@@ -36,7 +36,7 @@
 var (
 	_ runner.Caller[*answer]   = (*request)(nil)
 	_ runner.Observer[*answer] = (*request)(nil)
-	_ http.Handler             = (*Engine)(nil)
+	_ http.Handler             = (*engine)(nil)
 )
 
 // requestTimes are the times of a request, as time since the process started.
@@ -62,7 +62,7 @@
 }
 
 // newRequest makes a request of a caller.
-func (e *Engine) newRequest(r *http.Request) *request {
+func (e *engine) newRequest(r *http.Request) *request {
 	return &request{
 		engine: e, times: requestTimes{begun: e.kernel.Now()},
 		in: inbound{id: r.Header.Get(e.headers.RequestID), method: r.Method, subject: policy.Subject{Caller: callerOf(r)}},
--- a/tier/pass/serve.go
+++ b/tier/pass/serve.go
@@ -24,7 +24,7 @@
 //	plan         plan.go                choose the upstreams of each part
 //	run          run.go                 make the calls
 //	answer       answer.go, refuse.go   answer, or refuse what did not run
-func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.kernel.InFlight.Add(1)
 	defer e.kernel.InFlight.Add(-1)
 	e.kernel.Wake()
@@ -54,7 +54,7 @@
 // noteAnswerTime observes how long the answer took to make and write.
 func (q *request) noteAnswerTime() {
 	if q.times.decidedAt > 0 {
-		q.engine.overhead.observeAnswer(q.engine.kernel.Now() - q.times.decidedAt)
+		q.engine.overhead.answer.observe(q.engine.kernel.Now() - q.times.decidedAt)
 	}
 }
 
--- a/tier/pass/shares.go
+++ b/tier/pass/shares.go
@@ -90,7 +90,7 @@
 
 // share is this host's part of an upstream: as many calls as it may have connections
 // there.
-func (e *Engine) share(l *config.Listing, b *shareBasis) policy.Share {
+func (e *engine) share(l *config.Listing, b *shareBasis) policy.Share {
 	near := l.Hall == e.kernel.Settings.Hall
 	connections := l.Slots
 	if g := b.index.Group(l.Group); g != nil {
--- a/tier/pass/warmup.go
+++ b/tier/pass/warmup.go
@@ -9,7 +9,7 @@
 )
 
 // coldOf describes an upstream that may not have warmed up.
-func (e *Engine) coldOf(l *config.Listing, b *shareBasis) policy.Cold {
+func (e *engine) coldOf(l *config.Listing, b *shareBasis) policy.Cold {
 	out := policy.Cold{Left: time.Duration(l.Warmup), Revision: l.Revision, Evacuated: b.directory.Evacuated(l.Hall)}
 	if g := b.index.Group(l.Group); g != nil {
 		s := &e.kernel.Settings
@@ -20,7 +20,7 @@
 
 // assignCold assigns each cold upstream that can handle a bounded number of calls to
 // one host of its hall; it runs on the control thread.
-func (e *Engine) assignCold(v *kernel.View) {
+func (e *engine) assignCold(v *kernel.View) {
 	cold := e.kernel.Fleet.BoundedCold(e.kernel.Now())
 	if len(cold) == 0 {
 		return
@@ -36,7 +36,7 @@
 }
 
 // hostsOf describes the live hosts of a hall that are not leaving, this one included.
-func (e *Engine) hostsOf(v *kernel.View, hall string) []policy.Candidate {
+func (e *engine) hostsOf(v *kernel.View, hall string) []policy.Candidate {
 	out := liveHosts(v, func(other string) bool { return other == hall })
 	if hall == e.kernel.Settings.Hall {
 		out = append(out, e.self())
