--- a/tier/pass/call.go
+++ b/tier/pass/call.go
@@ -17,17 +17,20 @@
 	"loomgap/tier/runner"
 )
 
-// Bounds of upstream answers.
 const (
-	// maxAnswer bounds an answer's body, so that a few of them fit into the
-	// memory of a small host.
+	// maxAnswer bounds the body of an upstream's answer, in bytes, so that a few of
+	// them fit into the memory of a small host. Not measured.
 	maxAnswer = 8 << 20
-	// surplusAnswers is how many answers to the request before may come before
-	// the one that is due.
-	surplusAnswers = 2
-	// eagerBody is the largest body that is written before the answer is read.
-	// A longer one is written besides, since an upstream may answer early.
+	// answersRead is how many answers are read for one call: a surplus answer to the
+	// request before may come first. Not measured.
+	answersRead = 2
+	// eagerBody is the largest body, in bytes, that is written before the answer is
+	// read. A longer one is written meanwhile, since an upstream may answer early. Not
+	// measured.
 	eagerBody = 8 << 10
+	// ownHeaderBytes is about the size of the headers that differ between upstreams.
+	// Not measured.
+	ownHeaderBytes = 128
 )
 
 // Errors of upstream answers.
@@ -45,7 +48,7 @@
 	block *block
 }
 
-// call is one request as it goes to one upstream.
+// call is one call to one upstream.
 type call struct {
 	headers *kernel.Headers
 	method  string
@@ -55,7 +58,8 @@
 	id   string
 	// upstream is the name that the upstream must have to run the request.
 	upstream string
-	left     time.Duration
+	// left is the time until the deadline.
+	left time.Duration
 	// unrepeatable is true for a request that goes on new connections only, or on one
 	// that was used a moment ago.
 	unrepeatable bool
@@ -73,8 +77,8 @@
 	crowded bool
 }
 
-// call makes a call and tells what it means. One that was cancelled before it
-// left, while its connection was being made, says nothing of the upstream.
+// call makes a call and judges the result. One that was cancelled while its connection
+// was being made is no evidence against the upstream.
 func (l *link) call(ctx context.Context, c *call) runner.Reply[*answer] {
 	r := l.do(ctx, c)
 	out := judge(c, r)
@@ -96,12 +100,12 @@
 	stop := context.AfterFunc(ctx, func() { _ = k.Close() })
 	started := l.now()
 	a, keep, err := k.exchange(c)
-	if !stop() && err == nil && keep {
+	if !stop() {
 		keep = false
 	}
 	if !keep {
 		_ = k.Close()
-		if err != nil && k.reused && l.now()-started >= silentBound {
+		if err != nil && k.reused && l.now()-started >= silentCallBound {
 			l.closeIdleBefore(started)
 		}
 		return result{answer: a, sent: true, err: err, crowded: !k.reused && errors.Is(err, syscall.ECONNRESET)}
@@ -110,8 +114,8 @@
 	return result{answer: a, sent: true, err: err}
 }
 
-// exchange writes the request and reads its answer. The connection may be used
-// again only if keep is true.
+// exchange writes the request and reads its answer. The connection may be reused only if
+// keep is true.
 func (k *conn) exchange(c *call) (a *answer, keep bool, err error) {
 	if err := k.SetDeadline(time.Now().Add(c.left)); err != nil {
 		return nil, false, err
@@ -138,7 +142,7 @@
 
 func (k *conn) write(c *call) error {
 	var b bytes.Buffer
-	b.Grow(len(c.head) + len(c.body) + 128)
+	b.Grow(len(c.head) + len(c.body) + ownHeaderBytes)
 	b.Write(c.head)
 	fmt.Fprintf(&b, "%s: %d\r\n%s: %s\r\n\r\n", c.headers.DeadlineMillis, max(c.left.Milliseconds(), 1), c.headers.Upstream, c.upstream)
 	b.Write(c.body)
@@ -146,10 +150,9 @@
 	return err
 }
 
-// read reads the answer to a request; a surplus answer to the request before
-// is passed over.
+// read reads the answer to a call; a surplus answer to the call before is skipped.
 func (k *conn) read(c *call) (a *answer, keep bool, err error) {
-	for range surplusAnswers {
+	for range answersRead {
 		a, keep, err = k.readOne(c.method)
 		if err != nil {
 			return nil, false, err
@@ -181,7 +184,7 @@
 		return nil, false, err
 	}
 	k.noteKeepAlive(r.Header)
-	keep = !r.Close && k.idleFor > 0
+	keep = !r.Close && k.idleBound > 0
 	return &answer{status: r.StatusCode, header: r.Header, body: body}, keep, nil
 }
 
@@ -204,7 +207,7 @@
 	return body, err
 }
 
-// noteKeepAlive takes in how long the upstream keeps the connection.
+// noteKeepAlive takes in how long the upstream keeps an idle connection.
 func (k *conn) noteKeepAlive(h http.Header) {
 	_, after, found := strings.Cut(h.Get("Keep-Alive"), "timeout=")
 	if !found {
@@ -215,11 +218,11 @@
 	if err != nil || seconds < 0 {
 		return
 	}
-	k.idleFor = time.Duration(seconds)*time.Second - idleReserve
+	k.idleBound = time.Duration(seconds)*time.Second - idleReserve
 }
 
-// judge tells what a call's result means. A reply carries the answer only if
-// it may be given to the caller or merged.
+// judge says what the result of a call means. A reply carries the answer only if it may
+// be given to the caller or merged.
 func judge(c *call, r result) runner.Reply[*answer] {
 	switch {
 	case r.err != nil && !r.sent:
@@ -236,9 +239,9 @@
 		out.Outcome = policy.CallMoved
 	case a.header.Get(c.headers.NotRun) != "":
 		out.Outcome = policy.CallShed
-	case a.status < 300 && a.header.Get(c.headers.Stamp) == "":
+	case a.status < http.StatusMultipleChoices && a.header.Get(c.headers.Stamp) == "":
 		out.Outcome, out.Part = policy.CallGarbage, nil
-	case a.status < 300 || a.status < 500 && !c.gathered && !promisesNotRun(a.status):
+	case a.status < http.StatusMultipleChoices || a.status < http.StatusInternalServerError && !c.gathered && !promisesNotRun(a.status):
 		out.Outcome = policy.CallOK
 	default:
 		out.Outcome = policy.CallFailed
@@ -246,7 +249,7 @@
 	return out
 }
 
-// promisesNotRun reports whether a status says that the request did not run.
+// promisesNotRun reports whether a status promises that the request did not run.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -255,17 +258,17 @@
 	return false
 }
 
-// loadOf reads running, waiting and slots; zero if it is not that.
+// loadOf reads "running, waiting, slots"; zero if the text is not that.
 func loadOf(text string) policy.Load {
 	var n [3]int
-	rest := text
+	left := text
 	for i := range n {
-		field, more, _ := strings.Cut(rest, ",")
+		field, more, _ := strings.Cut(left, ",")
 		v, err := strconv.Atoi(strings.TrimSpace(field))
 		if err != nil || v < 0 {
 			return policy.Load{}
 		}
-		n[i], rest = v, more
+		n[i], left = v, more
 	}
 	return policy.Load{Running: n[0], Waiting: n[1], Slots: n[2]}
 }
--- a/tier/pass/conn.go
+++ b/tier/pass/conn.go
@@ -15,31 +15,32 @@
 	"loomgap/tier/policy"
 )
 
-// Times and sizes of upstream connections.
 const (
-	// dialBound is how long a connection may take; two hosts of one platform
-	// are milliseconds apart.
-	dialBound = 700 * time.Millisecond
-	// idleUnknown is how long a connection rests at most where the upstream
-	// does not say how long it keeps one.
+	// upstreamDialBound is how long a connection to an upstream may take to make; hosts
+	// of one platform are milliseconds apart. Not measured.
+	upstreamDialBound = 700 * time.Millisecond
+	// idleUnknown is how long a connection may be idle if the upstream does not say how
+	// long it keeps one. Not measured.
 	idleUnknown = 4 * time.Second
-	// idleReserve is taken off the time that an upstream says it keeps a
-	// connection, so that a request does not cross its close.
+	// idleReserve is taken off the time that an upstream says it keeps an idle
+	// connection, so that a request does not cross its close. Not measured.
 	idleReserve = 500 * time.Millisecond
-	// freshEnough is how long a connection may have rested that carries a
-	// request which must not be repeated.
+	// freshEnough is how long a connection may have been idle that carries a request
+	// which is not repeatable. Not measured.
 	freshEnough = 500 * time.Millisecond
-	readBuffer  = 4 << 10
-	// silentBound is how long a call on a kept connection must go without an
-	// answer until the other kept connections are distrusted: longer than
-	// upstreams pause, and no longer than a call lingers that shows it. It
-	// prevents one request after another from being sent on connections that
-	// have all gone silent without a reset.
-	silentBound = policy.LingerFor
+	// readBuffer is the size of a connection's buffer for answers, in bytes. Not
+	// measured.
+	readBuffer = 4 << 10
+	// silentCallBound is how long a call on a reused connection must go without an
+	// answer until the other idle connections are closed: longer than upstreams pause,
+	// and no longer than an unwanted call lingers that shows it. Without it, one
+	// request after another is sent on connections that have all gone silent without a
+	// reset. Not measured.
+	silentCallBound = policy.LingerFor
 )
 
-// errStale is a kept connection that ended or spoke out of turn.
-var errStale = errors.New("kept connection is no longer usable")
+// errStale is an idle connection that was closed or brought bytes that nobody asked for.
+var errStale = errors.New("idle connection is no longer usable")
 
 // conn is one connection to an upstream. One request is on it at a time.
 type conn struct {
@@ -48,14 +49,15 @@
 	reader *bufio.Reader
 	// lastID is the request that was answered before on it.
 	lastID string
-	// restedAt is when it was put back; idleFor is how long it may rest.
-	restedAt time.Duration
-	idleFor  time.Duration
+	// idleSince is when it was put back, as time since the process started.
+	idleSince time.Duration
+	// idleBound is how long it may be idle.
+	idleBound time.Duration
 	// reused is true once the connection has been put back.
 	reused bool
 }
 
-// link holds the kept connections to one upstream.
+// link holds the idle connections to one upstream.
 type link struct {
 	name    string
 	address netip.AddrPort
@@ -67,19 +69,19 @@
 	closed bool
 }
 
-// dialer makes the connections to upstreams.
-var dialer = net.Dialer{Timeout: dialBound, KeepAlive: -1}
+// upstreamDialer makes the connections to upstreams.
+var upstreamDialer = net.Dialer{Timeout: upstreamDialBound, KeepAlive: -1}
 
-// get returns a kept connection that is still sound, or makes one. With fresh,
-// only one that was used a moment ago is taken.
+// get returns an idle connection that is still usable, or makes one. With fresh, only one
+// that was used a moment ago is taken.
 func (l *link) get(ctx context.Context, fresh bool) (*conn, error) {
 	for {
 		c := l.pop()
 		if c == nil {
 			return l.dial(ctx)
 		}
-		rested := l.now() - c.restedAt
-		if rested < c.idleFor && (!fresh || rested < freshEnough) && c.checkIdle() == nil {
+		idle := l.now() - c.idleSince
+		if idle < c.idleBound && (!fresh || idle < freshEnough) && c.checkIdle() == nil {
 			return c, nil
 		}
 		_ = c.Close()
@@ -99,7 +101,7 @@
 }
 
 func (l *link) dial(ctx context.Context) (*conn, error) {
-	c, err := dialer.DialContext(ctx, "tcp4", l.address.String())
+	c, err := upstreamDialer.DialContext(ctx, "tcp4", l.address.String())
 	if err != nil {
 		return nil, fmt.Errorf("connect to %s: %w", l.name, err)
 	}
@@ -108,12 +110,12 @@
 		_ = c.Close()
 		return nil, fmt.Errorf("connect to %s: %w", l.name, err)
 	}
-	return &conn{Conn: c, raw: raw, reader: bufio.NewReaderSize(c, readBuffer), idleFor: idleUnknown}, nil
+	return &conn{Conn: c, raw: raw, reader: bufio.NewReaderSize(c, readBuffer), idleBound: idleUnknown}, nil
 }
 
-// put keeps a connection for the next request.
+// put keeps a connection for the next call.
 func (l *link) put(c *conn) {
-	c.restedAt, c.reused = l.now(), true
+	c.idleSince, c.reused = l.now(), true
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
@@ -123,13 +125,13 @@
 	l.idle = append(l.idle, c)
 }
 
-// sweep closes the connections that have rested too long.
+// sweep closes the connections that were idle for too long.
 func (l *link) sweep() {
 	now := l.now()
-	l.closeIdle(func(c *conn) bool { return now-c.restedAt >= c.idleFor })
+	l.closeIdle(func(c *conn) bool { return now-c.idleSince >= c.idleBound })
 }
 
-// closeIdle closes the kept connections that a test picks.
+// closeIdle closes the idle connections that dropped picks.
 func (l *link) closeIdle(dropped func(c *conn) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -142,13 +144,13 @@
 	})
 }
 
-// closeIdleBefore closes the kept connections that have not brought an answer since a
-// call on one of them was sent in vain.
+// closeIdleBefore closes the connections that have been idle since before a call that got
+// no answer.
 func (l *link) closeIdleBefore(since time.Duration) {
-	l.closeIdle(func(c *conn) bool { return c.restedAt < since })
+	l.closeIdle(func(c *conn) bool { return c.idleSince < since })
 }
 
-// close closes what is kept; calls under way go on.
+// close closes the idle connections; calls under way go on.
 func (l *link) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -159,8 +161,8 @@
 	l.idle = nil
 }
 
-// checkIdle fails if the upstream closed the connection or sent bytes that nobody
-// asked for. It looks without waiting and takes nothing off the connection.
+// checkIdle fails if the upstream closed the connection or sent bytes that nobody asked
+// for. It peeks without waiting and consumes nothing.
 func (c *conn) checkIdle() error {
 	if c.reader.Buffered() > 0 {
 		return errStale
--- /dev/null
+++ b/tier/pass/host_tracker_test.go
@@ -0,0 +1,64 @@
+package pass
+
+import (
+	"fmt"
+	"net/netip"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"loomgap/tier/kernel"
+)
+
+// TestSilentHostRestsLongerEachTime has a host of another hall leave batches
+// unanswered, and then answer one.
+func TestSilentHostRestsLongerEachTime(t *testing.T) {
+	r := newHostTracker()
+	now := time.Minute
+	for _, rest := range []time.Duration{backoffFirst, 2 * backoffFirst, 4 * backoffFirst, backoffMost, backoffMost} {
+		r.sent("Far", now)
+		assert.Assert(t, r.responsive("Far", now+replyGrace-1))
+		assert.Assert(t, !r.responsive("Far", now+replyGrace))
+		r.unanswered("Far", "B", now, true)
+		assert.Assert(t, !r.responsive("Far", now+rest-1), "%s", rest)
+		now += rest
+		assert.Assert(t, r.responsive("Far", now))
+	}
+	r.sent("Far", now)
+	r.answered("Far", "B", now, time.Millisecond)
+	r.sent("Far", now)
+	r.unanswered("Far", "B", now, true)
+	assert.Assert(t, r.responsive("Far", now+backoffFirst))
+}
+
+// TestSilentHallIsCalledDirectly has a host be cut off from ten hosts of another
+// hall: after two batches it calls the upstreams there itself, for a while.
+func TestSilentHallIsCalledDirectly(t *testing.T) {
+	r := newHostTracker()
+	v := &kernel.View{Members: map[string]kernel.Member{}}
+	for i := range 10 {
+		n := fmt.Sprint("B", i)
+		v.Members[n] = kernel.Member{Host: n, Hall: "B", Live: true, Peer: netip.MustParseAddrPort("127.0.0.1:1")}
+	}
+	now := time.Minute
+	lost := func() string {
+		host := r.leastPending(v, "B", now, nil)
+		if host != "" {
+			r.sent(host, now)
+			r.unanswered(host, "B", now, true)
+		}
+		return host
+	}
+	assert.Equal(t, lost(), "B0")
+	assert.Equal(t, lost(), "B1")
+	assert.Equal(t, lost(), "")
+	now += backoffFirst
+	assert.Equal(t, lost(), "B0", "one batch looks whether the way is back")
+	assert.Equal(t, lost(), "")
+	now += 2 * backoffFirst
+	host := r.leastPending(v, "B", now, nil)
+	r.sent(host, now)
+	r.answered(host, "B", now, time.Millisecond)
+	assert.Assert(t, r.leastPending(v, "B", now, nil) != "")
+}
--- a/tier/pass/merge.go
+++ b/tier/pass/merge.go
@@ -5,21 +5,28 @@
 	"slices"
 )
 
-// recordBytes is the size of a record. A shorter rest of a part is no record.
-const recordBytes = 16
+const (
+	// recordBytes is the size of a record; a shorter piece at the end of a part is none.
+	recordBytes = 16
+	// mergeSpareTops is how many times the records of an answer a merger may hold until
+	// it drops the least. Not measured.
+	mergeSpareTops = 8
+	// mergeSpareRecords is how many records it may hold besides. Not measured.
+	mergeSpareRecords = 1024
+)
 
-// merger keeps the greatest records of the parts added.
+// merger keeps the greatest records of the parts added; top is how many.
 type merger struct {
 	top     int
 	records [][]byte
 }
 
-// add takes the records of a part in; the part must not change afterwards.
+// add adds the records of a part, which must not change afterwards.
 func (m *merger) add(part []byte) {
 	for ; len(part) >= recordBytes; part = part[recordBytes:] {
 		m.records = append(m.records, part[:recordBytes])
 	}
-	if len(m.records) > 8*m.top+1024 {
+	if len(m.records) > mergeSpareTops*m.top+mergeSpareRecords {
 		m.cut()
 	}
 }
@@ -37,8 +44,8 @@
 	m.records = m.records[:keep]
 }
 
-// block is the merged records of several parts. They cannot be told apart any
-// more, so a block is in an answer with all its parts or not at all.
+// block is the merged records of several parts. They cannot be told apart, so a block
+// is in an answer with all its parts or not at all.
 type block struct {
 	records []byte
 	// stamps are the proofs of the parts, by number of the part.
@@ -57,7 +64,7 @@
 	return least == nil || bytes.Compare(last, least) > 0
 }
 
-// gatheredParts collects the parts of one answer.
+// gatheredParts collects the parts of one answer. It is not safe for concurrent use.
 type gatheredParts struct {
 	// single are the parts that came by themselves, by number of the part.
 	single map[int]*answer
--- a/tier/pass/single_test.go
+++ b/tier/pass/single_test.go
@@ -551,7 +551,7 @@
 		head := "GET / HTTP/1.1\r\nHost: x\r\n" + names.RequestID + ": " + id + "\r\n"
 		return l.call(ctx, &call{headers: &names, method: http.MethodGet, head: []byte(head), id: id, upstream: "U1", left: testBound, gathered: true}).Outcome
 	}
-	assert.Equal(t, call("one", silentBound+silentBound/4), policy.CallBroken)
+	assert.Equal(t, call("one", silentCallBound+silentCallBound/4), policy.CallBroken)
 	assert.Equal(t, call("two", testBound), policy.CallOK)
 }
 
