--- a/tier/pass/backoff.go
+++ b/tier/pass/backoff.go
@@ -11,8 +11,8 @@
 	backoffMost = 16 * time.Second
 )
 
-// backoff leaves a host or hall that does not answer alone, for twice as long each
-// time in a row. The zero value is not backing off.
+// backoff keeps a host or hall that does not answer from being asked, for twice as long
+// after each failure in a row. The zero value is not backing off.
 type backoff struct {
 	// until is when the backoff ends, as time since the process started.
 	until time.Duration
--- a/tier/pass/call.go
+++ b/tier/pass/call.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		return result{err: err}
 	}
-	// A cancelled call ends its connection: that is what tells the upstream.
+	// A cancelled call closes its connection: that is how the upstream learns of it.
 	stop := context.AfterFunc(ctx, func() { _ = k.Close() })
 	started := l.now()
 	a, keep, err := k.exchange(c)
--- a/tier/pass/plan.go
+++ b/tier/pass/plan.go
@@ -9,8 +9,8 @@
 	"loomgap/tier/query"
 )
 
-// plan says which upstreams may answer each part of a request. It is made once and
-// stands for the request's whole life.
+// plan says which upstreams may answer each part of a request. It is made once and never
+// changed.
 type plan struct {
 	// groups has the group of each part, replicas its upstreams.
 	groups   []string
--- a/tier/pass/relay_client.go
+++ b/tier/pass/relay_client.go
@@ -342,7 +342,7 @@
 	case !known:
 		return nil, fmt.Errorf("%w: %q ended", errNoBatch, in.ID)
 	case !taken:
-		return nil, fmt.Errorf("too much is told of batch %q", in.ID)
+		return nil, fmt.Errorf("too much progress of batch %q waits to be taken in", in.ID)
 	}
 	return struct{}{}, nil
 }
--- a/tier/pass/relay_server.go
+++ b/tier/pass/relay_server.go
@@ -106,7 +106,7 @@
 		out.ID = in.ID
 		if err := kernel.Push(ctx, methodBatchProgress, out); err != nil {
 			b.stop(0)
-			return nil, fmt.Errorf("tell of batch %s: %w", in.ID, err)
+			return nil, fmt.Errorf("push progress of batch %s: %w", in.ID, err)
 		}
 	}
 }
