--- /dev/null
+++ b/tier/pass/overhead.go
@@ -0,0 +1,47 @@
+package pass
+
+import (
+	"sync"
+	"time"
+
+	"loomgap/tier/config"
+	"loomgap/tier/policy"
+)
+
+// linkReserve is how long an answer may be on its way to the caller, besides what this
+// host takes to make and write it. Not measured.
+const linkReserve = 8 * time.Millisecond
+
+// overhead is the time that this host observes itself to add to the calls of a request.
+// Without it, the answers of a weak host come late by that time when the objective is
+// nearly spent.
+type overhead struct {
+	// handOver is the time of a request beyond its coordinator's part.
+	handOver sharedMargin
+	// answer is the time from the decision on an answer until it is written.
+	answer sharedMargin
+}
+
+// beyondReserve is how much longer this host takes to make and write an answer than
+// the time that every route keeps back, config.ResponseReserve.
+func (o *overhead) beyondReserve() time.Duration {
+	return max(o.answer.estimate()+linkReserve-time.Duration(config.ResponseReserve), 0)
+}
+
+// sharedMargin is a policy.Margin that is safe for concurrent use.
+type sharedMargin struct {
+	mu     sync.Mutex
+	margin policy.Margin
+}
+
+func (m *sharedMargin) observe(took time.Duration) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.margin.Observe(took)
+}
+
+func (m *sharedMargin) estimate() time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.margin.Estimate()
+}
