--- /dev/null
+++ b/tier/kernel/control.go
@@ -0,0 +1,97 @@
+package kernel
+
+import (
+	"context"
+	"time"
+)
+
+const (
+	// jobBacklog is how many jobs may wait for the control thread before Do blocks.
+	// Not measured.
+	jobBacklog = 1024
+	// pulseEvery is the time between two pulses of an idle control thread. Not
+	// measured; it has to be well below pauseBound.
+	pulseEvery = 100 * time.Millisecond
+	// pauseBound is the longest gap between pulses after which the process is still
+	// considered to have run all the time. Not measured.
+	pauseBound = time.Second
+)
+
+// Awake reports whether the process has run without a long pause up to now. A
+// process that was paused must not act on what it believed before.
+func (k *Kernel) Awake() bool {
+	return k.Now()-time.Duration(k.lastPulse.Load()) < pauseBound
+}
+
+// Wake waits until the control thread has noticed a pause of the process, so
+// that what is believed is judged anew before it is acted on.
+func (k *Kernel) Wake() {
+	if k.Awake() {
+		return
+	}
+	done := make(chan struct{})
+	k.Do(func(*State) { close(done) })
+	<-done
+}
+
+// control is the control thread.
+func (k *Kernel) control(ctx context.Context, s *State) {
+	defer k.reportPanic(s)
+	tick := time.NewTicker(pulseEvery)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case job := <-k.jobs:
+			k.pulse(s)
+			job(s)
+			k.publish(s)
+		case <-tick.C:
+			k.pulse(s)
+		}
+	}
+}
+
+// reportPanic logs what the control thread knew when it failed, and lets the
+// process end: without this line an operator has a stack trace and not the
+// state that led to it.
+func (k *Kernel) reportPanic(s *State) {
+	cause := recover()
+	if cause == nil {
+		return
+	}
+	k.Log.Error().Interface("Cause", cause).Bool("Document", s.Index != nil).Bool("Directory", s.Directory != nil).
+		Int("Members", len(s.Members)).Bool("Reading", s.Reading).Bool("Announcing", s.Announcing).
+		Bool("FeedDown", s.FeedDown).Dur("SourceAt", s.SourceAt).Dur("Age", k.Now()).Msg("control thread failed")
+	if k.flushLog != nil {
+		k.flushLog()
+	}
+	panic(cause)
+}
+
+// pulse notes that the process runs. After a pause Pauses rises, so that what was
+// heard of members before the pause is not relied on.
+func (k *Kernel) pulse(s *State) {
+	now := k.Now()
+	gap := now - time.Duration(k.lastPulse.Load())
+	if gap > pauseBound {
+		k.Log.Warn().Dur("Gap", gap).Msg("process was paused")
+		s.Pauses++
+		s.changed = true
+		k.publish(s)
+	}
+	k.lastPulse.Store(int64(now))
+}
+
+func (k *Kernel) publish(s *State) {
+	if !s.changed {
+		return
+	}
+	s.changed = false
+	v := s.view()
+	k.view.Store(v)
+	for _, f := range k.watchers {
+		f(v)
+	}
+}
--- a/tier/peers/announce.go
+++ b/tier/peers/announce.go
@@ -108,7 +108,7 @@
 	news := Announcement{
 		Host: a.kernel.Settings.Host, Peer: a.kernel.Settings.Peer, Hall: a.kernel.Settings.Hall,
 		Age: now - s.SourceAt, Lost: now-s.SourceAt > stale,
-		Revision: revision(s), Directory: s.Directory.Digest(), DirectoryRevision: s.Directory.Revision,
+		Revision: s.Revision(), Directory: s.Directory.Digest(), DirectoryRevision: s.Directory.Revision,
 	}
 	if news.Lost && s.Reading {
 		// The read under way may take longer still to fail.
@@ -156,8 +156,7 @@
 // recipients lists whom this host announces to: its hall, and if it is to read
 // the platform, the first host of each other hall.
 func (a *announcer) recipients(s *kernel.State) (hall, readers []string) {
-	stays := func(m *kernel.Member) bool { return m.Live && !m.Leaving }
-	hall, others := byHall(s.Members, a.kernel.Settings.Hall, stays)
+	hall, others := byHall(s.Members, a.kernel.Settings.Hall, (*kernel.Member).Staying)
 	if !s.Reading {
 		return hall, nil
 	}
@@ -196,9 +195,9 @@
 	now := g.kernel.Now()
 	isLost := n.Lost || n.Age > staleAfter(&g.kernel.Settings)
 	if n.Hall == g.kernel.Settings.Hall {
-		s.HallSources[n.Host] = s.HallSources[n.Host].Next(now, isLost)
+		s.HallAnnouncers[n.Host] = s.HallAnnouncers[n.Host].Next(now, isLost)
 	} else {
-		s.OtherSources[n.Host] = s.OtherSources[n.Host].Next(now, isLost)
+		s.OtherReaders[n.Host] = s.OtherReaders[n.Host].Next(now, isLost)
 		s.SourceAt = max(s.SourceAt, now-max(n.Age, 0))
 	}
 	s.PlatformHeard = max(s.PlatformHeard, now-max(n.Age, 0))
@@ -215,12 +214,11 @@
 		g.listing, g.listedAt = true, now
 		go g.fetchDirectory(n.Peer)
 	}
-	if n.Revision > revision(s) && !g.fetching {
+	if n.Revision > s.Revision() && !g.fetching {
 		g.fetching = true
 		go g.fetch(n.Peer)
 	}
-	if !s.Confirmed && n.Revision > 0 && n.Revision <= revision(s) {
-		s.Confirmed = true
-		s.Changed()
+	if n.Revision > 0 && n.Revision <= s.Revision() {
+		s.Confirm()
 	}
 }
--- a/tier/peers/announce_test.go
+++ b/tier/peers/announce_test.go
@@ -40,30 +40,30 @@
 func TestLeads(t *testing.T) {
 	names := ranked(6)
 	const now = time.Minute
-	fresh := kernel.SourceSign{At: now, Since: now - time.Second}
-	silent := kernel.SourceSign{At: now - announceLost, Since: 1}
-	inVain := kernel.SourceSign{At: now, Lost: true, Since: now - time.Second}
+	fresh := kernel.AnnouncerReport{At: now, Since: now - time.Second}
+	silent := kernel.AnnouncerReport{At: now - announceLost, Since: 1}
+	inVain := kernel.AnnouncerReport{At: now, Lost: true, Since: now - time.Second}
 	tests := []struct {
 		name string
 		// heard is by place in the ranking; the host itself has place 4.
-		heard map[int]kernel.SourceSign
+		heard map[int]kernel.AnnouncerReport
 		want  bool
 	}{
 		{"nobody is heard of", nil, true},
-		{"one before tells", map[int]kernel.SourceSign{0: fresh}, false},
-		{"one after tells", map[int]kernel.SourceSign{5: fresh}, true},
-		{"one before fell silent", map[int]kernel.SourceSign{0: silent}, true},
-		{"one before fell silent, another tells", map[int]kernel.SourceSign{0: silent, 1: fresh}, false},
-		{"one before reads in vain", map[int]kernel.SourceSign{0: inVain}, true},
-		{"three before read in vain", map[int]kernel.SourceSign{0: inVain, 1: inVain, 2: inVain}, false},
-		{"three before read in vain, one fell silent", map[int]kernel.SourceSign{0: inVain, 1: inVain, 2: silent}, true},
+		{"one before tells", map[int]kernel.AnnouncerReport{0: fresh}, false},
+		{"one after tells", map[int]kernel.AnnouncerReport{5: fresh}, true},
+		{"one before fell silent", map[int]kernel.AnnouncerReport{0: silent}, true},
+		{"one before fell silent, another tells", map[int]kernel.AnnouncerReport{0: silent, 1: fresh}, false},
+		{"one before reads in vain", map[int]kernel.AnnouncerReport{0: inVain}, true},
+		{"three before read in vain", map[int]kernel.AnnouncerReport{0: inVain, 1: inVain, 2: inVain}, false},
+		{"three before read in vain, one fell silent", map[int]kernel.AnnouncerReport{0: inVain, 1: inVain, 2: silent}, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				k := newsKernel(t, names[4])
 				time.Sleep(now)
-				heard := map[string]kernel.SourceSign{}
+				heard := map[string]kernel.AnnouncerReport{}
 				for place, h := range tt.heard {
 					heard[names[place]] = h
 				}
@@ -103,7 +103,7 @@
 	for _, o := range h.hosts {
 		mine := maps.Clone(members)
 		delete(mine, o.settings.Host)
-		o.state = &kernel.State{Members: mine, HallSources: map[string]kernel.SourceSign{}}
+		o.state = &kernel.State{Members: mine, ReadingState: kernel.ReadingState{HallAnnouncers: map[string]kernel.AnnouncerReport{}}}
 	}
 	return h
 }
@@ -112,7 +112,7 @@
 func (h *hall) hear(from string, sent, now time.Duration, lost bool) {
 	for _, o := range h.hosts {
 		if o.settings.Host != from {
-			o.state.HallSources[from] = o.state.HallSources[from].Next(max(now, sent+h.delay), lost)
+			o.state.HallAnnouncers[from] = o.state.HallAnnouncers[from].Next(max(now, sent+h.delay), lost)
 		}
 	}
 }
@@ -133,7 +133,7 @@
 		}
 		for i, o := range h.hosts {
 			r := newReaders(o.state, &o.settings)
-			tells := r.leads(now, o.state.HallSources, r.waitsFor(o.state))
+			tells := r.leads(now, o.state.HallAnnouncers, r.waitsFor(o.state))
 			// Each announces when it takes over, and then at its own times.
 			due := (now+time.Duration(i)*step)%announceEvery < step
 			if tells && (!o.tells || due) {
@@ -166,9 +166,9 @@
 					}
 					first := slices.MinFunc(names, newReaders(h.hosts[0].state, &h.hosts[0].settings).compare)
 					for _, o := range h.hosts {
-						o.state.HallSources[first] = kernel.SourceSign{At: now - time.Millisecond, Since: now - time.Millisecond, Lost: lost}
+						o.state.HallAnnouncers[first] = kernel.AnnouncerReport{At: now - time.Millisecond, Since: now - time.Millisecond, Lost: lost}
 						if !lost {
-							o.state.HallSources[first] = kernel.SourceSign{At: now - announceLost, Since: 1}
+							o.state.HallAnnouncers[first] = kernel.AnnouncerReport{At: now - announceLost, Since: 1}
 						}
 					}
 					tried := h.play(now, now+5*time.Second)
@@ -185,7 +185,7 @@
 func TestReaderTellsOneHostOfEachOtherHall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := newsKernel(t, "Self")
-		s := &kernel.State{Reading: true, Members: map[string]kernel.Member{}}
+		s := &kernel.State{ReadingState: kernel.ReadingState{Reading: true}, Members: map[string]kernel.Member{}}
 		for i, n := range ranked(9) {
 			hall := string(rune('A' + i%3))
 			s.Members[n] = kernel.Member{Host: n, Hall: hall, Live: true, Leaving: i == 1}
@@ -289,7 +289,10 @@
 		sent := &sentNews{last: map[string]Announcement{}}
 		k.Peers = sent
 		time.Sleep(time.Minute)
-		s := &kernel.State{Reading: true, Announcing: true, SourceAt: k.Now() - 100*time.Millisecond, Members: map[string]kernel.Member{}}
+		s := &kernel.State{
+			ReadingState: kernel.ReadingState{Reading: true, Announcing: true, SourceAt: k.Now() - 100*time.Millisecond},
+			Members:      map[string]kernel.Member{},
+		}
 		s.Directory, _ = s.Directory.With(&config.DirectoryChange{Revision: 1})
 		s.Members["Mate"] = kernel.Member{Host: "Mate", Hall: "A", Live: true}
 		s.Members["Other"] = kernel.Member{Host: "Other", Hall: "B", Live: true}
@@ -316,9 +319,14 @@
 		sent := &sentNews{last: map[string]Announcement{}}
 		k.Peers = sent
 		tl := &announcer{kernel: k}
-		s := &kernel.State{Reading: true, Announcing: true, Members: map[string]kernel.Member{"Mate": {Host: "Mate", Hall: "A", Live: true}}}
+		s := &kernel.State{
+			ReadingState: kernel.ReadingState{Reading: true, Announcing: true},
+			Members:      map[string]kernel.Member{"Mate": {Host: "Mate", Hall: "A", Live: true}},
+		}
 		s.List(&config.DirectoryChange{Revision: 1, Whole: true})
-		mate := &kernel.State{HallSources: map[string]kernel.SourceSign{}, OtherSources: map[string]kernel.SourceSign{}}
+		mate := &kernel.State{ReadingState: kernel.ReadingState{
+			HallAnnouncers: map[string]kernel.AnnouncerReport{}, OtherReaders: map[string]kernel.AnnouncerReport{},
+		}}
 		g := &gossip{kernel: k, listing: true, fetching: true}
 		told := func(c *config.DirectoryChange) *config.Directory {
 			time.Sleep(10 * time.Millisecond)
--- a/tier/peers/feed.go
+++ b/tier/peers/feed.go
@@ -219,9 +219,8 @@
 	f.kernel.Do(func(s *kernel.State) {
 		defer close(done)
 		f.install(s, p, now, away)
-		if confirmed && !s.Confirmed {
-			s.Confirmed = true
-			s.Changed()
+		if confirmed {
+			s.Confirm()
 		}
 	})
 	<-done
--- a/tier/peers/gossip.go
+++ b/tier/peers/gossip.go
@@ -181,7 +181,7 @@
 		g.table.Refresh(now)
 	}
 	g.rounds++
-	g.table.Tick(now, revision(s))
+	g.table.Tick(now, s.Revision())
 	g.update(s, now)
 	message := g.message(s, now)
 	for _, to := range g.targets(s) {
@@ -189,15 +189,8 @@
 	}
 }
 
-func revision(s *kernel.State) uint64 {
-	if s.Index == nil {
-		return 0
-	}
-	return s.Index.Revision
-}
-
 func (g *gossip) message(s *kernel.State, now time.Duration) Heartbeat {
-	b := Heartbeat{Members: g.table.HeartbeatEntries(now), Revision: revision(s), Hall: g.kernel.Settings.Hall, PlatformAge: now - s.PlatformHeard, Published: s.Published, Refused: s.Refused}
+	b := Heartbeat{Members: g.table.HeartbeatEntries(now), Revision: s.Revision(), Hall: g.kernel.Settings.Hall, PlatformAge: now - s.PlatformHeard, Published: s.Published, Refused: s.Refused}
 	if s.Directory != nil {
 		b.Directory, b.DirectoryRevision = s.Directory.Digest(), s.Directory.Revision
 	}
@@ -343,14 +336,13 @@
 		g.takeLeaving(s, now, b.Leaving)
 	}
 	s.NotePublished(b.Published, b.Refused)
-	mine := revision(s)
+	mine := s.Revision()
 	if b.Revision == mine && mine > 0 && b.Digest != s.Index.Digest {
 		metrics.GetOrCreateCounter("loomgap_config_conflicts_total").Inc()
 		g.kernel.Log.Error().Uint64("Revision", mine).Msg("a peer holds another document of the same revision: publish a new revision")
 	}
-	if mine > 0 && b.Revision <= mine && !s.Confirmed {
-		s.Confirmed = true
-		s.Changed()
+	if mine > 0 && b.Revision <= mine {
+		s.Confirm()
 	}
 	if s.FeedDown && from.IsValid() && !g.listing && b.Directory != s.Directory.Digest() {
 		g.listing = true
@@ -401,9 +393,9 @@
 	g.kernel.Do(func(s *kernel.State) {
 		g.fetching = false
 		if err == nil {
-			before := revision(s)
+			before := s.Revision()
 			g.kernel.Accept(s, text, d.Revision)
-			if revision(s) > before {
+			if s.Revision() > before {
 				g.sendHeartbeats(s)
 			}
 		}
--- a/tier/peers/start_test.go
+++ b/tier/peers/start_test.go
@@ -29,9 +29,11 @@
 // state makes the control state of a host that knows so much.
 func (n known) state() *kernel.State {
 	s := &kernel.State{
-		Members:     map[string]kernel.Member{},
-		HallSources: map[string]kernel.SourceSign{}, OtherSources: map[string]kernel.SourceSign{},
-		Announcing: n.announcing, Reading: n.reading, FeedDown: n.feedDown,
+		Members: map[string]kernel.Member{},
+		ReadingState: kernel.ReadingState{
+			HallAnnouncers: map[string]kernel.AnnouncerReport{}, OtherReaders: map[string]kernel.AnnouncerReport{},
+			Announcing: n.announcing, Reading: n.reading, FeedDown: n.feedDown,
+		},
 	}
 	if n.source {
 		s.SourceAt = time.Millisecond
--- a/tier/peers/turn.go
+++ b/tier/peers/turn.go
@@ -49,11 +49,11 @@
 		return false, false
 	}
 	r := newReaders(s, &k.Settings)
-	if !r.leads(now, s.HallSources, r.waitsFor(s)) {
+	if !r.leads(now, s.HallAnnouncers, r.waitsFor(s)) {
 		return false, false
 	}
 	spread := int(xxhash.Sum64String(k.Settings.Host) % spreadSteps)
-	return true, r.leads(now, s.OtherSources, spread)
+	return true, r.leads(now, s.OtherReaders, spread)
 }
 
 // firstTurn is the age from which on a host may read the platform beyond its first
@@ -106,8 +106,8 @@
 func (r *readers) waitsFor(s *kernel.State) int {
 	n := 0
 	for host, m := range s.Members {
-		_, heard := s.HallSources[host]
-		if m.Live && !m.Leaving && m.Hall == r.settings.Hall && !heard && r.isBefore(host) {
+		_, heard := s.HallAnnouncers[host]
+		if m.Staying() && m.Hall == r.settings.Hall && !heard && r.isBefore(host) {
 			n++
 		}
 	}
@@ -117,7 +117,7 @@
 // leads reports whether this host is first among those that announce, as far as
 // it heard of them: if none that ranks before it has told a moment ago that it hears
 // the platform, few try in vain, and those that rank between had their time.
-func (r *readers) leads(now time.Duration, heard map[string]kernel.SourceSign, waitsFor int) bool {
+func (r *readers) leads(now time.Duration, heard map[string]kernel.AnnouncerReport, waitsFor int) bool {
 	inVain := 0
 	vacant := time.Duration(0)
 	for n, h := range heard {
