--- /dev/null
+++ b/tier/peers/announcement.go
@@ -0,0 +1,221 @@
+package peers
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/netip"
+	"slices"
+	"time"
+
+	"loomgap/tier/config"
+	"loomgap/tier/kernel"
+)
+
+// methodAnnounce is the method by which a host that knows what is published announces
+// it: its parameters are an announcement, the reply is empty.
+const methodAnnounce = "Announce"
+
+const (
+	// announceEvery is the time between announcements if nothing changes. Not measured.
+	announceEvery = 400 * time.Millisecond
+	// announceBound is how long a call that announces may take. Not measured.
+	announceBound = time.Second
+)
+
+// errStaleSource is the reason of a platform that counts as lost without a failed read.
+var errStaleSource = errors.New("no answer for some time")
+
+// announcement says what is published: a host that announces sends it to its own hall,
+// and if it reads the platform to one host of each other hall, which passes it on.
+type announcement struct {
+	Host string
+	Peer netip.AddrPort
+	Hall string
+	// Age is how long ago it was read from the platform, Lost true if that is too
+	// long ago to rely on.
+	Age  time.Duration
+	Lost bool `json:",omitempty"`
+	// Revision is the document in force there, Directory the digest of the
+	// upstreams listed.
+	Revision  uint64
+	Directory uint64
+	// DirectoryRevision is the platform's revision up to which it is whole.
+	DirectoryRevision uint64
+	// Change is what changed since the announcement before.
+	Change *config.DirectoryChange `json:",omitempty"`
+}
+
+// announcer announces what this host read or was announced. Its fields are used on the
+// control thread only.
+type announcer struct {
+	kernel *kernel.Kernel
+	// directory and revision (of the document) are what was last announced, at sentAt.
+	directory *config.Directory
+	revision  uint64
+	sentAt    time.Duration
+	// viewDirectory and viewIndex are what the last view had.
+	viewDirectory *config.Directory
+	viewIndex     *config.Index
+}
+
+// onView announces what changed in a new view; it runs on the control thread.
+func (a *announcer) onView(v *kernel.View) {
+	if v.Directory == a.viewDirectory && v.Index == a.viewIndex {
+		return
+	}
+	a.viewDirectory, a.viewIndex = v.Directory, v.Index
+	// The control thread must not wait for a place among its own jobs.
+	go a.kernel.Do(a.announce)
+}
+
+// loop announces at regular times, until the context ends.
+func (a *announcer) loop(ctx context.Context) {
+	tick := time.NewTicker(announceEvery)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+			a.kernel.Do(a.announce)
+		}
+	}
+}
+
+// announce sends an announcement if something changed or it is time; it runs on
+// the control thread.
+func (a *announcer) announce(s *kernel.State) {
+	// A host that starts may hear of a reader before it has the directory: without
+	// one it must not announce.
+	if !s.Announcing || s.SourceAt == 0 || s.Directory == nil {
+		return
+	}
+	now := a.kernel.Now()
+	m := a.message(s, now)
+	if m.Lost && s.Reading {
+		// The read under way may take longer still to fail.
+		markFeedDown(a.kernel, s, errStaleSource)
+	}
+	if !a.isDue(&m, now) {
+		return
+	}
+	if m.Directory != a.directory.Digest() {
+		change := s.Directory.Since(a.directory)
+		m.Change = &change
+	}
+	a.directory, a.revision, a.sentAt = s.Directory, m.Revision, now
+	hall, otherHalls := a.recipients(s)
+	for _, host := range hall {
+		go a.send(host, m)
+	}
+	// Other halls rely on this host only for what it reads itself. One that the
+	// platform turns away, and that relies on what others read, would be taken for
+	// the reader again and again.
+	m.Age = now - s.ReadAt
+	m.Lost = s.ReadAt == 0 || m.Age > staleAfter(&a.kernel.Settings)
+	for _, host := range otherHalls {
+		go a.send(host, m)
+	}
+}
+
+// message is the announcement to the own hall, without what changed.
+func (a *announcer) message(s *kernel.State, now time.Duration) announcement {
+	age := now - s.SourceAt
+	return announcement{
+		Host: a.kernel.Settings.Host, Peer: a.kernel.Settings.Peer, Hall: a.kernel.Settings.Hall,
+		Age: age, Lost: age > staleAfter(&a.kernel.Settings),
+		Revision: s.Revision(), Directory: s.Directory.Digest(), DirectoryRevision: s.Directory.Revision,
+	}
+}
+
+// isDue reports whether an announcement is to be sent now: at once if something changed
+// and the platform is heard, else at regular times.
+func (a *announcer) isDue(m *announcement, now time.Duration) bool {
+	changed := m.Directory != a.directory.Digest() || m.Revision != a.revision
+	return changed && !m.Lost || now-a.sentAt >= announceEvery/2
+}
+
+// recipients decides who gets an announcement: the live hosts of this hall that stay,
+// and if this host reads the platform, the first such host of each other hall.
+func (a *announcer) recipients(s *kernel.State) (hall, otherHalls []string) {
+	hall, others := byHall(s.Members, a.kernel.Settings.Hall, (*kernel.Member).Staying)
+	if !s.Reading {
+		return hall, nil
+	}
+	r := newReaderRanking(s, &a.kernel.Settings)
+	for _, hosts := range others {
+		otherHalls = append(otherHalls, slices.MinFunc(hosts, r.compare))
+	}
+	return hall, otherHalls
+}
+
+func (a *announcer) send(host string, m announcement) {
+	ctx, cancel := context.WithTimeout(context.Background(), announceBound)
+	defer cancel()
+	var none struct{}
+	if err := a.kernel.Peers.Call(ctx, host, methodAnnounce, m, &none); err != nil {
+		a.kernel.Log.Debug().Err(err).Str("Peer", host).Msg("announcement not sent")
+	}
+}
+
+// announcementServer takes in the announcements of other hosts.
+type announcementServer struct {
+	kernel  *kernel.Kernel
+	fetches *fetches
+}
+
+// serveAnnouncements serves the method.
+func serveAnnouncements(k *kernel.Kernel, f *fetches) {
+	k.Handle(methodAnnounce, (&announcementServer{kernel: k, fetches: f}).onAnnouncement)
+}
+
+// onAnnouncement serves an announcement.
+func (a *announcementServer) onAnnouncement(_ context.Context, params json.RawMessage) (any, error) {
+	var m announcement
+	if err := json.Unmarshal(params, &m); err != nil {
+		return nil, fmt.Errorf("bad announcement: %w", err)
+	}
+	if !m.Peer.IsValid() {
+		return nil, fmt.Errorf("bad announcement: host %q tells no address", m.Host)
+	}
+	a.kernel.Do(func(s *kernel.State) { a.learn(s, &m) })
+	return struct{}{}, nil
+}
+
+// learn takes in an announcement. What is still missing then is fetched whole. It runs
+// on the control thread.
+func (a *announcementServer) learn(s *kernel.State, m *announcement) {
+	now := a.kernel.Now()
+	a.noteAnnouncer(s, m, now)
+	// A change is no directory: a host that has none yet would have a few upstreams
+	// at a high revision, and those that fetch its whole directory would take all
+	// others for removed.
+	if m.Change != nil && (s.Directory != nil || m.Change.Whole) {
+		s.List(m.Change)
+	}
+	// A change may be applied to a list with holes, so what is listed then is
+	// compared. The sender knows all up to its revision.
+	if m.Directory != s.Directory.Digest() && (s.Directory == nil || m.DirectoryRevision >= s.Directory.Revision) {
+		a.fetches.fetchAnnouncedDirectory(now, m.Peer)
+	}
+	if m.Revision > s.Revision() {
+		a.fetches.fetchDocument(m.Peer)
+	} else if m.Revision > 0 {
+		s.Confirm()
+	}
+}
+
+// noteAnnouncer notes who announces, and how old what it announces is.
+func (a *announcementServer) noteAnnouncer(s *kernel.State, m *announcement, now time.Duration) {
+	lost := m.Lost || m.Age > staleAfter(&a.kernel.Settings)
+	readAt := now - max(m.Age, 0)
+	if m.Hall == a.kernel.Settings.Hall {
+		s.HallAnnouncers[m.Host] = s.HallAnnouncers[m.Host].Next(now, lost)
+	} else {
+		s.OtherReaders[m.Host] = s.OtherReaders[m.Host].Next(now, lost)
+		s.SourceAt = max(s.SourceAt, readAt)
+	}
+	s.PlatformHeard = max(s.PlatformHeard, readAt)
+}
--- a/tier/peers/announce_test.go
+++ b/tier/peers/announcement_test.go
@@ -36,8 +36,13 @@
 	return k
 }
 
-// TestLeads has a host hear of others that rank before or after it.
-func TestLeads(t *testing.T) {
+// serverWithoutFetches takes in announcements of a host that fetches nothing.
+func serverWithoutFetches(k *kernel.Kernel) *announcementServer {
+	return &announcementServer{kernel: k, fetches: &fetches{kernel: k, document: true, directory: true}}
+}
+
+// TestIsFirst has a host hear of others that rank before or after it.
+func TestIsFirst(t *testing.T) {
 	names := ranked(6)
 	const now = time.Minute
 	fresh := kernel.AnnouncerReport{At: now, Since: now - time.Second}
@@ -67,8 +72,8 @@
 				for place, h := range tt.heard {
 					heard[names[place]] = h
 				}
-				r := newReaders(&kernel.State{}, &k.Settings)
-				assert.Equal(t, r.leads(k.Now(), heard, 0), tt.want)
+				r := newReaderRanking(&kernel.State{}, &k.Settings)
+				assert.Equal(t, r.isFirst(k.Now(), heard, 0), tt.want)
 			})
 		})
 	}
@@ -132,8 +137,8 @@
 			under = under[1:]
 		}
 		for i, o := range h.hosts {
-			r := newReaders(o.state, &o.settings)
-			tells := r.leads(now, o.state.HallAnnouncers, r.waitsFor(o.state))
+			r := newReaderRanking(o.state, &o.settings)
+			tells := r.isFirst(now, o.state.HallAnnouncers, r.hostsBefore(o.state))
 			// Each announces when it takes over, and then at its own times.
 			due := (now+time.Duration(i)*step)%announceEvery < step
 			if tells && (!o.tells || due) {
@@ -164,7 +169,7 @@
 					for _, o := range h.hosts {
 						names = append(names, o.settings.Host)
 					}
-					first := slices.MinFunc(names, newReaders(h.hosts[0].state, &h.hosts[0].settings).compare)
+					first := slices.MinFunc(names, newReaderRanking(h.hosts[0].state, &h.hosts[0].settings).compare)
 					for _, o := range h.hosts {
 						o.state.HallAnnouncers[first] = kernel.AnnouncerReport{At: now - time.Millisecond, Since: now - time.Millisecond, Lost: lost}
 						if !lost {
@@ -210,28 +215,28 @@
 		told := &toldPeers{}
 		k.Peers = told
 		tl := &announcer{kernel: k}
-		k.OnView(tl.follow)
-		g := &gossip{kernel: k, listing: true, fetching: true}
+		k.OnView(tl.onView)
+		server := serverWithoutFetches(k)
 		change := &config.DirectoryChange{Revision: 5, Listed: []config.Listing{{Name: "U1", Group: "G", Hall: "A", Slots: 1, Revision: 5}}}
 		time.Sleep(time.Second)
 		k.Do(func(s *kernel.State) {
 			s.Directory, _ = s.Directory.With(&config.DirectoryChange{Revision: 1})
 			s.Members["Mate"] = kernel.Member{Host: "Mate", Hall: "A", Live: true}
 			s.Announcing = true
-			g.takeAnnouncement(s, &Announcement{Host: names[0], Hall: "B", Age: 100 * time.Millisecond, Change: change, DirectoryRevision: 5})
+			server.learn(s, &announcement{Host: names[0], Hall: "B", Age: 100 * time.Millisecond, Change: change, DirectoryRevision: 5})
 		})
 		synctest.Wait()
 		assert.Assert(t, told.hosts["Mate"])
 		assert.DeepEqual(t, listedNames(k), []string{"U1"})
 		reads := make(chan bool, 1)
 		k.Do(func(s *kernel.State) {
-			tells, r := rolesOf(k, s)
+			tells, r := roleOf(k, s)
 			assert.Assert(t, tells)
 			reads <- r
 		})
 		assert.Assert(t, !<-reads)
 		time.Sleep(announceLost + takeoverStep*spreadSteps)
-		k.Do(func(s *kernel.State) { _, r := rolesOf(k, s); reads <- r })
+		k.Do(func(s *kernel.State) { _, r := roleOf(k, s); reads <- r })
 		assert.Assert(t, <-reads, "the reader is gone")
 	})
 }
@@ -247,17 +252,16 @@
 		return c
 	}
 	teller, _, at := newTestNode(t)
-	g := &gossip{kernel: teller}
-	teller.Handle(MethodDirectory, g.onDirectory)
+	serveFetches(teller, nil)
 	teller.Do(func(s *kernel.State) { s.List(listings("U1", "U2", "U3")) })
 	lacking, n, _ := newTestNode(t)
-	mine := &gossip{kernel: lacking, node: n}
+	server := &announcementServer{kernel: lacking, fetches: serveFetches(lacking, n)}
 	lacking.Do(func(s *kernel.State) {
 		first := listings("U1")
 		first.Revision = 1
 		s.List(first)
 		change := &config.DirectoryChange{Revision: 3, Listed: listings("U1", "U2", "U3").Listed[2:]}
-		mine.takeAnnouncement(s, &Announcement{Host: "T", Peer: at, Directory: teller.View().Directory.Digest(), DirectoryRevision: 3, Change: change})
+		server.learn(s, &announcement{Host: "T", Peer: at, Directory: teller.View().Directory.Digest(), DirectoryRevision: 3, Change: change})
 	})
 	for end := time.Now().Add(20 * time.Second); lacking.View().Directory.Size() < 3; time.Sleep(time.Millisecond) {
 		assert.Assert(t, time.Now().Before(end), "%v", listedNames(lacking))
@@ -268,14 +272,14 @@
 // sentNews keeps the last announcement to each host.
 type sentNews struct {
 	toldPeers
-	last map[string]Announcement
+	last map[string]announcement
 }
 
 // Call implements kernel.PeerCaller.
 func (p *sentNews) Call(_ context.Context, host, _ string, params, _ any) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.last[host] = params.(Announcement)
+	p.last[host] = params.(announcement)
 	return nil
 }
 
@@ -286,7 +290,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		k := newsKernel(t, "Self")
 		k.Settings.WatchWait = time.Second
-		sent := &sentNews{last: map[string]Announcement{}}
+		sent := &sentNews{last: map[string]announcement{}}
 		k.Peers = sent
 		time.Sleep(time.Minute)
 		s := &kernel.State{
@@ -316,7 +320,7 @@
 func TestEvacuationIsAnnounced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := newsKernel(t, "Self")
-		sent := &sentNews{last: map[string]Announcement{}}
+		sent := &sentNews{last: map[string]announcement{}}
 		k.Peers = sent
 		tl := &announcer{kernel: k}
 		s := &kernel.State{
@@ -327,7 +331,7 @@
 		mate := &kernel.State{ReadingState: kernel.ReadingState{
 			HallAnnouncers: map[string]kernel.AnnouncerReport{}, OtherReaders: map[string]kernel.AnnouncerReport{},
 		}}
-		g := &gossip{kernel: k, listing: true, fetching: true}
+		server := serverWithoutFetches(k)
 		told := func(c *config.DirectoryChange) *config.Directory {
 			time.Sleep(10 * time.Millisecond)
 			s.List(c)
@@ -337,7 +341,7 @@
 			sent.mu.Lock()
 			defer sent.mu.Unlock()
 			n := sent.last["Mate"]
-			g.takeAnnouncement(mate, &n)
+			server.learn(mate, &n)
 			return mate.Directory
 		}
 		told(&config.DirectoryChange{Revision: 1, Whole: true})
--- a/tier/peers/bench_test.go
+++ b/tier/peers/bench_test.go
@@ -20,18 +20,18 @@
 func BenchmarkBeat(b *testing.B) {
 	for _, n := range []int{2, 8, 24, 60, 117} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
-			t := NewTable(TableConfig{Host: "H0", Incarnation: "18ed705c791cc212192c", Beat: time.Second, Random: rand.New(rand.NewPCG(1, 0))})
+			t := newMemberTable(memberTableConfig{Host: "H0", Incarnation: "18ed705c791cc212192c", Interval: time.Second, Random: rand.New(rand.NewPCG(1, 0))})
 			for i := 1; i < n; i++ {
-				t.Merge(0, []Entry{{Host: fmt.Sprintf("H%d", i), Incarnation: "18ed705c791cc212192c", Counter: 12345, Revision: 600}})
+				t.merge(0, []memberEntry{{Host: fmt.Sprintf("H%d", i), Incarnation: "18ed705c791cc212192c", Counter: 12345, Revision: 600}})
 			}
 			size := 0
 			for b.Loop() {
-				text, err := json.Marshal(Heartbeat{Members: t.HeartbeatEntries(0), Revision: 600, Digest: "3b2943c1a576b1e4", Hall: "Quito1"})
+				text, err := json.Marshal(heartbeat{Members: t.entries(0), Revision: 600, Digest: "3b2943c1a576b1e4", Hall: "Quito1"})
 				assert.NilError(b, err)
 				size = len(text)
-				var in Heartbeat
+				var in heartbeat
 				assert.NilError(b, json.Unmarshal(text, &in))
-				t.Merge(0, in.Members)
+				t.merge(0, in.Members)
 			}
 			b.ReportMetric(float64(size), "bytes")
 		})
@@ -46,7 +46,7 @@
 		hosts[i] = fmt.Sprintf("H%d", i)
 	}
 	for b.Loop() {
-		Divide("U1", 4, hosts, "H7")
+		divide("U1", 4, hosts, "H7")
 	}
 }
 
--- a/tier/peers/codec.go
+++ b/tier/peers/codec.go
@@ -22,6 +22,8 @@
 
 var _ jsonrpc2.ObjectCodec = frameCodec{}
 
+// lengthBytes is the size of the length before each frame. Frames are bounded by
+// wire.MaxReply, which it holds.
 const lengthBytes = 4
 
 // dictionary is text that messages have in common. Both ends need the same
--- a/tier/peers/count.go
+++ b/tier/peers/conn.go
@@ -14,22 +14,22 @@
 	bytesOut = metrics.GetOrCreateCounter("loomgap_peer_bytes_out")
 )
 
-// writeBound is how long a peer may leave what is written unread. It prevents a
-// peer that stands still from holding up all callers of its connection: each
-// write waits for the one before.
+// writeBound is how long a peer may leave what is written unread. Without it an
+// unresponsive peer would hold up all callers of its connection, since each write waits
+// for the one before. Not measured.
 const writeBound = 2 * time.Second
 
-// peerConn is a connection to a peer. It counts bytes and notes for how long
-// the peer has owed an answer.
+// peerConn is a connection to a peer. It counts bytes and notes for how long the peer
+// has not answered. It is safe for concurrent use.
 type peerConn struct {
 	net.Conn
 	now func() time.Duration
 
 	mu sync.Mutex
-	// owedSince is when the first call was sent since bytes last came; only with
-	// owed.
-	owedSince time.Duration
-	owed      bool
+	// awaiting is true if a call was sent since bytes last came; awaitingSince is when
+	// the first of these calls was sent. Both are used with mu held.
+	awaiting      bool
+	awaitingSince time.Duration
 }
 
 // Read implements net.Conn.
@@ -38,7 +38,7 @@
 	bytesIn.Add(n)
 	if n > 0 {
 		c.mu.Lock()
-		c.owed = false
+		c.awaiting = false
 		c.mu.Unlock()
 	}
 	return n, err
@@ -54,22 +54,22 @@
 	return n, err
 }
 
-// asked notes that a call is sent, which the peer answers.
-func (c *peerConn) asked() {
+// callSent notes that a call is sent, which the peer answers.
+func (c *peerConn) callSent() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.owed {
-		c.owed, c.owedSince = true, c.now()
+	if !c.awaiting {
+		c.awaiting, c.awaitingSince = true, c.now()
 	}
 }
 
 // silentFor returns for how long nothing has come since the first unanswered
-// call; 0 if no answer is owed.
+// call; 0 if no call is unanswered.
 func (c *peerConn) silentFor() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.owed {
+	if !c.awaiting {
 		return 0
 	}
-	return c.now() - c.owedSince
+	return c.now() - c.awaitingSince
 }
--- a/tier/peers/feed.go
+++ b/tier/peers/feed.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"math/rand/v2"
 	"time"
 
 	"github.com/VictoriaMetrics/metrics"
@@ -12,27 +11,13 @@
 	"loomgap/tier/kernel"
 )
 
-// Times of the reader of an adapter's source.
 const (
-	// changePause is the pause after a change, so that a burst of changes costs
-	// one read.
+	// changePause is the pause after a change, so that a burst of changes costs one
+	// read. Not measured.
 	changePause = 300 * time.Millisecond
-	// feedRetry and feedRetryMost bound the pause after a read that failed. A
-	// source that is back must be read well within the seconds in which a
-	// document has to be in force.
-	feedRetry     = 100 * time.Millisecond
-	feedRetryMost = time.Second
-	// feedTurn is how often a host that does not read looks whether it is to.
-	feedTurn = 200 * time.Millisecond
-	// awayAfter is how long reads must fail until the platform counts as away.
-	awayAfter = 500 * time.Millisecond
-	// lapseHold is how long an upstream stays listed that was not there any
-	// more when the platform came back: its entry may have lapsed meanwhile,
-	// and it lists itself again within about two seconds.
-	lapseHold = 2500 * time.Millisecond
-	// lapseLate is how long after its return the platform may still remove what
-	// lapsed while it was away.
-	lapseLate = time.Second
+	// rolePause is how often a host that does not read checks whether it is to. Not
+	// measured.
+	rolePause = 200 * time.Millisecond
 )
 
 // feedPlugin reads what an adapter's platform publishes.
@@ -46,7 +31,7 @@
 func (feedPlugin) Name() string { return "Feed" }
 
 // Default implements kernel.Plugin.
-func (feedPlugin) Default(s *kernel.Settings) { watch{}.Default(s) }
+func (feedPlugin) Default(s *kernel.Settings) { watchPlugin{}.Default(s) }
 
 // Skip implements kernel.Plugin.
 func (feedPlugin) Skip(s *kernel.Settings) bool { return s.Adapter == "" || !s.Platform.IsValid() }
@@ -61,8 +46,8 @@
 	ctx, cancel := context.WithCancel(ctx)
 	f := &feed{kernel: k, source: source, announcer: &announcer{kernel: k}}
 	k.Do(func(s *kernel.State) { s.FeedDown = true })
-	// What is heard from another hall's reader is told on at once.
-	k.OnView(f.announcer.follow)
+	// What is heard from another hall's reader is announced at once.
+	k.OnView(f.announcer.onView)
 	done := make(chan struct{}, 2)
 	go func() { f.loop(ctx); done <- struct{}{} }()
 	go func() { f.announcer.loop(ctx); done <- struct{}{} }()
@@ -74,36 +59,26 @@
 	}, nil
 }
 
-// feed reads a source and tells the control thread. Its fields are used by one
-// goroutine.
+// feed reads a source while it is this host's turn (reader.go) and hands what it read
+// to the control thread. Its fields are used by one goroutine.
 type feed struct {
-	kernel *kernel.Kernel
-	source kernel.Source
-	// announcer announces what was read; nil to announce nothing.
+	kernel    *kernel.Kernel
+	source    kernel.Source
 	announcer *announcer
 	// revision is up to where everything was read; 0 for nothing yet.
 	revision uint64
 	// exact is true if the next whole read must not be an old one.
 	exact bool
-	// watched is true once a watch has told that nothing newer was missed.
+	// watched is true once a watch has shown that nothing newer was missed.
 	watched bool
-	// failingSince is when the first of the reads in a row failed; 0 if the
-	// last one did not.
-	failingSince time.Duration
-	// heardAt is when the last read went well.
-	heardAt time.Duration
-	pause   time.Duration
-	// lapsed are removals that are held back until lapsedDue, and removals are
-	// held back until holdUntil.
-	lapsed    []config.Removal
-	lapsedDue time.Duration
-	holdUntil time.Duration
+	outage  outage
+	lapse   lapse
 }
 
 func (f *feed) loop(ctx context.Context) {
 	for ctx.Err() == nil {
-		if !f.turn() {
-			sleep(ctx, feedTurn)
+		if !f.isReader() {
+			sleep(ctx, rolePause)
 			continue
 		}
 		metrics.GetOrCreateCounter("loomgap_platform_reads_total").Inc()
@@ -126,29 +101,18 @@
 	}
 }
 
-// turn reports whether it is this host's turn to read. A host that has read before
-// goes on from where it was.
-func (f *feed) turn() bool {
-	turn := make(chan bool, 1)
+// isReader reports whether this host reads the platform now. A host that has read
+// before goes on from where it was.
+func (f *feed) isReader() bool {
+	reading := make(chan bool, 1)
 	f.kernel.Do(func(s *kernel.State) {
-		tells, reads := rolesOf(f.kernel, s)
-		if tells != s.Announcing || reads != s.Reading {
-			s.Announcing, s.Reading = tells, reads
-			s.Changed()
-			f.kernel.Log.Info().Bool("Tells", tells).Bool("Reads", reads).
-				Int64("PlatformAgeMillis", (f.kernel.Now() - s.PlatformHeard).Milliseconds()).Msg("turn to read the platform")
-			if f.announcer != nil {
-				// Those that rank behind must not take over too.
-				f.announcer.announce(s)
-			}
+		if updateRole(f.kernel, s) {
+			// Those that rank behind must not take over too.
+			f.announcer.announce(s)
 		}
-		if !reads {
-			// Others read for this host.
-			s.FeedDown = false
-		}
-		turn <- reads
+		reading <- s.Reading
 	})
-	return <-turn
+	return <-reading
 }
 
 // next reads everything, or waits for what changes.
@@ -156,20 +120,13 @@
 	if f.revision == 0 {
 		return f.source.Read(ctx, f.exact)
 	}
-	wait := f.kernel.Settings.WatchWait
-	switch {
-	case !f.watched:
+	if !f.watched {
 		// The first read may have been an old one.
-		wait = 0
-	case len(f.lapsed) > 0:
-		wait = min(wait, max(f.lapsedDue-f.kernel.Now(), 0))
+		return f.source.Watch(ctx, f.revision, 0)
 	}
-	return f.source.Watch(ctx, f.revision, wait)
+	return f.source.Watch(ctx, f.revision, f.lapse.wait(f.kernel.Now(), f.kernel.Settings.WatchWait))
 }
 
-// stale is how long after its last read the host does not hear the platform.
-func (f *feed) stale() time.Duration { return staleAfter(&f.kernel.Settings) }
-
 // failed notes a read that failed and waits before the next.
 func (f *feed) failed(ctx context.Context, err error) {
 	if errors.Is(err, kernel.ErrHistoryGone) {
@@ -178,19 +135,16 @@
 		return
 	}
 	now := f.kernel.Now()
-	if f.failingSince == 0 {
-		f.failingSince = now
+	f.outage.failed(now)
+	if f.outage.isAway(now, staleAfter(&f.kernel.Settings)) {
+		f.kernel.Do(func(s *kernel.State) { markFeedDown(f.kernel, s, err) })
 	}
-	if now-f.failingSince >= awayAfter || now-f.heardAt > f.stale() {
-		f.kernel.Do(func(s *kernel.State) { lost(f.kernel, s, err) })
-	}
-	f.pause = min(max(2*f.pause, feedRetry), feedRetryMost)
-	sleep(ctx, f.pause/2+rand.N(f.pause/2+1))
+	sleep(ctx, f.outage.nextPause())
 }
 
-// lost notes that this host has to learn from peers; it runs on the control
-// thread.
-func lost(k *kernel.Kernel, s *kernel.State, err error) {
+// markFeedDown notes that this host has to learn from peers what is published; it runs
+// on the control thread.
+func markFeedDown(k *kernel.Kernel, s *kernel.State, err error) {
 	if s.FeedDown {
 		return
 	}
@@ -198,38 +152,40 @@
 	k.Log.Warn().Err(err).Int64("PlatformAgeMillis", (k.Now() - s.PlatformHeard).Milliseconds()).Msg("platform lost")
 }
 
-// take tells the control thread what was read.
+// take hands what was read to the control thread and waits until it is in force.
 func (f *feed) take(p *kernel.Published) {
 	now := f.kernel.Now()
 	for _, err := range p.Problems {
 		f.kernel.Log.Error().Err(err).Msg("entry of the platform not understood, left out")
 		metrics.GetOrCreateCounter("loomgap_platform_entries_refused_total").Inc()
 	}
-	away := f.failingSince > 0 && (now-f.failingSince >= awayAfter || now-f.heardAt > f.stale())
-	f.heardAt = now
-	f.failingSince, f.pause, f.exact = 0, 0, false
+	away := f.outage.isAway(now, staleAfter(&f.kernel.Settings))
+	f.outage.succeeded(now)
+	f.exact = false
 	if p.Directory.Whole {
-		// It may be an old one; the watch that follows tells.
+		// It may be an old one; the watch that follows shows.
 		f.revision = 0
 	}
-	confirmed := f.revision > 0
-	f.watched = confirmed
+	f.watched = f.revision > 0
 	f.revision = max(f.revision, p.Revision)
 	done := make(chan struct{})
 	f.kernel.Do(func(s *kernel.State) {
 		defer close(done)
 		f.install(s, p, now, away)
-		if confirmed {
+		if f.watched {
 			s.Confirm()
 		}
 	})
 	<-done
 }
 
-// install runs on the control thread while the feed waits.
+// install puts what was read in force; it runs on the control thread while the feed
+// waits.
 func (f *feed) install(s *kernel.State, p *kernel.Published, now time.Duration, away bool) {
 	// If others heard the platform all the while, nothing lapsed.
-	away = away && now-s.PlatformHeard > f.stale()
+	if away && now-s.PlatformHeard > staleAfter(&f.kernel.Settings) {
+		f.lapse.platformReturned(now)
+	}
 	s.PlatformHeard, s.SourceAt, s.ReadAt = now, now, now
 	if s.FeedDown {
 		s.FeedDown = false
@@ -238,40 +194,23 @@
 	if p.Document != nil {
 		f.kernel.AcceptDocument(s, p.Document, p.DocumentRevision)
 	}
+	f.applyDirectory(s, p, now)
+	f.announcer.announce(s)
+}
+
+// applyDirectory applies what was read of the directory, and removals held back before.
+func (f *feed) applyDirectory(s *kernel.State, p *kernel.Published, now time.Duration) {
 	change := p.Directory
 	s.Index.DropUnboundWarmups(change.Listed)
-	if away {
-		f.holdUntil = now + lapseLate
-	}
-	if now < f.holdUntil {
-		f.hold(s, &change, now)
-	}
+	f.lapse.hold(now, s.Directory, &change)
 	before := s.Directory.Digest()
 	s.List(&change)
-	if len(f.lapsed) > 0 && now >= f.lapsedDue {
-		s.List(&config.DirectoryChange{Removed: f.lapsed})
-		f.lapsed = nil
+	if due := f.lapse.release(now); len(due) > 0 {
+		s.List(&config.DirectoryChange{Removed: due})
 	}
 	if s.Directory.Digest() != before {
 		f.kernel.Log.Info().Uint64("DirectoryRevision", p.Revision).Int("Listed", len(change.Listed)).
 			Int("Removed", len(change.Removed)).Int("Upstreams", s.Directory.Size()).
 			Strs("Evacuated", s.Directory.EvacuatedHalls()).Msg("directory changed")
 	}
-	if f.announcer != nil {
-		f.announcer.announce(s)
-	}
-}
-
-// hold keeps removals back that the platform's absence may have caused.
-func (f *feed) hold(s *kernel.State, c *config.DirectoryChange, now time.Duration) {
-	f.lapsed = append(f.lapsed, c.Removed...)
-	if c.Whole {
-		f.lapsed = append(f.lapsed, s.Directory.Lacking(c)...)
-		// What an operator has written does not lapse.
-		c.Resumed = append(c.Resumed, s.Directory.LackingEvacuations(c)...)
-	}
-	if len(f.lapsed) > 0 && f.lapsedDue <= now {
-		f.lapsedDue = now + lapseHold
-	}
-	c.Removed, c.Whole = nil, false
 }
--- a/tier/peers/feed_test.go
+++ b/tier/peers/feed_test.go
@@ -166,7 +166,7 @@
 		p := newPublished()
 		p.list("U1", "U2")
 		ctx, cancel := context.WithCancel(t.Context())
-		f := &feed{kernel: k, source: p}
+		f := &feed{kernel: k, source: p, announcer: &announcer{kernel: k}}
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
@@ -226,7 +226,7 @@
 		settle(5 * time.Second)
 		assert.DeepEqual(t, listedNames(k), []string{"U1", "U2"})
 		p.set(func() { p.away = false })
-		settle(time.Second + feedRetryMost)
+		settle(time.Second + retryMost)
 		assert.DeepEqual(t, listedNames(k), []string{"U1", "U2"})
 		p.list("U2")
 		settle(lapseHold + time.Second)
@@ -245,7 +245,7 @@
 		}
 		p.remove("U1")
 		p.set(func() { p.away = false })
-		settle(time.Second + feedRetryMost/2)
+		settle(time.Second + retryMost/2)
 		assert.DeepEqual(t, listedNames(k), []string{"U2"})
 	})
 }
@@ -257,7 +257,7 @@
 		p.set(func() { p.away = true })
 		settle(5 * time.Second)
 		p.set(func() { p.away = false })
-		settle(feedRetryMost + 100*time.Millisecond)
+		settle(retryMost + 100*time.Millisecond)
 		p.remove("U1", "U2")
 		settle(time.Second)
 		assert.DeepEqual(t, listedNames(k), []string{"U1", "U2"})
@@ -335,7 +335,7 @@
 func (p *toldPeers) Call(_ context.Context, host, _ string, params, _ any) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if news, ok := params.(Announcement); ok && news.Lost {
+	if news, ok := params.(announcement); ok && news.Lost {
 		return nil
 	}
 	p.calls++
--- /dev/null
+++ b/tier/peers/fetch.go
@@ -0,0 +1,197 @@
+package peers
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/netip"
+	"sync"
+	"time"
+
+	"loomgap/tier/config"
+	"loomgap/tier/kernel"
+	"loomgap/tier/wire"
+)
+
+// Methods by which a host gets from another what it lacks. They have no parameters and
+// are answered by a wire.PackedDocument: the document in force, or the directory as a
+// config.DirectoryChange.
+const (
+	methodDocument  = "Document"
+	methodDirectory = "Directory"
+)
+
+const (
+	// maxDirectory is the most bytes of text that a directory of a peer may have. Not
+	// measured.
+	maxDirectory = 8 << 20
+	// directoryAgain is how long a host waits, after it asked for the directory on an
+	// announcement, until it does so again. Not measured.
+	directoryAgain = 500 * time.Millisecond
+	// firstFetchBound is how long the first try of a fetch may take. A change must be
+	// in force within seconds, also at a host whose connections have all gone silent.
+	// Not measured.
+	firstFetchBound = 500 * time.Millisecond
+)
+
+// errEmptyDirectory is the answer of a peer that has no directory itself.
+var errEmptyDirectory = errors.New("peer has no directory")
+
+// fetches gets documents and directories from other hosts, one of each at a time, and
+// serves them to others.
+type fetches struct {
+	kernel *kernel.Kernel
+	node   *node
+	// document and directory are true while one is being fetched; directoryAt is when
+	// a directory was last fetched on an announcement, 0 for never. They are used on
+	// the control thread.
+	document, directory bool
+	directoryAt         time.Duration
+	// newer is called on the control thread once a fetched document is in force.
+	newer func(*kernel.State)
+
+	packing sync.Mutex
+	// packed is the document last given to a peer; used with packing held.
+	packed wire.PackedDocument
+}
+
+// serveFetches serves the methods and returns the fetches of this host.
+func serveFetches(k *kernel.Kernel, n *node) *fetches {
+	f := &fetches{kernel: k, node: n, newer: func(*kernel.State) {}}
+	k.Handle(methodDocument, f.onDocument)
+	k.Handle(methodDirectory, f.onDirectory)
+	return f
+}
+
+// fetchDocument gets the document in force at a peer, unless one is being fetched. It
+// runs on the control thread and does not wait.
+func (f *fetches) fetchDocument(from netip.AddrPort) {
+	if f.document {
+		return
+	}
+	f.document = true
+	go func() {
+		text, revision, err := f.readDocument(from)
+		if err != nil {
+			f.kernel.Log.Warn().Err(err).Msg("document not fetched")
+		}
+		f.kernel.Do(func(s *kernel.State) {
+			f.document = false
+			if err != nil {
+				return
+			}
+			before := s.Revision()
+			f.kernel.Accept(s, text, revision)
+			if s.Revision() > before {
+				f.newer(s)
+			}
+		})
+	}()
+}
+
+func (f *fetches) readDocument(from netip.AddrPort) (text string, revision uint64, err error) {
+	var d wire.PackedDocument
+	if err := f.node.fetch(from, methodDocument, &d); err != nil {
+		return "", 0, err
+	}
+	text, err = d.Unpack(config.MaxBytes)
+	return text, d.Revision, err
+}
+
+// onDocument serves the document in force.
+func (f *fetches) onDocument(context.Context, json.RawMessage) (any, error) {
+	x := f.kernel.View().Index
+	if x == nil {
+		return wire.PackedDocument{}, nil
+	}
+	f.packing.Lock()
+	defer f.packing.Unlock()
+	if f.packed.Revision != x.Revision {
+		p, err := wire.Pack(x.Revision, x.Text)
+		if err != nil {
+			return nil, err
+		}
+		f.packed = p
+	}
+	return f.packed, nil
+}
+
+// fetchDirectory gets the directory of a peer, unless one is being fetched. It runs on
+// the control thread and does not wait.
+func (f *fetches) fetchDirectory(from netip.AddrPort) {
+	if f.directory {
+		return
+	}
+	f.directory = true
+	go func() {
+		change, err := f.readDirectory(from)
+		if err != nil {
+			f.kernel.Log.Info().Err(err).Stringer("Peer", from).Msg("directory not fetched")
+		}
+		f.kernel.Do(func(s *kernel.State) {
+			f.directory = false
+			// A host that reads the platform itself knows better.
+			if err == nil && (s.FeedDown || !s.Reading) {
+				s.List(change)
+				f.kernel.Log.Info().Stringer("Peer", from).Uint64("DirectoryRevision", change.Revision).
+					Int("Upstreams", s.Directory.Size()).Msg("directory learnt from a peer")
+			}
+		})
+	}()
+}
+
+// fetchAnnouncedDirectory is fetchDirectory, but not again within directoryAgain.
+func (f *fetches) fetchAnnouncedDirectory(now time.Duration, from netip.AddrPort) {
+	if f.directory || f.directoryAt > 0 && now-f.directoryAt < directoryAgain {
+		return
+	}
+	f.directoryAt = now
+	f.fetchDirectory(from)
+}
+
+func (f *fetches) readDirectory(from netip.AddrPort) (*config.DirectoryChange, error) {
+	var packed wire.PackedDocument
+	if err := f.node.fetch(from, methodDirectory, &packed); err != nil {
+		return nil, err
+	}
+	text, err := packed.Unpack(maxDirectory)
+	if err != nil {
+		return nil, err
+	}
+	var change config.DirectoryChange
+	if err := json.Unmarshal([]byte(text), &change); err != nil {
+		return nil, fmt.Errorf("decode directory: %w", err)
+	}
+	if change.Revision == 0 {
+		return nil, errEmptyDirectory
+	}
+	return &change, nil
+}
+
+// onDirectory serves the directory.
+func (f *fetches) onDirectory(context.Context, json.RawMessage) (any, error) {
+	reply := make(chan config.DirectoryChange, 1)
+	f.kernel.Do(func(s *kernel.State) { reply <- s.Directory.Whole() })
+	text, err := json.Marshal(<-reply)
+	if err != nil {
+		return nil, fmt.Errorf("encode directory: %w", err)
+	}
+	return wire.Pack(0, text)
+}
+
+// fetch calls a method without parameters. If the first try gets no answer, its
+// connection may have gone silent: the second is then made on another.
+func (n *node) fetch(from netip.AddrPort, method string, result any) error {
+	err := n.callWithin(firstFetchBound, from, method, result)
+	if errors.Is(err, context.DeadlineExceeded) {
+		err = n.callWithin(callBound, from, method, result)
+	}
+	return err
+}
+
+func (n *node) callWithin(bound time.Duration, to netip.AddrPort, method string, result any) error {
+	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	defer cancel()
+	return n.callAddress(ctx, to, method, struct{}{}, result)
+}
--- /dev/null
+++ b/tier/peers/lapse.go
@@ -0,0 +1,67 @@
+package peers
+
+import (
+	"time"
+
+	"loomgap/tier/config"
+)
+
+const (
+	// lapseHold is how long an upstream stays listed that was gone when the platform
+	// came back: its entry may have lapsed meanwhile, and it lists itself again within
+	// about two seconds. Not measured alone.
+	lapseHold = 2500 * time.Millisecond
+	// lapseLate is how long after its return the platform may still remove what lapsed
+	// while it was away. Not measured.
+	lapseLate = time.Second
+)
+
+// lapse holds removals of upstreams back that the platform's own absence may have
+// caused. All times are since the process started.
+type lapse struct {
+	// until is when removals that come are no longer held back.
+	until time.Duration
+	// held are the removals held back, to be applied at due.
+	held []config.Removal
+	due  time.Duration
+}
+
+// platformReturned notes that the platform is back after an absence.
+func (l *lapse) platformReturned(now time.Duration) { l.until = now + lapseLate }
+
+// hold takes the removals out of a change of a directory and keeps them, if the
+// platform was away a moment ago. What an operator has written does not lapse, so an
+// evacuation that a whole directory lacks has ended.
+func (l *lapse) hold(now time.Duration, d *config.Directory, c *config.DirectoryChange) {
+	if now >= l.until {
+		return
+	}
+	l.held = append(l.held, c.Removed...)
+	if c.Whole {
+		l.held = append(l.held, d.Lacking(c)...)
+		c.Resumed = append(c.Resumed, d.LackingEvacuations(c)...)
+	}
+	if len(l.held) > 0 && l.due <= now {
+		l.due = now + lapseHold
+	}
+	c.Removed, c.Whole = nil, false
+}
+
+// release returns the removals that are due and holds them no longer.
+func (l *lapse) release(now time.Duration) []config.Removal {
+	if now < l.due {
+		return nil
+	}
+	due := l.held
+	l.held = nil
+	return due
+}
+
+// wait shortens the time that a read may take so that held removals are released in
+// time.
+func (l *lapse) wait(now, most time.Duration) time.Duration {
+	if len(l.held) == 0 {
+		return most
+	}
+	return min(most, max(l.due-now, 0))
+}
--- /dev/null
+++ b/tier/peers/members.go
@@ -0,0 +1,183 @@
+package peers
+
+import (
+	"cmp"
+	"net/netip"
+	"slices"
+	"time"
+
+	"loomgap/tier/policy"
+)
+
+const (
+	// heartbeatEntries is the most members that one heartbeat lists, so that its size
+	// does not grow with the fleet: 2,078 bytes at 24 members and 2,087 at 117 hosts,
+	// before compression (BenchmarkBeat).
+	heartbeatEntries = 24
+	// silentHeartbeats is after how many intervals between heartbeats without a newer
+	// entry a member is silent; as many again for each heartbeatEntries of members,
+	// since news of one member is rarer in a large hall. With it no live host of 117
+	// is taken for silent within 60 intervals (TestGossipReachesAHall).
+	silentHeartbeats = 6
+	// forgetHeartbeats is after how many intervals without a newer entry a member is
+	// forgotten. Not measured.
+	forgetHeartbeats = 120
+)
+
+// memberEntry is what heartbeats report of one entry host.
+type memberEntry struct {
+	Host string
+	// Incarnation names the process; a later one of the host has a larger one.
+	Incarnation string
+	// Counter rises with each heartbeat of the process.
+	Counter uint64
+	// Leaving is true once the process said that it stops; it stays true.
+	Leaving bool `json:",omitempty"`
+	// Revision is the configuration in force there.
+	Revision uint64
+	// Hall and Peer are where the host is, if no document says it.
+	Hall string         `json:",omitempty"`
+	Peer netip.AddrPort `json:",omitzero"`
+	// Capacity is as of policy.Capacity; 0 if the host did not report it.
+	Capacity int `json:",omitempty"`
+}
+
+// newerThan orders what is reported of one host.
+func (e *memberEntry) newerThan(o *memberEntry) bool {
+	return cmp.Or(cmp.Compare(e.Incarnation, o.Incarnation), cmp.Compare(e.Counter, o.Counter)) > 0
+}
+
+// memberRecord is the newest entry of a member.
+type memberRecord struct {
+	memberEntry
+	// risenAt is when a newer entry last came, as time since the process started.
+	risenAt time.Duration
+}
+
+// memberTable is what one host knows of the others, by their heartbeats: a member is
+// live, silent or forgotten by the age of its newest entry. It is pure: the time is
+// handed in. It is not safe for concurrent use.
+type memberTable struct {
+	// self is the entry of this host; records has those of all others.
+	self     memberEntry
+	interval time.Duration
+	random   policy.Random
+	records  map[string]*memberRecord
+}
+
+// memberTableConfig configures a table.
+type memberTableConfig struct {
+	Host, Incarnation string
+	// Hall, Peer and Capacity are reported to others where no document says them.
+	Hall     string
+	Peer     netip.AddrPort
+	Capacity int
+	// Interval is the time between heartbeats; above 0.
+	Interval time.Duration
+	Random   policy.Random
+}
+
+// newMemberTable makes a table that knows only its own host.
+func newMemberTable(c memberTableConfig) *memberTable {
+	return &memberTable{
+		self:     memberEntry{Host: c.Host, Incarnation: c.Incarnation, Hall: c.Hall, Peer: c.Peer, Capacity: c.Capacity},
+		interval: c.Interval,
+		random:   c.Random,
+		records:  map[string]*memberRecord{},
+	}
+}
+
+// tick counts a heartbeat of this host and forgets members.
+func (t *memberTable) tick(now time.Duration, revision uint64) {
+	t.self.Counter++
+	t.self.Revision = revision
+	for h, r := range t.records {
+		if now-r.risenAt > forgetHeartbeats*t.interval {
+			delete(t.records, h)
+		}
+	}
+}
+
+// leave marks this host as leaving.
+func (t *memberTable) leave() {
+	t.self.Leaving = true
+	t.self.Counter++
+}
+
+// merge takes in what another host reported.
+func (t *memberTable) merge(now time.Duration, entries []memberEntry) {
+	for i := range entries {
+		if entries[i].Host != t.self.Host {
+			t.mergeEntry(now, entries[i])
+		}
+	}
+}
+
+func (t *memberTable) mergeEntry(now time.Duration, e memberEntry) {
+	r := t.records[e.Host]
+	if r == nil {
+		t.records[e.Host] = &memberRecord{memberEntry: e, risenAt: now}
+		return
+	}
+	if !e.newerThan(&r.memberEntry) {
+		return
+	}
+	e.Leaving = e.Leaving || r.Leaving && e.Incarnation == r.Incarnation
+	r.memberEntry = e
+	r.risenAt = now
+}
+
+// live decides whether a member counts as live: its newest entry came no longer ago
+// than silentHeartbeats intervals, in a large fleet more.
+func (t *memberTable) live(now time.Duration, r *memberRecord) bool {
+	silentAfter := silentHeartbeats * t.interval * time.Duration(1+len(t.records)/heartbeatEntries)
+	return now-r.risenAt <= silentAfter
+}
+
+// restartSilence counts the silence of all members from now on: after a pause of this
+// process their silence shows nothing.
+func (t *memberTable) restartSilence(now time.Duration) {
+	for _, r := range t.records {
+		r.risenAt = now
+	}
+}
+
+// entries returns the entries for one heartbeat: this host, then live members, drawn
+// at random if they are too many, so that no member's entry stays out for long.
+func (t *memberTable) entries(now time.Duration) []memberEntry {
+	live := make([]*memberRecord, 0, len(t.records))
+	for _, r := range t.records {
+		if t.live(now, r) {
+			live = append(live, r)
+		}
+	}
+	slices.SortFunc(live, func(a, b *memberRecord) int { return cmp.Compare(a.Host, b.Host) })
+	if len(live) > heartbeatEntries-1 {
+		for i := range heartbeatEntries - 1 {
+			j := i + t.random.IntN(len(live)-i)
+			live[i], live[j] = live[j], live[i]
+		}
+		live = live[:heartbeatEntries-1]
+	}
+	out := []memberEntry{t.self}
+	for _, r := range live {
+		out = append(out, r.memberEntry)
+	}
+	return out
+}
+
+// knownMember is one member as the table knows it.
+type knownMember struct {
+	Entry memberEntry
+	Live  bool
+}
+
+// members lists all known members, in order of name.
+func (t *memberTable) members(now time.Duration) []knownMember {
+	out := make([]knownMember, 0, len(t.records))
+	for _, r := range t.records {
+		out = append(out, knownMember{Entry: r.memberEntry, Live: t.live(now, r)})
+	}
+	slices.SortFunc(out, func(a, b knownMember) int { return cmp.Compare(a.Entry.Host, b.Entry.Host) })
+	return out
+}
--- a/tier/peers/node.go
+++ b/tier/peers/node.go
@@ -17,12 +17,15 @@
 // ErrNoPeer is wrapped when a host cannot be reached or is not known.
 var ErrNoPeer = errors.New("peer not reached")
 
-// Bounds of the peer protocol.
 const (
+	// dialBound is how long making a connection to a peer may take. Not measured.
 	dialBound = time.Second
+	// callBound is how long a heartbeat, a fetch or an exchange of strikes may take. Not
+	// measured.
 	callBound = 2 * time.Second
-	// codeBusy is the JSON-RPC error code for a handler's own error.
-	codeBusy = -32000
+	// codeHandlerFailed is the JSON-RPC error code of a handler's own error: the first
+	// of those that JSON-RPC 2.0 leaves to servers.
+	codeHandlerFailed = -32000
 )
 
 // dialer makes the connections to peers.
@@ -104,7 +107,7 @@
 	}
 	out, err := h(kernel.WithPush(ctx, func(method string, params any) error { return c.Notify(ctx, method, params) }), *r.Params)
 	if err != nil {
-		return nil, &jsonrpc2.Error{Code: codeBusy, Message: err.Error()}
+		return nil, &jsonrpc2.Error{Code: codeHandlerFailed, Message: err.Error()}
 	}
 	return out, nil
 }
--- a/tier/peers/outgo.go
+++ b/tier/peers/outgoing.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"net/netip"
 	"sync"
@@ -11,16 +10,12 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// silentBound is how long a peer may leave calls unanswered until its connection
-// is replaced: longer than an answer takes on a busy host (up to 100 ms). It
-// prevents a connection that has gone silent, without a reset, from keeping its
-// host out of reach: a new one to the same host may work.
+// silentBound is how long a peer may leave calls unanswered until its connection is
+// replaced: longer than an answer takes on a busy host (up to 100 ms). Without it a
+// connection that has gone silent, without a reset, keeps its host out of reach, though
+// a new one to the same host may work.
 const silentBound = 300 * time.Millisecond
 
-// fetchBound is how long the first try of a fetch may take. A change must be in
-// force within seconds, also at a host whose connections have all gone silent.
-const fetchBound = 500 * time.Millisecond
-
 // outgoing is a connection that this host made to a peer.
 type outgoing struct {
 	rpc *jsonrpc2.Conn
@@ -38,7 +33,7 @@
 func (o *outgoing) call(ctx context.Context, method string, params, result any) error {
 	o.enter()
 	defer o.leave()
-	o.raw.asked()
+	o.raw.callSent()
 	return o.rpc.Call(ctx, method, params, result)
 }
 
@@ -55,7 +50,7 @@
 	o.closeIfDone()
 }
 
-// replace has the connection closed once its calls have ended.
+// replace closes the connection once its calls have ended.
 func (o *outgoing) replace() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -70,32 +65,15 @@
 	}
 }
 
-// fetch gets something from a peer. Where a connection has gone silent the second
-// try is made on another.
-func (n *node) fetch(from netip.AddrPort, method string, result any) error {
-	err := n.callWithin(fetchBound, from, method, result)
-	if errors.Is(err, context.DeadlineExceeded) {
-		err = n.callWithin(callBound, from, method, result)
-	}
-	return err
-}
-
-func (n *node) callWithin(bound time.Duration, to netip.AddrPort, method string, result any) error {
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
-	defer cancel()
-	return n.callAddress(ctx, to, method, struct{}{}, result)
-}
-
-// existing returns the connection to an address; nil if there is none that
-// answers.
-func (n *node) existing(to netip.AddrPort) *outgoing {
+// connected returns the connection to an address; nil if there is none that answers.
+func (n *node) connected(to netip.AddrPort) *outgoing {
 	n.mu.Lock()
 	o := n.conns[to]
 	n.mu.Unlock()
 	if o == nil || o.raw.silentFor() < silentBound {
 		return o
 	}
-	n.drop(to, o)
+	n.unregister(to, o)
 	o.replace()
 	n.kernel.Log.Info().Str("Peer", to.String()).Msg("connection to peer is silent, making another")
 	return nil
@@ -103,7 +81,7 @@
 
 // dial returns a connection to an address, made if there is none.
 func (n *node) dial(ctx context.Context, to netip.AddrPort) (*outgoing, error) {
-	if o := n.existing(to); o != nil {
+	if o := n.connected(to); o != nil {
 		return o, nil
 	}
 	raw, err := dialer.DialContext(ctx, "tcp", to.String())
@@ -111,11 +89,11 @@
 		return nil, fmt.Errorf("dial %s: %w: %w", to, ErrNoPeer, err)
 	}
 	c := &peerConn{Conn: raw, now: n.kernel.Now}
-	return n.keep(to, &outgoing{rpc: n.serveOn(c), raw: c}), nil
+	return n.register(to, &outgoing{rpc: n.serveOn(c), raw: c}), nil
 }
 
-// keep makes a connection the one to use, unless another was faster.
-func (n *node) keep(to netip.AddrPort, o *outgoing) *outgoing {
+// register makes a connection the one to use, unless another was faster.
+func (n *node) register(to netip.AddrPort, o *outgoing) *outgoing {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if other := n.conns[to]; other != nil {
@@ -125,13 +103,13 @@
 	n.conns[to] = o
 	go func() {
 		<-o.rpc.DisconnectNotify()
-		n.drop(to, o)
+		n.unregister(to, o)
 	}()
 	return o
 }
 
-// drop makes a connection no longer the one to use.
-func (n *node) drop(to netip.AddrPort, o *outgoing) {
+// unregister makes a connection no longer the one to use, if it is.
+func (n *node) unregister(to netip.AddrPort, o *outgoing) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.conns[to] == o {
--- a/tier/peers/outgo_test.go
+++ b/tier/peers/outgoing_test.go
@@ -116,7 +116,7 @@
 		slow <- n.callAddress(ctx, at, "Slow", struct{}{}, &none)
 	}()
 	before := firstConnection(n, at)
-	for n.existing(at) == before {
+	for n.connected(at) == before {
 		time.Sleep(silentBound / 10)
 	}
 	var none struct{}
@@ -128,7 +128,7 @@
 // firstConnection waits until there is a connection to an address.
 func firstConnection(n *node, at netip.AddrPort) *outgoing {
 	for {
-		if o := n.existing(at); o != nil {
+		if o := n.connected(at); o != nil {
 			return o
 		}
 		time.Sleep(time.Millisecond)
--- /dev/null
+++ b/tier/peers/partners.go
@@ -0,0 +1,122 @@
+package peers
+
+import (
+	"cmp"
+	"net/netip"
+	"slices"
+
+	"loomgap/tier/config"
+	"loomgap/tier/kernel"
+)
+
+const (
+	// hallPartners is how many hosts of its own hall a heartbeat goes to. With it 117
+	// hosts know one another within 40 heartbeats (TestGossipReachesAHall).
+	hallPartners = 2
+	// otherHallPartners is how many hosts of other halls a heartbeat that goes there is
+	// sent to. Not measured.
+	otherHallPartners = 1
+	// silentPartners is how many silent hosts a heartbeat that goes to one is sent to.
+	// Not measured.
+	silentPartners = 1
+	// seedPartners is how many seeds a heartbeat that goes to seeds is sent to. Not
+	// measured.
+	seedPartners = 2
+	// otherHallEvery has every so many heartbeats go to another hall too. Not measured.
+	otherHallEvery = 3
+	// otherHallRarer is how many times more rarely those of a host go there whose hall
+	// has a reader, which sends them: bytes between halls are dear. Not measured alone.
+	otherHallRarer = 5
+	// silentEvery has every so many heartbeats go to a silent host too. Not measured.
+	silentEvery = 2
+	// seedEvery has every so many heartbeats go to seeds that are no members: so a host
+	// that was cut off finds the others again. Not measured.
+	seedEvery = 5
+)
+
+// partners decides whom a heartbeat goes to: a bounded number of hosts, whatever the
+// size of the fleet. Its inputs are the members (live or silent, by the last
+// heartbeats), the document's hosts, the seeds and the count of heartbeats sent.
+func (g *gossip) partners(s *kernel.State) []netip.AddrPort {
+	hall, silent, other := g.sortHosts(s)
+	out := g.sample(hall, hallPartners)
+	if g.crosses(s) {
+		out = append(out, g.sample(other, otherHallPartners)...)
+	}
+	if g.sent%silentEvery == 0 {
+		out = append(out, g.sample(silent, silentPartners)...)
+	}
+	if len(out) == 0 || g.sent%seedEvery == 0 {
+		out = append(out, g.sample(g.unknownSeeds(s), seedPartners)...)
+	}
+	return out
+}
+
+// sortHosts divides the other hosts into those of this hall, silent ones, and those of
+// other halls. With an adapter the silent ones are of any hall, else of this hall only.
+func (g *gossip) sortHosts(s *kernel.State) (hall, silent, other []netip.AddrPort) {
+	for _, h := range g.hosts(s) {
+		m, known := s.Members[h.Name]
+		isSilent := known && !m.Live
+		switch {
+		case isSilent && g.kernel.Settings.Adapter != "":
+			silent = append(silent, h.Peer)
+		case h.Hall != g.kernel.Settings.Hall:
+			other = append(other, h.Peer)
+		case isSilent:
+			silent = append(silent, h.Peer)
+		default:
+			hall = append(hall, h.Peer)
+		}
+	}
+	return hall, silent, other
+}
+
+// crosses reports whether this heartbeat goes to another hall too. Where one host of a
+// hall reads the platform, that one informs the other halls. A host that has to learn
+// from peers asks there each time.
+func (g *gossip) crosses(s *kernel.State) bool {
+	switch {
+	case s.FeedDown:
+		return true
+	case g.kernel.Settings.Adapter != "" && !s.Announcing:
+		return g.sent%(otherHallEvery*otherHallRarer) == 0
+	default:
+		return g.sent%otherHallEvery == 0
+	}
+}
+
+// hosts lists the other entry hosts: those of the document, or where the platform
+// lists none, the members.
+func (g *gossip) hosts(s *kernel.State) []config.Host {
+	if g.kernel.Settings.Adapter == "" {
+		return hostsOf(s.Index, g.kernel.Settings.Host)
+	}
+	var out []config.Host
+	for n, m := range s.Members {
+		if m.Peer.IsValid() && !m.Leaving {
+			out = append(out, config.Host{Name: n, Hall: m.Hall, Peer: m.Peer})
+		}
+	}
+	slices.SortFunc(out, func(a, b config.Host) int { return cmp.Compare(a.Name, b.Name) })
+	return out
+}
+
+// unknownSeeds lists the seeds that are no members as far as is known.
+func (g *gossip) unknownSeeds(s *kernel.State) []netip.AddrPort {
+	known := map[netip.AddrPort]bool{g.kernel.Settings.Peer: true}
+	for _, m := range s.Members {
+		known[m.Peer] = true
+	}
+	var out []netip.AddrPort
+	for _, a := range g.kernel.Live().Seeds {
+		if !known[a] {
+			out = append(out, a)
+		}
+	}
+	return out
+}
+
+func (g *gossip) sample(from []netip.AddrPort, n int) []netip.AddrPort {
+	return sample(g.random.Perm, from, n)
+}
--- a/tier/peers/peers_test.go
+++ b/tier/peers/peers_test.go
@@ -34,8 +34,8 @@
 	os.Exit(m.Run())
 }
 
-func table(host string) *Table {
-	return NewTable(TableConfig{Host: host, Incarnation: "1", Beat: time.Second, Random: rand.New(rand.NewPCG(1, 0))})
+func table(host string) *memberTable {
+	return newMemberTable(memberTableConfig{Host: host, Incarnation: "1", Interval: time.Second, Random: rand.New(rand.NewPCG(1, 0))})
 }
 
 // addresses has addresses compared by their value.
@@ -43,23 +43,23 @@
 
 func TestTableBelievesTheNewest(t *testing.T) {
 	b := table("A")
-	b.Merge(0, []Entry{{Host: "B", Incarnation: "2", Counter: 5}})
-	b.Merge(time.Second, []Entry{{Host: "B", Incarnation: "1", Counter: 9}, {Host: "A", Incarnation: "9", Counter: 99}})
-	b.Merge(time.Second, []Entry{{Host: "B", Incarnation: "2", Counter: 5, Leaving: true}})
-	m := b.Members(time.Second)
+	b.merge(0, []memberEntry{{Host: "B", Incarnation: "2", Counter: 5}})
+	b.merge(time.Second, []memberEntry{{Host: "B", Incarnation: "1", Counter: 9}, {Host: "A", Incarnation: "9", Counter: 99}})
+	b.merge(time.Second, []memberEntry{{Host: "B", Incarnation: "2", Counter: 5, Leaving: true}})
+	m := b.members(time.Second)
 	assert.Equal(t, len(m), 1)
-	assert.DeepEqual(t, m[0], Seen{Entry: Entry{Host: "B", Incarnation: "2", Counter: 5}, Live: true}, addresses)
-	assert.Assert(t, !b.Members((silentBeats + 1) * time.Second)[0].Live)
-	b.Refresh((silentBeats + 1) * time.Second)
-	assert.Assert(t, b.Members((silentBeats + 1) * time.Second)[0].Live)
+	assert.DeepEqual(t, m[0], knownMember{Entry: memberEntry{Host: "B", Incarnation: "2", Counter: 5}, Live: true}, addresses)
+	assert.Assert(t, !b.members((silentHeartbeats + 1) * time.Second)[0].Live)
+	b.restartSilence((silentHeartbeats + 1) * time.Second)
+	assert.Assert(t, b.members((silentHeartbeats + 1) * time.Second)[0].Live)
 }
 
 // TestTableMergesInAnyOrder holds merging to the same result whatever the order
 // and however often news comes.
 func TestTableMergesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		entry := rapid.Custom(func(t *rapid.T) Entry {
-			return Entry{
+		entry := rapid.Custom(func(t *rapid.T) memberEntry {
+			return memberEntry{
 				Host:        rapid.SampledFrom([]string{"B", "C"}).Draw(t, "host"),
 				Incarnation: rapid.SampledFrom([]string{"1", "2"}).Draw(t, "incarnation"),
 				Counter:     uint64(rapid.IntRange(0, 4).Draw(t, "counter")),
@@ -67,11 +67,11 @@
 		})
 		news := rapid.SliceOfN(entry, 1, 12).Draw(t, "news")
 		one, other := table("A"), table("A")
-		one.Merge(0, news)
+		one.merge(0, news)
 		for _, e := range rapid.Permutation(append(news, news...)).Draw(t, "order") {
-			other.Merge(0, []Entry{e})
+			other.merge(0, []memberEntry{e})
 		}
-		assert.DeepEqual(t, one.Members(0), other.Members(0), addresses)
+		assert.DeepEqual(t, one.members(0), other.members(0), addresses)
 	})
 }
 
@@ -80,9 +80,9 @@
 func TestGossipReachesAHall(t *testing.T) {
 	const hosts = 117
 	random := rand.New(rand.NewPCG(7, 0))
-	var all []*Table
+	var all []*memberTable
 	for i := range hosts {
-		all = append(all, NewTable(TableConfig{Host: fmt.Sprintf("H%d", i), Incarnation: "1", Beat: time.Second, Random: random}))
+		all = append(all, newMemberTable(memberTableConfig{Host: fmt.Sprintf("H%d", i), Incarnation: "1", Interval: time.Second, Random: random}))
 	}
 	now := time.Duration(0)
 	beat := func(dead int) {
@@ -91,14 +91,14 @@
 			if i == dead {
 				continue
 			}
-			a.Tick(now, 1)
+			a.tick(now, 1)
 			for range hallPartners {
 				j := random.IntN(hosts)
 				if j == i || j == dead {
 					continue
 				}
-				all[j].Merge(now, a.HeartbeatEntries(now))
-				a.Merge(now, all[j].HeartbeatEntries(now))
+				all[j].merge(now, a.entries(now))
+				a.merge(now, all[j].entries(now))
 			}
 		}
 	}
@@ -106,7 +106,7 @@
 		least := hosts
 		for _, a := range all {
 			n := 0
-			for _, m := range a.Members(now) {
+			for _, m := range a.members(now) {
 				if m.Live {
 					n++
 				}
@@ -128,12 +128,12 @@
 		}
 	}
 	assert.Equal(t, steady, watched, "a live host was taken for silent")
-	for range 10 * silentBeats {
+	for range 10 * silentHeartbeats {
 		beat(3)
 	}
 	for i, a := range all {
-		for _, m := range a.Members(now) {
-			if i != 3 && m.Host == "H3" {
+		for _, m := range a.members(now) {
+			if i != 3 && m.Entry.Host == "H3" {
 				assert.Assert(t, !m.Live)
 			}
 		}
@@ -146,10 +146,10 @@
 		slots := rapid.IntRange(1, 12).Draw(t, "slots")
 		total := 0
 		for _, h := range hosts {
-			total += Divide("U1", slots, hosts, h)
+			total += divide("U1", slots, hosts, h)
 		}
 		assert.Equal(t, total, slots)
-		assert.Assert(t, Divide("U1", slots, hosts, Owner("U1", hosts)) > 0)
+		assert.Assert(t, divide("U1", slots, hosts, Owner("U1", hosts)) > 0)
 	})
 }
 
--- /dev/null
+++ b/tier/peers/plugin.go
@@ -0,0 +1,51 @@
+package peers
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"loomgap/tier/kernel"
+)
+
+// defaultHeartbeat is the time between heartbeats if the settings give none. Not
+// measured; CAPACITY.md gives the cost by the size of a hall.
+const defaultHeartbeat = time.Second
+
+// plugin joins the entry hosts.
+type plugin struct{}
+
+var _ kernel.Plugin = plugin{}
+
+func init() { kernel.Register(plugin{}) }
+
+// Name implements kernel.Plugin.
+func (plugin) Name() string { return "Peers" }
+
+// Default implements kernel.Plugin.
+func (plugin) Default(s *kernel.Settings) {
+	if s.Beat == 0 {
+		s.Beat = defaultHeartbeat
+	}
+}
+
+// Skip implements kernel.Plugin.
+func (plugin) Skip(*kernel.Settings) bool { return false }
+
+// Run implements kernel.Plugin.
+func (plugin) Run(ctx context.Context, k *kernel.Kernel) (func(), error) {
+	n, closeNode, err := newNode(k)
+	if err != nil {
+		return nil, err
+	}
+	k.Peers = n
+	fetches := serveFetches(k, n)
+	serveAnnouncements(k, fetches)
+	stopStrikes := ServeStrikes(k)
+	stopHeartbeats := serveHeartbeats(ctx, k, n, fetches, rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 0)))
+	return func() {
+		stopStrikes()
+		stopHeartbeats()
+		closeNode()
+	}, nil
+}
--- /dev/null
+++ b/tier/peers/reader.go
@@ -0,0 +1,183 @@
+package peers
+
+import (
+	"cmp"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"loomgap/tier/kernel"
+	"loomgap/tier/policy"
+)
+
+// Which host reads the platform, where an adapter is set.
+//
+// Hosts are ranked (readerRanking). The first host of a hall, as far as it hears of
+// others, announces to its hall what is published; the first of all that announce reads
+// the platform, and announces to the other halls too. So a hall reads the platform
+// itself if it hears no announcement of another one: the other halls are cut off, their
+// reader is gone (announceLost), or it reports that it does not hear the platform. A
+// host that takes over waits a step for each live one that ranks before it, and no more
+// than failedReadersMost try a platform that does not answer.
+//
+// Each change of a host's role is the log line "turn to read the platform"; Tells is
+// whether it announces to its hall, Reads whether it reads the platform.
+
+const (
+	// announceLost is how long a host goes without announcements before another takes
+	// over: three lost messages. A change must be in force within seconds though the
+	// reader is gone. Not measured.
+	announceLost = 1300 * time.Millisecond
+	// takeoverStep is how long each host of a hall waits for each one ranked before it,
+	// once nobody announces any more. Without it, 49 hosts that took over at once and
+	// announced to one another held up requests for two seconds when the platform was
+	// away; with it 5 of 117 take over at most (TestFewTakeOverFromALostReader).
+	takeoverStep = 50 * time.Millisecond
+	// takeoverStepsMost is the most steps that a host waits: a second. Not measured.
+	takeoverStepsMost = 20
+	// spreadSteps is over how many steps the announcers of several halls are spread:
+	// they do not know how they rank among one another. Not measured.
+	spreadSteps = 5
+	// failedReadersMost is how many hosts of a hall, or halls, try to read a platform
+	// that does not answer: it may turn some hosts away and serve others. Not measured.
+	failedReadersMost = 3
+	// secondReadLeast is the least age of a starting host at which it may read the
+	// platform beyond its first read, which may be an old one since an old one costs a
+	// tenth: by then hosts have met, in three heartbeats. Without this wait each of 295
+	// hosts that start together asks the platform whether its first read was old, some
+	// 295 calls a start.
+	secondReadLeast = 300 * time.Millisecond
+	// secondReadSpread is over how long the second reads of starting hosts are spread;
+	// it ends before a change is due. Not measured alone.
+	secondReadSpread = 1200 * time.Millisecond
+	// slowAnswer is how much longer than a watch waits the answer of a platform that is
+	// well may take: one that is 60 times slower than its 4 ms, and a busy host.
+	slowAnswer = 500 * time.Millisecond
+)
+
+// watchKey is what hosts are ranked for by rendezvous hashing.
+const watchKey = "watch"
+
+// staleAfter is the age of a reader's last read from which on it does not count as one.
+func staleAfter(s *kernel.Settings) time.Duration { return s.WatchWait + slowAnswer }
+
+// updateRole decides anew whether this host announces and reads, and logs a change; it
+// returns true if there was one. It runs on the control thread.
+func updateRole(k *kernel.Kernel, s *kernel.State) bool {
+	announces, reads := roleOf(k, s)
+	changed := announces != s.Announcing || reads != s.Reading
+	if changed {
+		s.Announcing, s.Reading = announces, reads
+		s.Changed()
+		k.Log.Info().Bool("Tells", announces).Bool("Reads", reads).
+			Int64("PlatformAgeMillis", (k.Now() - s.PlatformHeard).Milliseconds()).Msg("turn to read the platform")
+	}
+	if !reads {
+		// Others read for this host.
+		s.FeedDown = false
+	}
+	return changed
+}
+
+// roleOf decides whether this host is to announce to its hall what is published, and
+// whether it is to read that from the platform. Its inputs are the members, the last
+// announcement of each host that announces, and the age of this process. A host that
+// knows of nothing yet reads at once. It runs on the control thread.
+func roleOf(k *kernel.Kernel, s *kernel.State) (announces, reads bool) {
+	if s.Directory == nil {
+		return true, true
+	}
+	now := k.Now()
+	if now < secondReadAt(k.Settings.Host) {
+		return false, false
+	}
+	r := newReaderRanking(s, &k.Settings)
+	if !r.isFirst(now, s.HallAnnouncers, r.hostsBefore(s)) {
+		return false, false
+	}
+	spread := int(xxhash.Sum64String(k.Settings.Host) % spreadSteps)
+	return true, r.isFirst(now, s.OtherReaders, spread)
+}
+
+// secondReadAt is the age from which on a host may read the platform beyond its first
+// read. The one whose time comes first announces to the others before theirs comes.
+func secondReadAt(host string) time.Duration {
+	return secondReadLeast + time.Duration(xxhash.Sum64String("start "+host)%uint64(secondReadSpread))
+}
+
+// readerRanking orders hosts for reading the platform and announcing what was read:
+// stronger ones first, since each change goes to all hosts of a hall, then by
+// rendezvous hashing.
+type readerRanking struct {
+	settings *kernel.Settings
+	members  map[string]kernel.Member
+	// strongest is the greatest capacity of all hosts.
+	strongest int
+}
+
+func newReaderRanking(s *kernel.State, settings *kernel.Settings) *readerRanking {
+	r := &readerRanking{settings: settings, members: s.Members, strongest: settings.Capacity()}
+	for _, m := range s.Members {
+		r.strongest = max(r.strongest, m.Capacity)
+	}
+	return r
+}
+
+// compare orders two hosts, the better first.
+func (r *readerRanking) compare(a, b string) int {
+	return cmp.Or(
+		cmp.Compare(r.weakness(a), r.weakness(b)),
+		cmp.Compare(rankHash(watchKey, a), rankHash(watchKey, b)),
+		cmp.Compare(a, b),
+	)
+}
+
+// weakness is 0 for a strong host and 1 for another. One that is not known counts as
+// strong as this one.
+func (r *readerRanking) weakness(host string) int {
+	capacity := cmp.Or(r.members[host].Capacity, r.settings.Capacity())
+	if policy.IsCoordinator(capacity, r.strongest) {
+		return 0
+	}
+	return 1
+}
+
+func (r *readerRanking) isBefore(host string) bool { return r.compare(host, r.settings.Host) < 0 }
+
+// hostsBefore counts the live hosts of the hall that rank before this one and have
+// never announced: each has its time to take over before.
+func (r *readerRanking) hostsBefore(s *kernel.State) int {
+	n := 0
+	for host, m := range s.Members {
+		_, announced := s.HallAnnouncers[host]
+		if m.Staying() && m.Hall == r.settings.Hall && !announced && r.isBefore(host) {
+			n++
+		}
+	}
+	return n
+}
+
+// isFirst reports whether this host is first among those that announce, as far as it
+// hears of them: no host that ranks before it has announced within announceLost that it
+// hears the platform, fewer than failedReadersMost of them announce that they do not,
+// and so many takeover steps have passed since the last of them was found lost.
+func (r *readerRanking) isFirst(now time.Duration, announcers map[string]kernel.AnnouncerReport, steps int) bool {
+	failing := 0
+	vacantAt := time.Duration(0)
+	for host, a := range announcers {
+		if !r.isBefore(host) {
+			continue
+		}
+		switch {
+		case now-a.At >= announceLost:
+			vacantAt = max(vacantAt, a.At+announceLost)
+		case a.Lost:
+			failing++
+			vacantAt = max(vacantAt, a.Since)
+		default:
+			return false
+		}
+	}
+	wait := time.Duration(min(steps, takeoverStepsMost)) * takeoverStep
+	return failing < failedReadersMost && now-vacantAt >= wait
+}
--- a/tier/peers/refused_test.go
+++ b/tier/peers/refused_test.go
@@ -107,8 +107,7 @@
 	}
 	for host, k := range f.kernels {
 		// What is announced is enough: nothing is fetched.
-		g := &gossip{kernel: k, listing: true, fetching: true}
-		k.Handle(MethodAnnounce, g.onAnnouncement)
+		k.Handle(methodAnnounce, serverWithoutFetches(k).onAnnouncement)
 		k.Do(func(s *kernel.State) {
 			for n, m := range members {
 				if n != host {
@@ -117,7 +116,7 @@
 			}
 		})
 		r := &feed{kernel: k, source: &sourceOf{fleet: f, host: host}, announcer: &announcer{kernel: k}}
-		k.OnView(r.announcer.follow)
+		k.OnView(r.announcer.onView)
 		go r.loop(ctx)
 		go r.announcer.loop(ctx)
 	}
--- a/tier/peers/start_test.go
+++ b/tier/peers/start_test.go
@@ -64,13 +64,13 @@
 				tl := &announcer{kernel: k}
 				tl.announce(s)
 				g := &gossip{
-					kernel: k, listing: true, fetching: true,
-					table: NewTable(TableConfig{Host: "Self", Beat: time.Second}),
+					kernel: k,
+					table:  newMemberTable(memberTableConfig{Host: "Self", Interval: time.Second}),
 				}
 				g.message(s, k.Now())
-				g.takeAnnouncement(s, &Announcement{Host: "Other", Hall: "B", Age: time.Millisecond, Revision: 7, DirectoryRevision: 1})
+				serverWithoutFetches(k).learn(s, &announcement{Host: "Other", Hall: "B", Age: time.Millisecond, Revision: 7, DirectoryRevision: 1})
 				tl.announce(s)
-				rolesOf(k, s)
+				roleOf(k, s)
 				synctest.Wait()
 				told := k.Peers.(*toldPeers).hosts["Mate"]
 				assert.Assert(t, !told || n.directory, "a host without a directory announced one")
@@ -87,15 +87,15 @@
 			return config.Listing{Name: name, Group: "G", Hall: "A", Slots: 1, Revision: revision}
 		}
 		k := newsKernel(t, "Starting")
-		told := &sentNews{last: map[string]Announcement{}}
+		told := &sentNews{last: map[string]announcement{}}
 		k.Peers = told
 		time.Sleep(time.Second)
 		starting := combination(0).state()
 		starting.Announcing = true
 		starting.Members["Mate"] = kernel.Member{Host: "Mate", Hall: "A", Live: true}
-		g := &gossip{kernel: k, listing: true, fetching: true}
+		server := serverWithoutFetches(k)
 		change := &config.DirectoryChange{Revision: 9, Listed: []config.Listing{listing("U9", 9)}}
-		g.takeAnnouncement(starting, &Announcement{Host: "Reader", Hall: "B", DirectoryRevision: 9, Directory: 1, Change: change})
+		server.learn(starting, &announcement{Host: "Reader", Hall: "B", DirectoryRevision: 9, Directory: 1, Change: change})
 		(&announcer{kernel: k}).announce(starting)
 		synctest.Wait()
 		_, announced := told.last["Mate"]
@@ -103,7 +103,7 @@
 		assert.Equal(t, starting.Directory.Whole().Revision, uint64(0), "it would give others a directory of one upstream")
 
 		whole := &config.DirectoryChange{Revision: 9, Whole: true, Listed: []config.Listing{listing("U1", 1), listing("U9", 9)}}
-		g.takeAnnouncement(starting, &Announcement{Host: "Reader", Hall: "B", DirectoryRevision: 9, Directory: 1, Change: whole})
+		server.learn(starting, &announcement{Host: "Reader", Hall: "B", DirectoryRevision: 9, Directory: 1, Change: whole})
 		assert.Equal(t, starting.Directory.Size(), 2)
 	})
 }
--- a/tier/peers/strikes.go
+++ b/tier/peers/strikes.go
@@ -14,83 +14,88 @@
 	"loomgap/tier/policy"
 )
 
-// Methods by which hosts tell each other of requests that crash upstreams.
+// Methods by which hosts report requests that are suspected of crashing upstreams. The
+// parameters of both are a strikesMessage.
 const (
-	// MethodStrikes tells of new strikes; there is no answer.
-	MethodStrikes = "Strikes"
-	// MethodKnownStrikes tells of the strikes known here, and is answered by those
-	// known there.
-	MethodKnownStrikes = "KnownStrikes"
+	// methodStrikes reports new strikes; there is no answer.
+	methodStrikes = "Strikes"
+	// methodKnownStrikes reports the strikes known here, and is answered by those known
+	// there.
+	methodKnownStrikes = "KnownStrikes"
 )
 
-// Bounds of what hosts tell each other of strikes.
 const (
-	// strikesGap is the least time between two tellings of new strikes. It bounds what
-	// is sent however many upstreams end: 64 KB a second of each of 300 hosts that see
+	// strikesGap is the least time between two reports of new strikes. It bounds what
+	// is sent however many upstreams crash: 64 KB a second of each of 300 hosts that see
 	// 3,000 strikes within a second, uncompressed (virtual time). The first goes at
 	// once, since callers repeat a request within some 10 ms, and so does one by which a
 	// request is refused.
 	strikesGap = 250 * time.Millisecond
-	// strikesInHall and strikesElsewhere are how many hosts of this hall, and of each
-	// other, are told of new strikes; whoever hears news tells as many others. With 8
-	// each, one host in 3,000 is left out (e to the power of -8), and then learns by
-	// exchange.
-	strikesInHall    = 8
+	// strikesInHall is how many hosts of this hall new strikes are reported to; whoever
+	// learns from a report reports to as many others. With 8, one host in 3,000 is left
+	// out (e to the power of -8), and then learns by exchange.
+	strikesInHall = 8
+	// strikesElsewhere is how many hosts of each other hall new strikes are reported to.
+	// Not measured alone.
 	strikesElsewhere = 2
-	// strikesTargets bounds the hosts that are told at once, whatever the halls.
+	// strikesTargets is the most hosts that one report goes to, whatever the halls. Not
+	// measured.
 	strikesTargets = 16
 	// exchangeEvery is how often a host that knows of strikes exchanges them with
-	// another. It has a host that was cut off, or has started, know within a second
-	// or two.
+	// another. By it a host that was cut off, or has started, learns of them within
+	// three seconds (TestHostThatWasAwayLearnsOfStrikes).
 	exchangeEvery = time.Second
-	// exchangeElsewhere has every so many exchanges go to another hall.
+	// exchangeElsewhere has every so many exchanges go to another hall. Not measured.
 	exchangeElsewhere = 3
-	// startExchanges is how many hosts a host that starts asks.
+	// exchangePartners is how many hosts an exchange is made with. Not measured.
+	exchangePartners = 1
+	// startExchanges is how many hosts a host that starts asks. Not measured.
 	startExchanges = 2
-	// fingerprintMost is the longest fingerprint that is believed, strikesMost the
-	// most strikes of one request.
-	fingerprintMost = 64
-	strikesMost     = 64
+	// maxFingerprint is the most bytes of a fingerprint in a message. Not measured.
+	maxFingerprint = 64
+	// maxReportedStrikes is the most strikes of one request in a message. Not measured;
+	// a host remembers fewer.
+	maxReportedStrikes = 64
 )
 
-// errBadStrikes is wrapped when another host tells what cannot be strikes.
+// errBadStrikes is wrapped when a message of another host cannot be one of strikes.
 var errBadStrikes = errors.New("bad strikes")
 
-// StrikesMessage tells of strikes.
-type StrikesMessage struct {
+// strikesMessage reports strikes.
+type strikesMessage struct {
 	Reports []policy.SuspectReport
 }
 
 // check returns what is wrong with a message.
-func (m *StrikesMessage) check() error {
+func (m *strikesMessage) check() error {
 	if len(m.Reports) > policy.ReportsMost {
 		return fmt.Errorf("%w: %d requests: send %d at most", errBadStrikes, len(m.Reports), policy.ReportsMost)
 	}
 	for i := range m.Reports {
-		c := &m.Reports[i]
-		if c.Fingerprint == "" || len(c.Fingerprint) > fingerprintMost || len(c.Strikes) > strikesMost {
+		r := &m.Reports[i]
+		if r.Fingerprint == "" || len(r.Fingerprint) > maxFingerprint || len(r.Strikes) > maxReportedStrikes {
 			return fmt.Errorf("%w: fingerprint of %d bytes with %d strikes: send 1 to %d bytes and %d strikes at most",
-				errBadStrikes, len(c.Fingerprint), len(c.Strikes), fingerprintMost, strikesMost)
+				errBadStrikes, len(r.Fingerprint), len(r.Strikes), maxFingerprint, maxReportedStrikes)
 		}
 	}
 	return nil
 }
 
-// striker tells other hosts of the requests that crash upstreams, and learns of them.
-// It holds nothing that decides: the fleet does.
-type striker struct {
+// strikeReporter reports strikes to other hosts and takes in their reports. It decides
+// nothing about requests: the fleet holds the strikes and the rules.
+type strikeReporter struct {
 	kernel *kernel.Kernel
-	// news holds one item once there are new strikes to tell of, urgent one once they
-	// are not to wait.
-	news, urgent chan struct{}
+	// pending holds one item while there are new strikes to report, urgent one while
+	// they must not wait.
+	pending, urgent chan struct{}
 }
 
-// ServeStrikes has a host share what it knows of requests that crash upstreams. The
+// ServeStrikes shares what this host knows of requests that crash upstreams. The
 // clean-up function ends that.
 func ServeStrikes(k *kernel.Kernel) func() {
-	s := &striker{kernel: k, news: make(chan struct{}, 1), urgent: make(chan struct{}, 1)}
-	k.Handle(MethodStrikes, s.onStrikes)
-	k.Handle(MethodKnownStrikes, s.onKnown)
+	s := &strikeReporter{kernel: k, pending: make(chan struct{}, 1), urgent: make(chan struct{}, 1)}
+	k.Handle(methodStrikes, s.onStrikes)
+	k.Handle(methodKnownStrikes, s.onKnownStrikes)
 	k.Fleet.OnStrikes(s.notify)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -105,19 +110,19 @@
 	}
 }
 
-// notify has new strikes told of; it does not block.
-func (s *striker) notify(urgent bool) {
-	to := s.news
+// notify has new strikes reported; it does not block.
+func (s *strikeReporter) notify(urgent bool) {
+	to := s.pending
 	if urgent {
 		to = s.urgent
 	}
 	select {
 	case to <- struct{}{}:
-	default: // it was not taken in yet
+	default: // one is pending already
 	}
 }
 
-func (s *striker) loop(ctx context.Context) {
+func (s *strikeReporter) loop(ctx context.Context) {
 	tick := time.NewTicker(exchangeEvery)
 	defer tick.Stop()
 	started := false
@@ -126,36 +131,36 @@
 		case <-ctx.Done():
 			return
 		case <-s.urgent:
-			s.push(ctx)
-		case <-s.news:
-			s.push(ctx)
-			s.rest(ctx)
+			s.reportNew(ctx)
+		case <-s.pending:
+			s.reportNew(ctx)
+			s.waitGap(ctx)
 		case <-tick.C:
 			rounds++
 			switch {
 			case !started:
 				started = s.start(ctx)
 			case s.kernel.Fleet.HasSuspects():
-				s.exchangeWith(ctx, s.partners(rounds%exchangeElsewhere == 0, 1))
+				s.exchangeAll(ctx, s.partners(rounds%exchangeElsewhere == 0, exchangePartners))
 			}
 		}
 	}
 }
 
-// rest keeps the least time between two tellings, but for an urgent one.
-func (s *striker) rest(ctx context.Context) {
+// waitGap waits the least time between two reports, but for an urgent one.
+func (s *strikeReporter) waitGap(ctx context.Context) {
 	timer := time.NewTimer(strikesGap)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-s.urgent:
-		s.push(ctx)
+		s.reportNew(ctx)
 	case <-timer.C:
 	}
 }
 
-// push tells other hosts of new strikes.
-func (s *striker) push(ctx context.Context) {
+// reportNew reports new strikes to other hosts.
+func (s *strikeReporter) reportNew(ctx context.Context) {
 	k := s.kernel
 	reports := k.Fleet.FreshReports(k.Now())
 	if len(reports) == 0 {
@@ -165,33 +170,34 @@
 		s.notify(false) // there may be more
 	}
 	for i := range reports {
-		s.note(&reports[i])
+		s.logReport(&reports[i])
 	}
-	m := StrikesMessage{Reports: reports}
+	m := strikesMessage{Reports: reports}
 	for _, host := range s.targets() {
-		go s.tell(ctx, host, &m)
+		go s.send(ctx, host, &m)
 	}
 }
 
-// note logs and counts that the strikes of a request have changed.
-func (s *striker) note(c *policy.SuspectReport) {
+// logReport logs and counts that the strikes of a request have changed.
+func (s *strikeReporter) logReport(r *policy.SuspectReport) {
 	k := s.kernel
-	verdict := k.Fleet.Worst(k.Now(), c.Fingerprint)
+	verdict := k.Fleet.Worst(k.Now(), r.Fingerprint)
 	metrics.GetOrCreateCounter(`loomgap_suspects_total{Verdict="` + string(verdict) + `"}`).Inc()
 	var upstreams, callers []string
-	for _, strike := range c.Strikes {
+	for _, strike := range r.Strikes {
 		upstreams, callers = append(upstreams, strike.Upstream), append(callers, strike.Caller.String())
 	}
 	line := k.Decisions.Info()
 	if verdict == policy.VerdictQuarantined {
 		line = k.Log.Warn()
 	}
-	line.Str("Fingerprint", string(c.Fingerprint)).Str("Verdict", string(verdict)).
+	line.Str("Fingerprint", string(r.Fingerprint)).Str("Verdict", string(verdict)).
 		Strs("Upstreams", upstreams).Strs("Callers", callers).Msg("strikes of a request changed")
 }
 
-// targets are the hosts that are told of new strikes.
-func (s *striker) targets() []string {
+// targets decides which hosts new strikes are reported to: some of this hall and of
+// each other, drawn at random among the live ones.
+func (s *strikeReporter) targets() []string {
 	near, far := s.others()
 	out := sample(rand.Perm, near, strikesInHall)
 	for _, hosts := range far {
@@ -200,8 +206,9 @@
 	return out[:min(len(out), strikesTargets)]
 }
 
-// partners are the hosts that strikes are exchanged with, of other halls or of this one.
-func (s *striker) partners(elsewhere bool, n int) []string {
+// partners decides which n hosts strikes are exchanged with, of other halls or of this
+// one, drawn at random among the live ones.
+func (s *strikeReporter) partners(elsewhere bool, n int) []string {
 	near, far := s.others()
 	var all []string
 	for _, hosts := range far {
@@ -214,72 +221,75 @@
 }
 
 // others lists the other live hosts of this hall, and those of each other hall.
-func (s *striker) others() (near []string, far map[string][]string) {
+func (s *strikeReporter) others() (near []string, far map[string][]string) {
 	return byHall(s.kernel.View().Members, s.kernel.Settings.Hall, (*kernel.Member).Callable)
 }
 
-func (s *striker) tell(ctx context.Context, host string, m *StrikesMessage) {
+// send reports strikes to a host.
+func (s *strikeReporter) send(ctx context.Context, host string, m *strikesMessage) {
 	ctx, cancel := context.WithTimeout(ctx, callBound)
 	defer cancel()
-	if err := s.kernel.Peers.Notify(ctx, host, MethodStrikes, m); err != nil {
+	if err := s.kernel.Peers.Notify(ctx, host, methodStrikes, m); err != nil {
 		s.kernel.Log.Info().Err(err).Str("Peer", host).Msg("strikes not told")
 	}
 }
 
+// onStrikes serves a report.
+func (s *strikeReporter) onStrikes(_ context.Context, params json.RawMessage) (any, error) {
+	return struct{}{}, s.decode(params)
+}
+
 // start asks some hosts for the strikes that they know; false if there is none yet.
-func (s *striker) start(ctx context.Context) bool {
+func (s *strikeReporter) start(ctx context.Context) bool {
 	hosts := s.partners(false, startExchanges)
-	s.exchangeWith(ctx, hosts)
+	s.exchangeAll(ctx, hosts)
 	return len(hosts) > 0
 }
 
-func (s *striker) exchangeWith(ctx context.Context, hosts []string) {
-	m := StrikesMessage{Reports: s.kernel.Fleet.Reports(s.kernel.Now())}
+func (s *strikeReporter) exchangeAll(ctx context.Context, hosts []string) {
+	m := strikesMessage{Reports: s.kernel.Fleet.Reports(s.kernel.Now())}
 	for _, host := range hosts {
 		go s.exchange(ctx, host, &m)
 	}
 }
 
-// exchange tells a host of the strikes known here and takes in those known there.
-func (s *striker) exchange(ctx context.Context, host string, m *StrikesMessage) {
+// exchange reports the strikes known here to a host and takes in those known there.
+func (s *strikeReporter) exchange(ctx context.Context, host string, m *strikesMessage) {
 	ctx, cancel := context.WithTimeout(ctx, callBound)
 	defer cancel()
-	var reply StrikesMessage
-	err := s.kernel.Peers.Call(ctx, host, MethodKnownStrikes, m, &reply)
+	var reply strikesMessage
+	err := s.kernel.Peers.Call(ctx, host, methodKnownStrikes, m, &reply)
 	if err == nil {
-		err = s.take(&reply)
+		err = s.learn(&reply)
 	}
 	if err != nil {
 		s.kernel.Log.Info().Err(err).Str("Peer", host).Msg("strikes not exchanged")
 	}
 }
 
-// take takes in what another host told.
-func (s *striker) take(m *StrikesMessage) error {
-	if err := m.check(); err != nil {
-		return err
+// onKnownStrikes serves an exchange.
+func (s *strikeReporter) onKnownStrikes(_ context.Context, params json.RawMessage) (any, error) {
+	if err := s.decode(params); err != nil {
+		return nil, err
 	}
-	k := s.kernel
-	k.Fleet.TakeReports(k.Now(), m.Reports)
-	return nil
+	return strikesMessage{Reports: s.kernel.Fleet.Reports(s.kernel.Now())}, nil
 }
 
-// decode reads a message about strikes.
-func (s *striker) decode(params json.RawMessage) error {
-	var m StrikesMessage
+// decode reads a message of another host and takes it in.
+func (s *strikeReporter) decode(params json.RawMessage) error {
+	var m strikesMessage
 	if err := json.Unmarshal(params, &m); err != nil {
 		return fmt.Errorf("%w: %w", errBadStrikes, err)
 	}
-	return s.take(&m)
+	return s.learn(&m)
 }
 
-func (s *striker) onStrikes(_ context.Context, params json.RawMessage) (any, error) {
-	return struct{}{}, s.decode(params)
-}
-
-func (s *striker) onKnown(_ context.Context, params json.RawMessage) (any, error) {
-	if err := s.decode(params); err != nil {
-		return nil, err
+// learn takes in what another host reported.
+func (s *strikeReporter) learn(m *strikesMessage) error {
+	if err := m.check(); err != nil {
+		return err
 	}
-	return StrikesMessage{Reports: s.kernel.Fleet.Reports(s.kernel.Now())}, nil
+	k := s.kernel
+	k.Fleet.TakeReports(k.Now(), m.Reports)
+	return nil
 }
--- a/tier/peers/strikes_test.go
+++ b/tier/peers/strikes_test.go
@@ -224,16 +224,16 @@
 		{"no object", `[]`, false},
 		{"cut off", `{"Reports":[`, false},
 		{"no fingerprint", `{"Reports":[{"Strikes":[]}]}`, false},
-		{"a long fingerprint", `{"Reports":[{"Fingerprint":"` + strings.Repeat("F", fingerprintMost+1) + `"}]}`, false},
+		{"a long fingerprint", `{"Reports":[{"Fingerprint":"` + strings.Repeat("F", maxFingerprint+1) + `"}]}`, false},
 		{"too many requests", `{"Reports":[` + many(policy.ReportsMost+1, report) + `]}`, false},
-		{"too many strikes", `{"Reports":[{"Fingerprint":"F","Strikes":[` + many(strikesMost+1, `{"ID":1,"Left":1000}`) + `]}]}`, false},
+		{"too many strikes", `{"Reports":[{"Fingerprint":"F","Strikes":[` + many(maxReportedStrikes+1, `{"ID":1,"Left":1000}`) + `]}]}`, false},
 		{"a caller that is none", `{"Reports":[{"Fingerprint":"F","Strikes":[{"ID":1,"Caller":"nobody"}]}]}`, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				k := newStrikeNet(t, 1).kernels["H0"]
-				_, err := k.Handler(MethodKnownStrikes)(t.Context(), json.RawMessage(tt.text))
+				_, err := k.Handler(methodKnownStrikes)(t.Context(), json.RawMessage(tt.text))
 				if tt.good {
 					assert.NilError(t, err)
 					return
--- a/tier/peers/watch.go
+++ b/tier/peers/watch.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"math/rand/v2"
 	"net/http"
+	"slices"
 	"time"
 
 	"github.com/VictoriaMetrics/metrics"
@@ -14,36 +15,52 @@
 	"loomgap/tier/wire"
 )
 
-// Pauses of the reader of the platform.
 const (
+	// readBound is how long an answer may take beside the time that the read waits. Not
+	// measured.
 	readBound = 2 * time.Second
+	// readPause is the pause of a host that does not watch, and after a live list that
+	// did not change; after a failed read the pause is once to twice as long. Not
+	// measured.
 	readPause = 500 * time.Millisecond
-	// silentTurn is how long the hall hears nothing before one more host watches.
+	// watchersPerHall is how many hosts of a hall watch the platform. Not measured.
+	watchersPerHall = 2
+	// moreWatchers is how many more hosts of a hall watch at most while it hears
+	// nothing. Not measured.
+	moreWatchers = 2
+	// silentTurn is how long beyond WatchWait the hall hears nothing before one more
+	// host watches, each time again. Not measured.
 	silentTurn = 5 * time.Second
+	// defaultWatchWait is how long a read waits for a change if the settings do not
+	// say. Not measured.
+	defaultWatchWait = 10 * time.Second
+	// replyFactor is how many times the bytes of the largest document a reply may have:
+	// the document is a string in JSON there, which is longer. Not measured.
+	replyFactor = 2
 )
 
-// watch is the plug-in that reads what the platform publishes.
-type watch struct{}
+// watchPlugin reads what the platform publishes by loomgap's own protocol.
+type watchPlugin struct{}
 
-var _ kernel.Plugin = watch{}
+var _ kernel.Plugin = watchPlugin{}
 
-func init() { kernel.Register(watch{}) }
+func init() { kernel.Register(watchPlugin{}) }
 
 // Name implements kernel.Plugin.
-func (watch) Name() string { return "Platform" }
+func (watchPlugin) Name() string { return "Platform" }
 
 // Default implements kernel.Plugin.
-func (watch) Default(s *kernel.Settings) {
+func (watchPlugin) Default(s *kernel.Settings) {
 	if s.WatchWait == 0 {
-		s.WatchWait = 10 * time.Second
+		s.WatchWait = defaultWatchWait
 	}
 }
 
 // Skip implements kernel.Plugin.
-func (watch) Skip(s *kernel.Settings) bool { return !s.Platform.IsValid() || s.Adapter != "" }
+func (watchPlugin) Skip(s *kernel.Settings) bool { return !s.Platform.IsValid() || s.Adapter != "" }
 
 // Run implements kernel.Plugin.
-func (watch) Run(ctx context.Context, k *kernel.Kernel) (func(), error) {
+func (watchPlugin) Run(ctx context.Context, k *kernel.Kernel) (func(), error) {
 	ctx, cancel := context.WithCancel(ctx)
 	transport := &http.Transport{DisableCompression: true}
 	w := &watcher{kernel: k, client: &http.Client{Transport: transport}, listed: map[string]wire.LiveState{}}
@@ -58,6 +75,8 @@
 	}, nil
 }
 
+// watcher reads the document and the live list. Its fields are each used by one of its
+// two loops.
 type watcher struct {
 	kernel *kernel.Kernel
 	client *http.Client
@@ -67,22 +86,23 @@
 	version uint64
 }
 
-// loop reads while this host is one of those that watch; with first, also
-// until there is a document.
-func (w *watcher) loop(ctx context.Context, read func(context.Context) error, first bool) {
+// loop reads while this host is one of those that watch; with atStart, also until there
+// is a document.
+func (w *watcher) loop(ctx context.Context, read func(context.Context) error, atStart bool) {
 	for ctx.Err() == nil {
-		if !w.turn(first) {
+		if !w.isWatcher(atStart) {
 			sleep(ctx, readPause)
 			continue
 		}
 		metrics.GetOrCreateCounter("loomgap_platform_reads_total").Inc()
 		if err := read(ctx); err != nil {
 			w.kernel.Log.Debug().Err(err).Msg("platform not read")
-			sleep(ctx, readPause+time.Duration(rand.Int64N(int64(readPause))))
+			sleep(ctx, readPause+rand.N(readPause))
 		}
 	}
 }
 
+// sleep waits for a time, or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -90,14 +110,19 @@
 	}
 }
 
-// turn reports whether this host watches now.
-func (w *watcher) turn(first bool) bool {
+// isWatcher decides whether this host watches the platform now: the first
+// watchersPerHall of its hall by rendezvous hashing do, and one more for each time of
+// WatchWait and silentTurn in which the hall heard nothing, up to moreWatchers. Its
+// inputs are the live hosts of the hall and when the hall last heard the platform.
+func (w *watcher) isWatcher(atStart bool) bool {
 	v := w.kernel.View()
 	if v.Index == nil {
-		return first
+		return atStart
 	}
-	silent := int((w.kernel.Now() - v.PlatformHeard) / (w.kernel.Settings.WatchWait + silentTurn))
-	watching := Watches(w.hosts(v), w.kernel.Settings.Host, silent)
+	silentTurns := int((w.kernel.Now() - v.PlatformHeard) / (w.kernel.Settings.WatchWait + silentTurn))
+	ranked := Rank(watchKey, w.hosts(v))
+	n := min(watchersPerHall+min(silentTurns, moreWatchers), len(ranked))
+	watching := slices.Contains(ranked[:n], w.kernel.Settings.Host)
 	if watching != v.Reading {
 		w.kernel.Do(func(s *kernel.State) {
 			s.Reading = watching
@@ -108,10 +133,10 @@
 }
 
 // hosts lists the hosts of the hall that may watch. A host that has just started
-// has heard of few, and takes all of the document for live: else each of a hall
+// has heard of few, and counts all of the document as live: else each of a hall
 // that comes back would watch.
 func (w *watcher) hosts(v *kernel.View) []string {
-	if w.kernel.Now() > silentBeats*w.kernel.Settings.Beat {
+	if w.kernel.Now() > silentHeartbeats*w.kernel.Settings.Beat {
 		return v.Hall(&w.kernel.Settings)
 	}
 	out := []string{w.kernel.Settings.Host}
@@ -143,7 +168,7 @@
 	if reply.StatusCode != http.StatusOK {
 		return fmt.Errorf("platform answered %s", reply.Status)
 	}
-	return wire.Decode(reply.Body, 2*config.MaxBytes, out)
+	return wire.Decode(reply.Body, replyFactor*config.MaxBytes, out)
 }
 
 func (w *watcher) readDocument(ctx context.Context) error {
@@ -174,13 +199,13 @@
 		sleep(ctx, readPause)
 	}
 	w.version = l.Version
-	w.kernel.Do(func(s *kernel.State) { w.take(s, l.Entries) })
+	w.kernel.Do(func(s *kernel.State) { w.learnLive(s, l.Entries) })
 	return nil
 }
 
-// take learns from the list. Only a change from leaving to live tells that an
+// learnLive takes in the live list. Only a change from leaving to live shows that an
 // upstream is back, since the list lags.
-func (w *watcher) take(s *kernel.State, entries []wire.LiveEntry) {
+func (w *watcher) learnLive(s *kernel.State, entries []wire.LiveEntry) {
 	now := w.kernel.Now()
 	for _, e := range entries {
 		if s.Index == nil || s.Index.Upstream(e.Name) == nil {
--- a/tier/peers/wire_test.go
+++ b/tier/peers/wire_test.go
@@ -71,9 +71,9 @@
 		name    string
 		message any
 	}{
-		{"heartbeat", &Heartbeat{}},
-		{"announcement", &Announcement{}},
-		{"strikes", &StrikesMessage{}},
+		{"heartbeat", &heartbeat{}},
+		{"announcement", &announcement{}},
+		{"strikes", &strikesMessage{}},
 		{"packed-document", &wire.PackedDocument{}},
 		{"directory", &config.DirectoryChange{}},
 	}
@@ -99,13 +99,13 @@
 // TestMethodsKeepTheirNames compares the methods that hosts call with their names on
 // the wire.
 func TestMethodsKeepTheirNames(t *testing.T) {
-	assert.Equal(t, MethodHeartbeat, "Beat")
-	assert.Equal(t, MethodDocument, "Document")
-	assert.Equal(t, MethodDirectory, "Directory")
-	assert.Equal(t, MethodAnnounce, "Announce")
-	assert.Equal(t, MethodStrikes, "Strikes")
-	assert.Equal(t, MethodKnownStrikes, "KnownStrikes")
-	assert.Equal(t, codeBusy, -32000)
+	assert.Equal(t, methodHeartbeat, "Beat")
+	assert.Equal(t, methodDocument, "Document")
+	assert.Equal(t, methodDirectory, "Directory")
+	assert.Equal(t, methodAnnounce, "Announce")
+	assert.Equal(t, methodStrikes, "Strikes")
+	assert.Equal(t, methodKnownStrikes, "KnownStrikes")
+	assert.Equal(t, codeHandlerFailed, -32000)
 }
 
 // TestDictionaryKeepsItsText compares the text that both ends of a connection compress
