--- a/tier/peers/bench_test.go
+++ b/tier/peers/bench_test.go
@@ -20,7 +20,7 @@
 func BenchmarkBeat(b *testing.B) {
 	for _, n := range []int{2, 8, 24, 60, 117} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
-			t := newMemberTable(memberTableConfig{Host: "H0", Incarnation: "18ed705c791cc212192c", Interval: time.Second, Random: rand.New(rand.NewPCG(1, 0))})
+			t := newMemberTable(memberTableConfig{Self: memberEntry{Host: "H0", Incarnation: "18ed705c791cc212192c"}, Interval: time.Second, Random: rand.New(rand.NewPCG(1, 0))})
 			for i := 1; i < n; i++ {
 				t.merge(0, []memberEntry{{Host: fmt.Sprintf("H%d", i), Incarnation: "18ed705c791cc212192c", Counter: 12345, Revision: 600}})
 			}
--- a/tier/peers/fetch.go
+++ b/tier/peers/fetch.go
@@ -72,7 +72,7 @@
 	}
 	f.document = true
 	go func() {
-		text, revision, err := f.readDocument(from)
+		text, revision, err := f.read(from, methodDocument, config.MaxBytes)
 		if err != nil {
 			f.kernel.Log.Warn().Err(err).Msg("document not fetched")
 		}
@@ -90,13 +90,14 @@
 	}()
 }
 
-func (f *fetches) readDocument(from netip.AddrPort) (text string, revision uint64, err error) {
-	var d wire.PackedDocument
-	if err := f.node.fetch(from, methodDocument, &d); err != nil {
+// read gets a text of at most limit bytes from a peer.
+func (f *fetches) read(from netip.AddrPort, method string, limit int64) (text string, revision uint64, err error) {
+	var packed wire.PackedDocument
+	if err := f.node.fetch(from, method, &packed); err != nil {
 		return "", 0, err
 	}
-	text, err = d.Unpack(config.MaxBytes)
-	return text, d.Revision, err
+	text, err = packed.Unpack(limit)
+	return text, packed.Revision, err
 }
 
 // onDocument serves the document in force.
@@ -151,11 +152,7 @@
 }
 
 func (f *fetches) readDirectory(from netip.AddrPort) (*config.DirectoryChange, error) {
-	var packed wire.PackedDocument
-	if err := f.node.fetch(from, methodDirectory, &packed); err != nil {
-		return nil, err
-	}
-	text, err := packed.Unpack(maxDirectory)
+	text, _, err := f.read(from, methodDirectory, maxDirectory)
 	if err != nil {
 		return nil, err
 	}
--- a/tier/peers/heartbeat.go
+++ b/tier/peers/heartbeat.go
@@ -76,14 +76,12 @@
 
 // serveHeartbeats joins the other hosts. The clean-up function ends that.
 func serveHeartbeats(ctx context.Context, k *kernel.Kernel, n *node, f *fetches, random *rand.Rand) func() {
-	c := memberTableConfig{
-		Host: k.Settings.Host, Incarnation: k.Settings.Incarnation,
-		Interval: k.Settings.Beat, Random: random,
-	}
+	self := memberEntry{Host: k.Settings.Host, Incarnation: k.Settings.Incarnation}
 	if k.Settings.Adapter != "" {
-		c.Hall, c.Peer, c.Capacity = k.Settings.Hall, k.Settings.Peer, k.Settings.Capacity()
+		self.Hall, self.Peer, self.Capacity = k.Settings.Hall, k.Settings.Peer, k.Settings.Capacity()
 	}
-	g := &gossip{kernel: k, node: n, fetches: f, random: random, table: newMemberTable(c)}
+	table := newMemberTable(memberTableConfig{Self: self, Interval: k.Settings.Beat, Random: random})
+	g := &gossip{kernel: k, node: n, fetches: f, random: random, table: table}
 	f.newer = g.sendAll
 	k.Handle(methodHeartbeat, g.onHeartbeat)
 	ctx, cancel := context.WithCancel(ctx)
--- a/tier/peers/members.go
+++ b/tier/peers/members.go
@@ -54,45 +54,35 @@
 	risenAt time.Duration
 }
 
-// memberTable is what one host knows of the others, by their heartbeats: a member is
-// live, silent or forgotten by the age of its newest entry. It is pure: the time is
-// handed in. It is not safe for concurrent use.
-type memberTable struct {
-	// self is the entry of this host; records has those of all others.
-	self     memberEntry
-	interval time.Duration
-	random   policy.Random
-	records  map[string]*memberRecord
-}
-
 // memberTableConfig configures a table.
 type memberTableConfig struct {
-	Host, Incarnation string
-	// Hall, Peer and Capacity are reported to others where no document says them.
-	Hall     string
-	Peer     netip.AddrPort
-	Capacity int
+	// Self is the entry of this host.
+	Self memberEntry
 	// Interval is the time between heartbeats; above 0.
 	Interval time.Duration
 	Random   policy.Random
 }
 
+// memberTable is what one host knows of the others, by their heartbeats: a member is
+// live, silent or forgotten by the age of its newest entry. It is pure: the time is
+// handed in. It is not safe for concurrent use.
+type memberTable struct {
+	memberTableConfig
+	// records holds the other hosts by name.
+	records map[string]*memberRecord
+}
+
 // newMemberTable makes a table that knows only its own host.
 func newMemberTable(c memberTableConfig) *memberTable {
-	return &memberTable{
-		self:     memberEntry{Host: c.Host, Incarnation: c.Incarnation, Hall: c.Hall, Peer: c.Peer, Capacity: c.Capacity},
-		interval: c.Interval,
-		random:   c.Random,
-		records:  map[string]*memberRecord{},
-	}
+	return &memberTable{memberTableConfig: c, records: map[string]*memberRecord{}}
 }
 
 // tick counts a heartbeat of this host and forgets members.
 func (t *memberTable) tick(now time.Duration, revision uint64) {
-	t.self.Counter++
-	t.self.Revision = revision
+	t.Self.Counter++
+	t.Self.Revision = revision
 	for h, r := range t.records {
-		if now-r.risenAt > forgetHeartbeats*t.interval {
+		if now-r.risenAt > forgetHeartbeats*t.Interval {
 			delete(t.records, h)
 		}
 	}
@@ -100,14 +90,14 @@
 
 // leave marks this host as leaving.
 func (t *memberTable) leave() {
-	t.self.Leaving = true
-	t.self.Counter++
+	t.Self.Leaving = true
+	t.Self.Counter++
 }
 
 // merge takes in what another host reported.
 func (t *memberTable) merge(now time.Duration, entries []memberEntry) {
 	for i := range entries {
-		if entries[i].Host != t.self.Host {
+		if entries[i].Host != t.Self.Host {
 			t.mergeEntry(now, entries[i])
 		}
 	}
@@ -130,7 +120,7 @@
 // live decides whether a member counts as live: its newest entry came no longer ago
 // than silentHeartbeats intervals, in a large fleet more.
 func (t *memberTable) live(now time.Duration, r *memberRecord) bool {
-	silentAfter := silentHeartbeats * t.interval * time.Duration(1+len(t.records)/heartbeatEntries)
+	silentAfter := silentHeartbeats * t.Interval * time.Duration(1+len(t.records)/heartbeatEntries)
 	return now-r.risenAt <= silentAfter
 }
 
@@ -154,12 +144,12 @@
 	slices.SortFunc(live, func(a, b *memberRecord) int { return cmp.Compare(a.Host, b.Host) })
 	if len(live) > heartbeatEntries-1 {
 		for i := range heartbeatEntries - 1 {
-			j := i + t.random.IntN(len(live)-i)
+			j := i + t.Random.IntN(len(live)-i)
 			live[i], live[j] = live[j], live[i]
 		}
 		live = live[:heartbeatEntries-1]
 	}
-	out := []memberEntry{t.self}
+	out := []memberEntry{t.Self}
 	for _, r := range live {
 		out = append(out, r.memberEntry)
 	}
--- a/tier/peers/peers_test.go
+++ b/tier/peers/peers_test.go
@@ -35,7 +35,7 @@
 }
 
 func table(host string) *memberTable {
-	return newMemberTable(memberTableConfig{Host: host, Incarnation: "1", Interval: time.Second, Random: rand.New(rand.NewPCG(1, 0))})
+	return newMemberTable(memberTableConfig{Self: memberEntry{Host: host, Incarnation: "1"}, Interval: time.Second, Random: rand.New(rand.NewPCG(1, 0))})
 }
 
 // addresses has addresses compared by their value.
@@ -82,7 +82,7 @@
 	random := rand.New(rand.NewPCG(7, 0))
 	var all []*memberTable
 	for i := range hosts {
-		all = append(all, newMemberTable(memberTableConfig{Host: fmt.Sprintf("H%d", i), Incarnation: "1", Interval: time.Second, Random: random}))
+		all = append(all, newMemberTable(memberTableConfig{Self: memberEntry{Host: fmt.Sprintf("H%d", i), Incarnation: "1"}, Interval: time.Second, Random: random}))
 	}
 	now := time.Duration(0)
 	beat := func(dead int) {
--- a/tier/peers/start_test.go
+++ b/tier/peers/start_test.go
@@ -65,7 +65,7 @@
 				tl.announce(s)
 				g := &gossip{
 					kernel: k,
-					table:  newMemberTable(memberTableConfig{Host: "Self", Interval: time.Second}),
+					table:  newMemberTable(memberTableConfig{Self: memberEntry{Host: "Self"}, Interval: time.Second}),
 				}
 				g.message(s, k.Now())
 				serverWithoutFetches(k).learn(s, &announcement{Host: "Other", Hall: "B", Age: time.Millisecond, Revision: 7, DirectoryRevision: 1})
