--- a/loomfake/soaksite.go
+++ b/loomfake/soaksite.go
@@ -287,8 +287,8 @@
 }
 
 func (s *soak) list(u *soakUpstream, state string) error {
-	return s.store.Put(platform.UpstreamPrefix+u.Name, platform.Server{
-		Service: u.group, Address: u.at, Zone: u.hall, Slots: 4, State: state,
+	return s.store.Put(platform.UpstreamPrefix+u.Name, platform.Upstream{
+		Group: u.group, Address: u.at, Hall: u.hall, Slots: 4, State: state,
 	})
 }
 
@@ -305,16 +305,16 @@
 		groups[u.group] = true
 	}
 	s.mu.Unlock()
-	v := platform.Settings{Limits: platform.Limits{MaxBodyBytes: 1 << 16}}
+	v := platform.Document{Limits: platform.Limits{BodyBytes: 1 << 16}}
 	for g := range groups {
-		v.Services = append(v.Services, platform.Service{Name: g, MaxConns: 40})
+		v.Groups = append(v.Groups, platform.Group{Name: g, Connections: 40})
 	}
-	slices.SortFunc(v.Services, func(a, b platform.Service) int { return strings.Compare(a.Name, b.Name) })
-	base := platform.Route{Host: soakHostName, TimeoutMs: 2000, TargetLatencyMs: 200, MaxAttempts: 2}
+	slices.SortFunc(v.Groups, func(a, b platform.Group) int { return strings.Compare(a.Name, b.Name) })
+	base := platform.Route{HostName: soakHostName, TimeLimitMillis: 2000, ObjectiveMillis: 200, MaxAttempts: 2}
 	gather, safe, unsafe := base, base, base
-	gather.Name, gather.Prefix, gather.Kind, gather.Gather, gather.TopK, gather.MinCoverage = "gather", "/gather/", platform.KindSafe, set, soakTop, soakCoverage
-	safe.Name, safe.Prefix, safe.Kind, safe.Service = "safe", "/safe/", platform.KindSafe, "single"
-	unsafe.Name, unsafe.Prefix, unsafe.Kind, unsafe.Service = "unsafe", "/unsafe/", "unsafe", "single"
+	gather.Name, gather.Prefix, gather.Kind, gather.Gather, gather.Top, gather.Coverage = "gather", "/gather/", platform.KindRepeatable, set, soakTop, soakCoverage
+	safe.Name, safe.Prefix, safe.Kind, safe.Group = "safe", "/safe/", platform.KindRepeatable, "single"
+	unsafe.Name, unsafe.Prefix, unsafe.Kind, unsafe.Group = "unsafe", "/unsafe/", "unsafe", "single"
 	v.Routes = []platform.Route{gather, safe, unsafe}
 	for i := range n {
 		r := safe
