--- a/tier/kernel/adapter.go
+++ b/tier/kernel/adapter.go
@@ -29,17 +29,17 @@
 	DocumentRevision uint64
 	// Directory is what changed in the directory.
 	Directory config.DirectoryChange
-	// Problems are entries that could not be understood. They are left out; the
-	// others count.
+	// Problems are the errors of entries that could not be understood. These are left
+	// out.
 	Problems []error
 }
 
 // Source reads what a platform publishes. It is used by one goroutine.
 type Source interface {
-	// Read gives everything; unless it is to be exact, it may be seconds old.
+	// Read returns everything that is published; unless exact, it may be seconds old.
 	Read(ctx context.Context, exact bool) (*Published, error)
-	// Watch gives what changed after a revision, and waits for it. An error
-	// wraps ErrHistoryGone if only Read can tell.
+	// Watch returns what changed after a revision; if nothing has, it waits for a
+	// change. Its error wraps ErrHistoryGone if only Read can tell what is published.
 	Watch(ctx context.Context, after uint64, wait time.Duration) (*Published, error)
 }
 
@@ -53,13 +53,13 @@
 	Upstream string
 	// Stamp is an upstream's proof that an answer is its own.
 	Stamp string
-	// NotRun is an upstream's word that it did not run the request.
+	// NotRun is an upstream's statement that it did not run the request.
 	NotRun string
-	// Load tells the calls running and waiting at an upstream and its slots.
+	// Load reports the calls running and waiting at an upstream, and its slots.
 	Load string
-	// Parts lists the stamps of the parts of a gathered answer, and Missing
-	// tells how many shards it lacks.
-	Parts   string
+	// Parts lists the stamps of the parts of a gathered answer.
+	Parts string
+	// Missing is how many shards a gathered answer lacks.
 	Missing string
 }
 
--- a/tier/kernel/handler.go
+++ b/tier/kernel/handler.go
@@ -12,10 +12,10 @@
 // PeerCaller calls a method of another entry host.
 type PeerCaller interface {
 	Call(ctx context.Context, host, method string, params, result any) error
-	// Notify tells another entry host something, and wants no answer.
+	// Notify sends another entry host a message that has no answer.
 	Notify(ctx context.Context, host, method string, params any) error
-	// Connect makes the connection to another entry host, if there is none, so
-	// that the first call need not wait for it.
+	// Connect makes the connection to another entry host, if there is none, so that
+	// the first call does not wait for it.
 	Connect(ctx context.Context, host string) error
 }
 
--- a/tier/kernel/member.go
+++ b/tier/kernel/member.go
@@ -2,22 +2,25 @@
 
 import "net/netip"
 
-// Member is another entry host, as believed.
+// Member is another entry host, as its heartbeats report it.
 type Member struct {
-	Host        string
+	Host string
+	// Incarnation names its process.
 	Incarnation string
-	Hall        string
-	Peer        netip.AddrPort
-	// Live is true while its heartbeats are heard of.
+	// Hall is its data hall, Peer where other hosts connect.
+	Hall string
+	Peer netip.AddrPort
+	// Live is true while its heartbeats arrive, directly or through other hosts.
 	Live bool
-	// Leaving is true once it said that it stops.
-	Leaving  bool
+	// Leaving is true once it reported that it stops.
+	Leaving bool
+	// Revision is the configuration in force there.
 	Revision uint64
-	// Capacity is how much it can carry, as of policy.Capacity; above 0.
+	// Capacity is how much work it can do, as of policy.Capacity; above 0.
 	Capacity int
 }
 
-// Staying reports whether the host is heard of and has not said that it stops.
+// Staying reports whether the host is live and does not stop.
 func (m *Member) Staying() bool { return m.Live && !m.Leaving }
 
 // Callable reports whether requests and calls may be handed to the host.
--- a/tier/kernel/settings.go
+++ b/tier/kernel/settings.go
@@ -16,14 +16,14 @@
 	Hall string
 	// Incarnation names this process; a later process of the host has a larger one.
 	Incarnation string
-	// Listen is where callers come in.
+	// Listen is where callers connect.
 	Listen netip.AddrPort
-	// Operate is where operators come in.
+	// Operate is where operators connect.
 	Operate netip.AddrPort
 	// Metrics is where metrics are served besides at Operate; the zero value
 	// for nowhere.
 	Metrics netip.AddrPort
-	// Peer is where other entry hosts come in.
+	// Peer is where other entry hosts connect.
 	Peer netip.AddrPort
 	// Platform is where the platform's service is read.
 	Platform netip.AddrPort
@@ -31,21 +31,21 @@
 	Seeds []netip.AddrPort
 	// Beat is the time between heartbeats.
 	Beat time.Duration
-	// WatchWait is how long one read of the platform waits for news.
+	// WatchWait is how long one read of the platform waits for a change.
 	WatchWait time.Duration
 	// TicketLife is how long a ticket is remembered.
 	TicketLife time.Duration
 	// Settle is how long a stopping host still takes requests, so that the
 	// balancer sees that it is not ready.
 	Settle time.Duration
-	// SettleAsks is how often it must have told that it is not ready before it
+	// SettleAsks is how often it must have answered that it is not ready before it
 	// stops taking requests, if that takes no longer than SettleMost.
 	SettleAsks int
 	// SettleMost is the longest time that it waits for that; Settle or more.
 	SettleMost time.Duration
 	// StopBound is the longest time that a planned stop takes.
 	StopBound time.Duration
-	// LeavingHold is how long an upstream is taken for leaving after its last
+	// LeavingHold is how long an upstream counts as leaving after its last
 	// sign, though its status says that it stays.
 	LeavingHold time.Duration
 	// TraceRatio is the share of requests whose spans are logged.
@@ -64,7 +64,7 @@
 	// Regions says where the data halls lie.
 	Regions config.Regions
 	// ColdFactor and ColdSlack are by how much all hosts together may exceed what a
-	// cold upstream bears within a second: so many times as much, and so many
+	// cold upstream can handle within a second: so many times as much, and so many
 	// requests besides.
 	ColdFactor, ColdSlack float64
 }
@@ -72,12 +72,14 @@
 // Region is the region of this host's data hall; empty if it is not known.
 func (s *Settings) Region() string { return s.Regions[s.Hall] }
 
-// Capacity is how much the host can carry, as of policy.Capacity; a host whose
-// settings do not say it counts as one core.
+// defaultCores is the share of processors of a host whose settings give none.
+const defaultCores = 1
+
+// Capacity is how much work the host can do, as of policy.Capacity.
 func (s *Settings) Capacity() int {
 	cores := s.Cores
 	if cores <= 0 {
-		cores = 1
+		cores = defaultCores
 	}
 	return policy.Capacity(cores, s.LinkMbits)
 }
@@ -95,6 +97,6 @@
 type RetryBudget struct {
 	// Ratio is the part of the requests that may be repeated.
 	Ratio float64
-	// Slack is how many retries are allowed besides.
+	// Slack is how many retries are allowed beyond that.
 	Slack float64
 }
--- a/tier/kernel/state.go
+++ b/tier/kernel/state.go
@@ -42,31 +42,27 @@
 	s.changed = s.changed || changed
 }
 
-// View is an immutable copy of the control state.
+// View is an immutable copy of the control state; its fields are as in State.
 type View struct {
-	// Index is nil until a document was accepted.
-	Index         *config.Index
-	Published     uint64
-	Newest        uint64
-	Refused       string
-	Directory     *config.Directory
-	Members       map[string]Member
+	DocumentState
+	Directory *config.Directory
+	Members   map[string]Member
+	// Leaving is the set of the leaving upstreams.
 	Leaving       map[string]bool
 	Reading       bool
 	PlatformHeard time.Duration
 	Pauses        int
-	Confirmed     bool
 }
 
 func (s *State) view() *View {
 	return &View{
-		Index: s.Index, Published: s.Published, Newest: s.Newest, Refused: s.Refused, Directory: s.Directory,
+		DocumentState: s.DocumentState, Directory: s.Directory,
 		Members: maps.Clone(s.Members), Leaving: s.names(),
-		Reading: s.Reading, PlatformHeard: s.PlatformHeard, Pauses: s.Pauses, Confirmed: s.Confirmed,
+		Reading: s.Reading, PlatformHeard: s.PlatformHeard, Pauses: s.Pauses,
 	}
 }
 
-// Hall lists the live entry hosts of a hall that stay, this one included.
+// Hall lists the live entry hosts of this host's hall that do not leave, itself included.
 func (v *View) Hall(s *Settings) []string {
 	out := []string{s.Host}
 	for n, m := range v.Members {
