--- a/tier/peers/strikes.go
+++ b/tier/peers/strikes.go
@@ -68,9 +68,9 @@
 	}
 	for i := range m.Reports {
 		c := &m.Reports[i]
-		if c.Fingerprint == "" || len(c.Fingerprint) > fingerprintMost || len(c.Strikes) > strikesMost {
+		if c.Fingerprint == "" || len(c.Fingerprint) > fingerprintMost || len(c.Crashes) > strikesMost {
 			return fmt.Errorf("%w: fingerprint of %d bytes with %d strikes: send 1 to %d bytes and %d strikes at most",
-				errBadStrikes, len(c.Fingerprint), len(c.Strikes), fingerprintMost, strikesMost)
+				errBadStrikes, len(c.Fingerprint), len(c.Crashes), fingerprintMost, strikesMost)
 		}
 	}
 	return nil
@@ -91,7 +91,7 @@
 	s := &striker{kernel: k, news: make(chan struct{}, 1), urgent: make(chan struct{}, 1)}
 	k.Handle(MethodStrikes, s.onStrikes)
 	k.Handle(MethodKnownStrikes, s.onKnown)
-	k.Fleet.OnStrikes(s.notify)
+	k.Fleet.OnCrashReports(s.notify)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -99,7 +99,7 @@
 		s.loop(ctx)
 	}()
 	return func() {
-		k.Fleet.OnStrikes(nil)
+		k.Fleet.OnCrashReports(nil)
 		cancel()
 		<-done
 	}
@@ -157,7 +157,7 @@
 // push tells other hosts of new strikes.
 func (s *striker) push(ctx context.Context) {
 	k := s.kernel
-	reports := k.Fleet.FreshReports(k.Now())
+	reports := k.Fleet.UnsentReports(k.Now())
 	if len(reports) == 0 {
 		return
 	}
@@ -179,7 +179,7 @@
 	verdict := k.Fleet.Worst(k.Now(), c.Fingerprint)
 	metrics.GetOrCreateCounter(`loomgap_suspects_total{Verdict="` + string(verdict) + `"}`).Inc()
 	var upstreams, callers []string
-	for _, strike := range c.Strikes {
+	for _, strike := range c.Crashes {
 		upstreams, callers = append(upstreams, strike.Upstream), append(callers, strike.Caller.String())
 	}
 	line := k.Decisions.Info()
--- a/tier/peers/strikes_test.go
+++ b/tier/peers/strikes_test.go
@@ -138,7 +138,7 @@
 
 // seeStrike has a host see a strike, as if told of it by itself.
 func seeStrike(k *kernel.Kernel, f policy.Fingerprint, id uint64) {
-	k.Fleet.TakeReports(k.Now(), []policy.SuspectReport{{Fingerprint: f, Strikes: []policy.Strike{{
+	k.Fleet.TakeReports(k.Now(), []policy.SuspectReport{{Fingerprint: f, Crashes: []policy.CrashReport{{
 		ID: id, Attempt: id, Upstream: "U", Left: time.Hour,
 	}}}})
 }
--- a/tier/policy/admit.go
+++ b/tier/policy/admit.go
@@ -35,9 +35,6 @@
 	return c
 }
 
-// ReasonQuarantined is the reason of a refusal of a request that crashes upstreams.
-const ReasonQuarantined = "the request has crashed the upstreams that ran it"
-
 // Refusal is a request that was not run, with when to ask again.
 type Refusal struct {
 	Reason string
--- a/tier/policy/attempt.go
+++ b/tier/policy/attempt.go
@@ -5,7 +5,6 @@
 	"slices"
 	"time"
 
-	"loomgap/tier/config"
 	"loomgap/tier/query"
 )
 
@@ -26,25 +25,6 @@
 	}
 }
 
-func (r *Run) wakePart(now time.Duration, i int, out []Action) []Action {
-	p := &r.parts[i]
-	if p.retryAt > 0 && now >= p.retryAt {
-		p.retryAt = 0
-		return r.startOrHold(now, i, out)
-	}
-	if p.hedged || len(p.live) == 0 || r.request.Class.Hedge == config.HedgeNone || !r.request.Repeatable {
-		return out
-	}
-	a := &r.attempts[p.live[0]]
-	if a.phase == phaseQueued || now-a.sentAt < a.hedgeAge {
-		return out
-	}
-	if a.alone && now-a.sentAt >= aloneFactor*a.hedgeAge && r.doubted() {
-		return r.leaveAlone(now, i, out)
-	}
-	return r.hedge(now, i, out)
-}
-
 // startAttempt gives a shard its first attempt, or its next after a refusal.
 // Where no slot is free it waits for one at every fit replica, and the first to
 // come is taken: that costs no call.
@@ -123,7 +103,7 @@
 
 func (r *Run) send(now time.Duration, n int, out []Action) []Action {
 	a := &r.attempts[n]
-	a.alone = r.doubted() && !r.sending()
+	a.isolated = r.suspected() && !r.hasCalls()
 	a.phase = phaseSent
 	a.sentAt = now
 	a.hedgeAge = r.rules.hedgeDelay(a.upstream, r.request.Deadline-r.times.begun)
@@ -156,7 +136,7 @@
 // linger reports whether an attempt that is not wanted any more may go on. One
 // whose caller is gone may not.
 func (r *Run) linger(a *attempt) bool {
-	return r.rules.lingers(a.upstream) && r.request.Repeatable && !r.callerGone && !r.doubted() && a.upstream.linger()
+	return r.rules.lingers(a.upstream) && r.request.Repeatable && !r.callerGone && !r.suspected() && a.upstream.linger()
 }
 
 // cancel gives up all attempts of a shard.
--- a/tier/policy/finish.go
+++ b/tier/policy/finish.go
@@ -32,7 +32,7 @@
 	}
 	if !r.done(now) {
 		// Parts that cannot be started are missing.
-		out = r.resume(now, out)
+		out = r.startDeferred(now, out)
 	}
 	if r.done(now) {
 		return r.finish(now, out)
@@ -59,18 +59,18 @@
 // finish ends the run: what is still open is missing, and its calls are given up.
 func (r *Run) finish(now time.Duration, out []Action) []Action {
 	r.finished = true
-	r.strikeAtEnd(now)
+	r.reportAtEnd(now)
 	for i := range r.parts {
 		p := &r.parts[i]
 		if p.closed {
 			continue
 		}
-		if !r.request.Repeatable && r.sent(p) {
+		if !r.request.Repeatable && r.hasCall(p) {
 			r.unknown = true
 		}
 		out = r.cancel(i, CallLate, out)
 		reason := query.ReasonLate
-		if p.held {
+		if p.deferred {
 			reason = query.ReasonSuspected
 		}
 		r.markMissing(i, reason)
--- a/tier/policy/hedge.go
+++ b/tier/policy/hedge.go
@@ -6,37 +6,20 @@
 	"loomgap/tier/config"
 )
 
-// hedgeLeast is the least time after which a call is hedged. Not measured.
-const hedgeLeast = 500 * time.Microsecond
-
-// batchHedgeDelay is the least extra time until a call of a batch is hedged: the relay's
-// progress report may be late where that host is busy. Measured: without extra time there
-// are 27% extra calls; 15 ms alone, not half the delay besides, is level.
-const batchHedgeDelay = 15 * time.Millisecond
-
-// hedge asks another replica too, if it has a free slot and the budget allows.
-// Where no other replica is fit, the same one is asked a second time: a call
-// that straggles says little about the next call to the same upstream.
-func (r *Run) hedge(now time.Duration, i int, out []Action) []Action {
-	if r.doubted() || r.unanswered() && r.hedging() {
-		r.parts[i].unhedged = HedgeDoubted
-		return out
-	}
-	u := r.pick(now, i, true)
-	if u == nil || !u.free() {
-		u = r.sameAgain(now, i)
-	}
-	if u == nil {
-		u = r.pick(now, i, false)
-	}
-	p := &r.parts[i]
-	p.unhedged = r.hedgeObstacle(now, i, u)
-	if p.unhedged != "" {
-		return out
-	}
-	p.hedged = true
-	return r.enter(now, i, u, out)
-}
+const (
+	// hedgeLeast is the least time after which a call is hedged. Not measured.
+	hedgeLeast = 500 * time.Microsecond
+	// hedgeRecheckDivisor divides the hedge delay: a hedge that was not possible is
+	// considered again after that part of it. Not measured.
+	hedgeRecheckDivisor = 4
+	// batchHedgeDelay is the fixed part of the extra time until a call of a batch is
+	// hedged: the relay's progress report may be late where that host is busy. Measured:
+	// without extra time there are 27% extra calls.
+	batchHedgeDelay = 15 * time.Millisecond
+	// batchHedgeDivisor divides the hedge delay for the other part of that extra time.
+	// Measured: without it, worth is 0.001 less.
+	batchHedgeDivisor = 2
+)
 
 // HedgeObstacle says what kept a call from being hedged.
 type HedgeObstacle string
@@ -52,51 +35,103 @@
 	// HedgeNoBudget means that the retry budget is spent, or that no further
 	// attempt is allowed.
 	HedgeNoBudget HedgeObstacle = "NoBudget"
-	// HedgeDoubted means that the request may be one that crashes upstreams, or that
+	// HedgeSuspected means that the request may be one that crashes upstreams, or that
 	// no upstream has answered it and another call is hedged already.
-	HedgeDoubted HedgeObstacle = "Doubted"
+	HedgeSuspected HedgeObstacle = "Doubted"
 )
 
-// hedgeObstacle takes a hedge of a part from its budget, or says why not.
-func (r *Run) hedgeObstacle(now time.Duration, i int, u *Upstream) HedgeObstacle {
+// hedge makes a second call for a part whose first is slow, or notes why not.
+func (r *Run) hedge(now time.Duration, i int, out []Action) []Action {
+	p := &r.parts[i]
+	u, obstacle := r.decideHedge(now, i)
+	p.unhedged = obstacle
+	if obstacle != "" {
+		return out
+	}
+	p.hedged = true
+	return r.enter(now, i, u, out)
+}
+
+// decideHedge decides whether a part gets a second call, and at which upstream, or says
+// why not. The hedge is taken from its budget. There is none into a queue.
+func (r *Run) decideHedge(now time.Duration, i int) (*Upstream, HedgeObstacle) {
+	if r.suspected() || r.hedgesOneAtATime() && r.hedgeInProgress() {
+		return nil, HedgeSuspected
+	}
+	u := r.hedgeTarget(now, i)
 	switch {
 	case u == nil:
-		return HedgeNoUpstream
+		return nil, HedgeNoUpstream
 	case u.cold.bounded(now):
-		return HedgeCold
+		return nil, HedgeCold
 	case !u.free():
-		return HedgeNoSlot
+		return nil, HedgeNoSlot
 	case !r.rules.payHedge(i, &r.parts[i]):
-		return HedgeNoBudget
+		return nil, HedgeNoBudget
 	default:
-		return ""
+		return u, ""
 	}
 }
 
-// sameAgain returns the upstream of the shard's one live attempt, if it is fit.
-func (r *Run) sameAgain(now time.Duration, i int) *Upstream {
-	u := r.attempts[r.parts[i].live[0]].upstream
-	if !r.rules.hedgesAtSame() || !u.free() || !u.fit(now) {
-		return nil
+// hedgeTarget is the upstream that may get the hedge of a part: the best eligible one
+// that was not asked, else the same one again, else any that was not asked.
+func (r *Run) hedgeTarget(now time.Duration, i int) *Upstream {
+	if u := r.pick(now, i, true); u != nil && u.free() {
+		return u
+	}
+	if u := r.attempts[r.parts[i].live[0]].upstream; r.rules.hedgesAtSame() && u.free() && u.fit(now) {
+		return u
+	}
+	return r.pick(now, i, false)
+}
+
+// hedgesOneAtATime reports whether no upstream has answered a gather yet. It has one
+// hedge in progress at a time then: calls that all take long are slow for a reason that
+// they share, and other upstreams may share it too. Without it, a request that crashes
+// upstreams a while after they began crashes all replicas of all shards at its first
+// attempt, before the first connection is lost. Measured: level without such requests.
+func (r *Run) hedgesOneAtATime() bool { return r.suspicion.open() && len(r.parts) > 1 }
+
+// hedgeInProgress reports whether any part has a hedge in progress.
+func (r *Run) hedgeInProgress() bool {
+	for i := range r.parts {
+		if p := &r.parts[i]; p.hedged && len(p.live) > 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// hedges reports whether calls of the request may be hedged at all.
+func (r *Run) hedges() bool {
+	return r.request.Class.Hedge != config.HedgeNone && r.request.Repeatable
+}
+
+// hedgeDue reports whether the first call of a part has taken so long that it is hedged.
+func (r *Run) hedgeDue(now time.Duration, p *part) bool {
+	if p.hedged || len(p.live) == 0 || !r.hedges() {
+		return false
 	}
-	return u
+	a := &r.attempts[p.live[0]]
+	return a.phase != phaseQueued && now-a.sentAt >= a.hedgeAge
 }
 
+// hedgeTime is when the hedge of an attempt is considered next.
 func (r *Run) hedgeTime(now time.Duration, a *attempt) time.Duration {
-	if r.request.Class.Hedge == config.HedgeNone || !r.request.Repeatable {
+	if !r.hedges() {
 		return r.request.Deadline
 	}
 	first := a.sentAt + a.hedgeAge
 	if a.phase == phaseSent && first > now {
 		return first
 	}
-	return now + max(a.hedgeAge/4, hedgeLeast)
+	return now + max(a.hedgeAge/hedgeRecheckDivisor, hedgeLeast)
 }
 
 // probe asks a slow replica besides the chosen one, so that its recovery is
 // seen without anybody waiting for it.
 func (r *Run) probe(now time.Duration, i int, out []Action) []Action {
-	if !r.request.Repeatable || r.request.Class.Hedge == config.HedgeNone || len(r.parts[i].live) == 0 || !r.rules.probes() {
+	if !r.hedges() || !r.rules.probes() || len(r.parts[i].live) == 0 {
 		return out
 	}
 	for _, u := range r.parts[i].replicas {
@@ -116,7 +151,7 @@
 // is reported for the whole batch at once.
 func (r *Run) DelayHedge(n int) {
 	a := &r.attempts[n]
-	a.hedgeAge += a.hedgeAge/2 + batchHedgeDelay
+	a.hedgeAge += a.hedgeAge/batchHedgeDivisor + batchHedgeDelay
 }
 
 // Overdue hedges attempts now that are known to take long.
--- /dev/null
+++ b/tier/policy/isolation.go
@@ -0,0 +1,161 @@
+package policy
+
+import (
+	"math"
+	"time"
+
+	"loomgap/tier/query"
+)
+
+const (
+	// isolatedTimeoutFactor is how many times as long as until a hedge an isolated call
+	// may take until another is made in its place, so that one unresponsive upstream
+	// does not hold a request until its deadline. Not measured.
+	isolatedTimeoutFactor = 4
+	// isolatedTimeoutsMost is the number of isolated calls that may take too long until
+	// the run ends: their upstreams may crash later, unseen. Not measured.
+	isolatedTimeoutsMost = 2
+)
+
+// startOrDefer starts an attempt of a part, or defers the part while the request is
+// suspected.
+func (r *Run) startOrDefer(now time.Duration, i int, out []Action) []Action {
+	if r.suspected() {
+		r.deferPart(i)
+		return out
+	}
+	return r.startAttempt(now, i, out)
+}
+
+// deferPart has a part wait until startDeferred starts it.
+func (r *Run) deferPart(i int) {
+	p := &r.parts[i]
+	p.deferred, p.hedged = true, false
+	r.suspicion.deferred++
+}
+
+// startDeferred starts the parts that are deferred: all once the request is not
+// suspected, else one, if no attempt is in progress.
+func (r *Run) startDeferred(now time.Duration, out []Action) []Action {
+	for r.suspicion.deferred > 0 && (!r.suspected() || !r.hasAttempts()) {
+		i := r.bestDeferred(now)
+		p := &r.parts[i]
+		p.deferred = false
+		r.suspicion.deferred--
+		if p.retryDue && !r.rules.payRetry(i, p, CallBroken) {
+			r.markMissing(i, query.ReasonSuspected)
+			continue
+		}
+		p.retryDue = false
+		out = r.startAttempt(now, i, out)
+	}
+	return out
+}
+
+// bestDeferred is the deferred part whose upstream is expected to answer first; one is
+// deferred.
+func (r *Run) bestDeferred(now time.Duration) int {
+	best, low := -1, math.Inf(1)
+	for i := range r.parts {
+		if !r.parts[i].deferred {
+			continue
+		}
+		score := math.MaxFloat64
+		if u := r.pick(now, i, true); u != nil {
+			score = r.score(now, u)
+		}
+		if best < 0 || score < low {
+			best, low = i, score
+		}
+	}
+	return best
+}
+
+// deferGranted defers the part of an attempt that got its slot, if the request has come
+// to be suspected while the attempt was queued and another call is in progress.
+func (r *Run) deferGranted(n int) bool {
+	a := &r.attempts[n]
+	if !r.suspected() || !r.hasCalls() {
+		return false
+	}
+	r.leaveQueues(a.part, n)
+	p := &r.parts[a.part]
+	p.remove(n)
+	p.forget(a.upstream)
+	p.tries--
+	a.phase = phaseDone
+	r.deferPart(a.part)
+	return true
+}
+
+// isolate gives up the calls in progress once the request is suspected: they would crash
+// their upstreams too. Their parts wait, if they may be asked for once more.
+func (r *Run) isolate(out []Action) []Action {
+	if !r.suspected() || r.suspicion.reported {
+		return out
+	}
+	for i := range r.parts {
+		p := &r.parts[i]
+		if p.closed || !r.hasCall(p) || !r.rules.attemptsLeft(p) {
+			continue
+		}
+		for _, n := range p.live {
+			p.forget(r.attempts[n].upstream)
+		}
+		out = r.postpone(i, CallCancelled, out)
+	}
+	return out
+}
+
+// isolatedTimedOut reports whether an isolated attempt takes so long that another is to
+// be made in its place.
+func (r *Run) isolatedTimedOut(now time.Duration, a *attempt) bool {
+	return a.isolated && now-a.sentAt >= isolatedTimeoutFactor*a.hedgeAge && r.suspected()
+}
+
+// replaceIsolated gives up the isolated call of a part, so that another is made; after
+// some of these the run ends.
+func (r *Run) replaceIsolated(now time.Duration, i int, out []Action) []Action {
+	r.suspicion.isolatedTimeouts++
+	if r.suspicion.isolatedTimeouts >= isolatedTimeoutsMost {
+		return r.finish(now, out)
+	}
+	if r.rules.attemptsLeft(&r.parts[i]) {
+		return r.postpone(i, CallLate, out)
+	}
+	out = r.cancel(i, CallLate, out)
+	r.markMissing(i, query.ReasonLate)
+	return out
+}
+
+// postpone gives up the calls of a part, which is asked for once more later.
+func (r *Run) postpone(i int, o CallOutcome, out []Action) []Action {
+	p := &r.parts[i]
+	for _, n := range p.live {
+		r.attempts[n].abandoned = r.attempts[n].phase == phaseSent
+	}
+	out = r.cancel(i, o, out)
+	p.retryDue = true
+	r.deferPart(i)
+	return out
+}
+
+// hasAttempts reports whether a call of the run is in progress or waits for its slot.
+func (r *Run) hasAttempts() bool {
+	for i := range r.parts {
+		if len(r.parts[i].live) > 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// hasCalls reports whether a call of the run is in progress.
+func (r *Run) hasCalls() bool {
+	for i := range r.parts {
+		if r.hasCall(&r.parts[i]) {
+			return true
+		}
+	}
+	return false
+}
--- a/tier/policy/part.go
+++ b/tier/policy/part.go
@@ -6,16 +6,19 @@
 	"loomgap/tier/query"
 )
 
+// part is one shard's share of an answer. It is open until it is included or missing.
 type part struct {
+	// replicas are the upstreams that can answer it.
 	replicas []*Upstream
-	// reason is empty while open or included.
+	// reason is why it is missing; empty while it is open or included.
 	reason   query.Reason
 	included bool
 	closed   bool
-	// held is true while the part waits for a call of another part: see doubt. It
-	// owes a retry if a call of it was given up for that.
-	held, owes bool
-	tries      int
+	// deferred is true while it waits for the answer of an isolated call. retryDue is
+	// true if it pays for a retry then, since a call of it was given up.
+	deferred, retryDue bool
+	// tries counts its attempts, those that are queued included.
+	tries int
 	// sends counts the attempts sent, arrivals those of them that may have
 	// reached an upstream, and ran those that may have run there.
 	sends, arrivals, ran int
@@ -23,12 +26,15 @@
 	hedged bool
 	// unhedged is why no second replica was asked when it was last considered.
 	unhedged HedgeObstacle
-	live     []int
-	tried    []*Upstream
+	// live are its attempts that are queued or sent, the oldest first.
+	live []int
+	// tried are the upstreams that it does not go to again.
+	tried []*Upstream
 	// retryAt is when a refused shard is tried again; 0 for never.
 	retryAt time.Duration
 }
 
+// phase is how far an attempt has come.
 type phase string
 
 const (
@@ -37,6 +43,7 @@
 	phaseDone   phase = "Done"
 )
 
+// attempt is one call, or the wait for a slot to make it.
 type attempt struct {
 	part     int
 	upstream *Upstream
@@ -44,10 +51,13 @@
 	sentAt   time.Duration
 	// hedgeAge is how long after sentAt it is hedged.
 	hedgeAge time.Duration
-	waiter   *Waiter
-	// alone is true if the run was doubted and had no other call under way when it
-	// was sent; abandoned once it was given up though its part is open.
-	alone, abandoned bool
+	// waiter is its place in the upstream's queue.
+	waiter *Waiter
+	// isolated is true if the request was suspected, and no other call of it in
+	// progress, when it was sent.
+	isolated bool
+	// abandoned is true once it was given up though its part is open.
+	abandoned bool
 }
 
 // account takes an outcome out of what may have run and arrived.
@@ -60,7 +70,8 @@
 	}
 }
 
-func (r *Run) sent(p *part) bool {
+// hasCall reports whether a call of a part is in progress.
+func (r *Run) hasCall(p *part) bool {
 	for _, n := range p.live {
 		if r.attempts[n].phase == phaseSent {
 			return true
--- a/tier/policy/quarantine_test.go
+++ b/tier/policy/quarantine_test.go
@@ -18,48 +18,50 @@
 	return NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(seed, 0))})
 }
 
-// TestJudge has a request collect strikes, and time pass.
+// TestJudge has a request collect crash reports, and time pass.
 func TestJudge(t *testing.T) {
-	among := func(attempt uint64) Strike { return Strike{ID: 100 + attempt, Attempt: attempt, Upstream: "A"} }
-	together := func(attempt uint64) Strike {
-		return Strike{ID: 300 + attempt, Attempt: attempt, Alone: true, Upstream: "A"}
+	shared := func(attempt uint64) CrashReport {
+		return CrashReport{ID: 100 + attempt, Attempt: attempt, Upstream: "A"}
 	}
-	alone := func(attempt uint64) Strike {
-		return Strike{ID: 200 + attempt, Attempt: attempt, Alone: true, Upstream: fmt.Sprint("U", attempt)}
+	together := func(attempt uint64) CrashReport {
+		return CrashReport{ID: 300 + attempt, Attempt: attempt, Isolated: true, Upstream: "A"}
 	}
-	voided := alone(1)
-	voided.Void = true
+	isolated := func(attempt uint64) CrashReport {
+		return CrashReport{ID: 200 + attempt, Attempt: attempt, Isolated: true, Upstream: fmt.Sprint("U", attempt)}
+	}
+	cleared := isolated(1)
+	cleared.Cleared = true
 	tests := []struct {
 		name    string
-		strikes []Strike
+		reports []CrashReport
 		after   time.Duration
 		want    Verdict
 		left    time.Duration
 	}{
 		{"none", nil, 0, VerdictSound, 0},
-		{"among others", []Strike{among(1)}, 0, VerdictSuspected, 0},
-		{"among others, often", []Strike{among(1), among(2), among(3)}, 0, VerdictSuspected, 0},
-		{"once alone", []Strike{alone(1)}, 0, VerdictSuspected, 0},
-		{"among others and alone, in one attempt", []Strike{among(1), alone(1)}, 0, VerdictSuspected, 0},
-		{"told twice of the same", []Strike{alone(1), alone(1)}, 0, VerdictSuspected, 0},
-		{"among others and then alone", []Strike{among(1), alone(2)}, 0, VerdictQuarantined, 2 * time.Minute},
-		{"for two minutes at first", []Strike{among(1), alone(2)}, 2 * time.Minute, VerdictSuspected, 0},
-		{"for ten then", []Strike{among(1), alone(2), alone(3)}, 9 * time.Minute, VerdictQuarantined, time.Minute},
-		{"for a day at most", []Strike{alone(1), alone(2), alone(3), alone(4), alone(5), alone(6), alone(7)}, 0, VerdictQuarantined, 24 * time.Hour},
-		{"a day later", []Strike{alone(1), alone(2)}, 24 * time.Hour, VerdictSound, 0},
-		{"many attempts at one upstream that ended once", []Strike{together(1), together(2), together(3)}, 0, VerdictSuspected, 0},
-		{"many attempts at one upstream, and one at another", []Strike{together(1), together(2), together(3), alone(4)}, 0, VerdictQuarantined, 10 * time.Minute},
-		{"answered meanwhile", []Strike{alone(2), voided}, 0, VerdictSuspected, 0},
-		{"void when told", []Strike{voided}, 0, VerdictSound, 0},
+		{"shared", []CrashReport{shared(1)}, 0, VerdictSuspected, 0},
+		{"shared, often", []CrashReport{shared(1), shared(2), shared(3)}, 0, VerdictSuspected, 0},
+		{"once isolated", []CrashReport{isolated(1)}, 0, VerdictSuspected, 0},
+		{"shared and isolated, in one attempt", []CrashReport{shared(1), isolated(1)}, 0, VerdictSuspected, 0},
+		{"twice the same", []CrashReport{isolated(1), isolated(1)}, 0, VerdictSuspected, 0},
+		{"shared and then isolated", []CrashReport{shared(1), isolated(2)}, 0, VerdictQuarantined, 2 * time.Minute},
+		{"for two minutes at first", []CrashReport{shared(1), isolated(2)}, 2 * time.Minute, VerdictSuspected, 0},
+		{"for ten then", []CrashReport{shared(1), isolated(2), isolated(3)}, 9 * time.Minute, VerdictQuarantined, time.Minute},
+		{"for a day at most", []CrashReport{isolated(1), isolated(2), isolated(3), isolated(4), isolated(5), isolated(6), isolated(7)}, 0, VerdictQuarantined, 24 * time.Hour},
+		{"a day later", []CrashReport{isolated(1), isolated(2)}, 24 * time.Hour, VerdictSound, 0},
+		{"many attempts at one upstream that crashed once", []CrashReport{together(1), together(2), together(3)}, 0, VerdictSuspected, 0},
+		{"many attempts at one upstream, and one at another", []CrashReport{together(1), together(2), together(3), isolated(4)}, 0, VerdictQuarantined, 10 * time.Minute},
+		{"answered meanwhile", []CrashReport{isolated(2), cleared}, 0, VerdictSuspected, 0},
+		{"cleared when sent", []CrashReport{cleared}, 0, VerdictSound, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			f := newFleetFor(1)
 			now := time.Minute
-			for i := range tt.strikes {
-				tt.strikes[i].Left = strikeLife
+			for i := range tt.reports {
+				tt.reports[i].Left = crashReportLife
 			}
-			f.TakeReports(now, []SuspectReport{{Fingerprint: "F", Strikes: tt.strikes}})
+			f.TakeReports(now, []SuspectReport{{Fingerprint: "F", Crashes: tt.reports}})
 			got, left := f.Judge(now+tt.after, Subject{Fingerprint: "F"})
 			assert.Equal(t, got, tt.want)
 			assert.Equal(t, left, tt.left)
@@ -67,18 +69,18 @@
 	}
 }
 
-// TestAnswerVoidsWhatWasHeld has an upstream answer a request that two ended under:
-// it is sound here and, once they are told, at other hosts, whatever they knew.
-func TestAnswerVoidsWhatWasHeld(t *testing.T) {
+// TestAnswerClearsReports has an upstream answer a request that crashed two: it is
+// sound here and, once they are sent that, at other hosts, whatever they knew.
+func TestAnswerClearsReports(t *testing.T) {
 	f, other := newFleetFor(1), newFleetFor(2)
 	now := time.Minute
 	for id, u := range []string{"A", "B"} {
-		f.quarantine.strike(now, Subject{Fingerprint: "F"}, Strike{ID: uint64(id), Attempt: uint64(id), Alone: true, Upstream: u})
+		f.quarantine.report(now, Subject{Fingerprint: "F"}, CrashReport{ID: uint64(id), Attempt: uint64(id), Isolated: true, Upstream: u})
 	}
 	before := f.Reports(now)
 	other.TakeReports(now, before)
-	f.quarantine.survived(Subject{Fingerprint: "F"})
-	other.TakeReports(now, f.FreshReports(now))
+	f.quarantine.clear(Subject{Fingerprint: "F"})
+	other.TakeReports(now, f.UnsentReports(now))
 	f.TakeReports(now, before)
 	for _, host := range []*Fleet{f, other} {
 		verdict, _ := host.Judge(now, Subject{Fingerprint: "F"})
@@ -86,9 +88,9 @@
 	}
 }
 
-// TestHostsAgreeOnStrikes has hosts see strikes and answers and tell each other in any
+// TestHostsAgreeOnCrashReports has hosts see crashes and answers and report to each other in any
 // order, twice or in part; in the end, when all have told all, all judge alike.
-func TestHostsAgreeOnStrikes(t *testing.T) {
+func TestHostsAgreeOnCrashReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var hosts []*Fleet
 		for i := range 3 {
@@ -102,12 +104,12 @@
 			h, f := any(), rapid.SampledFrom(names).Draw(t, "fingerprint")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				h.quarantine.survived(Subject{Fingerprint: f, Caller: rapid.SampledFrom(callers).Draw(t, "caller")})
+				h.quarantine.clear(Subject{Fingerprint: f, Caller: rapid.SampledFrom(callers).Draw(t, "caller")})
 			case 1:
 				any().TakeReports(now, h.Reports(now))
 			default:
 				id++
-				h.quarantine.strike(now, Subject{Fingerprint: f, Caller: rapid.SampledFrom(callers).Draw(t, "caller")}, Strike{ID: id, Attempt: id, Alone: rapid.Bool().Draw(t, "alone"), Upstream: fmt.Sprint("U", id%4)})
+				h.quarantine.report(now, Subject{Fingerprint: f, Caller: rapid.SampledFrom(callers).Draw(t, "caller")}, CrashReport{ID: id, Attempt: id, Isolated: rapid.Bool().Draw(t, "alone"), Upstream: fmt.Sprint("U", id%4)})
 			}
 		}
 		for range 2 {
@@ -127,13 +129,13 @@
 	})
 }
 
-// TestToldStrikesDoNotLiveForever has two hosts tell each other of a strike for as
+// TestReportsExpire has two hosts send each other a crash report for as
 // long as it counts, each message a while on its way.
-func TestToldStrikesDoNotLiveForever(t *testing.T) {
+func TestReportsExpire(t *testing.T) {
 	a, b := newFleetFor(1), newFleetFor(2)
 	now := time.Minute
-	a.quarantine.strike(now, Subject{Fingerprint: "F"}, Strike{ID: 1, Upstream: "A"})
-	for now < time.Minute+strikeLife {
+	a.quarantine.report(now, Subject{Fingerprint: "F"}, CrashReport{ID: 1, Upstream: "A"})
+	for now < time.Minute+crashReportLife {
 		reports := a.Reports(now)
 		now += 10 * time.Second
 		b.TakeReports(now, reports)
@@ -152,23 +154,23 @@
 	f := newFleetFor(1)
 	now := time.Minute
 	for id, u := range []string{"A", "B"} {
-		f.quarantine.strike(now, Subject{Fingerprint: "Quarantined"}, Strike{ID: uint64(id), Attempt: uint64(id), Alone: true, Upstream: u})
+		f.quarantine.report(now, Subject{Fingerprint: "Quarantined"}, CrashReport{ID: uint64(id), Attempt: uint64(id), Isolated: true, Upstream: u})
 	}
 	for i := range 3 * suspectsMost {
 		now += time.Millisecond
-		f.quarantine.strike(now, Subject{Fingerprint: Fingerprint(fmt.Sprint("F", i))}, Strike{ID: uint64(100 + i), Upstream: "A"})
+		f.quarantine.report(now, Subject{Fingerprint: Fingerprint(fmt.Sprint("F", i))}, CrashReport{ID: uint64(100 + i), Upstream: "A"})
 	}
-	for i := range 3 * strikesMost {
-		f.quarantine.strike(now, Subject{Fingerprint: "Quarantined"}, Strike{ID: uint64(1_000_000 + i), Upstream: "A"})
+	for i := range 3 * crashReportsMost {
+		f.quarantine.report(now, Subject{Fingerprint: "Quarantined"}, CrashReport{ID: uint64(1_000_000 + i), Upstream: "A"})
 	}
 	assert.Equal(t, len(f.quarantine.suspects), suspectsMost)
-	assert.Equal(t, len(f.quarantine.suspects["Quarantined"].strikes), strikesMost)
+	assert.Equal(t, len(f.quarantine.suspects["Quarantined"].crashes), crashReportsMost)
 	verdict, _ := f.Judge(now, Subject{Fingerprint: "Quarantined"})
 	assert.Equal(t, verdict, VerdictQuarantined)
-	first := f.FreshReports(now)
+	first := f.UnsentReports(now)
 	assert.Equal(t, len(first), ReportsMost)
 	assert.Equal(t, first[0].Fingerprint, Fingerprint("Quarantined"))
-	assert.Assert(t, f.FreshReports(now)[0].Fingerprint != "Quarantined", "told once")
+	assert.Assert(t, f.UnsentReports(now)[0].Fingerprint != "Quarantined", "sent once")
 }
 
 // TestCallersAreToldApart has a request of two callers be known to crash upstreams, or
@@ -178,7 +180,7 @@
 	now := time.Minute
 	tests := []struct {
 		name        string
-		strikes     []Subject
+		reports     []Subject
 		answered    *Subject
 		want, their Verdict
 	}{
@@ -191,11 +193,11 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			f := newFleetFor(1)
-			for i, s := range tt.strikes {
-				f.quarantine.strike(now, s, Strike{ID: uint64(i), Attempt: uint64(i), Alone: true, Upstream: fmt.Sprint("U", i)})
+			for i, s := range tt.reports {
+				f.quarantine.report(now, s, CrashReport{ID: uint64(i), Attempt: uint64(i), Isolated: true, Upstream: fmt.Sprint("U", i)})
 			}
 			if tt.answered != nil {
-				f.quarantine.survived(*tt.answered)
+				f.quarantine.clear(*tt.answered)
 			}
 			got, _ := f.Judge(now, mine)
 			assert.Equal(t, got, tt.want)
@@ -205,13 +207,13 @@
 	}
 }
 
-// TestUpstreamThatEndsAgainIsAnotherEnd has one upstream end under a request twice, with
+// TestUpstreamThatCrashesAgainIsAnotherCrash has one upstream crash under a request twice, with
 // its restart between.
-func TestUpstreamThatEndsAgainIsAnotherEnd(t *testing.T) {
+func TestUpstreamThatCrashesAgainIsAnotherCrash(t *testing.T) {
 	f := newFleetFor(1)
 	now := time.Minute
 	for id := range uint64(2) {
-		f.quarantine.strike(now, Subject{Fingerprint: "F"}, Strike{ID: id, Attempt: id, Alone: true, Upstream: "U"})
+		f.quarantine.report(now, Subject{Fingerprint: "F"}, CrashReport{ID: id, Attempt: id, Isolated: true, Upstream: "U"})
 		now += 2 * time.Second
 	}
 	verdict, _ := f.Judge(now, Subject{Fingerprint: "F"})
@@ -223,8 +225,8 @@
 func BenchmarkMakeRoom(b *testing.B) {
 	f := newFleetFor(1)
 	for i := range suspectsMost {
-		for k := range strikesMost {
-			f.quarantine.strike(0, Subject{Fingerprint: Fingerprint(fmt.Sprint("F", i))}, Strike{ID: uint64(i*strikesMost + k), Upstream: "U"})
+		for k := range crashReportsMost {
+			f.quarantine.report(0, Subject{Fingerprint: Fingerprint(fmt.Sprint("F", i))}, CrashReport{ID: uint64(i*crashReportsMost + k), Upstream: "U"})
 		}
 	}
 	b.ResetTimer()
--- a/tier/policy/retry.go
+++ b/tier/policy/retry.go
@@ -18,7 +18,7 @@
 		return nil
 	}
 	if r.pick(now, i, true) != nil || o != CallShed && r.pick(now, i, false) != nil {
-		return r.startOrHold(now, i, nil)
+		return r.startOrDefer(now, i, nil)
 	}
 	if o != CallShed {
 		r.markMissing(i, reasonOf(o))
--- a/tier/policy/run.go
+++ b/tier/policy/run.go
@@ -52,8 +52,8 @@
 	// callerGone is true once the caller is gone.
 	callerGone bool
 	// unknown is true once a not-repeatable attempt may have run unseen.
-	unknown bool
-	doubt   doubt
+	unknown   bool
+	suspicion suspicion
 }
 
 // times are the moments of a run.
@@ -83,10 +83,10 @@
 	}
 	r := &Run{
 		fleet: c.Fleet, request: c, rules: newRules(&c), chooser: chooser, admission: admission,
-		parts:    make([]part, len(c.Replicas)),
-		attempts: make([]attempt, 0, len(c.Replicas)+spareAttempts),
-		progress: progress{parts: len(c.Replicas), open: len(c.Replicas)},
-		doubt:    doubt{subject: c.Subject},
+		parts:     make([]part, len(c.Replicas)),
+		attempts:  make([]attempt, 0, len(c.Replicas)+spareAttempts),
+		progress:  progress{parts: len(c.Replicas), open: len(c.Replicas)},
+		suspicion: suspicion{subject: c.Subject},
 	}
 	for i := range r.parts {
 		r.parts[i].replicas = c.Replicas[i]
@@ -99,12 +99,12 @@
 func (r *Run) Begin(now time.Duration) ([]Action, error) {
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
-	verdict, left := r.fleet.quarantine.judge(now, r.doubt.subject)
+	verdict, left := r.fleet.quarantine.judge(now, r.suspicion.subject)
 	if verdict == VerdictQuarantined {
 		r.finished = true
 		return nil, &Refusal{Reason: ReasonQuarantined, RetryAfter: left}
 	}
-	r.doubt.suspected = verdict == VerdictSuspected
+	r.suspicion.reported = verdict == VerdictSuspected
 	if err := r.fleet.admit(r, now); err != nil {
 		r.finished = true
 		return nil, err
@@ -114,7 +114,7 @@
 	r.rules.earn(len(r.parts))
 	var out []Action
 	for i := range r.parts {
-		out = r.startOrHold(now, i, out)
+		out = r.startOrDefer(now, i, out)
 		out = r.probe(now, i, out)
 	}
 	r.times.next = r.nextWake(now)
@@ -136,7 +136,7 @@
 		r.parts[a.part].remove(n)
 		return r.finishIfDone(now, append(r.freeSlot(n), r.failed(now, a.part, CallLeaving)...))
 	}
-	if r.holdGranted(n) {
+	if r.deferGranted(n) {
 		return r.finishIfDone(now, r.freeSlot(n))
 	}
 	r.leaveQueues(a.part, n)
@@ -161,24 +161,26 @@
 	p.remove(n)
 	p.account(o)
 	if r.finished || p.closed || a.abandoned {
-		r.noteLateCrash(now, a, o)
+		if o == CallCrashed {
+			r.noteLateCrash(now, a)
+		}
 		return nil
 	}
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
 	if o == CallOK {
-		r.survive()
+		r.noteAnswer()
 		out := []Action{{Kind: ActionTake, Attempt: n, Part: a.part, Upstream: a.upstream}}
 		return r.finishIfDone(now, r.include(a.part, out))
 	}
-	if o == CallCrashed && r.crashed(now, a) {
+	if o == CallCrashed && r.noteCrash(now, a) {
 		r.unknown = !r.request.Repeatable
 		r.markMissing(a.part, reasonOf(o))
 		return r.finish(now, nil)
 	}
 	out := r.failed(now, a.part, o)
-	if o == CallCrashed && r.doubt.crashes == doubtAfter {
-		out = r.backOff(out)
+	if o == CallCrashed && r.suspicion.crashes == suspectAfter {
+		out = r.isolate(out)
 	}
 	return r.finishIfDone(now, out)
 }
@@ -204,6 +206,22 @@
 	return r.finishIfDone(now, out)
 }
 
+// wakePart does what is due for a part: a retry that was put off, or a hedge.
+func (r *Run) wakePart(now time.Duration, i int, out []Action) []Action {
+	p := &r.parts[i]
+	switch {
+	case p.retryAt > 0 && now >= p.retryAt:
+		p.retryAt = 0
+		return r.startOrDefer(now, i, out)
+	case !r.hedgeDue(now, p):
+		return out
+	case r.isolatedTimedOut(now, &r.attempts[p.live[0]]):
+		return r.replaceIsolated(now, i, out)
+	default:
+		return r.hedge(now, i, out)
+	}
+}
+
 // Next is when Wake is to be called.
 func (r *Run) Next() time.Duration { return r.times.next }
 
--- /dev/null
+++ b/tier/policy/suspicion.go
@@ -0,0 +1,113 @@
+package policy
+
+import (
+	"math"
+	"time"
+)
+
+// suspectAfter is the number of upstreams that must crash while running a request, with
+// none having answered it, before the request is suspected of causing the crashes.
+// Measured: 2 loses 31 upstreams to one bad request, 3 loses 44; sound requests do
+// equally well with either.
+const suspectAfter = 2
+
+// suspicion is what a run knows of whether its request crashes upstreams. Such a request
+// takes an upstream of each shard, and another with each retry. While it is suspected it
+// runs as isolated attempts, one upstream at a time, until one has answered. Measured: of
+// the other requests 1.00 are served in place of 0.35, and 31 upstreams crash in place
+// of 545.
+type suspicion struct {
+	// subject is what the request is remembered by; where its fingerprint is empty
+	// it is never suspected.
+	subject Subject
+	// reported is true if the request had crash reports before the run.
+	reported bool
+	// crashes counts the upstreams that crashed under the run; lastCrashed is the last.
+	crashes     int
+	lastCrashed string
+	// isolatedTimeouts counts the isolated calls that took too long.
+	isolatedTimeouts int
+	// cleared is true once an upstream has answered.
+	cleared bool
+	// hasReported is true once the run has made a crash report; attemptID is what all
+	// its reports have in common.
+	hasReported bool
+	attemptID   uint64
+	// deferred counts the parts that wait for the answer of an isolated call.
+	deferred int
+}
+
+// open reports whether the request may still turn out to crash upstreams: it can be
+// remembered, and none has answered it.
+func (s *suspicion) open() bool { return s.subject.Fingerprint != "" && !s.cleared }
+
+// suspected reports whether the request may be one that crashes upstreams. It runs at
+// one of them at a time then.
+func (r *Run) suspected() bool {
+	s := &r.suspicion
+	return s.open() && (s.reported || s.crashes >= suspectAfter)
+}
+
+// noteAnswer notes that an upstream has answered: the request crashes none.
+func (r *Run) noteAnswer() {
+	if !r.suspicion.open() {
+		return
+	}
+	r.suspicion.cleared = true
+	r.fleet.quarantine.clear(r.suspicion.subject)
+}
+
+// noteCrash notes that an upstream crashed while it may have run the request, and reports
+// whether the run is to end: the upstream ran nothing else of it.
+func (r *Run) noteCrash(now time.Duration, a *attempt) bool {
+	s := &r.suspicion
+	s.crashes++
+	s.lastCrashed = a.upstream.Name
+	if !s.open() {
+		return false
+	}
+	if a.isolated || s.crashes == suspectAfter {
+		r.reportCrash(now, a.isolated)
+	}
+	return a.isolated
+}
+
+// noteLateCrash notes that an upstream crashed under a call that is not wanted any more.
+// A run may end before any upstream does, where too few shards are left to be asked;
+// without this nothing would be learnt of its request then.
+func (r *Run) noteLateCrash(now time.Duration, a *attempt) {
+	s := &r.suspicion
+	if !s.open() {
+		return
+	}
+	r.fleet.mu.Lock()
+	defer r.fleet.mu.Unlock()
+	s.crashes++
+	s.lastCrashed = a.upstream.Name
+	if !s.hasReported {
+		r.reportCrash(now, false)
+	}
+}
+
+// reportAtEnd reports a crash when the run ends, if all that is known of the request is
+// that an upstream crashed, and no call is in progress that might have shown more.
+func (r *Run) reportAtEnd(now time.Duration) {
+	s := &r.suspicion
+	if s.open() && !s.hasReported && s.crashes > 0 && !r.hasCalls() {
+		r.reportCrash(now, false)
+	}
+}
+
+// reportCrash makes a report of the last crash.
+func (r *Run) reportCrash(now time.Duration, isolated bool) {
+	s := &r.suspicion
+	if !s.hasReported {
+		s.hasReported, s.attemptID = true, r.fleet.uniqueID()
+	}
+	r.fleet.quarantine.report(now, s.subject, CrashReport{
+		ID: r.fleet.uniqueID(), Attempt: s.attemptID, Isolated: isolated, Upstream: s.lastCrashed,
+	})
+}
+
+// uniqueID draws a number that no other host draws.
+func (f *Fleet) uniqueID() uint64 { return uint64(f.random.IntN(math.MaxInt)) }
--- a/tier/policy/doubt_test.go
+++ b/tier/policy/suspicion_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// doubtRun begins a gather of some shards for a request with a fingerprint.
-func doubtRun(t *testing.T, f *Fleet, now time.Duration, groups int) (*Run, []Action) {
+// suspectRun begins a gather of some shards for a request with a fingerprint.
+func suspectRun(t *testing.T, f *Fleet, now time.Duration, groups int) (*Run, []Action) {
 	t.Helper()
 	r, _ := routedRun(t, f, now, groups, 2, 1, true)
 	again, err := NewRun(RunConfig{
@@ -46,12 +46,12 @@
 	return v
 }
 
-// TestDoubtedRunHasOneCall has two upstreams end under a gather before any has
-// answered: the calls under way are given up, and one is made alone.
-func TestDoubtedRunHasOneCall(t *testing.T) {
+// TestSuspectedRunHasOneCall has two upstreams crash under a gather before any has
+// answered: the calls in progress are given up, and one is made in isolation.
+func TestSuspectedRunHasOneCall(t *testing.T) {
 	now := 10 * time.Millisecond
 	f := routedFleet(6, RetryBudget{Ratio: 1, Depth: 100})
-	r, first := doubtRun(t, f, 0, 6)
+	r, first := suspectRun(t, f, 0, 6)
 	assert.Equal(t, len(sends(first)), 6)
 
 	one := r.Reply(now, sends(first)[0].Attempt, CallCrashed)
@@ -61,7 +61,7 @@
 	two := r.Reply(now, sends(first)[1].Attempt, CallCrashed)
 	assert.Equal(t, count(two, ActionCancel), 4, "%v", two)
 	assert.Equal(t, count(two, ActionLinger), 0, "%v", two)
-	assert.Equal(t, len(sends(two)), 0, "the second call of the first shard is still under way")
+	assert.Equal(t, len(sends(two)), 0, "the second call of the first shard is still in progress")
 	assert.Equal(t, verdictOf(f, now), VerdictSuspected)
 
 	three := r.Reply(now, sends(one)[0].Attempt, CallCrashed)
@@ -69,16 +69,16 @@
 	assert.Assert(t, finished(three), "the first shard may not be asked a third time, and all are needed")
 }
 
-// TestDoubtEndsWithAnAnswer has the call that is made alone be answered: all shards
+// TestSuspicionEndsWithAnAnswer has the isolated call be answered: all shards
 // that waited are asked, and the request is sound again.
-func TestDoubtEndsWithAnAnswer(t *testing.T) {
+func TestSuspicionEndsWithAnAnswer(t *testing.T) {
 	now := 10 * time.Millisecond
 	f := routedFleet(6, RetryBudget{Ratio: 1, Depth: 100})
-	f.quarantine.strike(0, Subject{Fingerprint: "F"}, Strike{ID: 1, Alone: true, Upstream: "Gone"})
-	r, first := doubtRun(t, f, 0, 6)
+	f.quarantine.report(0, Subject{Fingerprint: "F"}, CrashReport{ID: 1, Isolated: true, Upstream: "Gone"})
+	r, first := suspectRun(t, f, 0, 6)
 	assert.Equal(t, len(sends(first)), 1)
-	for at := r.Next(); at < aloneFactor*r.attempts[0].hedgeAge; at = r.Next() {
-		assert.Equal(t, len(sends(r.Wake(at))), 0, "no hedge while it is doubted")
+	for at := r.Next(); at < isolatedTimeoutFactor*r.attempts[0].hedgeAge; at = r.Next() {
+		assert.Equal(t, len(sends(r.Wake(at))), 0, "no hedge while it is suspected")
 		now = at
 	}
 	rest := r.Reply(now, sends(first)[0].Attempt, CallOK)
@@ -86,9 +86,9 @@
 	assert.Equal(t, verdictOf(f, now), VerdictSound)
 }
 
-// TestUpstreamThatEndsAloneIsAStrike tells an upstream that ended from one that resets a
+// TestIsolatedCrashIsReported tells an upstream that crashed from one that resets a
 // connection.
-func TestUpstreamThatEndsAloneIsAStrike(t *testing.T) {
+func TestIsolatedCrashIsReported(t *testing.T) {
 	tests := []struct {
 		outcome CallOutcome
 		want    Verdict
@@ -103,8 +103,8 @@
 	for _, tt := range tests {
 		t.Run(string(tt.outcome), func(t *testing.T) {
 			f := routedFleet(6, RetryBudget{Ratio: 1, Depth: 100})
-			f.quarantine.strike(0, Subject{Fingerprint: "F"}, Strike{ID: 1, Alone: true, Upstream: "Gone"})
-			r, first := doubtRun(t, f, 0, 6)
+			f.quarantine.report(0, Subject{Fingerprint: "F"}, CrashReport{ID: 1, Isolated: true, Upstream: "Gone"})
+			r, first := suspectRun(t, f, 0, 6)
 			next := r.Reply(time.Millisecond, sends(first)[0].Attempt, tt.outcome)
 			assert.Equal(t, verdictOf(f, time.Millisecond), tt.want)
 			assert.Equal(t, finished(next), tt.ends, "%v", next)
@@ -119,10 +119,10 @@
 func TestQuarantinedRequestIsRefused(t *testing.T) {
 	f := routedFleet(6, RetryBudget{})
 	for id, u := range []string{"A", "B"} {
-		f.quarantine.strike(0, Subject{Fingerprint: "F"}, Strike{ID: uint64(id), Attempt: uint64(id), Alone: true, Upstream: u})
+		f.quarantine.report(0, Subject{Fingerprint: "F"}, CrashReport{ID: uint64(id), Attempt: uint64(id), Isolated: true, Upstream: u})
 	}
 	r, _ := routedRun(t, f, 0, 6, 2, 1, true)
-	r.doubt.subject, r.finished = Subject{Fingerprint: "F"}, false
+	r.suspicion.subject, r.finished = Subject{Fingerprint: "F"}, false
 	_, err := r.Begin(time.Second)
 	var refusal *Refusal
 	assert.Assert(t, errors.As(err, &refusal), "%v", err)
@@ -133,7 +133,7 @@
 // they are well: the request is not suspected.
 func TestResetConnectionsAreNoCrash(t *testing.T) {
 	f := routedFleet(6, RetryBudget{Ratio: 1, Depth: 100})
-	r, first := doubtRun(t, f, 0, 6)
+	r, first := suspectRun(t, f, 0, 6)
 	for _, a := range sends(first) {
 		next := r.Reply(time.Millisecond, a.Attempt, CallBroken)
 		assert.Equal(t, len(sends(next)), 1, "tried again at once")
@@ -142,19 +142,19 @@
 	assert.Equal(t, verdictOf(f, time.Millisecond), VerdictSound)
 }
 
-// TestCallAloneThatHangsIsLeft has the upstreams of calls made alone stand still: the
+// TestIsolatedCallThatHangsIsReplaced has the upstreams of isolated calls be unresponsive: the
 // second is asked after a while, and the run ends before its deadline.
-func TestCallAloneThatHangsIsLeft(t *testing.T) {
+func TestIsolatedCallThatHangsIsReplaced(t *testing.T) {
 	f := routedFleet(6, RetryBudget{Ratio: 1, Depth: 100})
-	f.quarantine.strike(0, Subject{Fingerprint: "F"}, Strike{ID: 1, Upstream: "Gone"})
-	r, first := doubtRun(t, f, 0, 6)
+	f.quarantine.report(0, Subject{Fingerprint: "F"}, CrashReport{ID: 1, Upstream: "Gone"})
+	r, first := suspectRun(t, f, 0, 6)
 	assert.Equal(t, len(sends(first)), 1)
 	sent := 1
 	for now := r.Next(); now < time.Second; now = r.Next() {
 		actions := r.Wake(now)
 		sent += len(sends(actions))
 		if finished(actions) {
-			assert.Equal(t, sent, aloneMost)
+			assert.Equal(t, sent, isolatedTimeoutsMost)
 			return
 		}
 	}
--- a/tier/policy/words_test.go
+++ b/tier/policy/words_test.go
@@ -30,7 +30,7 @@
 			query.ReasonGarbage, query.ReasonEvacuated, query.ReasonAway, query.ReasonCold, query.ReasonSuspected, query.ReasonQuarantined,
 		), "Late Unreachable Refused SnapshotGone Moved Garbage Evacuated Away Cold Suspected Quarantined"},
 		{"verdicts", words(VerdictSound, VerdictSuspected, VerdictQuarantined), "Sound Suspected Quarantined"},
-		{"obstacles to a hedge", words(HedgeNoUpstream, HedgeNoSlot, HedgeCold, HedgeNoBudget, HedgeDoubted), "NoUpstream NoSlot Cold NoBudget Doubted"},
+		{"obstacles to a hedge", words(HedgeNoUpstream, HedgeNoSlot, HedgeCold, HedgeNoBudget, HedgeSuspected), "NoUpstream NoSlot Cold NoBudget Doubted"},
 		{"actions", words(ActionSend, ActionCancel, ActionLinger, ActionTake, ActionFree, ActionFinish), "Send Cancel Linger Take Free Finish"},
 		{"refusal", words(ReasonQuarantined), "the request has crashed the upstreams that ran it"},
 		{"error", words((&Refusal{Reason: "full", RetryAfter: time.Second}).Error()), "not run: full; ask again in 1s"},
@@ -86,14 +86,14 @@
 // TestReportsOnTheWire pins what hosts of different versions tell each other of requests
 // that crash upstreams.
 func TestReportsOnTheWire(t *testing.T) {
-	full := Strike{ID: 1, Attempt: 2, Alone: true, Upstream: "U", Caller: netip.MustParseAddr("192.0.2.1"), Void: true, Narrow: true, Left: time.Second}
+	full := CrashReport{ID: 1, Attempt: 2, Isolated: true, Upstream: "U", Caller: netip.MustParseAddr("192.0.2.1"), Cleared: true, CallerOnly: true, Left: time.Second}
 	tests := []struct {
 		name   string
 		report SuspectReport
 		want   string
 	}{
-		{"all fields", SuspectReport{Fingerprint: "F", Strikes: []Strike{full}}, `{"Fingerprint":"F","Strikes":[{"ID":1,"Attempt":2,"Alone":true,"Upstream":"U","Caller":"192.0.2.1","Void":true,"Narrow":true,"Left":1000000000}]}`},
-		{"zero values", SuspectReport{Strikes: []Strike{{}}}, `{"Fingerprint":"","Strikes":[{"ID":0,"Attempt":0,"Upstream":"","Left":0}]}`},
+		{"all fields", SuspectReport{Fingerprint: "F", Crashes: []CrashReport{full}}, `{"Fingerprint":"F","Strikes":[{"ID":1,"Attempt":2,"Alone":true,"Upstream":"U","Caller":"192.0.2.1","Void":true,"Narrow":true,"Left":1000000000}]}`},
+		{"zero values", SuspectReport{Crashes: []CrashReport{{}}}, `{"Fingerprint":"","Strikes":[{"ID":0,"Attempt":0,"Upstream":"","Left":0}]}`},
 		{"no strikes", SuspectReport{}, `{"Fingerprint":"","Strikes":null}`},
 	}
 	for _, tt := range tests {
--- a/tier/replay/crash.go
+++ b/tier/replay/crash.go
@@ -161,13 +161,13 @@
 	told, planned := -tellGap, false
 	tell := func() {
 		planned, told = false, w.now
-		reports := h.fleet.FreshReports(w.now)
+		reports := h.fleet.UnsentReports(w.now)
 		for _, i := range w.random.Perm(len(w.hosts))[:min(tellHosts, len(w.hosts))] {
 			to := w.hosts[i]
 			w.after(w.c.Routed.FarHop, func() { to.fleet.TakeReports(w.now, reports) })
 		}
 	}
-	h.fleet.OnStrikes(func(urgent bool) {
+	h.fleet.OnCrashReports(func(urgent bool) {
 		if urgent {
 			w.after(0, tell)
 			return
