--- a/tier/entry/call.go
+++ b/tier/entry/call.go
@@ -90,7 +90,7 @@
 	}
 	r := p.client.do(ctx, x.path, header, x.body)
 	outcome, part := classify(&r, x.id, x.snapshot)
-	outcome = runner.LookInto(ctx, outcome, p.client.address)
+	outcome = runner.DetectCrash(ctx, outcome, p.client.address)
 	if outcome == policy.CallGarbage {
 		p.client.close()
 	}
--- a/tier/pass/call.go
+++ b/tier/pass/call.go
@@ -79,7 +79,7 @@
 	if out.Outcome == policy.CallUnreachable && ctx.Err() != nil {
 		out.Outcome = policy.CallNotSent
 	}
-	out.Outcome = runner.LookInto(ctx, out.Outcome, l.address)
+	out.Outcome = runner.DetectCrash(ctx, out.Outcome, l.address)
 	return out
 }
 
--- /dev/null
+++ b/tier/runner/batch.go
@@ -0,0 +1,83 @@
+package runner
+
+import (
+	"context"
+	"time"
+
+	"loomgap/tier/policy"
+)
+
+// sendBatch starts the calls of a batch; the execution is locked. The batch is cancelled
+// once each of its calls was cancelled or has its reply. Its calls give back their slots:
+// another host makes them within its own.
+func (e *Execution[R]) sendBatch(batch []policy.Action) (granted []*policy.Waiter) {
+	ctx, cancel := context.WithCancel(e.ctx)
+	pending := len(batch)
+	calls := make([]*call, len(batch))
+	for i, a := range batch {
+		// Calls are cancelled with the execution locked.
+		once := false
+		calls[i] = &call{batched: true, cancel: func() {
+			if once {
+				return
+			}
+			once = true
+			if pending--; pending == 0 {
+				cancel()
+			}
+		}}
+		e.calls[a.Attempt] = calls[i]
+		e.run.DelayHedge(a.Attempt)
+		granted = append(granted, e.kernel.Fleet.Free(e.kernel.Now(), a.Upstream)...)
+	}
+	go func() {
+		defer cancel()
+		e.callBatch(ctx, batch, calls)
+	}()
+	return granted
+}
+
+// callBatch makes the calls of a batch, and reports those that were not reported by its
+// end.
+func (e *Execution[R]) callBatch(ctx context.Context, batch []policy.Action, calls []*call) {
+	r := &reporter[R]{execution: e, batch: batch, calls: calls, reported: make([]bool, len(batch)), started: e.kernel.Now()}
+	unreported := Reply[R]{Outcome: policy.CallNotSent}
+	if e.kernel.Awake() && r.started < e.deadline {
+		e.batcher.CallBatch(ctx, batch, r)
+		unreported.Outcome = policy.CallLost
+	}
+	for i := range batch {
+		r.Report(i, unreported)
+	}
+}
+
+// reporter reports the calls of one batch.
+type reporter[R any] struct {
+	execution *Execution[R]
+	batch     []policy.Action
+	calls     []*call
+	reported  []bool
+	started   time.Duration
+}
+
+// Report implements Reporter.
+func (r *reporter[R]) Report(i int, reply Reply[R]) {
+	if r.reported[i] {
+		return
+	}
+	r.reported[i] = true
+	r.execution.ended(r.batch[i], r.calls[i], r.started, reply)
+}
+
+// Overdue implements Reporter.
+func (r *reporter[R]) Overdue() {
+	r.execution.handle(func(now time.Duration) []policy.Action {
+		var late []int
+		for i, a := range r.batch {
+			if !r.reported[i] {
+				late = append(late, a.Attempt)
+			}
+		}
+		return r.execution.run.Overdue(now, late)
+	})
+}
