--- a/tier/policy/action.go
+++ b/tier/policy/action.go
@@ -19,7 +19,7 @@
 	ActionTake ActionKind = "Take"
 	// ActionFree asks for Fleet.Free: a slot was granted and is not wanted.
 	ActionFree ActionKind = "Free"
-	// ActionFinish tells that the answer is to be given now. It comes once.
+	// ActionFinish asks for the answer to be given now. It comes once.
 	ActionFinish ActionKind = "Finish"
 )
 
@@ -33,7 +33,7 @@
 	Upstream *Upstream
 	// Pool is where the latency of a sent attempt belongs.
 	Pool *Pool
-	// HedgeIn is after what time a sent attempt is hedged; 0 if it will not be.
+	// HedgeIn is how long after it was sent an attempt is hedged; 0 if it will not be.
 	HedgeIn time.Duration
 	// Outcome is what a cancelled attempt is to be reported as.
 	Outcome CallOutcome
--- a/tier/policy/attempt.go
+++ b/tier/policy/attempt.go
@@ -25,7 +25,7 @@
 }
 
 // startAttempt gives a shard its first attempt, or its next after a refusal.
-// Where no slot is free it waits for one at every fit replica, and the first to
+// Where no slot is free it waits for one at every eligible replica, and the first to
 // come is taken: that costs no call.
 func (r *Run) startAttempt(now time.Duration, i int, out []Action) []Action {
 	u := r.pick(now, i, anyUpstream)
@@ -45,6 +45,8 @@
 	return out
 }
 
+// enter asks for a slot at an upstream for a new attempt of a part. It sends the attempt
+// if the slot is granted at once, else the attempt is queued there.
 func (r *Run) enter(now time.Duration, i int, u *Upstream, out []Action) []Action {
 	p := &r.parts[i]
 	n := len(r.attempts)
@@ -68,6 +70,7 @@
 	return out
 }
 
+// send sends an attempt that has its slot.
 func (r *Run) send(now time.Duration, n int, out []Action) []Action {
 	a := &r.attempts[n]
 	a.isolated = r.suspected() && !r.hasCalls()
@@ -86,6 +89,7 @@
 	return append(out, send)
 }
 
+// include has a part be in the answer, and gives up its other attempts.
 func (r *Run) include(i int, out []Action) []Action {
 	p := &r.parts[i]
 	p.included, p.closed = true, true
@@ -94,6 +98,7 @@
 	return r.cancel(i, CallCancelled, out)
 }
 
+// markMissing closes a part that will not be in the answer.
 func (r *Run) markMissing(i int, reason query.Reason) {
 	p := &r.parts[i]
 	p.reason, p.closed = reason, true
--- a/tier/policy/class.go
+++ b/tier/policy/class.go
@@ -81,5 +81,5 @@
 // absence implements rules.
 func (c *classRules) absence(time.Duration, int, *part) query.Reason { return query.ReasonUnreachable }
 
-// endsUncovered implements rules: whatever arrives by the deadline is answered.
+// endsUncovered implements rules: a class answers with what arrives by its deadline.
 func (c *classRules) endsUncovered() bool { return false }
--- a/tier/policy/crashreport.go
+++ b/tier/policy/crashreport.go
@@ -19,7 +19,8 @@
 // CrashReport is evidence that a request crashes the upstreams that run it: some crashed
 // while they ran it, and none had answered it.
 type CrashReport struct {
-	// ID tells the reports of all hosts apart, Attempt the attempts of a request.
+	// ID is unique among the reports of all hosts, Attempt among the attempts of a
+	// request.
 	ID, Attempt uint64
 	// Isolated is true if the request ran at one upstream only, and nowhere else in
 	// the same attempt: another cause is less likely then.
--- a/tier/policy/outcome.go
+++ b/tier/policy/outcome.go
@@ -11,22 +11,22 @@
 	CallOK CallOutcome = "OK"
 	// CallUnreachable is a connection that could not be made; the call did not run.
 	CallUnreachable CallOutcome = "Unreachable"
-	// CallShed is the upstream's word that it did not run the call.
+	// CallShed is a refusal: the upstream did not run the call.
 	CallShed CallOutcome = "Shed"
-	// CallLeaving is the upstream's word that it leaves and did not run the call.
+	// CallLeaving is a refusal of an upstream that leaves; it did not run the call.
 	CallLeaving CallOutcome = "Leaving"
 	// CallNotSent is a call that this host held back; it did not run.
 	CallNotSent CallOutcome = "NotSent"
 	// CallBarred is a call that was not made because its upstream may get none of
 	// the route at the moment: its hall is evacuated or no home of the route, it
-	// leaves, or it is cold and has had what it bears.
+	// leaves, or it is cold and has had as many calls as it can handle.
 	CallBarred CallOutcome = "Barred"
 	// CallStalled is a call that was not made because its upstream, as the host
 	// near it knows, answers nobody for the moment.
 	CallStalled CallOutcome = "Stalled"
-	// CallSnapshotGone is the upstream's word that it lacks the snapshot.
+	// CallSnapshotGone is the answer of an upstream that lacks the snapshot.
 	CallSnapshotGone CallOutcome = "SnapshotGone"
-	// CallMoved is the upstream's word that it has another shard map.
+	// CallMoved is the answer of an upstream that has another shard map.
 	CallMoved CallOutcome = "Moved"
 	// CallFailed is the upstream's own failure; the call may have run.
 	CallFailed CallOutcome = "Failed"
@@ -35,10 +35,10 @@
 	// CallBroken is a connection lost after the request may have left.
 	CallBroken CallOutcome = "Broken"
 	// CallCrashed is a connection lost after the request may have left, and the
-	// upstream took no other: it has ended.
+	// upstream accepted no other: it has crashed.
 	CallCrashed CallOutcome = "Crashed"
-	// CallLost is a call that another host was to make and told nothing of. It
-	// may have run; nothing is learnt of the upstream.
+	// CallLost is a call that another host was to make and did not report on. It
+	// may have run, and says nothing about the upstream.
 	CallLost CallOutcome = "Lost"
 	// CallCancelled is a call that this host gave up while others were enough.
 	CallCancelled CallOutcome = "Cancelled"
@@ -61,8 +61,8 @@
 	return o != CallUnreachable && o != CallNotSent && o != CallBarred && o != CallStalled
 }
 
-// broken reports whether the outcome speaks against the upstream's health.
-func (o CallOutcome) broken() bool {
+// isFailure reports whether the outcome counts as a failure of the upstream.
+func (o CallOutcome) isFailure() bool {
 	switch o {
 	case CallUnreachable, CallFailed, CallGarbage, CallBroken, CallCrashed, CallLate:
 		return true
@@ -81,6 +81,7 @@
 	}
 }
 
+// reasonOf is why a part is missing whose last call had the outcome.
 func reasonOf(o CallOutcome) query.Reason {
 	switch o {
 	case CallUnreachable, CallBroken, CallCrashed, CallLost, CallFailed:
--- a/tier/policy/pick.go
+++ b/tier/policy/pick.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// What pick chooses from.
 const (
+	// onlyEligible has pick pass over upstreams that are not eligible at the moment.
 	onlyEligible = true
-	anyUpstream  = false
+	// anyUpstream has pick choose among all upstreams that may be asked.
+	anyUpstream = false
 )
 
 // pick chooses the upstream of a part that the next call goes to: the one with the lowest
--- a/tier/policy/retrybudget.go
+++ b/tier/policy/retrybudget.go
@@ -1,7 +1,7 @@
 package policy
 
 const (
-	// retryBudgetShare is the share of the allowed retries that is ever used, since
+	// retryBudgetShare is the share of the allowed retries that is used at most, since
 	// hosts count in windows of their own. With it no host count from 8 to 400 exceeds
 	// what a group allows in any window.
 	retryBudgetShare = 0.95
@@ -59,7 +59,7 @@
 	}
 }
 
-// SetRetryBudget sets one budget for all groups alike.
+// SetRetryBudget sets one budget for all groups.
 func (f *Fleet) SetRetryBudget(r RetryBudget) { f.SetRetryBudgets(RetryBudgets{Shards: r, Single: r}) }
 
 // retriesOf returns the tokens of a group; the fleet is locked.
--- a/tier/policy/run.go
+++ b/tier/policy/run.go
@@ -41,7 +41,7 @@
 	chooser   chooser
 	admission admission
 	parts     []part
-	// attempts holds all attempts ever made; an attempt is known by its index.
+	// attempts holds all attempts of the run; an attempt is known by its index.
 	attempts []attempt
 	progress progress
 	times    times
@@ -121,7 +121,7 @@
 	return r.finishIfDone(now, out), nil
 }
 
-// Granted tells that a queued attempt has its slot.
+// Granted is to be called when a queued attempt has its slot.
 func (r *Run) Granted(now time.Duration, n int) []Action {
 	a := &r.attempts[n]
 	if r.finished || a.phase != phaseQueued || r.parts[a.part].closed || now >= r.request.Deadline {
@@ -149,8 +149,8 @@
 	return []Action{{Kind: ActionFree, Attempt: n, Part: a.part, Upstream: a.upstream}}
 }
 
-// Reply tells what became of a sent attempt. The part may be merged only if
-// ActionTake comes back.
+// Reply is to be called with what became of a sent attempt. The part may be merged only
+// if ActionTake comes back.
 func (r *Run) Reply(now time.Duration, n int, o CallOutcome) []Action {
 	a := &r.attempts[n]
 	if a.phase != phaseSent {
@@ -225,7 +225,7 @@
 // Next is when Wake is to be called.
 func (r *Run) Next() time.Duration { return r.times.next }
 
-// GiveUp tells that the caller is gone.
+// GiveUp is to be called when the caller is gone.
 func (r *Run) GiveUp(now time.Duration) []Action {
 	if r.finished {
 		return nil
@@ -240,6 +240,7 @@
 // be needless does no harm.
 func (r *Run) wakeBy(t time.Duration) { r.times.next = min(r.times.next, t) }
 
+// nextWake is the earliest time at which anything of the run is due.
 func (r *Run) nextWake(now time.Duration) time.Duration {
 	next := r.request.Deadline
 	if r.times.patience > now {
--- a/tier/policy/upstream.go
+++ b/tier/policy/upstream.go
@@ -157,7 +157,7 @@
 		u.leaving = true
 	case o == CallMoved && u.listed:
 		u.leaving, u.gone = true, true
-	case o.broken():
+	case o.isFailure():
 		u.ejection.failed(now)
 	}
 }
@@ -184,7 +184,7 @@
 	switch {
 	case o == CallOK:
 		u.faults -= faultWeight * u.faults
-	case o == CallShed || o.broken() && o != CallLate:
+	case o == CallShed || o.isFailure() && o != CallLate:
 		u.faults += faultWeight * (1 - u.faults)
 	}
 }
--- a/tier/policy/words_test.go
+++ b/tier/policy/words_test.go
@@ -77,7 +77,7 @@
 		t.Run(string(tt.outcome), func(t *testing.T) {
 			o := tt.outcome
 			assert.Equal(t, reasonOf(o), tt.reason)
-			got := fmt.Sprint(o.NotRun(), o.arrived(), o.broken(), o.answered())
+			got := fmt.Sprint(o.NotRun(), o.arrived(), o.isFailure(), o.answered())
 			assert.Equal(t, got, fmt.Sprint(tt.notRun, tt.arrived, tt.broken, tt.answered))
 		})
 	}
--- a/tier/runner/doc.go
+++ b/tier/runner/doc.go
@@ -18,6 +18,6 @@
 //
 // # Concurrency
 //
-// An Execution guards its run with a lock. Callers are told of slots that they got with
-// no lock held.
+// An Execution guards its run with a lock. Waiters are notified of slots that they got
+// with no lock held.
 package runner
