--- a/tier/policy/hedge.go
+++ b/tier/policy/hedge.go
@@ -79,7 +79,7 @@
 	if u := r.pick(now, i, onlyEligible); u != nil && u.free() {
 		return u
 	}
-	if u := r.attempts[r.parts[i].live[0]].upstream; r.rules.hedgesAtSame() && u.free() && u.fit(now) {
+	if u := r.attempts[r.parts[i].live[0]].upstream; r.rules.hedgesAtSame() && u.free() && u.eligible(now) {
 		return u
 	}
 	return r.pick(now, i, anyUpstream)
--- a/tier/policy/pick.go
+++ b/tier/policy/pick.go
@@ -20,7 +20,7 @@
 	var best *Upstream
 	low := math.Inf(1)
 	for _, u := range p.replicas {
-		if !r.askable(now, p, u) || eligible && !u.fit(now) {
+		if !r.askable(now, p, u) || eligible && !u.eligible(now) {
 			continue
 		}
 		s := r.score(now, u)
@@ -40,7 +40,7 @@
 	if u.leaving || p.hasTried(u) || r.rules.barred(now, u) {
 		return false
 	}
-	lacks := u.window.Known && !u.window.Holds(r.request.Snapshot)
+	lacks := u.status.window.Known && !u.status.window.holds(r.request.Snapshot)
 	return r.request.Snapshot == 0 || !lacks
 }
 
--- a/tier/policy/retry.go
+++ b/tier/policy/retry.go
@@ -57,7 +57,7 @@
 	case stepPause:
 		p.tried = nil
 		pause := shedPauseLeast + shedPauseSpread*r.fleet.random.Float64()
-		p.retryAt = now + time.Duration(float64(r.request.Pool.Median())*pause)
+		p.retryAt = now + time.Duration(float64(r.request.Pool.median())*pause)
 		r.wakeBy(p.retryAt)
 	case stepGiveUp:
 		r.unknown = r.unknown || !r.request.Repeatable && !o.NotRun()
