--- a/tier/policy/part.go
+++ b/tier/policy/part.go
@@ -30,7 +30,7 @@
 	live []int
 	// tried are the upstreams that it does not go to again.
 	tried []*Upstream
-	// retryAt is when a refused shard is tried again; 0 for never.
+	// retryAt is when it is asked for again after all its upstreams shed calls; 0 for never.
 	retryAt time.Duration
 }
 
--- /dev/null
+++ b/tier/runner/call_test.go
@@ -0,0 +1,35 @@
+package runner
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"loomgap/tier/policy"
+)
+
+// TestSettled tells calls that broke from those that this host gave up.
+func TestSettled(t *testing.T) {
+	const deadline = time.Second
+	tests := []struct {
+		name      string
+		now       time.Duration
+		cancelled policy.CallOutcome
+		outcome   policy.CallOutcome
+		want      policy.CallOutcome
+	}{
+		{"an answer stays, though cancelled", 0, policy.CallCancelled, policy.CallOK, policy.CallOK},
+		{"a crash stays, though cancelled", 0, policy.CallCancelled, policy.CallCrashed, policy.CallCrashed},
+		{"cancelled", 0, policy.CallCancelled, policy.CallBroken, policy.CallCancelled},
+		{"cancelled, and its host silent", 0, policy.CallLate, policy.CallLost, policy.CallLate},
+		{"broke", 0, "", policy.CallBroken, policy.CallBroken},
+		{"broke at the deadline", deadline, "", policy.CallBroken, policy.CallLate},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			e := &Execution[int]{deadline: deadline}
+			assert.Equal(t, e.settled(tt.now, &call{outcome: tt.cancelled}, tt.outcome), tt.want)
+		})
+	}
+}
