--- /dev/null
+++ b/tier/pass/relay_client.go
@@ -0,0 +1,348 @@
+package pass
+
+import (
+	"context"
+	"fmt"
+	"slices"
+	"sync"
+	"time"
+
+	"go.opentelemetry.io/otel/attribute"
+	"go.opentelemetry.io/otel/trace"
+
+	"loomgap/tier/policy"
+	"loomgap/tier/runner"
+	"loomgap/tier/wire"
+)
+
+// This file is the sender's end of the exchange with a relay: calls to upstreams of
+// another hall go there in batches, through a host of that hall.
+
+const (
+	// hedgesDue is when the first sign is due for a batch of hedges, of which each call
+	// is reported as it ends: upstreams that pause answer within that time.
+	hedgesDue = policy.LingerFor
+	// firstReplyReserve is how much earlier than the hedges of its calls the first
+	// reply to a batch is due. Without the wait for what is reported late, there were
+	// 27% extra calls.
+	firstReplyReserve = 4 * time.Millisecond
+	// firstReplyLeast is the least time that the calls have until the first reply. Not
+	// measured.
+	firstReplyLeast = 5 * time.Millisecond
+	// progressBacklog is how many progress messages of a batch may wait to be taken
+	// in. Not measured.
+	progressBacklog = 64
+	// progressGrace is how long progress messages that were sent before the last reply
+	// may come after it. Not measured.
+	progressGrace = 20 * time.Millisecond
+	// stopBound is how long telling a host to stop may take. Not measured.
+	stopBound = time.Second
+)
+
+var _ runner.Batcher[*answer] = (*request)(nil)
+
+// requestRelays are the relays of one request. It is safe for concurrent use.
+type requestRelays struct {
+	mu sync.Mutex
+	// byAttempt has the relay of each batch, by number of the batch's first attempt.
+	byAttempt map[int]string
+	// pending counts the batches that a relay gave no sign of yet. A hedge must not
+	// wait for the same relay as the call that it hedges.
+	pending map[string]int
+}
+
+// assign notes the relay of a batch; mu is held.
+func (r *requestRelays) assign(attempt int, host string) {
+	if r.byAttempt == nil {
+		r.byAttempt, r.pending = map[int]string{}, map[string]int{}
+	}
+	r.byAttempt[attempt] = host
+	r.pending[host]++
+}
+
+// relayOf returns the relay of a batch.
+func (r *requestRelays) relayOf(attempt int) string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.byAttempt[attempt]
+}
+
+func (r *requestRelays) answered(host string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.pending[host]--
+}
+
+// Batches implements runner.Batcher: calls to upstreams of one other hall go
+// together through a relay there. Even a single call does: the relay has connections
+// to the upstream, and making one from afar takes longer than the call. Calls to an
+// upstream that warms up go through its owner, whatever the hall.
+func (q *request) Batches(sends []policy.Action) (batches [][]policy.Action, apart []policy.Action) {
+	if q.route.Gather == nil {
+		return nil, sends
+	}
+	k := q.engine.kernel
+	q.relays.mu.Lock()
+	defer q.relays.mu.Unlock()
+	now := k.Now()
+	byDestination := map[policy.Destination][]policy.Action{}
+	for _, a := range sends {
+		d := k.Fleet.DestinationOf(now, a.Upstream)
+		byDestination[d] = append(byDestination[d], a)
+	}
+	for d, calls := range byDestination {
+		relay := q.relayTo(d, now)
+		if relay == "" {
+			apart = append(apart, calls...)
+			continue
+		}
+		q.relays.assign(calls[0].Attempt, relay)
+		batches = append(batches, calls)
+	}
+	return batches, apart
+}
+
+// relayTo returns the relay for calls to a destination; empty if this host is to make
+// them itself, also because no host there is responsive.
+func (q *request) relayTo(d policy.Destination, now time.Duration) string {
+	s := &q.engine.kernel.Settings
+	switch {
+	case d.Owner == s.Host:
+		return ""
+	case d.Owner != "":
+		return q.engine.hosts.ifResponsive(q.view, d.Owner, now)
+	case d.Hall == s.Hall:
+		return ""
+	default:
+		return q.engine.hosts.leastPending(q.view, d.Hall, now, q.relays.pending)
+	}
+}
+
+// CallBatch implements runner.Batcher.
+func (q *request) CallBatch(ctx context.Context, batch []policy.Action, to runner.Reporter[*answer]) {
+	k := q.engine.kernel
+	relay := q.relays.relayOf(batch[0].Attempt)
+	ctx, span := k.Tracer.Start(ctx, "relay", trace.WithSpanKind(trace.SpanKindClient))
+	defer span.End()
+	if span.IsRecording() {
+		span.SetAttributes(attribute.String("Relay", relay), attribute.Int("Calls", len(batch)))
+	}
+	s := q.newSentBatch(batch, relay, to)
+	s.in.Trace = wire.TraceOf(ctx)
+	s.carryOut(ctx)
+}
+
+// newSentBatch describes a batch for its relay.
+func (q *request) newSentBatch(batch []policy.Action, relay string, to runner.Reporter[*answer]) *sentBatch {
+	e := q.engine
+	started, roundTrip := e.kernel.Now(), e.hosts.roundTrip(relay)
+	in := q.newBatchRequest(batch, roundTrip)
+	due := started + roundTrip + time.Duration(in.FirstMillis)*time.Millisecond
+	if in.FirstMillis == 0 {
+		due = started + roundTrip + hedgesDue
+	}
+	return &sentBatch{request: q, calls: batch, in: in, relay: relay, started: started, due: due, roundTrip: roundTrip, to: to}
+}
+
+// newBatchRequest describes a batch for its relay. The first reply is to be here before
+// the calls that it lacks are hedged.
+func (q *request) newBatchRequest(batch []policy.Action, roundTrip time.Duration) *batchRequest {
+	e := q.engine
+	now := e.kernel.Now()
+	in := &batchRequest{
+		ID:    e.ids.next(),
+		Route: q.route.Name, RequestID: q.in.id, Method: q.in.method, Head: string(q.in.head), Body: q.in.body, Top: q.route.Gather.Top,
+		FirstMillis:    q.firstReplyIn(batch, roundTrip).Milliseconds(),
+		DeadlineMillis: (q.times.deadline - now).Milliseconds(),
+	}
+	if !e.relay.allRecords.wanted(q.route.Name, now) {
+		in.Of = len(q.plan.groups)
+	}
+	for _, a := range batch {
+		in.Upstreams = append(in.Upstreams, a.Upstream.Name)
+	}
+	return in
+}
+
+// firstReplyIn is in what time the first reply to a batch is to leave its relay: before
+// its calls are hedged. Hedges are not hedged again: each is reported as it ends.
+func (q *request) firstReplyIn(batch []policy.Action, roundTrip time.Duration) time.Duration {
+	due := q.times.patience - q.engine.kernel.Now()
+	for _, a := range batch {
+		if a.HedgeIn == 0 {
+			return 0
+		}
+		due = min(due, a.HedgeIn)
+	}
+	return max(due-roundTrip-firstReplyReserve, firstReplyLeast)
+}
+
+// sentBatch is a batch that a relay makes the calls of. It is used by one goroutine.
+type sentBatch struct {
+	request *request
+	calls   []policy.Action
+	in      *batchRequest
+	relay   string
+	// started is when it was sent, due when the first sign of it is due.
+	started, due time.Duration
+	// roundTrip is how long the message and its reply take: the least known for the
+	// relay, and once there was a sign what that took.
+	roundTrip time.Duration
+	to        runner.Reporter[*answer]
+	// progressTaken counts the progress messages taken in.
+	progressTaken int
+	// heard is true once there was a sign of the relay.
+	heard bool
+	// overdue is true once the calls that are not in were reported as slow.
+	overdue bool
+	// last is the last reply.
+	last batchReply
+}
+
+// carryOut sends the batch and reports its calls until all have ended.
+func (s *sentBatch) carryOut(ctx context.Context) {
+	e := s.request.engine
+	e.hosts.sent(s.relay, s.due)
+	progress, forget := e.relay.inboxes.open(s.in.ID, progressBacklog)
+	defer forget()
+	bounded, cancel := s.request.untilDeadline(ctx)
+	defer cancel()
+	answered := make(chan error, 1)
+	go func() { answered <- e.kernel.Peers.Call(bounded, s.relay, methodBatch, s.in, &s.last) }()
+	for {
+		select {
+		case p := <-progress:
+			s.takeProgress(p)
+		case err := <-answered:
+			s.finish(ctx, progress, err)
+			return
+		}
+	}
+}
+
+// untilDeadline bounds a message to another host by the deadline.
+func (q *request) untilDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(ctx, q.times.deadline-q.engine.kernel.Now())
+}
+
+// hall is where the calls of the batch are made.
+func (s *sentBatch) hall() string { return s.request.engine.kernel.Fleet.HallOf(s.calls[0].Upstream) }
+
+// takeProgress reports the calls of a progress message. Those that are not in when the
+// first reply was due are hedged.
+func (s *sentBatch) takeProgress(g *batchReply) {
+	s.progressTaken++
+	s.noteSign(g)
+	s.report(g)
+	if g.Due && !s.overdue {
+		s.overdue = true
+		s.to.Overdue()
+	}
+}
+
+// noteSign notes the first sign of the relay, and how long the message took.
+func (s *sentBatch) noteSign(g *batchReply) {
+	if s.heard {
+		return
+	}
+	s.heard = true
+	e := s.request.engine
+	now := e.kernel.Now()
+	held := time.Duration(g.HeldMicros) * time.Microsecond
+	s.roundTrip = max(now-s.started-held, time.Microsecond)
+	e.hosts.answered(s.relay, s.hall(), now, s.roundTrip)
+	s.request.relays.answered(s.relay)
+}
+
+// finish takes the last reply in, or that there is none.
+func (s *sentBatch) finish(ctx context.Context, progress <-chan *batchReply, err error) {
+	if err != nil {
+		s.fail(ctx, err)
+		return
+	}
+	s.noteSign(&s.last)
+	s.report(&s.last)
+	// Progress that was sent before the last reply may be handled after it.
+	timer := time.NewTimer(progressGrace)
+	defer timer.Stop()
+	for s.progressTaken < s.last.ProgressSent {
+		select {
+		case p := <-progress:
+			s.takeProgress(p)
+		case <-timer.C:
+			return
+		}
+	}
+}
+
+// fail reports the calls of a batch without a last reply. That is no evidence against
+// the upstreams.
+func (s *sentBatch) fail(ctx context.Context, err error) {
+	q := s.request
+	e := q.engine
+	outcome := policy.CallLost
+	if neverArrived(err) && !s.heard {
+		outcome = policy.CallNotSent
+	}
+	if !s.heard {
+		now := e.kernel.Now()
+		e.hosts.unanswered(s.relay, s.hall(), now, ctx.Err() == nil || now-s.due > replyGrace)
+		q.relays.answered(s.relay)
+	}
+	if ctx.Err() != nil {
+		s.stop()
+	} else {
+		e.kernel.Decisions.Info().Str("RequestID", q.in.id).Str("Relay", s.relay).Int("Calls", len(s.calls)).
+			Str("Outcome", string(outcome)).Err(err).Msg("batch not answered")
+	}
+	for i := range s.calls {
+		s.to.Report(i, runner.Reply[*answer]{Outcome: outcome})
+	}
+}
+
+// stop tells the relay that the calls are not wanted any more.
+func (s *sentBatch) stop() {
+	q := s.request
+	k := q.engine.kernel
+	ctx, cancel := context.WithTimeout(context.Background(), stopBound)
+	defer cancel()
+	if err := k.Peers.Notify(ctx, s.relay, methodBatchStop, batchStop{ID: s.in.ID, CallerGone: q.callerGone.Load()}); err != nil {
+		k.Decisions.Info().Str("RequestID", q.in.id).Str("Relay", s.relay).Err(err).Msg("batch not stopped")
+	}
+}
+
+// report reports the calls of a reply. Their records are kept as one block that stands
+// for all of them.
+func (s *sentBatch) report(g *batchReply) {
+	k := s.request.engine.kernel
+	k.Fleet.TakeConditions(k.Now(), s.hall(), g.Conditions)
+	b := &block{records: g.Records, stamps: map[int]string{}}
+	if g.Cut > 0 {
+		b.leftOut = &leftOutAt{relay: s.relay, at: recordsRequest{ID: s.in.ID, Cut: g.Cut}}
+	}
+	ended := slices.DeleteFunc(g.Ended, func(c callReport) bool { return c.Index < 0 || c.Index >= len(s.calls) })
+	// The block is whole before the first of its parts is reported.
+	for _, c := range ended {
+		if c.Stamp != "" {
+			b.stamps[s.calls[c.Index].Part] = c.Stamp
+		}
+	}
+	for _, c := range ended {
+		r := runner.Reply[*answer]{Outcome: policy.CallOutcome(c.Outcome), Took: time.Duration(c.TookMicros)*time.Microsecond + s.roundTrip}
+		if c.Stamp != "" {
+			r.Outcome, r.Part = policy.CallOK, &answer{block: b}
+		}
+		s.to.Report(c.Index, r)
+	}
+}
+
+// onBatchProgress takes in what a relay reports of a batch before its last reply.
+func (e *engine) onBatchProgress(_ context.Context, in *batchReply) (any, error) {
+	switch known, taken := e.relay.inboxes.deliver(in.ID, in); {
+	case !known:
+		return nil, fmt.Errorf("%w: %q ended", errNoBatch, in.ID)
+	case !taken:
+		return nil, fmt.Errorf("too much progress of batch %q waits to be taken in", in.ID)
+	}
+	return struct{}{}, nil
+}
--- /dev/null
+++ b/tier/peers/announcement_test.go
@@ -0,0 +1,201 @@
+package peers
+
+import (
+	"context"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/rs/zerolog"
+	"gotest.tools/v3/assert"
+
+	"loomgap/tier/config"
+	"loomgap/tier/kernel"
+	"loomgap/tier/policy"
+)
+
+// newHallKernel makes a kernel of a host in hall A.
+func newHallKernel(t *testing.T, host string) *kernel.Kernel {
+	k, stop := kernel.New(kernel.Config{
+		Settings: kernel.Settings{Host: host, Hall: "A"}, Log: zerolog.Nop(), Started: time.Now(),
+		Fleet: policy.NewFleet(policy.FleetConfig{}),
+	})
+	t.Cleanup(stop)
+	return k
+}
+
+// serverWithoutFetches takes in announcements of a host that fetches nothing.
+func serverWithoutFetches(k *kernel.Kernel) *announcementServer {
+	return &announcementServer{kernel: k, fetches: &fetches{kernel: k, document: true, directory: true}}
+}
+
+// TestReaderTellsOneHostOfEachOtherHall looks at whom a reader tells, and whom a
+// host that only passes news on.
+func TestReaderTellsOneHostOfEachOtherHall(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		k := newHallKernel(t, "Self")
+		s := &kernel.State{ReadingState: kernel.ReadingState{Reading: true}, Members: map[string]kernel.Member{}}
+		for i, n := range ranked(9) {
+			hall := string(rune('A' + i%3))
+			s.Members[n] = kernel.Member{Host: n, Hall: hall, Live: true, Leaving: i == 1}
+		}
+		tl := &announcer{kernel: k}
+		hall, readers := tl.recipients(s)
+		assert.Equal(t, len(hall), 3)
+		assert.Equal(t, len(readers), 2)
+		s.Reading = false
+		hall, readers = tl.recipients(s)
+		assert.Equal(t, len(hall), 3)
+		assert.Equal(t, len(readers), 0)
+	})
+}
+
+// TestNewsOfAnotherHallAreToldOn has a host hear from the reader in another hall:
+// it tells its own hall at once, and does not read itself.
+func TestNewsOfAnotherHallAreToldOn(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		names := ranked(2)
+		k := newHallKernel(t, names[1])
+		told := &peerRecorder{}
+		k.Peers = told
+		tl := &announcer{kernel: k}
+		k.OnView(tl.onView)
+		server := serverWithoutFetches(k)
+		change := &config.DirectoryChange{Revision: 5, Listed: []config.Listing{{Name: "U1", Group: "G", Hall: "A", Slots: 1, Revision: 5}}}
+		time.Sleep(time.Second)
+		k.Do(func(s *kernel.State) {
+			s.Directory, _ = s.Directory.With(&config.DirectoryChange{Revision: 1})
+			s.Members["Mate"] = kernel.Member{Host: "Mate", Hall: "A", Live: true}
+			s.Announcing = true
+			server.learn(s, &announcement{Host: names[0], Hall: "B", Age: 100 * time.Millisecond, Change: change, DirectoryRevision: 5})
+		})
+		synctest.Wait()
+		assert.Assert(t, told.hosts["Mate"])
+		assert.DeepEqual(t, listedNames(k), []string{"U1"})
+		reads := make(chan bool, 1)
+		k.Do(func(s *kernel.State) {
+			tells, r := roleOf(k, s)
+			assert.Assert(t, tells)
+			reads <- r
+		})
+		assert.Assert(t, !<-reads)
+		time.Sleep(announceLost + takeoverStep*spreadSteps)
+		k.Do(func(s *kernel.State) { _, r := roleOf(k, s); reads <- r })
+		assert.Assert(t, <-reads, "the reader is gone")
+	})
+}
+
+// TestHolesInTheDirectoryAreFilled has a host that lacks an upstream hear of a
+// change of another one: it gets the whole list from the sender.
+func TestHolesInTheDirectoryAreFilled(t *testing.T) {
+	listings := func(names ...string) *config.DirectoryChange {
+		c := &config.DirectoryChange{Revision: 3}
+		for i, n := range names {
+			c.Listed = append(c.Listed, config.Listing{Name: n, Group: "G", Hall: "A", Slots: 1, Revision: uint64(i + 1)})
+		}
+		return c
+	}
+	teller, _, at := newTestNode(t)
+	serveFetches(teller, nil)
+	teller.Do(func(s *kernel.State) { s.List(listings("U1", "U2", "U3")) })
+	lacking, n, _ := newTestNode(t)
+	server := &announcementServer{kernel: lacking, fetches: serveFetches(lacking, n)}
+	lacking.Do(func(s *kernel.State) {
+		first := listings("U1")
+		first.Revision = 1
+		s.List(first)
+		change := &config.DirectoryChange{Revision: 3, Listed: listings("U1", "U2", "U3").Listed[2:]}
+		server.learn(s, &announcement{Host: "T", Peer: at, Directory: teller.View().Directory.Digest(), DirectoryRevision: 3, Change: change})
+	})
+	for end := time.Now().Add(20 * time.Second); lacking.View().Directory.Size() < 3; time.Sleep(time.Millisecond) {
+		assert.Assert(t, time.Now().Before(end), "%v", listedNames(lacking))
+	}
+	assert.DeepEqual(t, listedNames(lacking), []string{"U1", "U2", "U3"})
+}
+
+// announcementRecorder keeps the last announcement to each host.
+type announcementRecorder struct {
+	peerRecorder
+	last map[string]announcement
+}
+
+// Call implements kernel.PeerCaller.
+func (p *announcementRecorder) Call(_ context.Context, host, _ string, params, _ any) error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.last[host] = params.(announcement)
+	return nil
+}
+
+// TestReaderThatIsTurnedAwaySaysSo has the host that ranks first hear from other
+// halls what is published while the platform turns it away: its own hall hears
+// fresh news from it, other halls do not take it for a reader.
+func TestReaderThatIsTurnedAwaySaysSo(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		k := newHallKernel(t, "Self")
+		k.Settings.WatchWait = time.Second
+		sent := &announcementRecorder{last: map[string]announcement{}}
+		k.Peers = sent
+		time.Sleep(time.Minute)
+		s := &kernel.State{
+			ReadingState: kernel.ReadingState{Reading: true, Announcing: true, SourceAt: k.Now() - 100*time.Millisecond},
+			Members:      map[string]kernel.Member{},
+		}
+		s.Directory, _ = s.Directory.With(&config.DirectoryChange{Revision: 1})
+		s.Members["Mate"] = kernel.Member{Host: "Mate", Hall: "A", Live: true}
+		s.Members["Other"] = kernel.Member{Host: "Other", Hall: "B", Live: true}
+		announce := func() {
+			time.Sleep(announceEvery)
+			(&announcer{kernel: k}).announce(s)
+			synctest.Wait()
+		}
+		announce()
+		assert.Assert(t, !sent.last["Mate"].Lost)
+		assert.Assert(t, sent.last["Other"].Lost)
+		s.ReadAt = k.Now()
+		announce()
+		assert.Assert(t, !sent.last["Other"].Lost)
+	})
+}
+
+// TestEvacuationIsAnnounced has a reader hear of an evacuation and of its end: its
+// hall is told both at once, and a host that missed them learns them with the whole
+// directory.
+func TestEvacuationIsAnnounced(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		k := newHallKernel(t, "Self")
+		sent := &announcementRecorder{last: map[string]announcement{}}
+		k.Peers = sent
+		tl := &announcer{kernel: k}
+		s := &kernel.State{
+			ReadingState: kernel.ReadingState{Reading: true, Announcing: true},
+			Members:      map[string]kernel.Member{"Mate": {Host: "Mate", Hall: "A", Live: true}},
+		}
+		s.List(&config.DirectoryChange{Revision: 1, Whole: true})
+		mate := &kernel.State{ReadingState: kernel.ReadingState{
+			HallAnnouncers: map[string]kernel.AnnouncerReport{}, OtherReaders: map[string]kernel.AnnouncerReport{},
+		}}
+		server := serverWithoutFetches(k)
+		told := func(c *config.DirectoryChange) *config.Directory {
+			time.Sleep(10 * time.Millisecond)
+			s.List(c)
+			s.SourceAt, s.ReadAt = k.Now(), k.Now()
+			tl.announce(s)
+			synctest.Wait()
+			sent.mu.Lock()
+			defer sent.mu.Unlock()
+			n := sent.last["Mate"]
+			server.learn(mate, &n)
+			return mate.Directory
+		}
+		told(&config.DirectoryChange{Revision: 1, Whole: true})
+		d := told(&config.DirectoryChange{Revision: 2, Evacuated: []config.Evacuation{{Hall: "A", Revision: 2}}})
+		assert.Assert(t, d.Evacuated("A"))
+		d = told(&config.DirectoryChange{Revision: 3, Resumed: []config.Removal{{Name: "A", Revision: 3}}})
+		assert.Assert(t, !d.Evacuated("A"))
+		s.List(&config.DirectoryChange{Revision: 4, Evacuated: []config.Evacuation{{Hall: "B", Revision: 4}}})
+		whole := s.Directory.Whole()
+		mate.List(&whole)
+		assert.DeepEqual(t, mate.Directory.EvacuatedHalls(), []string{"B"})
+	})
+}
--- a/tier/peers/feed_test.go
+++ b/tier/peers/feed_test.go
@@ -166,7 +166,7 @@
 		p := newPublished()
 		p.list("U1", "U2")
 		ctx, cancel := context.WithCancel(t.Context())
-		f := &feed{kernel: k, source: p}
+		f := &feed{kernel: k, source: p, announcer: &announcer{kernel: k}}
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
@@ -226,7 +226,7 @@
 		settle(5 * time.Second)
 		assert.DeepEqual(t, listedNames(k), []string{"U1", "U2"})
 		p.set(func() { p.away = false })
-		settle(time.Second + feedRetryMost)
+		settle(time.Second + retryMost)
 		assert.DeepEqual(t, listedNames(k), []string{"U1", "U2"})
 		p.list("U2")
 		settle(lapseHold + time.Second)
@@ -245,7 +245,7 @@
 		}
 		p.remove("U1")
 		p.set(func() { p.away = false })
-		settle(time.Second + feedRetryMost/2)
+		settle(time.Second + retryMost/2)
 		assert.DeepEqual(t, listedNames(k), []string{"U2"})
 	})
 }
@@ -257,7 +257,7 @@
 		p.set(func() { p.away = true })
 		settle(5 * time.Second)
 		p.set(func() { p.away = false })
-		settle(feedRetryMost + 100*time.Millisecond)
+		settle(retryMost + 100*time.Millisecond)
 		p.remove("U1", "U2")
 		settle(time.Second)
 		assert.DeepEqual(t, listedNames(k), []string{"U1", "U2"})
@@ -295,7 +295,7 @@
 			Fleet: policy.NewFleet(policy.FleetConfig{Random: rand.New(rand.NewPCG(1, 2))}),
 		})
 		defer stop()
-		told := &toldPeers{}
+		told := &peerRecorder{}
 		k.Peers = told
 		k.Do(func(s *kernel.State) {
 			s.Reading, s.Announcing, s.SourceAt = true, true, k.Now()+time.Nanosecond
@@ -317,25 +317,25 @@
 	})
 }
 
-// toldPeers counts the news of a host that hears the platform, and keeps whom it
-// told them.
-type toldPeers struct {
+// peerRecorder counts the announcements of a host that hears the platform, and keeps
+// the hosts that got them.
+type peerRecorder struct {
 	mu    sync.Mutex
 	calls int
 	hosts map[string]bool
 }
 
-func (p *toldPeers) count() int {
+func (p *peerRecorder) count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls
 }
 
 // Call implements kernel.PeerCaller.
-func (p *toldPeers) Call(_ context.Context, host, _ string, params, _ any) error {
+func (p *peerRecorder) Call(_ context.Context, host, _ string, params, _ any) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if news, ok := params.(Announcement); ok && news.Lost {
+	if news, ok := params.(announcement); ok && news.Lost {
 		return nil
 	}
 	p.calls++
@@ -347,12 +347,12 @@
 }
 
 // Connect implements kernel.PeerCaller.
-func (*toldPeers) Connect(context.Context, string) error {
+func (*peerRecorder) Connect(context.Context, string) error {
 	return nil
 }
 
 // Notify implements kernel.PeerCaller.
-func (p *toldPeers) Notify(context.Context, string, string, any) error { return nil }
+func (p *peerRecorder) Notify(context.Context, string, string, any) error { return nil }
 
 // TestFeedFollowsEvacuations has a hall evacuated and taken back: by changes, while
 // the platform forgets its history, and while it is away.
