--- a/tier/policy/budget.go
+++ b/tier/policy/budget.go
@@ -33,9 +33,9 @@
 	return true
 }
 
-// draw takes a token, or with less than one in the budget, one with that
-// probability, and then all. So many hosts that earn little each take as many
-// tokens together as they earn, up to the chance of the draw.
+// draw takes a token. With less than one left it takes what is left, and succeeds with
+// that probability: many hosts that earn little each then take as many tokens together
+// as they earn, on average.
 func (b *budget) draw(r Random) bool {
 	if b.tokens >= 1 {
 		b.tokens--
--- a/tier/policy/doc.go
+++ b/tier/policy/doc.go
@@ -30,18 +30,25 @@
 //
 // # Files
 //
-// The state of upstreams is below, the rules above it, the run on top:
-//
-//   - one upstream: upstream.go and the small types that it is made of, such as slots.go,
-//     ejection.go, backoff.go, stall.go and cold.go; queue.go; pool.go for latencies
-//   - all upstreams: fleet.go; conditions.go for what other hosts report of theirs
-//   - rules: choose.go scores an upstream, coordinator.go says which host carries a
-//     gather out, admit.go and retryafter.go who is refused and until when; budget.go and
-//     retrybudget.go pay for hedges and retries; quarantine.go judges requests by what
-//     suspects.go remembers and hosts exchange (crashreport.go)
+// The state of upstreams is below, the rules above it, the run on top.
+//
+//   - one upstream: upstream.go, made of slots.go (with borrowing.go, limit.go and
+//     queue.go), latency.go, condition.go, outlier.go, ejection.go, backoff.go, stall.go,
+//     cold.go, load.go and status.go; kind.go tells declared.go from listed.go; learn.go
+//     takes in what a call showed
+//   - all upstreams: fleet.go, with calls.go, acquire.go, statuses.go, conditions.go and
+//     snapshot.go; pool.go holds the latencies of a service
+//   - rules on an upstream: plugin.go registers choose.go, leastlatency.go and
+//     admission.go; coldowner.go says which host calls a cold one
+//   - rules on a request: placement.go says where it may go, coordinator.go which host
+//     carries it out, admit.go and retryafter.go whether it is refused and until when,
+//     margin.go what is kept back from its deadline; budget.go and retrybudget.go pay for
+//     its hedges and retries; quarantine.go judges it by what suspects.go remembers of
+//     its fingerprint.go and hosts exchange (crashreport.go)
 //   - what requests of a class and routed ones do differently: class.go and routed.go,
 //     behind rules.go
 //   - the run: run.go takes events, pick.go, hedge.go, retry.go and finish.go decide,
 //     suspicion.go and isolation.go handle requests that may crash upstreams; attempt.go
-//     carries out what was decided on part.go, by action.go; result.go accounts for it
+//     carries out what was decided on part.go, by action.go; outcome.go says what became
+//     of a call, result.go of the run
 package policy
