--- a/tier/policy/attempt.go
+++ b/tier/policy/attempt.go
@@ -10,20 +10,24 @@
 // leaveQueues takes a part's other attempts out of their queues once one has
 // its slot. If another is being granted just now, Granted frees its slot.
 func (r *Run) leaveQueues(i, granted int) {
-	p := &r.parts[i]
-	for _, n := range slices.Clone(p.live) {
-		a := &r.attempts[n]
-		if n == granted || a.phase != phaseQueued {
-			continue
+	for _, n := range slices.Clone(r.parts[i].live) {
+		if a := &r.attempts[n]; n != granted && a.phase == phaseQueued {
+			a.waiter.abandon()
+			r.withdraw(n)
 		}
-		p.remove(n)
-		a.waiter.abandon()
-		a.phase = phaseDone
-		p.tries--
-		p.forget(a.upstream)
 	}
 }
 
+// withdraw takes back an attempt that was not sent: its upstream counts as not tried.
+func (r *Run) withdraw(n int) {
+	a := &r.attempts[n]
+	a.phase = phaseDone
+	p := &r.parts[a.part]
+	p.remove(n)
+	p.forget(a.upstream)
+	p.tries--
+}
+
 // startAttempt gives a part its first attempt, or its next after a refusal.
 // Where no slot is free it waits for one at every eligible replica, and the first to
 // come is taken: that costs no call.
--- a/tier/policy/isolation.go
+++ b/tier/policy/isolation.go
@@ -79,11 +79,7 @@
 		return false
 	}
 	r.leaveQueues(a.part, n)
-	p := &r.parts[a.part]
-	p.remove(n)
-	p.forget(a.upstream)
-	p.tries--
-	a.phase = phaseDone
+	r.withdraw(n)
 	r.deferPart(a.part)
 	return true
 }
--- a/tier/policy/retrybudget.go
+++ b/tier/policy/retrybudget.go
@@ -58,9 +58,6 @@
 	}
 }
 
-// SetRetryBudget sets one budget for all groups.
-func (f *Fleet) SetRetryBudget(r RetryBudget) { f.SetRetryBudgets(RetryBudgets{Shards: r, Single: r}) }
-
 // retriesOf returns the tokens of a group; the fleet is locked.
 func (f *Fleet) retriesOf(group string) *budget {
 	b := f.retries[group]
--- a/tier/policy/routed_test.go
+++ b/tier/policy/routed_test.go
@@ -15,7 +15,7 @@
 // second of each is far.
 func routedFleet(groups int, repeats RetryBudget) *Fleet {
 	f := NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(1, 2))})
-	f.SetRetryBudget(repeats)
+	setRetryBudget(f, repeats)
 	var shares []Share
 	for g := range groups {
 		shares = append(shares,
@@ -68,6 +68,9 @@
 	return false
 }
 
+// setRetryBudget sets one budget for all groups.
+func setRetryBudget(f *Fleet, r RetryBudget) { f.SetRetryBudgets(RetryBudgets{Shards: r, Single: r}) }
+
 // TestRepeatsOfAllHosts lets few and many hosts repeat whatever they may, in
 // virtual time, with bursts, restarts and hosts that nobody knows of. In no
 // window are there more repeats than allowed.
@@ -93,7 +96,7 @@
 	fleets := make([]*Fleet, hosts)
 	start := func() *Fleet {
 		f := NewFleet(FleetConfig{Random: random})
-		f.SetRetryBudget(ShareRetryBudget(ratio, slack*0.9, float64(hosts)))
+		setRetryBudget(f, ShareRetryBudget(ratio, slack*0.9, float64(hosts)))
 		return f
 	}
 	for i := range fleets {
@@ -328,7 +331,7 @@
 // spent is what a host begins with, and after requests never more than the depth.
 func TestRetriesWithoutRequestsAreBounded(t *testing.T) {
 	f := NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(1, 2))})
-	f.SetRetryBudget(ShareRetryBudget(0.2, 80, 8))
+	setRetryBudget(f, ShareRetryBudget(0.2, 80, 8))
 	spend := func() int {
 		spent := 0
 		for f.takeRetry("G") {
--- a/tier/policy/suspicion.go
+++ b/tier/policy/suspicion.go
@@ -41,6 +41,12 @@
 // remembered, and none has answered it.
 func (s *suspicion) open() bool { return s.subject.Fingerprint != "" && !s.cleared }
 
+// count counts an upstream that crashed.
+func (s *suspicion) count(u *Upstream) {
+	s.crashes++
+	s.lastCrashed = u.Name
+}
+
 // suspected reports whether the request may be one that crashes upstreams. It runs at
 // one of them at a time then.
 func (r *Run) suspected() bool {
@@ -61,8 +67,7 @@
 // whether the run is to end: the upstream ran nothing else of it.
 func (r *Run) noteCrash(now time.Duration, a *attempt) bool {
 	s := &r.suspicion
-	s.crashes++
-	s.lastCrashed = a.upstream.Name
+	s.count(a.upstream)
 	if !s.open() {
 		return false
 	}
@@ -82,8 +87,7 @@
 	}
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
-	s.crashes++
-	s.lastCrashed = a.upstream.Name
+	s.count(a.upstream)
 	if !s.hasReported {
 		r.reportCrash(now, false)
 	}
--- a/tier/replay/routed.go
+++ b/tier/replay/routed.go
@@ -76,7 +76,8 @@
 			Hall: hall, Near: hall == c.Routed.hall(h.index),
 		})
 	}
-	h.fleet.SetRetryBudget(policy.ShareRetryBudget(c.Routed.Ratio, c.Routed.Slack, float64(c.Hosts)))
+	share := policy.ShareRetryBudget(c.Routed.Ratio, c.Routed.Slack, float64(c.Hosts))
+	h.fleet.SetRetryBudgets(policy.RetryBudgets{Shards: share, Single: share})
 	h.fleet.Apply(0, shares)
 	if c.crashing() {
 		h.joinCrash()
