--- a/tier/peers/strikes.go
+++ b/tier/peers/strikes.go
@@ -73,9 +73,9 @@
 	}
 	for i := range m.Reports {
 		r := &m.Reports[i]
-		if r.Fingerprint == "" || len(r.Fingerprint) > maxFingerprint || len(r.Strikes) > maxReportedStrikes {
+		if r.Fingerprint == "" || len(r.Fingerprint) > maxFingerprint || len(r.Crashes) > maxReportedStrikes {
 			return fmt.Errorf("%w: fingerprint of %d bytes with %d strikes: send 1 to %d bytes and %d strikes at most",
-				errBadStrikes, len(r.Fingerprint), len(r.Strikes), maxFingerprint, maxReportedStrikes)
+				errBadStrikes, len(r.Fingerprint), len(r.Crashes), maxFingerprint, maxReportedStrikes)
 		}
 	}
 	return nil
@@ -96,7 +96,7 @@
 	s := &strikeReporter{kernel: k, pending: make(chan struct{}, 1), urgent: make(chan struct{}, 1)}
 	k.Handle(methodStrikes, s.onStrikes)
 	k.Handle(methodKnownStrikes, s.onKnownStrikes)
-	k.Fleet.OnStrikes(s.notify)
+	k.Fleet.OnCrashReports(s.notify)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -104,7 +104,7 @@
 		s.loop(ctx)
 	}()
 	return func() {
-		k.Fleet.OnStrikes(nil)
+		k.Fleet.OnCrashReports(nil)
 		cancel()
 		<-done
 	}
@@ -162,7 +162,7 @@
 // reportNew reports new strikes to other hosts.
 func (s *strikeReporter) reportNew(ctx context.Context) {
 	k := s.kernel
-	reports := k.Fleet.FreshReports(k.Now())
+	reports := k.Fleet.UnsentReports(k.Now())
 	if len(reports) == 0 {
 		return
 	}
@@ -184,7 +184,7 @@
 	verdict := k.Fleet.Worst(k.Now(), r.Fingerprint)
 	metrics.GetOrCreateCounter(`loomgap_suspects_total{Verdict="` + string(verdict) + `"}`).Inc()
 	var upstreams, callers []string
-	for _, strike := range r.Strikes {
+	for _, strike := range r.Crashes {
 		upstreams, callers = append(upstreams, strike.Upstream), append(callers, strike.Caller.String())
 	}
 	line := k.Decisions.Info()
--- a/tier/policy/admission.go
+++ b/tier/policy/admission.go
@@ -3,9 +3,9 @@
 import "time"
 
 func init() {
-	RegisterAdmission("None", admitAll{})
-	RegisterAdmission("Deadline", admitDeadline{})
-	RegisterAdmission("Worth", admitWorth{})
+	registerAdmission("None", admitAll{})
+	registerAdmission("Deadline", admitDeadline{})
+	registerAdmission("Worth", admitWorth{})
 }
 
 // Shares of the slack that expected work may fill.
@@ -22,27 +22,27 @@
 // admitAll refuses nothing: the baseline.
 type admitAll struct{}
 
-var _ Admission = admitAll{}
+var _ admission = admitAll{}
 
-// Allow implements Admission.
-func (admitAll) Allow(time.Duration, float64, float64) time.Duration { return 1<<63 - 1 }
+// allow implements admission.
+func (admitAll) allow(time.Duration, float64, float64) time.Duration { return 1<<63 - 1 }
 
 // admitDeadline refuses what cannot be done in time.
 type admitDeadline struct{}
 
-var _ Admission = admitDeadline{}
+var _ admission = admitDeadline{}
 
-// Allow implements Admission.
-func (admitDeadline) Allow(slack time.Duration, _, _ float64) time.Duration { return slack }
+// allow implements admission.
+func (admitDeadline) allow(slack time.Duration, _, _ float64) time.Duration { return slack }
 
 // admitWorth lets requests of more worth per cost count on more of their
 // slack, so that under overload the least worth per cost is refused first.
 type admitWorth struct{}
 
-var _ Admission = admitWorth{}
+var _ admission = admitWorth{}
 
-// Allow implements Admission.
-func (admitWorth) Allow(slack time.Duration, density, top float64) time.Duration {
+// allow implements admission.
+func (admitWorth) allow(slack time.Duration, density, top float64) time.Duration {
 	rank := 1.0
 	if top > 0 {
 		rank = min(density/top, 1)
