--- a/tier/pass/call.go
+++ b/tier/pass/call.go
@@ -92,41 +92,41 @@
 
 // do makes a call on a connection of the link.
 func (l *link) do(ctx context.Context, c *call) result {
-	k, err := l.get(ctx, c.unrepeatable)
+	n, err := l.get(ctx, c.unrepeatable)
 	if err != nil {
 		return result{err: err}
 	}
 	// A cancelled call closes its connection: that is how the upstream learns of it.
-	stop := context.AfterFunc(ctx, func() { _ = k.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = n.Close() })
 	started := l.now()
-	a, keep, err := k.exchange(c)
+	a, keep, err := n.exchange(c)
 	if !stop() {
 		keep = false
 	}
 	if !keep {
-		_ = k.Close()
-		if err != nil && k.reused && l.now()-started >= silentCallBound {
+		_ = n.Close()
+		if err != nil && n.reused && l.now()-started >= silentCallBound {
 			l.closeIdleBefore(started)
 		}
-		return result{answer: a, sent: true, err: err, crowded: !k.reused && errors.Is(err, syscall.ECONNRESET)}
+		return result{answer: a, sent: true, err: err, crowded: !n.reused && errors.Is(err, syscall.ECONNRESET)}
 	}
-	l.put(k)
+	l.put(n)
 	return result{answer: a, sent: true, err: err}
 }
 
 // exchange writes the request and reads its answer. The connection may be reused only if
 // keep is true.
-func (k *conn) exchange(c *call) (a *answer, keep bool, err error) {
-	if err := k.SetDeadline(time.Now().Add(c.left)); err != nil {
+func (n *conn) exchange(c *call) (a *answer, keep bool, err error) {
+	if err := n.SetDeadline(time.Now().Add(c.left)); err != nil {
 		return nil, false, err
 	}
 	written := make(chan error, 1)
 	if len(c.body) <= eagerBody {
-		written <- k.write(c)
+		written <- n.write(c)
 	} else {
-		go func() { written <- k.write(c) }()
+		go func() { written <- n.write(c) }()
 	}
-	a, keep, err = k.read(c)
+	a, keep, err = n.read(c)
 	if err != nil {
 		return nil, false, err
 	}
@@ -140,29 +140,29 @@
 	}
 }
 
-func (k *conn) write(c *call) error {
+func (n *conn) write(c *call) error {
 	var b bytes.Buffer
 	b.Grow(len(c.head) + len(c.body) + ownHeaderBytes)
 	b.Write(c.head)
 	fmt.Fprintf(&b, "%s: %d\r\n%s: %s\r\n\r\n", c.headers.DeadlineMillis, max(c.left.Milliseconds(), 1), c.headers.Upstream, c.upstream)
 	b.Write(c.body)
-	_, err := k.Write(b.Bytes())
+	_, err := n.Write(b.Bytes())
 	return err
 }
 
 // read reads the answer to a call; a surplus answer to the call before is skipped.
-func (k *conn) read(c *call) (a *answer, keep bool, err error) {
+func (n *conn) read(c *call) (a *answer, keep bool, err error) {
 	for range answersRead {
-		a, keep, err = k.readOne(c.method)
+		a, keep, err = n.readOne(c.method)
 		if err != nil {
 			return nil, false, err
 		}
 		echoed := a.header.Get(c.headers.RequestID)
 		if echoed == c.id {
-			k.lastID = c.id
-			return a, keep && k.reader.Buffered() == 0, nil
+			n.lastID = c.id
+			return a, keep && n.reader.Buffered() == 0, nil
 		}
-		if echoed == "" || echoed != k.lastID || !keep {
+		if echoed == "" || echoed != n.lastID || !keep {
 			return nil, false, errCrossed
 		}
 	}
@@ -170,10 +170,10 @@
 }
 
 // readOne reads one answer; keep is false if nothing can follow it.
-func (k *conn) readOne(method string) (a *answer, keep bool, err error) {
-	r, err := http.ReadResponse(k.reader, &http.Request{Method: method})
+func (n *conn) readOne(method string) (a *answer, keep bool, err error) {
+	r, err := http.ReadResponse(n.reader, &http.Request{Method: method})
 	for err == nil && r.StatusCode < http.StatusOK {
-		r, err = http.ReadResponse(k.reader, &http.Request{Method: method})
+		r, err = http.ReadResponse(n.reader, &http.Request{Method: method})
 	}
 	if err != nil {
 		return nil, false, err
@@ -183,8 +183,8 @@
 	if err != nil {
 		return nil, false, err
 	}
-	k.noteKeepAlive(r.Header)
-	keep = !r.Close && k.idleBound > 0
+	n.noteKeepAlive(r.Header)
+	keep = !r.Close && n.idleBound > 0
 	return &answer{status: r.StatusCode, header: r.Header, body: body}, keep, nil
 }
 
@@ -208,7 +208,7 @@
 }
 
 // noteKeepAlive takes in how long the upstream keeps an idle connection.
-func (k *conn) noteKeepAlive(h http.Header) {
+func (n *conn) noteKeepAlive(h http.Header) {
 	_, after, found := strings.Cut(h.Get("Keep-Alive"), "timeout=")
 	if !found {
 		return
@@ -218,7 +218,7 @@
 	if err != nil || seconds < 0 {
 		return
 	}
-	k.idleBound = time.Duration(seconds)*time.Second - idleReserve
+	n.idleBound = time.Duration(seconds)*time.Second - idleReserve
 }
 
 // judge says what the result of a call means. A reply carries the answer only if it may
@@ -260,15 +260,15 @@
 
 // loadOf reads "running, waiting, slots"; zero if the text is not that.
 func loadOf(text string) policy.Load {
-	var n [3]int
+	var counts [3]int
 	left := text
-	for i := range n {
+	for i := range counts {
 		field, more, _ := strings.Cut(left, ",")
 		v, err := strconv.Atoi(strings.TrimSpace(field))
 		if err != nil || v < 0 {
 			return policy.Load{}
 		}
-		n[i], left = v, more
+		counts[i], left = v, more
 	}
-	return policy.Load{Running: n[0], Waiting: n[1], Slots: n[2]}
+	return policy.Load{Running: counts[0], Waiting: counts[1], Slots: counts[2]}
 }
--- a/tier/pass/conn.go
+++ b/tier/pass/conn.go
@@ -163,23 +163,23 @@
 
 // checkIdle fails if the upstream closed the connection or sent bytes that nobody asked
 // for. It peeks without waiting and consumes nothing.
-func (c *conn) checkIdle() error {
-	if c.reader.Buffered() > 0 {
+func (n *conn) checkIdle() error {
+	if n.reader.Buffered() > 0 {
 		return errStale
 	}
 	var (
 		one    [1]byte
-		n      int
+		read   int
 		failed error
 	)
-	err := c.raw.Read(func(fd uintptr) bool {
-		n, _, failed = syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	err := n.raw.Read(func(fd uintptr) bool {
+		read, _, failed = syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		return true
 	})
 	if err != nil {
 		return err
 	}
-	if n > 0 || !errors.Is(failed, syscall.EAGAIN) {
+	if read > 0 || !errors.Is(failed, syscall.EAGAIN) {
 		return errStale
 	}
 	return nil
--- a/tier/pass/coordinate_client.go
+++ b/tier/pass/coordinate_client.go
@@ -214,9 +214,7 @@
 
 // stop tells the coordinator that the answer is not wanted any more.
 func (s *sentRequest) stop(id string) {
-	ctx, cancel := context.WithTimeout(context.Background(), stopBound)
-	defer cancel()
-	if err := s.request.engine.kernel.Peers.Notify(ctx, s.to.Host, methodCoordinateStop, coordinateID{ID: id}); err != nil {
+	if err := s.request.engine.notifyStop(s.to.Host, methodCoordinateStop, coordinateID{ID: id}); err != nil {
 		s.log().Err(err).Msg("forwarded request not stopped")
 	}
 }
--- a/tier/pass/exchange.go
+++ b/tier/pass/exchange.go
@@ -8,6 +8,7 @@
 	"strconv"
 	"sync"
 	"sync/atomic"
+	"time"
 )
 
 // This file has what the exchanges with relays and coordinators share.
@@ -24,6 +25,17 @@
 	})
 }
 
+// stopBound is how long telling a host to stop may take. Not measured.
+const stopBound = time.Second
+
+// notifyStop tells a host that the result of what it was sent is not wanted any more; the
+// context of the request has ended by then.
+func (e *engine) notifyStop(host, method string, message any) error {
+	ctx, cancel := context.WithTimeout(context.Background(), stopBound)
+	defer cancel()
+	return e.kernel.Peers.Notify(ctx, host, method, message)
+}
+
 // idBitsSpare is how many of 64 random bits the prefix of IDs does without: with 48
 // left, two of 1,000 hosts draw the same once in 500 million times.
 const idBitsSpare = 16
--- a/tier/pass/relay_client.go
+++ b/tier/pass/relay_client.go
@@ -35,8 +35,6 @@
 	// progressGrace is how long progress messages that were sent before the last reply
 	// may come after it. Not measured.
 	progressGrace = 20 * time.Millisecond
-	// stopBound is how long telling a host to stop may take. Not measured.
-	stopBound = time.Second
 )
 
 var _ runner.Batcher[*answer] = (*request)(nil)
@@ -280,9 +278,9 @@
 func (s *sentBatch) fail(ctx context.Context, err error) {
 	q := s.request
 	e := q.engine
-	outcome := policy.CallLost
+	o := policy.CallLost
 	if neverArrived(err) && !s.heard {
-		outcome = policy.CallNotSent
+		o = policy.CallNotSent
 	}
 	if !s.heard {
 		now := e.kernel.Now()
@@ -293,21 +291,19 @@
 		s.stop()
 	} else {
 		e.kernel.Decisions.Info().Str("RequestID", q.in.id).Str("Relay", s.relay).Int("Calls", len(s.calls)).
-			Str("Outcome", string(outcome)).Err(err).Msg("batch not answered")
+			Str("Outcome", string(o)).Err(err).Msg("batch not answered")
 	}
 	for i := range s.calls {
-		s.to.Report(i, runner.Reply[*answer]{Outcome: outcome})
+		s.to.Report(i, runner.Reply[*answer]{Outcome: o})
 	}
 }
 
 // stop tells the relay that the calls are not wanted any more.
 func (s *sentBatch) stop() {
 	q := s.request
-	k := q.engine.kernel
-	ctx, cancel := context.WithTimeout(context.Background(), stopBound)
-	defer cancel()
-	if err := k.Peers.Notify(ctx, s.relay, methodBatchStop, batchStop{ID: s.in.ID, CallerGone: q.callerGone.Load()}); err != nil {
-		k.Decisions.Info().Str("RequestID", q.in.id).Str("Relay", s.relay).Err(err).Msg("batch not stopped")
+	err := q.engine.notifyStop(s.relay, methodBatchStop, batchStop{ID: s.in.ID, CallerGone: q.callerGone.Load()})
+	if err != nil {
+		q.engine.kernel.Decisions.Info().Str("RequestID", q.in.id).Str("Relay", s.relay).Err(err).Msg("batch not stopped")
 	}
 }
 
