--- a/tier/pass/admit.go
+++ b/tier/pass/admit.go
@@ -49,5 +49,5 @@
 	if r := v.Index.RouteNamed(route); r != nil {
 		homes = r.Homes
 	}
-	return e.places(v).Barrier(&l, homes)
+	return e.placement(v).Barrier(&l, homes)
 }
--- a/tier/pass/coordinators.go
+++ b/tier/pass/coordinators.go
@@ -55,7 +55,7 @@
 	if all == nil {
 		return policy.Candidate{}, false
 	}
-	carriers := e.places(q.view).Carriers(*all, q.route.Homes)
+	carriers := e.placement(q.view).Carriers(*all, q.route.Homes)
 	best := policy.Coordinators(e.self(), e.hosts.candidates(carriers, e.kernel.Now(), tried))
 	if len(best) == 0 {
 		return policy.Candidate{}, false
--- a/tier/pass/host_tracker.go
+++ b/tier/pass/host_tracker.go
@@ -113,7 +113,7 @@
 		if tried[c.Host] || t.hall(c.Hall).backoff.active(now) || !t.responsive(c.Host, now) {
 			continue
 		}
-		c.Unheard, c.RoundTrip = t.host(c.Host).pending, t.hall(c.Hall).roundTrip
+		c.Pending, c.RoundTrip = t.host(c.Host).pending, t.hall(c.Hall).roundTrip
 		out = append(out, c)
 	}
 	return out
--- a/tier/policy/route_test.go
+++ b/tier/policy/route_test.go
@@ -223,7 +223,7 @@
 	_, actions = routedRun(t, f, now, 1, 2, 1, true)
 	assert.Equal(t, sends(actions)[0].Upstream.Name, "F0")
 	far := f.Find("F0")
-	far.latency, far.slowness, far.samples = 40*time.Millisecond, 4, 10
+	far.latency, far.condition.slowness = latency{smoothed: 40 * time.Millisecond, samples: 10}, 4
 	answer(now, r, stuck, 60*time.Millisecond)
 	assert.Assert(t, !f.Stalled(now, stuck.Upstream))
 	_, actions = routedRun(t, f, now+time.Second, 1, 2, 1, true)
@@ -288,7 +288,7 @@
 	f.Lingered(u)
 	assert.Assert(t, f.Linger(u))
 	u.slots.inUse++
-	f.Finish(0, Call{Upstream: u, Pool: NewPool(), Outcome: CallCancelled, Took: time.Millisecond, Lingering: true})
+	f.Finish(0, Call{Upstream: u, Pool: newPool(poolWindow), Outcome: CallCancelled, Took: time.Millisecond, Lingering: true})
 	assert.Assert(t, f.Linger(u))
 }
 
@@ -320,7 +320,7 @@
 		for range 2 * ejectAfter {
 			f.Finish(0, Call{Upstream: u, Pool: near, Outcome: o, Took: time.Millisecond, Elsewhere: true})
 		}
-		assert.Assert(t, u.fit(0) && u.faults == 0, "%s: %+v", o, u)
+		assert.Assert(t, u.eligible(0) && u.condition.faults == 0, "%s: %+v", o, u)
 	}
 }
 
@@ -350,7 +350,7 @@
 func TestLimitIsLearntFromResets(t *testing.T) {
 	f := NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(1, 2))})
 	f.Apply(0, []Share{{Name: "U", Slots: 6, Listed: true, Near: true}})
-	u, p := f.Find("U"), NewPool()
+	u, p := f.Find("U"), newPool(poolWindow)
 	enter := func() int {
 		n := 0
 		for u.free() {
