--- a/tier/pass/coordinate_test.go
+++ b/tier/pass/coordinate_test.go
@@ -38,13 +38,9 @@
 	f.weak.engine.coordinate.times = signTimes{first: testBound, next: testBound}
 	w.hosts["Strong"] = f.strong
 	f.upstreams = gatherers(t, f.weak, [2]string{"A", "A"}, reply)
-	f.strong.do(func(s *kernel.State) {
-		whole := f.weak.kernel.View().Directory.Whole()
-		s.List(&whole)
-	})
 	d := gatherDoc(0.8, 15)
 	f.weak.accept(d)
-	f.strong.accept(d)
+	f.strong.share(f.weak, d)
 	f.strong.kernel.SetPhase(kernel.PhaseReady)
 	f.weak.member(f.strong)
 	return f
--- a/tier/pass/gather_test.go
+++ b/tier/pass/gather_test.go
@@ -211,13 +211,9 @@
 			far := newHost(t, hostConfig{name: "Far", hall: "B", peers: w})
 			w.hosts["Far"] = far
 			us := gatherers(t, h, [2]string{"B", "B"}, reply)
-			far.do(func(s *kernel.State) {
-				whole := h.kernel.View().Directory.Whole()
-				s.List(&whole)
-			})
 			d := gatherDoc(0.8, 15)
 			h.accept(d)
-			far.accept(d)
+			far.share(h, d)
 			h.member(far)
 			r := h.ask(http.MethodGet, "/find/x", "one", 1500, "")
 			assert.NilError(t, r.err)
@@ -250,14 +246,10 @@
 			return false
 		}
 	})
-	far.do(func(s *kernel.State) {
-		whole := h.kernel.View().Directory.Whole()
-		s.List(&whole)
-	})
 	d := gatherDoc(0.8, 15)
 	d.Routes[0].TimeLimit, d.Routes[0].Objective = 600000*millisecond, 600000*millisecond
 	h.accept(d)
-	far.accept(d)
+	far.share(h, d)
 	h.member(far)
 	ctx, cancel := context.WithCancel(t.Context())
 	arrived := func() int {
@@ -365,13 +357,9 @@
 	h.kernel.Tracer, far.kernel.Tracer = tracer, tracer
 	w.hosts["Far"] = far
 	gatherers(t, h, [2]string{"B", "B"}, func(s, _ int) replyFunc { return good(part(s)) })
-	far.do(func(s *kernel.State) {
-		whole := h.kernel.View().Directory.Whole()
-		s.List(&whole)
-	})
 	d := gatherDoc(1, 15)
 	h.accept(d)
-	far.accept(d)
+	far.share(h, d)
 	h.member(far)
 	assert.Equal(t, h.ask(http.MethodGet, "/find/x", "one", 1500, "").status, http.StatusOK)
 	hops := func() map[string]int {
--- a/tier/pass/golden_test.go
+++ b/tier/pass/golden_test.go
@@ -238,13 +238,9 @@
 			}
 			h.list(fmt.Sprint("S", s), hall, newUpstream(t, fmt.Sprint("U", s), good(text)), false)
 		}
-		far.do(func(s *kernel.State) {
-			whole := h.kernel.View().Directory.Whole()
-			s.List(&whole)
-		})
 		d := gatherDoc(0.4, 25)
 		h.accept(d)
-		far.accept(d)
+		far.share(h, d)
 		h.member(far)
 		o.answer(c.name, h.ask(http.MethodGet, "/find/x", "one", 1500, ""))
 		o.take(t, &log)
--- a/tier/pass/header.go
+++ b/tier/pass/header.go
@@ -10,13 +10,13 @@
 	"loomgap/tier/policy"
 )
 
-// connectionHeaders pertain to one connection and are not passed on.
+// connectionHeaders pertain to one connection and are not passed on (RFC 9110, 7.6.1).
 var connectionHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// strip takes the headers of one connection away.
+// strip removes the headers that pertain to one connection.
 func strip(h http.Header) {
 	for _, line := range h["Connection"] {
 		for _, name := range strings.Split(line, ",") {
@@ -28,7 +28,7 @@
 	}
 }
 
-// contentOf returns what a request asks for, by the head that headOf wrote.
+// contentOf returns what a request asks for, read from the head that headOf wrote.
 func contentOf(head, body []byte) policy.Content {
 	line, rest, _ := strings.Cut(string(head), "\r\n")
 	method, line, _ := strings.Cut(line, " ")
--- a/tier/pass/relay_records.go
+++ b/tier/pass/relay_records.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// This file has both ends of what is done about records that a relay leaves out of
-// its replies: only those are sent that are likely to belong to the answer.
+// This file is both ends of the handling of left-out records: a relay sends only those
+// records that are likely to belong to the answer, and the sender fetches the others if
+// the answer needs them.
 
 const (
 	// spareRecords is how many records are sent beyond the expected number and its
--- a/tier/pass/relay_records_test.go
+++ b/tier/pass/relay_records_test.go
@@ -9,8 +9,6 @@
 	"time"
 
 	"gotest.tools/v3/assert"
-
-	"loomgap/tier/kernel"
 )
 
 func TestRecordsFor(t *testing.T) {
@@ -87,13 +85,9 @@
 					all = append(all, text[:recordBytes])
 				}
 			}
-			far.do(func(s *kernel.State) {
-				whole := h.kernel.View().Directory.Whole()
-				s.List(&whole)
-			})
 			d := gatherDoc(0.4, top)
 			h.accept(d)
-			far.accept(d)
+			far.share(h, d)
 			h.member(far)
 			r := h.ask(http.MethodGet, "/find/x", "one", 1500, "")
 			assert.NilError(t, r.err)
--- a/tier/pass/split.go
+++ b/tier/pass/split.go
@@ -33,27 +33,29 @@
 	return n.next()
 }
 
-// splitter divides the requests of a route between groups in proportion to
-// their weights: each turn goes to the group that lags most behind its part.
-// Drawing at random would stray from the weights in short spans.
+// splitter divides the requests of a route between groups in proportion to their weights:
+// each turn goes to the group that lags most behind its share. Drawing at random would
+// deviate from the weights over short times. It is safe for concurrent use.
 type splitter struct {
 	split []config.Weighted
 
 	mu sync.Mutex
-	// due is how many turns each group lags behind; it adds up to 0.
-	due []float64
+	// lag is how far each group is behind its share, in units of weight; next leaves
+	// the total unchanged.
+	lag []float64
+	// sum is that of the weights.
 	sum float64
 }
 
 // newSplitter makes a splitter that begins anywhere in its round, so that many
 // hosts do not all begin with the same group.
 func newSplitter(split []config.Weighted) *splitter {
-	s := &splitter{split: split, due: make([]float64, len(split))}
+	s := &splitter{split: split, lag: make([]float64, len(split))}
 	for _, w := range split {
 		s.sum += w.Weight
 	}
-	for i := range s.due {
-		s.due[i] = split[i].Weight * rand.Float64()
+	for i := range s.lag {
+		s.lag[i] = split[i].Weight * rand.Float64()
 	}
 	return s
 }
@@ -71,11 +73,11 @@
 		if w.Weight == 0 {
 			continue
 		}
-		s.due[i] += w.Weight
-		if best < 0 || s.due[i] > s.due[best] {
+		s.lag[i] += w.Weight
+		if best < 0 || s.lag[i] > s.lag[best] {
 			best = i
 		}
 	}
-	s.due[best] -= s.sum
+	s.lag[best] -= s.sum
 	return s.split[best].Group
 }
