--- a/tier/pass/coordinators.go
+++ b/tier/pass/coordinators.go
@@ -16,8 +16,8 @@
 // coordinators are the hosts that may carry gathers out. It is changed on the control
 // thread and read by requests.
 type coordinators struct {
-	// candidates are the other live hosts of halls that have the upstreams of gathers;
-	// nil until there is a view to take them from. The slice is never changed.
+	// candidates are the other live hosts of halls that have the upstreams of gathers.
+	// They are set before requests pass the start gate; the slice is never changed.
 	candidates atomic.Pointer[[]policy.Candidate]
 	// halls are those with many upstreams in directory, which changes less often than
 	// the members do; used on the control thread only.
@@ -51,11 +51,7 @@
 // coordinator picks the host that is to carry the request out; false for this one.
 func (q *request) coordinator(tried map[string]bool) (policy.Candidate, bool) {
 	e := q.engine
-	all := e.coordinators.candidates.Load()
-	if all == nil {
-		return policy.Candidate{}, false
-	}
-	carriers := e.placement(q.view).Carriers(*all, q.route.Homes)
+	carriers := e.placement(q.view).Carriers(*e.coordinators.candidates.Load(), q.route.Homes)
 	best := policy.Coordinators(e.self(), e.hosts.candidates(carriers, e.kernel.Now(), tried))
 	if len(best) == 0 {
 		return policy.Candidate{}, false
--- a/tier/pass/host_tracker_test.go
+++ b/tier/pass/host_tracker_test.go
@@ -9,6 +9,7 @@
 	"gotest.tools/v3/assert"
 
 	"loomgap/tier/kernel"
+	"loomgap/tier/policy"
 )
 
 // TestSilentHostRestsLongerEachTime has a host of another hall leave batches
@@ -62,3 +63,30 @@
 	r.answered(host, "B", now, time.Millisecond)
 	assert.Assert(t, r.leastPending(v, "B", now, nil) != "")
 }
+
+// TestRoundTripIsTheLeastKnown notes how long connections and messages took.
+func TestRoundTripIsTheLeastKnown(t *testing.T) {
+	r := newHostTracker()
+	assert.Equal(t, r.roundTrip("Far"), time.Duration(0))
+	r.observe("B", 30*time.Millisecond)
+	r.observe("B", 40*time.Millisecond)
+	far := []policy.Candidate{{Host: "Far", Hall: "B"}}
+	assert.Equal(t, r.candidates(far, 0, nil)[0].RoundTrip, 30*time.Millisecond)
+	for _, took := range []time.Duration{25, 20, 28} {
+		r.sent("Far", time.Minute)
+		r.answered("Far", "B", time.Minute, took*time.Millisecond)
+	}
+	assert.Equal(t, r.roundTrip("Far"), 20*time.Millisecond)
+	assert.Equal(t, r.candidates(far, 0, nil)[0].RoundTrip, 20*time.Millisecond)
+	assert.Equal(t, len(r.candidates(far, 0, map[string]bool{"Far": true})), 0)
+}
+
+// TestHostThatStopsGetsNothing has hosts decline requests.
+func TestHostThatStopsGetsNothing(t *testing.T) {
+	r := newHostTracker()
+	r.declined("Route", time.Minute, declineRoute)
+	r.declined("Stopping", time.Minute, declineStopping)
+	assert.Assert(t, r.responsive("Route", time.Minute))
+	assert.Assert(t, !r.responsive("Stopping", time.Minute))
+	assert.Assert(t, r.responsive("Stopping", time.Minute+backoffFirst))
+}
--- a/tier/pass/serve.go
+++ b/tier/pass/serve.go
@@ -12,18 +12,9 @@
 	"loomgap/tier/wire"
 )
 
-// ServeHTTP implements http.Handler. It is the map of a request's way: each stage that
-// returns false, or true where the caller has an answer, ends it.
-//
-//	await        start.go               wait for the first configuration
-//	findRoute    inbound.go             find the route
-//	read         inbound.go             read ID, deadline, headers and body
-//	quarantined  refuse.go              refuse a request that crashes upstreams
-//	handOver     coordinate_client.go   have a coordinator carry it out, or not
-//	serve        below                  carry it out, which a coordinator does too:
-//	plan         plan.go                choose the upstreams of each part
-//	run          run.go                 make the calls
-//	answer       answer.go, refuse.go   answer, or refuse what did not run
+// ServeHTTP implements http.Handler. Each stage that a request passes has a file of its
+// own, in the order of the package comment; findRoute, read, quarantined and handOver end
+// the way of a request that they answer.
 func (e *engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.kernel.InFlight.Add(1)
 	defer e.kernel.InFlight.Add(-1)
--- a/tier/pass/shares.go
+++ b/tier/pass/shares.go
@@ -56,7 +56,7 @@
 	capacities := make([]int, 0, len(v.Members))
 	for _, m := range v.Members {
 		capacities = append(capacities, m.Capacity)
-		if !m.Live || m.Leaving {
+		if !m.Staying() {
 			continue
 		}
 		staying += m.Capacity
