--- a/tier/entry/operate.go
+++ b/tier/entry/operate.go
@@ -76,7 +76,7 @@
 	v, now := k.View(), k.Now()
 	out := &opsgen.StatusResult{
 		Host: k.Settings.Host, Hall: k.Settings.Hall, Region: k.Settings.Region(), EvacuatedHalls: v.Directory.EvacuatedHalls(), Incarnation: k.Settings.Incarnation, State: string(k.Phase()),
-		Refused: v.Refused, PlatformSilentMillis: (now - v.PlatformHeard).Milliseconds(), Watching: v.Reading,
+		Refused: v.Refused, PlatformSilentMillis: (now - v.PlatformReadAt).Milliseconds(), Watching: v.Reading,
 		InFlight: k.InFlight.Load(), Members: []*opsgen.Member{}, Upstreams: []*opsgen.UpstreamStatus{},
 	}
 	if v.Index != nil {
--- a/tier/kernel/control.go
+++ b/tier/kernel/control.go
@@ -18,13 +18,13 @@
 )
 
 // Awake reports whether the process has run without a long pause up to now. A
-// process that was paused must not act on what it believed before.
+// process that was paused must not act on what it knew before.
 func (k *Kernel) Awake() bool {
 	return k.Now()-time.Duration(k.lastPulse.Load()) < pauseBound
 }
 
-// Wake waits until the control thread has noticed a pause of the process, so
-// that what is believed is judged anew before it is acted on.
+// Wake waits until the control thread has noticed a pause of the process, so that what
+// was known before it is not acted on.
 func (k *Kernel) Wake() {
 	if k.Awake() {
 		return
@@ -63,15 +63,15 @@
 	}
 	k.Log.Error().Interface("Cause", cause).Bool("Document", s.Index != nil).Bool("Directory", s.Directory != nil).
 		Int("Members", len(s.Members)).Bool("Reading", s.Reading).Bool("Announcing", s.Announcing).
-		Bool("FeedDown", s.FeedDown).Dur("SourceAt", s.SourceAt).Dur("Age", k.Now()).Msg("control thread failed")
+		Bool("FeedDown", s.FeedDown).Dur("SourceAt", s.AnnouncedReadAt).Dur("Age", k.Now()).Msg("control thread failed")
 	if k.flushLog != nil {
 		k.flushLog()
 	}
 	panic(cause)
 }
 
-// pulse notes that the process runs. After a pause Pauses rises, so that what was
-// heard of members before the pause is not relied on.
+// pulse notes that the process runs. After a pause Pauses rises, so that the
+// silence of members during the pause does not count.
 func (k *Kernel) pulse(s *State) {
 	now := k.Now()
 	gap := now - time.Duration(k.lastPulse.Load())
--- a/tier/kernel/leaving.go
+++ b/tier/kernel/leaving.go
@@ -7,7 +7,7 @@
 type LeavingState struct {
 	// Leaving gives for each leaving upstream when its last sign was given.
 	Leaving map[string]time.Duration
-	// Returned gives for each upstream when it was last said to be back; older
+	// Returned gives for each upstream when it was last reported to be back; older
 	// signs of leaving do not count.
 	Returned map[string]time.Duration
 }
--- a/tier/kernel/reading.go
+++ b/tier/kernel/reading.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// ReadingState is what a host knows of who reads the platform for whom. All times
-// are since the process started.
+// ReadingState is what a host knows of who reads the platform for whom. All times are
+// since the process started.
 type ReadingState struct {
 	// Reading is true while this host reads the platform.
 	Reading bool
 	// Announcing is true while this host announces to its hall what is published:
-	// what it reads itself, or hears from a reader in another hall.
+	// what it reads itself, or what a reader in another hall announces to it.
 	Announcing bool
 	// FeedDown is true while this host should read the platform, cannot, and has to
 	// learn from peers what is published.
 	FeedDown bool
-	// PlatformHeard is when the hall last heard the platform, by any of its hosts.
-	PlatformHeard time.Duration
-	// SourceAt is when what this host announces was read from the platform, by itself
-	// or by the reader that it heard it from; 0 for never.
-	SourceAt time.Duration
-	// ReadAt is when this host last read the platform itself; 0 for never.
-	ReadAt time.Duration
+	// PlatformReadAt is when the platform was last read, as far as this host knows: by
+	// itself, by another host of its hall, or by a reader that announces to the hall.
+	PlatformReadAt time.Duration
+	// AnnouncedReadAt is when what this host announces was read from the platform, by
+	// itself or by a reader in another hall; 0 for never.
+	AnnouncedReadAt time.Duration
+	// OwnReadAt is when this host last read the platform itself; 0 for never.
+	OwnReadAt time.Duration
 	// HallAnnouncers holds the last announcement of each host that announces to this
 	// hall, OtherReaders that of each reader in other halls.
 	HallAnnouncers, OtherReaders map[string]AnnouncerReport
@@ -30,7 +31,7 @@
 type AnnouncerReport struct {
 	// At is when it came.
 	At time.Duration
-	// Lost is true if that host does not hear the platform; Since is when its first
+	// Lost is true if that host gets no answer of the platform; Since is when its first
 	// announcement with this value of Lost came.
 	Lost  bool
 	Since time.Duration
--- a/tier/kernel/state.go
+++ b/tier/kernel/state.go
@@ -48,17 +48,17 @@
 	Directory *config.Directory
 	Members   map[string]Member
 	// Leaving is the set of the leaving upstreams.
-	Leaving       map[string]bool
-	Reading       bool
-	PlatformHeard time.Duration
-	Pauses        int
+	Leaving        map[string]bool
+	Reading        bool
+	PlatformReadAt time.Duration
+	Pauses         int
 }
 
 func (s *State) view() *View {
 	return &View{
 		DocumentState: s.DocumentState, Directory: s.Directory,
 		Members: maps.Clone(s.Members), Leaving: s.names(),
-		Reading: s.Reading, PlatformHeard: s.PlatformHeard, Pauses: s.Pauses,
+		Reading: s.Reading, PlatformReadAt: s.PlatformReadAt, Pauses: s.Pauses,
 	}
 }
 
--- a/tier/pass/answer.go
+++ b/tier/pass/answer.go
@@ -180,7 +180,7 @@
 	}
 	if q.view.Index != nil {
 		line = line.Uint64("Revision", q.view.Index.Revision).
-			Int64("PlatformAgeMillis", (q.engine.kernel.Now() - q.view.PlatformHeard).Milliseconds())
+			Int64("PlatformAgeMillis", (q.engine.kernel.Now() - q.view.PlatformReadAt).Milliseconds())
 	}
 	return line
 }
--- a/tier/peers/announcement.go
+++ b/tier/peers/announcement.go
@@ -20,6 +20,9 @@
 const (
 	// announceEvery is the time between announcements if nothing changes. Not measured.
 	announceEvery = 400 * time.Millisecond
+	// announceGap is the least time between two announcements without a change, so that
+	// the regular one is left out after one of a change. Not measured.
+	announceGap = announceEvery / 2
 	// announceBound is how long a call that announces may take. Not measured.
 	announceBound = time.Second
 )
@@ -27,8 +30,9 @@
 // errStaleSource is the reason of a platform that counts as lost without a failed read.
 var errStaleSource = errors.New("no answer for some time")
 
-// announcement says what is published: a host that announces sends it to its own hall,
-// and if it reads the platform to one host of each other hall, which passes it on.
+// announcement reports what is published: a host that announces sends it to its own
+// hall, and if it reads the platform to one host of each other hall, which announces it
+// there.
 type announcement struct {
 	Host string
 	Peer netip.AddrPort
@@ -87,9 +91,9 @@
 // announce sends an announcement if something changed or it is time; it runs on
 // the control thread.
 func (a *announcer) announce(s *kernel.State) {
-	// A host that starts may hear of a reader before it has the directory: without
+	// A host that starts may get an announcement before it has the directory: without
 	// one it must not announce.
-	if !s.Announcing || s.SourceAt == 0 || s.Directory == nil {
+	if !s.Announcing || s.AnnouncedReadAt == 0 || s.Directory == nil {
 		return
 	}
 	now := a.kernel.Now()
@@ -113,8 +117,8 @@
 	// Other halls rely on this host only for what it reads itself. One that the
 	// platform turns away, and that relies on what others read, would be taken for
 	// the reader again and again.
-	m.Age = now - s.ReadAt
-	m.Lost = s.ReadAt == 0 || m.Age > staleAfter(&a.kernel.Settings)
+	m.Age = now - s.OwnReadAt
+	m.Lost = s.OwnReadAt == 0 || m.Age > staleAfter(&a.kernel.Settings)
 	for _, host := range otherHalls {
 		go a.send(host, m)
 	}
@@ -122,7 +126,7 @@
 
 // message is the announcement to the own hall, without what changed.
 func (a *announcer) message(s *kernel.State, now time.Duration) announcement {
-	age := now - s.SourceAt
+	age := now - s.AnnouncedReadAt
 	return announcement{
 		Host: a.kernel.Settings.Host, Peer: a.kernel.Settings.Peer, Hall: a.kernel.Settings.Hall,
 		Age: age, Lost: age > staleAfter(&a.kernel.Settings),
@@ -131,10 +135,10 @@
 }
 
 // isDue reports whether an announcement is to be sent now: at once if something changed
-// and the platform is heard, else at regular times.
+// and was read a short while ago, else at regular times.
 func (a *announcer) isDue(m *announcement, now time.Duration) bool {
 	changed := m.Directory != a.directory.Digest() || m.Revision != a.revision
-	return changed && !m.Lost || now-a.sentAt >= announceEvery/2
+	return changed && !m.Lost || now-a.sentAt >= announceGap
 }
 
 // recipients decides who gets an announcement: the live hosts of this hall that stay,
@@ -215,7 +219,7 @@
 		s.HallAnnouncers[m.Host] = s.HallAnnouncers[m.Host].Next(now, lost)
 	} else {
 		s.OtherReaders[m.Host] = s.OtherReaders[m.Host].Next(now, lost)
-		s.SourceAt = max(s.SourceAt, readAt)
+		s.AnnouncedReadAt = max(s.AnnouncedReadAt, readAt)
 	}
-	s.PlatformHeard = max(s.PlatformHeard, readAt)
+	s.PlatformReadAt = max(s.PlatformReadAt, readAt)
 }
--- a/tier/peers/announcement_test.go
+++ b/tier/peers/announcement_test.go
@@ -138,7 +138,7 @@
 		k.Peers = sent
 		time.Sleep(time.Minute)
 		s := &kernel.State{
-			ReadingState: kernel.ReadingState{Reading: true, Announcing: true, SourceAt: k.Now() - 100*time.Millisecond},
+			ReadingState: kernel.ReadingState{Reading: true, Announcing: true, AnnouncedReadAt: k.Now() - 100*time.Millisecond},
 			Members:      map[string]kernel.Member{},
 		}
 		s.Directory, _ = s.Directory.With(&config.DirectoryChange{Revision: 1})
@@ -152,7 +152,7 @@
 		announce()
 		assert.Assert(t, !sent.last["Mate"].Lost)
 		assert.Assert(t, sent.last["Other"].Lost)
-		s.ReadAt = k.Now()
+		s.OwnReadAt = k.Now()
 		announce()
 		assert.Assert(t, !sent.last["Other"].Lost)
 	})
@@ -179,7 +179,7 @@
 		told := func(c *config.DirectoryChange) *config.Directory {
 			time.Sleep(10 * time.Millisecond)
 			s.List(c)
-			s.SourceAt, s.ReadAt = k.Now(), k.Now()
+			s.AnnouncedReadAt, s.OwnReadAt = k.Now(), k.Now()
 			tl.announce(s)
 			synctest.Wait()
 			sent.mu.Lock()
--- a/tier/peers/conn.go
+++ b/tier/peers/conn.go
@@ -27,7 +27,7 @@
 
 	mu sync.Mutex
 	// awaiting is true if a call was sent since bytes last came; awaitingSince is when
-	// the first of these calls was sent. Both are used with mu held.
+	// the first of these calls was sent. Both are used with mu locked.
 	awaiting      bool
 	awaitingSince time.Duration
 }
--- a/tier/peers/feed.go
+++ b/tier/peers/feed.go
@@ -46,7 +46,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	f := &feed{kernel: k, source: source, announcer: &announcer{kernel: k}}
 	k.Do(func(s *kernel.State) { s.FeedDown = true })
-	// What is heard from another hall's reader is announced at once.
+	// What another hall's reader announces is passed on at once.
 	k.OnView(f.announcer.onView)
 	done := make(chan struct{}, 2)
 	go func() { f.loop(ctx); done <- struct{}{} }()
@@ -59,7 +59,7 @@
 	}, nil
 }
 
-// feed reads a source while it is this host's turn (reader.go) and hands what it read
+// feed reads a source while this host is the reader (reader.go) and hands what it read
 // to the control thread. Its fields are used by one goroutine.
 type feed struct {
 	kernel    *kernel.Kernel
@@ -149,7 +149,7 @@
 		return
 	}
 	s.FeedDown = true
-	k.Log.Warn().Err(err).Int64("PlatformAgeMillis", (k.Now() - s.PlatformHeard).Milliseconds()).Msg("platform lost")
+	k.Log.Warn().Err(err).Int64("PlatformAgeMillis", (k.Now() - s.PlatformReadAt).Milliseconds()).Msg("platform lost")
 }
 
 // take hands what was read to the control thread and waits until it is in force.
@@ -182,11 +182,11 @@
 // install puts what was read in force; it runs on the control thread while the feed
 // waits.
 func (f *feed) install(s *kernel.State, p *kernel.Published, now time.Duration, away bool) {
-	// If others heard the platform all the while, nothing lapsed.
-	if away && now-s.PlatformHeard > staleAfter(&f.kernel.Settings) {
+	// If others read the platform all the while, nothing lapsed.
+	if away && now-s.PlatformReadAt > staleAfter(&f.kernel.Settings) {
 		f.lapse.platformReturned(now)
 	}
-	s.PlatformHeard, s.SourceAt, s.ReadAt = now, now, now
+	s.PlatformReadAt, s.AnnouncedReadAt, s.OwnReadAt = now, now, now
 	if s.FeedDown {
 		s.FeedDown = false
 		f.kernel.Log.Info().Uint64("DirectoryRevision", p.Revision).Msg("platform regained")
--- a/tier/peers/feed_test.go
+++ b/tier/peers/feed_test.go
@@ -241,7 +241,7 @@
 		p.set(func() { p.away = true })
 		for range 10 {
 			settle(500 * time.Millisecond)
-			k.Do(func(s *kernel.State) { s.PlatformHeard = k.Now() })
+			k.Do(func(s *kernel.State) { s.PlatformReadAt = k.Now() })
 		}
 		p.remove("U1")
 		p.set(func() { p.away = false })
@@ -298,7 +298,7 @@
 		told := &peerRecorder{}
 		k.Peers = told
 		k.Do(func(s *kernel.State) {
-			s.Reading, s.Announcing, s.SourceAt = true, true, k.Now()+time.Nanosecond
+			s.Reading, s.Announcing, s.AnnouncedReadAt = true, true, k.Now()+time.Nanosecond
 			s.Members["H2"] = kernel.Member{Host: "H2", Hall: "A", Live: true}
 			s.Directory, _ = s.Directory.With(&config.DirectoryChange{Revision: 1})
 		})
--- a/tier/peers/fetch.go
+++ b/tier/peers/fetch.go
@@ -52,7 +52,7 @@
 	newer func(*kernel.State)
 
 	packing sync.Mutex
-	// packed is the document last given to a peer; used with packing held.
+	// packed is the document last sent to a peer; used with packing locked.
 	packed wire.PackedDocument
 }
 
--- a/tier/peers/heartbeat.go
+++ b/tier/peers/heartbeat.go
@@ -39,13 +39,14 @@
 	// Revision and Digest name the document in force.
 	Revision uint64
 	Digest   string
-	// Published is the newest revision known there; Refused says why the newest
+	// Published is the newest revision known there; Refused is why the newest
 	// refused document was refused.
 	Published uint64
 	Refused   string `json:",omitempty"`
-	// PlatformAge is how long ago the hall of the sender heard the platform.
+	// PlatformAge is how long ago the platform was read, as far as the sender knows.
 	PlatformAge time.Duration
-	Hall        string
+	// Hall is the data hall of the sender.
+	Hall string
 	// Directory is the digest of the listed upstreams, DirectoryRevision the
 	// platform's revision up to which the list is whole.
 	Directory         uint64 `json:",omitempty"`
@@ -140,7 +141,7 @@
 func (g *gossip) message(s *kernel.State, now time.Duration) heartbeat {
 	h := heartbeat{
 		Members: g.table.entries(now), Revision: s.Revision(), Hall: g.kernel.Settings.Hall,
-		PlatformAge: now - s.PlatformHeard, Published: s.Published, Refused: s.Refused,
+		PlatformAge: now - s.PlatformReadAt, Published: s.Published, Refused: s.Refused,
 	}
 	if s.Directory != nil {
 		h.Directory, h.DirectoryRevision = s.Directory.Digest(), s.Directory.Revision
@@ -198,7 +199,7 @@
 	g.table.merge(now, g.credible(s, h.Members))
 	g.updateMembers(s, now)
 	if h.Hall == g.kernel.Settings.Hall {
-		s.PlatformHeard = max(s.PlatformHeard, now-max(h.PlatformAge, 0))
+		s.PlatformReadAt = max(s.PlatformReadAt, now-max(h.PlatformAge, 0))
 		g.learnLeaving(s, now, h.Leaving)
 	}
 	s.NotePublished(h.Published, h.Refused)
--- a/tier/peers/lapse.go
+++ b/tier/peers/lapse.go
@@ -21,9 +21,9 @@
 type lapse struct {
 	// until is when removals that come are no longer held back.
 	until time.Duration
-	// held are the removals held back, to be applied at due.
-	held []config.Removal
-	due  time.Duration
+	// removals are held back until due.
+	removals []config.Removal
+	due      time.Duration
 }
 
 // platformReturned notes that the platform is back after an absence.
@@ -36,12 +36,12 @@
 	if now >= l.until {
 		return
 	}
-	l.held = append(l.held, c.Removed...)
+	l.removals = append(l.removals, c.Removed...)
 	if c.Whole {
-		l.held = append(l.held, d.Lacking(c)...)
+		l.removals = append(l.removals, d.Lacking(c)...)
 		c.Resumed = append(c.Resumed, d.LackingEvacuations(c)...)
 	}
-	if len(l.held) > 0 && l.due <= now {
+	if len(l.removals) > 0 && l.due <= now {
 		l.due = now + lapseHold
 	}
 	c.Removed, c.Whole = nil, false
@@ -52,15 +52,15 @@
 	if now < l.due {
 		return nil
 	}
-	due := l.held
-	l.held = nil
+	due := l.removals
+	l.removals = nil
 	return due
 }
 
 // wait shortens the time that a read may take so that held removals are released in
 // time.
 func (l *lapse) wait(now, most time.Duration) time.Duration {
-	if len(l.held) == 0 {
+	if len(l.removals) == 0 {
 		return most
 	}
 	return min(most, max(l.due-now, 0))
--- a/tier/peers/lapse_test.go
+++ b/tier/peers/lapse_test.go
@@ -40,7 +40,7 @@
 			l, c, now := lapse{}, tt.change, returned+tt.after
 			l.platformReturned(returned)
 			l.hold(now, listed, &c)
-			assert.DeepEqual(t, l.held, tt.held)
+			assert.DeepEqual(t, l.removals, tt.held)
 			assert.Equal(t, len(c.Resumed), tt.resumed)
 			if tt.held == nil {
 				assert.Equal(t, l.wait(now, time.Hour), time.Hour)
--- a/tier/peers/node.go
+++ b/tier/peers/node.go
@@ -36,9 +36,9 @@
 	kernel   *kernel.Kernel
 	listener net.Listener
 	mu       sync.Mutex
-	// conns holds the outgoing connection of each address; used with mu held.
+	// conns holds the outgoing connection of each address; used with mu locked.
 	conns map[netip.AddrPort]*outgoing
-	// serving holds the incoming connections; used with mu held.
+	// serving holds the incoming connections; used with mu locked.
 	serving map[*jsonrpc2.Conn]bool
 }
 
--- a/tier/peers/outgoing.go
+++ b/tier/peers/outgoing.go
@@ -58,7 +58,7 @@
 	o.closeIfDone()
 }
 
-// closeIfDone is used with mu held.
+// closeIfDone is used with mu locked.
 func (o *outgoing) closeIfDone() {
 	if o.replaced && o.calls == 0 {
 		go func() { _ = o.rpc.Close() }()
--- a/tier/peers/reader.go
+++ b/tier/peers/reader.go
@@ -12,13 +12,14 @@
 
 // Which host reads the platform, where an adapter is set.
 //
-// Hosts are ranked (readerRanking). The first host of a hall, as far as it hears of
-// others, announces to its hall what is published; the first of all that announce reads
-// the platform, and announces to the other halls too. So a hall reads the platform
-// itself if it hears no announcement of another one: the other halls are cut off, their
-// reader is gone (announceLost), or it reports that it does not hear the platform. A
-// host that takes over waits a step for each live one that ranks before it, and no more
-// than failedReadersMost try a platform that does not answer.
+// Hosts are ranked (readerRanking). In each hall the first host, among those whose
+// announcements arrive, announces to its hall what is published; the first of all that
+// announce reads the platform, and announces to the other halls too. So a hall reads the
+// platform itself if no announcement of a reader in another hall arrives for announceLost
+// (the halls are cut off, or that reader is gone), or if that reader announces that the
+// platform does not answer it. A host that takes over waits a step for each live one that
+// ranks before it, and no more than failedReadersMost try a platform that does not
+// answer.
 //
 // Each change of a host's role is the log line "turn to read the platform"; Tells is
 // whether it announces to its hall, Reads whether it reads the platform.
@@ -70,7 +71,7 @@
 		s.Announcing, s.Reading = announces, reads
 		s.Changed()
 		k.Log.Info().Bool("Tells", announces).Bool("Reads", reads).
-			Int64("PlatformAgeMillis", (k.Now() - s.PlatformHeard).Milliseconds()).Msg("turn to read the platform")
+			Int64("PlatformAgeMillis", (k.Now() - s.PlatformReadAt).Milliseconds()).Msg("turn to read the platform")
 	}
 	if !reads {
 		// Others read for this host.
@@ -157,10 +158,10 @@
 	return n
 }
 
-// isFirst reports whether this host is first among those that announce, as far as it
-// hears of them: no host that ranks before it has announced within announceLost that it
-// hears the platform, fewer than failedReadersMost of them announce that they do not,
-// and so many takeover steps have passed since the last of them was found lost.
+// isFirst reports whether this host is first among those that announce: no host that
+// ranks before it has announced within announceLost that the platform answers it, fewer
+// than failedReadersMost of them announce that it does not, and so many takeover steps
+// have passed since the last of them was found lost.
 func (r *readerRanking) isFirst(now time.Duration, announcers map[string]kernel.AnnouncerReport, steps int) bool {
 	failing := 0
 	vacantAt := time.Duration(0)
--- a/tier/peers/start_test.go
+++ b/tier/peers/start_test.go
@@ -36,7 +36,7 @@
 		},
 	}
 	if n.source {
-		s.SourceAt = time.Millisecond
+		s.AnnouncedReadAt = time.Millisecond
 	}
 	if n.directory {
 		s.Directory, _ = s.Directory.With(&config.DirectoryChange{Revision: 1})
--- a/tier/peers/watch.go
+++ b/tier/peers/watch.go
@@ -25,14 +25,14 @@
 	readPause = 500 * time.Millisecond
 	// watchersPerHall is how many hosts of a hall watch the platform. Not measured.
 	watchersPerHall = 2
-	// moreWatchers is how many more hosts of a hall watch at most while it hears
-	// nothing. Not measured.
+	// moreWatchers is how many more hosts of a hall watch at most while
+	// the platform does not answer it. Not measured.
 	moreWatchers = 2
-	// silentTurn is how long beyond WatchWait the hall hears nothing before one more
+	// silentTurn is how long beyond WatchWait the hall reads nothing before one more
 	// host watches, each time again. Not measured.
 	silentTurn = 5 * time.Second
-	// defaultWatchWait is how long a read waits for a change if the settings do not
-	// say. Not measured.
+	// defaultWatchWait is how long a read waits for a change if the settings give
+	// nothing. Not measured.
 	defaultWatchWait = 10 * time.Second
 	// replyFactor is how many times the bytes of the largest document a reply may have:
 	// the document is a string in JSON there, which is longer. Not measured.
@@ -112,14 +112,14 @@
 
 // isWatcher decides whether this host watches the platform now: the first
 // watchersPerHall of its hall by rendezvous hashing do, and one more for each time of
-// WatchWait and silentTurn in which the hall heard nothing, up to moreWatchers. Its
-// inputs are the live hosts of the hall and when the hall last heard the platform.
+// WatchWait and silentTurn in which the hall read nothing, up to moreWatchers. Its
+// inputs are the live hosts of the hall and when any of them last read the platform.
 func (w *watcher) isWatcher(atStart bool) bool {
 	v := w.kernel.View()
 	if v.Index == nil {
 		return atStart
 	}
-	silentTurns := int((w.kernel.Now() - v.PlatformHeard) / (w.kernel.Settings.WatchWait + silentTurn))
+	silentTurns := int((w.kernel.Now() - v.PlatformReadAt) / (w.kernel.Settings.WatchWait + silentTurn))
 	ranked := Rank(watchKey, w.hosts(v))
 	n := min(watchersPerHall+min(silentTurns, moreWatchers), len(ranked))
 	watching := slices.Contains(ranked[:n], w.kernel.Settings.Host)
@@ -132,9 +132,9 @@
 	return watching
 }
 
-// hosts lists the hosts of the hall that may watch. A host that has just started
-// has heard of few, and counts all of the document as live: else each of a hall
-// that comes back would watch.
+// hosts lists the hosts of the hall that may watch. A host that has just started knows
+// few live ones, and counts all of the document as live: else each of a hall that comes
+// back would watch.
 func (w *watcher) hosts(v *kernel.View) []string {
 	if w.kernel.Now() > silentHeartbeats*w.kernel.Settings.Beat {
 		return v.Hall(&w.kernel.Settings)
@@ -180,7 +180,7 @@
 	done := make(chan struct{})
 	w.kernel.Do(func(s *kernel.State) {
 		defer close(done)
-		s.PlatformHeard = w.kernel.Now()
+		s.PlatformReadAt = w.kernel.Now()
 		w.kernel.Accept(s, d.Text, d.Revision)
 	})
 	<-done
