--- a/tier/kernel/control.go
+++ b/tier/kernel/control.go
@@ -26,12 +26,9 @@
 // Wake waits until the control thread has noticed a pause of the process, so that what
 // was known before it is not acted on.
 func (k *Kernel) Wake() {
-	if k.Awake() {
-		return
+	if !k.Awake() {
+		k.DoAndWait(func(*State) {})
 	}
-	done := make(chan struct{})
-	k.Do(func(*State) { close(done) })
-	<-done
 }
 
 // control is the control thread.
--- a/tier/kernel/kernel.go
+++ b/tier/kernel/kernel.go
@@ -104,6 +104,17 @@
 // Do hands a job to the control thread.
 func (k *Kernel) Do(job func(*State)) { k.jobs <- job }
 
+// DoAndWait hands a job to the control thread and waits until it has run; what it
+// changed may not be published yet.
+func (k *Kernel) DoAndWait(job func(*State)) {
+	done := make(chan struct{})
+	k.Do(func(s *State) {
+		defer close(done)
+		job(s)
+	})
+	<-done
+}
+
 // OnView has a function called on the control thread for every new view.
 func (k *Kernel) OnView(f func(*View)) {
 	k.Do(func(*State) {
--- a/tier/peers/feed.go
+++ b/tier/peers/feed.go
@@ -43,24 +43,20 @@
 		return nil, err
 	}
 	source, closeSource := a.Open(k.Settings.Platform)
-	ctx, cancel := context.WithCancel(ctx)
 	f := &feed{kernel: k, source: source, announcer: &announcer{kernel: k}}
 	k.Do(func(s *kernel.State) { s.FeedDown = true })
 	// What another hall's reader announces is passed on at once.
 	k.OnView(f.announcer.onView)
-	done := make(chan struct{}, 2)
-	go func() { f.loop(ctx); done <- struct{}{} }()
-	go func() { f.announcer.loop(ctx); done <- struct{}{} }()
+	stop := start(ctx, f.loop, f.announcer.loop)
 	return func() {
-		cancel()
-		<-done
-		<-done
+		stop()
 		closeSource()
 	}, nil
 }
 
 // feed reads a source while this host is the reader (reader.go) and hands what it read
-// to the control thread. Its fields are used by one goroutine.
+// to the control thread. Its fields are used by the goroutine of loop, and by the control
+// thread while that waits for it.
 type feed struct {
 	kernel    *kernel.Kernel
 	source    kernel.Source
@@ -103,16 +99,15 @@
 
 // isReader reports whether this host reads the platform now. A host that has read
 // before goes on from where it was.
-func (f *feed) isReader() bool {
-	reading := make(chan bool, 1)
-	f.kernel.Do(func(s *kernel.State) {
+func (f *feed) isReader() (reading bool) {
+	f.kernel.DoAndWait(func(s *kernel.State) {
 		if updateRole(f.kernel, s) {
 			// Those that rank behind must not take over too.
 			f.announcer.announce(s)
 		}
-		reading <- s.Reading
+		reading = s.Reading
 	})
-	return <-reading
+	return reading
 }
 
 // next reads everything, or waits for what changes.
@@ -168,15 +163,12 @@
 	}
 	f.watched = f.revision > 0
 	f.revision = max(f.revision, p.Revision)
-	done := make(chan struct{})
-	f.kernel.Do(func(s *kernel.State) {
-		defer close(done)
+	f.kernel.DoAndWait(func(s *kernel.State) {
 		f.install(s, p, now, away)
 		if f.watched {
 			s.Confirm()
 		}
 	})
-	<-done
 }
 
 // install puts what was read in force; it runs on the control thread while the feed
--- a/tier/peers/fetch.go
+++ b/tier/peers/fetch.go
@@ -168,9 +168,9 @@
 
 // onDirectory serves the directory.
 func (f *fetches) onDirectory(context.Context, json.RawMessage) (any, error) {
-	reply := make(chan config.DirectoryChange, 1)
-	f.kernel.Do(func(s *kernel.State) { reply <- s.Directory.Whole() })
-	text, err := json.Marshal(<-reply)
+	var whole config.DirectoryChange
+	f.kernel.DoAndWait(func(s *kernel.State) { whole = s.Directory.Whole() })
+	text, err := json.Marshal(whole)
 	if err != nil {
 		return nil, fmt.Errorf("encode directory: %w", err)
 	}
--- a/tier/peers/heartbeat.go
+++ b/tier/peers/heartbeat.go
@@ -85,16 +85,7 @@
 	g := &gossip{kernel: k, node: n, fetches: f, random: random, table: table}
 	f.newer = g.sendAll
 	k.Handle(methodHeartbeat, g.onHeartbeat)
-	ctx, cancel := context.WithCancel(ctx)
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		g.loop(ctx)
-	}()
-	return func() {
-		cancel()
-		<-done
-	}
+	return start(ctx, g.loop)
 }
 
 // loop sends heartbeats at regular times, and at once when a planned stop begins.
--- a/tier/peers/strikes.go
+++ b/tier/peers/strikes.go
@@ -97,16 +97,10 @@
 	k.Handle(methodStrikes, s.onStrikes)
 	k.Handle(methodKnownStrikes, s.onKnownStrikes)
 	k.Fleet.OnStrikes(s.notify)
-	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		s.loop(ctx)
-	}()
+	stop := start(context.Background(), s.loop)
 	return func() {
 		k.Fleet.OnStrikes(nil)
-		cancel()
-		<-done
+		stop()
 	}
 }
 
@@ -139,7 +133,7 @@
 			rounds++
 			switch {
 			case !started:
-				started = s.start(ctx)
+				started = s.exchangeAtStart(ctx)
 			case s.kernel.Fleet.HasSuspects():
 				s.exchangeAll(ctx, s.partners(rounds%exchangeElsewhere == 0, exchangePartners))
 			}
@@ -239,8 +233,8 @@
 	return struct{}{}, s.decode(params)
 }
 
-// start asks some hosts for the strikes that they know; false if there is none yet.
-func (s *strikeReporter) start(ctx context.Context) bool {
+// exchangeAtStart asks some hosts for the strikes that they know; false if there is none yet.
+func (s *strikeReporter) exchangeAtStart(ctx context.Context) bool {
 	hosts := s.partners(false, startExchanges)
 	s.exchangeAll(ctx, hosts)
 	return len(hosts) > 0
--- a/tier/peers/watch.go
+++ b/tier/peers/watch.go
@@ -61,16 +61,14 @@
 
 // Run implements kernel.Plugin.
 func (watchPlugin) Run(ctx context.Context, k *kernel.Kernel) (func(), error) {
-	ctx, cancel := context.WithCancel(ctx)
 	transport := &http.Transport{DisableCompression: true}
 	w := &watcher{kernel: k, client: &http.Client{Transport: transport}, listed: map[string]wire.LiveState{}}
-	done := make(chan struct{}, 2)
-	go func() { w.loop(ctx, w.readDocument, true); done <- struct{}{} }()
-	go func() { w.loop(ctx, w.readLive, false); done <- struct{}{} }()
+	stop := start(ctx,
+		func(ctx context.Context) { w.loop(ctx, w.readDocument, true) },
+		func(ctx context.Context) { w.loop(ctx, w.readLive, false) },
+	)
 	return func() {
-		cancel()
-		<-done
-		<-done
+		stop()
 		transport.CloseIdleConnections()
 	}, nil
 }
@@ -102,14 +100,6 @@
 	}
 }
 
-// sleep waits for a time, or until the context ends.
-func sleep(ctx context.Context, d time.Duration) {
-	select {
-	case <-ctx.Done():
-	case <-time.After(d):
-	}
-}
-
 // isWatcher decides whether this host watches the platform now: the first
 // watchersPerHall of its hall by rendezvous hashing do, and one more for each time of
 // WatchWait and silentTurn in which the hall read nothing, up to moreWatchers. Its
@@ -177,13 +167,10 @@
 	if err := w.get(ctx, wire.PathDocument, after, &d); err != nil {
 		return err
 	}
-	done := make(chan struct{})
-	w.kernel.Do(func(s *kernel.State) {
-		defer close(done)
+	w.kernel.DoAndWait(func(s *kernel.State) {
 		s.PlatformReadAt = w.kernel.Now()
 		w.kernel.Accept(s, d.Text, d.Revision)
 	})
-	<-done
 	if d.Revision < after {
 		return fmt.Errorf("platform is stale: it serves revision %d, %d was seen", d.Revision, after)
 	}
