--- a/tier/peers/reader.go
+++ b/tier/peers/reader.go
@@ -51,8 +51,8 @@
 	// secondReadSpread is over how long the second reads of starting hosts are spread;
 	// it ends before a change is due. Not measured alone.
 	secondReadSpread = 1200 * time.Millisecond
-	// slowAnswer is how much longer than a watch waits the answer of a platform that is
-	// well may take: one that is 60 times slower than its 4 ms, and a busy host.
+	// slowAnswer is how long the answer to a watch may take beyond the time that the
+	// watch waits: that of a platform 60 times slower than its 4 ms, and a busy host.
 	slowAnswer = 500 * time.Millisecond
 )
 
--- a/tier/peers/watch.go
+++ b/tier/peers/watch.go
@@ -25,8 +25,8 @@
 	readPause = 500 * time.Millisecond
 	// watchersPerHall is how many hosts of a hall watch the platform. Not measured.
 	watchersPerHall = 2
-	// moreWatchers is how many more hosts of a hall watch at most while
-	// the platform does not answer it. Not measured.
+	// moreWatchers is how many more hosts of a hall watch at most while the platform does
+	// not answer it. Not measured.
 	moreWatchers = 2
 	// silentTurn is how long beyond WatchWait the hall reads nothing before one more
 	// host watches, each time again. Not measured.
@@ -73,14 +73,13 @@
 	}, nil
 }
 
-// watcher reads the document and the live list. Its fields are each used by one of its
-// two loops.
+// watcher reads the document and the live list, each in a loop of its own.
 type watcher struct {
 	kernel *kernel.Kernel
 	client *http.Client
-	// listed is the state of each name as last listed.
+	// listed is the state of each name as last listed; used on the control thread.
 	listed map[string]wire.LiveState
-	// version is the version of the live list last read.
+	// version is the version of the live list last read; used by the loop that reads it.
 	version uint64
 }
 
@@ -100,19 +99,26 @@
 	}
 }
 
-// isWatcher decides whether this host watches the platform now: the first
-// watchersPerHall of its hall by rendezvous hashing do, and one more for each time of
-// WatchWait and silentTurn in which the hall read nothing, up to moreWatchers. Its
-// inputs are the live hosts of the hall and when any of them last read the platform.
+// watches decides whether a host is among those of its hall that watch the platform: the
+// first watchersPerHall by rendezvous hashing are, and one more for each silent turn, up
+// to moreWatchers. A silent turn is a time of WatchWait and silentTurn in which the hall
+// read nothing.
+func watches(hosts []string, host string, silentTurns int) bool {
+	ranked := Rank(watchKey, hosts)
+	n := min(watchersPerHall+min(silentTurns, moreWatchers), len(ranked))
+	return slices.Contains(ranked[:n], host)
+}
+
+// isWatcher reports whether this host watches the platform now; /status shows it as
+// Watching. Its inputs are the live hosts of the hall and when any of them last read the
+// platform.
 func (w *watcher) isWatcher(atStart bool) bool {
 	v := w.kernel.View()
 	if v.Index == nil {
 		return atStart
 	}
 	silentTurns := int((w.kernel.Now() - v.PlatformReadAt) / (w.kernel.Settings.WatchWait + silentTurn))
-	ranked := Rank(watchKey, w.hosts(v))
-	n := min(watchersPerHall+min(silentTurns, moreWatchers), len(ranked))
-	watching := slices.Contains(ranked[:n], w.kernel.Settings.Host)
+	watching := watches(w.hosts(v), w.kernel.Settings.Host, silentTurns)
 	if watching != v.Reading {
 		w.kernel.Do(func(s *kernel.State) {
 			s.Reading = watching
