--- a/tier/peers/announcement_test.go
+++ b/tier/peers/announcement_test.go
@@ -96,10 +96,10 @@
 		return c
 	}
 	teller, _, at := newTestNode(t)
-	serveFetches(teller, nil)
+	serveFetches(teller, nil, nil)
 	teller.Do(func(s *kernel.State) { s.List(listings("U1", "U2", "U3")) })
 	lacking, n, _ := newTestNode(t)
-	server := &announcementServer{kernel: lacking, fetches: serveFetches(lacking, n)}
+	server := &announcementServer{kernel: lacking, fetches: serveFetches(lacking, n, nil)}
 	lacking.Do(func(s *kernel.State) {
 		first := listings("U1")
 		first.Revision = 1
--- a/tier/peers/fetch.go
+++ b/tier/peers/fetch.go
@@ -57,8 +57,8 @@
 }
 
 // serveFetches serves the methods and returns the fetches of this host.
-func serveFetches(k *kernel.Kernel, n *node) *fetches {
-	f := &fetches{kernel: k, node: n, newer: func(*kernel.State) {}}
+func serveFetches(k *kernel.Kernel, n *node, newer func(*kernel.State)) *fetches {
+	f := &fetches{kernel: k, node: n, newer: newer}
 	k.Handle(methodDocument, f.onDocument)
 	k.Handle(methodDirectory, f.onDirectory)
 	return f
--- a/tier/peers/heartbeat.go
+++ b/tier/peers/heartbeat.go
@@ -75,17 +75,14 @@
 	pauses int
 }
 
-// serveHeartbeats joins the other hosts. The clean-up function ends that.
-func serveHeartbeats(ctx context.Context, k *kernel.Kernel, n *node, f *fetches, random *rand.Rand) func() {
+// newGossip makes what exchanges heartbeats; its fetches are still to be set.
+func newGossip(k *kernel.Kernel, n *node, random *rand.Rand) *gossip {
 	self := memberEntry{Host: k.Settings.Host, Incarnation: k.Settings.Incarnation}
 	if k.Settings.Adapter != "" {
 		self.Hall, self.Peer, self.Capacity = k.Settings.Hall, k.Settings.Peer, k.Settings.Capacity()
 	}
 	table := newMemberTable(memberTableConfig{Self: self, Interval: k.Settings.Beat, Random: random})
-	g := &gossip{kernel: k, node: n, fetches: f, random: random, table: table}
-	f.newer = g.sendAll
-	k.Handle(methodHeartbeat, g.onHeartbeat)
-	return start(ctx, g.loop)
+	return &gossip{kernel: k, node: n, random: random, table: table}
 }
 
 // loop sends heartbeats at regular times, and at once when a planned stop begins.
--- a/tier/peers/plugin.go
+++ b/tier/peers/plugin.go
@@ -39,10 +39,12 @@
 		return nil, err
 	}
 	k.Peers = n
-	fetches := serveFetches(k, n)
-	serveAnnouncements(k, fetches)
+	g := newGossip(k, n, rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 0)))
+	g.fetches = serveFetches(k, n, g.sendAll)
+	serveAnnouncements(k, g.fetches)
+	k.Handle(methodHeartbeat, g.onHeartbeat)
 	stopStrikes := ServeStrikes(k)
-	stopHeartbeats := serveHeartbeats(ctx, k, n, fetches, rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 0)))
+	stopHeartbeats := start(ctx, g.loop)
 	return func() {
 		stopStrikes()
 		stopHeartbeats()
