--- a/tier/peers/feed.go
+++ b/tier/peers/feed.go
@@ -43,24 +43,20 @@
 		return nil, err
 	}
 	source, closeSource := a.Open(k.Settings.Platform)
-	ctx, cancel := context.WithCancel(ctx)
 	f := &feed{kernel: k, source: source, announcer: &announcer{kernel: k}}
 	k.Do(func(s *kernel.State) { s.FeedDown = true })
-	// What is heard from another hall's reader is announced at once.
+	// What another hall's reader announces is passed on at once.
 	k.OnView(f.announcer.onView)
-	done := make(chan struct{}, 2)
-	go func() { f.loop(ctx); done <- struct{}{} }()
-	go func() { f.announcer.loop(ctx); done <- struct{}{} }()
+	stop := start(ctx, f.loop, f.announcer.loop)
 	return func() {
-		cancel()
-		<-done
-		<-done
+		stop()
 		closeSource()
 	}, nil
 }
 
-// feed reads a source while it is this host's turn (reader.go) and hands what it read
-// to the control thread. Its fields are used by one goroutine.
+// feed reads a source while this host is the reader (reader.go) and hands what it read
+// to the control thread. Its fields are used by the goroutine of loop, and by the control
+// thread while that waits for it.
 type feed struct {
 	kernel    *kernel.Kernel
 	source    kernel.Source
@@ -103,16 +99,15 @@
 
 // isReader reports whether this host reads the platform now. A host that has read
 // before goes on from where it was.
-func (f *feed) isReader() bool {
-	reading := make(chan bool, 1)
-	f.kernel.Do(func(s *kernel.State) {
+func (f *feed) isReader() (reading bool) {
+	f.kernel.DoAndWait(func(s *kernel.State) {
 		if updateRole(f.kernel, s) {
 			// Those that rank behind must not take over too.
 			f.announcer.announce(s)
 		}
-		reading <- s.Reading
+		reading = s.Reading
 	})
-	return <-reading
+	return reading
 }
 
 // next reads everything, or waits for what changes.
@@ -149,7 +144,7 @@
 		return
 	}
 	s.FeedDown = true
-	k.Log.Warn().Err(err).Int64("PlatformAgeMillis", (k.Now() - s.PlatformHeard).Milliseconds()).Msg("platform lost")
+	k.Log.Warn().Err(err).Int64("PlatformAgeMillis", (k.Now() - s.PlatformReadAt).Milliseconds()).Msg("platform lost")
 }
 
 // take hands what was read to the control thread and waits until it is in force.
@@ -168,25 +163,22 @@
 	}
 	f.watched = f.revision > 0
 	f.revision = max(f.revision, p.Revision)
-	done := make(chan struct{})
-	f.kernel.Do(func(s *kernel.State) {
-		defer close(done)
+	f.kernel.DoAndWait(func(s *kernel.State) {
 		f.install(s, p, now, away)
 		if f.watched {
 			s.Confirm()
 		}
 	})
-	<-done
 }
 
 // install puts what was read in force; it runs on the control thread while the feed
 // waits.
 func (f *feed) install(s *kernel.State, p *kernel.Published, now time.Duration, away bool) {
-	// If others heard the platform all the while, nothing lapsed.
-	if away && now-s.PlatformHeard > staleAfter(&f.kernel.Settings) {
+	// If others read the platform all the while, nothing lapsed.
+	if away && now-s.PlatformReadAt > staleAfter(&f.kernel.Settings) {
 		f.lapse.platformReturned(now)
 	}
-	s.PlatformHeard, s.SourceAt, s.ReadAt = now, now, now
+	s.PlatformReadAt, s.AnnouncedReadAt, s.OwnReadAt = now, now, now
 	if s.FeedDown {
 		s.FeedDown = false
 		f.kernel.Log.Info().Uint64("DirectoryRevision", p.Revision).Msg("platform regained")
