--- a/tier/policy/admit.go
+++ b/tier/policy/admit.go
@@ -6,26 +6,28 @@
 	"time"
 )
 
-// Bounds of token budgets and admission.
 const (
-	budgetStart      = 4.0
-	budgetDepth      = 64.0
+	// coverageExpected is the share of the parts that must be expected in time for a
+	// request to be admitted, if its class asks for no less. Not measured.
 	coverageExpected = 0.9
-	leastRetryAfter  = 10 * time.Millisecond
-	costWeight       = 0.05
+	// costWeight is the weight of the last request in the smoothed cost of a class. Not
+	// measured.
+	costWeight = 0.05
 )
 
 // classState is what the requests of a class share in one host.
 type classState struct {
-	hedges  budget
-	retries budget
-	// cost is the smoothed number of upstream calls of a request.
+	// hedges and retries pay for the hedges and retries of its requests.
+	hedges, retries budget
+	// cost is the smoothed number of parts of a request; 0 before the first.
 	cost float64
 	// worth is the worth of a request as last configured.
-	worth    float64
+	worth float64
+	// inFlight counts the requests that were admitted and have no answer.
 	inFlight int
 }
 
+// class finds or makes the state of a class; the fleet is locked.
 func (f *Fleet) class(name string) *classState {
 	c := f.classes[name]
 	if c == nil {
@@ -35,9 +37,6 @@
 	return c
 }
 
-// ReasonQuarantined is the reason of a refusal of a request that crashes upstreams.
-const ReasonQuarantined = "the request has crashed the upstreams that ran it"
-
 // Refusal is a request that was not run, with when to ask again.
 type Refusal struct {
 	Reason string
@@ -50,58 +49,51 @@
 	return fmt.Sprintf("not run: %s; ask again in %s", r.Reason, r.RetryAfter)
 }
 
-// admit decides whether a run may begin; the fleet is locked.
-func (f *Fleet) admit(r *Run, now time.Duration) error {
-	c := f.class(r.request.Class.Name)
-	c.worth = float64(r.request.Class.Worth)
-	if c.inFlight >= r.request.Class.MaxInFlight {
-		return &Refusal{Reason: "too many requests of class " + r.request.Class.Name + " in flight", RetryAfter: f.retryAfter(r, 0)}
+// admit decides whether a request may begin; the fleet is locked. A class has a limit of
+// requests in flight, and enough parts must be expected in that part of the time left
+// which its worth for its cost allows.
+func (f *Fleet) admit(now time.Duration, q *RunConfig, rule admission) error {
+	class, parts := q.Class, float64(len(q.Replicas))
+	c := f.class(class.Name)
+	c.worth = float64(class.Worth)
+	if c.inFlight >= class.MaxInFlight {
+		return &Refusal{Reason: "too many requests of class " + class.Name + " in flight", RetryAfter: f.retryAfter(q.Pool, 0)}
+	}
+	if c.cost == 0 {
+		c.cost = parts
 	}
-	need := min(r.request.Class.Coverage, coverageExpected)
-	slack := r.request.Deadline - now
-	allowed := r.admission.Allow(slack, c.worth/c.costOr(len(r.parts)), f.topDensity())
-	inTime, shortest := r.expected(allowed)
-	if float64(inTime) < need*float64(len(r.parts)) {
-		return &Refusal{Reason: "the work ahead does not fit the deadline", RetryAfter: f.retryAfter(r, shortest-allowed)}
+	allowed := rule.allow(q.Deadline-now, c.density(), f.topDensity())
+	inTime, shortest := q.expected(allowed)
+	if float64(inTime) < min(class.Coverage, coverageExpected)*parts {
+		return &Refusal{Reason: "the work ahead does not fit the deadline", RetryAfter: f.retryAfter(q.Pool, shortest-allowed)}
 	}
 	c.inFlight++
-	c.cost += costWeight * (float64(len(r.parts)) - c.costOr(len(r.parts)))
+	c.cost += costWeight * (parts - max(c.cost, 1))
 	return nil
 }
 
-func (c *classState) costOr(n int) float64 {
-	if c.cost == 0 {
-		c.cost = float64(n)
-	}
-	return max(c.cost, 1)
-}
+// density is the worth of a request for each upstream call that it takes.
+func (c *classState) density() float64 { return c.worth / max(c.cost, 1) }
 
+// topDensity is the density of the class that has the most.
 func (f *Fleet) topDensity() float64 {
 	top := 0.0
 	for _, c := range f.classes {
-		top = max(top, c.worth/max(c.cost, 1))
+		top = max(top, c.density())
 	}
 	return top
 }
 
-// expected counts the parts whose best replica is expected to answer within
-// the time allowed, and gives the shortest expected time of the others.
-func (r *Run) expected(allowed time.Duration) (inTime int, shortest time.Duration) {
+// expected counts the parts whose best upstream is expected to answer within the time
+// allowed, and gives the shortest expected time of the others, 0 if there are none. A
+// part without an upstream counts as in time: it is no overload, and the answer says
+// that it is missing.
+func (q *RunConfig) expected(allowed time.Duration) (inTime int, shortest time.Duration) {
 	shortest = math.MaxInt64
-	for i := range r.parts {
-		best := time.Duration(math.MaxInt64)
-		for _, u := range r.parts[i].replicas {
-			if !u.leaving {
-				best = min(best, u.wait(r.request.Pool)+u.latency.or(r.request.Pool.median()))
-			}
-		}
-		switch {
-		case best <= allowed:
-			inTime++
-		case len(r.parts[i].replicas) == 0:
-			// A lost shard is no overload: the answer says that it is missing.
+	for _, upstreams := range q.Replicas {
+		if best := q.bestTime(upstreams); best <= allowed || len(upstreams) == 0 {
 			inTime++
-		default:
+		} else {
 			shortest = min(shortest, best)
 		}
 	}
@@ -110,3 +102,15 @@
 	}
 	return inTime, shortest
 }
+
+// bestTime is the shortest time within which any of some upstreams is expected to answer;
+// the longest time there is if all leave.
+func (q *RunConfig) bestTime(upstreams []*Upstream) time.Duration {
+	best := time.Duration(math.MaxInt64)
+	for _, u := range upstreams {
+		if !u.leaving {
+			best = min(best, u.wait(q.Pool)+u.latency.or(q.Pool.median()))
+		}
+	}
+	return best
+}
--- a/tier/policy/choose_test.go
+++ b/tier/policy/choose_test.go
@@ -15,7 +15,7 @@
 	slow := latency{smoothed: 5 * time.Second, samples: 1}
 	tests := []struct {
 		name    string
-		chooser Chooser
+		chooser chooser
 		better  Upstream
 		worse   Upstream
 	}{
@@ -30,7 +30,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			r, p := rand.New(rand.NewPCG(1, 0)), newPool(poolWindow)
-			better, worse := tt.chooser.Score(now, &tt.better, p, r), tt.chooser.Score(now, &tt.worse, p, r)
+			better, worse := tt.chooser.score(now, &tt.better, p, r), tt.chooser.score(now, &tt.worse, p, r)
 			assert.Assert(t, better < worse, "%f %f", better, worse)
 		})
 	}
@@ -59,7 +59,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			r, p := rand.New(rand.NewPCG(1, 0)), newPool(poolWindow)
 			plain := near(func(*Upstream) {})
-			better, worse := leastLatency{}.Score(now, &plain, p, r), leastLatency{}.Score(now, &tt.worse, p, r)
+			better, worse := leastLatency{}.score(now, &plain, p, r), leastLatency{}.score(now, &tt.worse, p, r)
 			assert.Assert(t, better < worse, "%f %f", better, worse)
 		})
 	}
@@ -72,5 +72,5 @@
 	r, p := rand.New(rand.NewPCG(1, 0)), newPool(poolWindow)
 	seen := Upstream{near: true, condition: condition{slowness: 4, seenAt: now}}
 	unseen := Upstream{near: true, condition: condition{slowness: 4, seenAt: now - staleFull}}
-	assert.Assert(t, leastLatency{}.Score(now, &unseen, p, r) < 0.6*leastLatency{}.Score(now, &seen, p, r))
+	assert.Assert(t, leastLatency{}.score(now, &unseen, p, r) < 0.6*leastLatency{}.score(now, &seen, p, r))
 }
--- a/tier/policy/condition.go
+++ b/tier/policy/condition.go
@@ -68,7 +68,7 @@
 	switch {
 	case o == CallOK:
 		c.faults -= faultWeight * c.faults
-	case o == CallShed || o.broken() && o != CallLate:
+	case o == CallShed || o.isFailure() && o != CallLate:
 		c.faults += faultWeight * (1 - c.faults)
 	}
 }
--- a/tier/policy/learn.go
+++ b/tier/policy/learn.go
@@ -82,7 +82,7 @@
 		u.leaving = true
 	case o == CallMoved && u.kind.movedIsGone:
 		u.leaving, u.gone = true, true
-	case o.broken():
+	case o.isFailure():
 		u.ejection.failed(now)
 	}
 }
--- a/tier/policy/retryafter.go
+++ b/tier/policy/retryafter.go
@@ -6,15 +6,24 @@
 	"time"
 )
 
+const (
+	// leastRetryAfter is the least time after which a refused caller is to come back.
+	// Not measured.
+	leastRetryAfter = 10 * time.Millisecond
+	// retryAfterSpread is the share by which that time is longer at most, at random, so
+	// that callers refused together do not come back together. Not measured.
+	retryAfterSpread = 1.0
+)
+
 // RetryIn returns in what time enough parts of a request have an upstream that is
-// neither resting after it shed calls nor ejected: 0 if they have one now, or if
+// neither backed off after it shed calls nor ejected: 0 if they have one now, or if
 // too few parts have an upstream at all, so that nothing is known.
 func (f *Fleet) RetryIn(now time.Duration, replicas [][]*Upstream, coverage float64) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var waits []time.Duration
 	for _, us := range replicas {
-		if wait, ok := soonestFit(now, us); ok {
+		if wait, ok := soonestEligible(now, us); ok {
 			waits = append(waits, wait)
 		}
 	}
@@ -26,9 +35,9 @@
 	return waits[need-1]
 }
 
-// soonestFit returns in what time the first of some upstreams may be asked again;
+// soonestEligible returns in what time the first of some upstreams may be asked again;
 // false if none can be.
-func soonestFit(now time.Duration, us []*Upstream) (time.Duration, bool) {
+func soonestEligible(now time.Duration, us []*Upstream) (time.Duration, bool) {
 	best, found := time.Duration(0), false
 	for _, u := range us {
 		if u.leaving {
@@ -42,9 +51,9 @@
 	return best, found
 }
 
-// retryAfter is the excess of expected work, spread at random so that callers
-// do not come back together.
-func (f *Fleet) retryAfter(r *Run, excess time.Duration) time.Duration {
-	base := max(excess, r.request.Pool.median(), leastRetryAfter)
-	return time.Duration(float64(base) * (1 + f.random.Float64())).Round(time.Millisecond)
+// retryAfter is when the caller of a refused request of a class is to come back: after
+// the excess of the work expected over what is allowed, and no sooner than one call takes.
+func (f *Fleet) retryAfter(p *Pool, excess time.Duration) time.Duration {
+	base := max(excess, p.median(), leastRetryAfter)
+	return time.Duration(float64(base) * (1 + retryAfterSpread*f.random.Float64())).Round(time.Millisecond)
 }
--- a/tier/policy/run.go
+++ b/tier/policy/run.go
@@ -38,10 +38,10 @@
 	request RunConfig
 	// rules are what depends on whether the request is routed.
 	rules     rules
-	chooser   Chooser
-	admission Admission
+	chooser   chooser
+	admission admission
 	parts     []part
-	// attempts holds all attempts ever made; an attempt is known by its index.
+	// attempts holds all attempts of the run; an attempt is known by its index.
 	attempts []attempt
 	progress progress
 	times    times
@@ -52,8 +52,8 @@
 	// callerGone is true once the caller is gone.
 	callerGone bool
 	// unknown is true once a not-repeatable attempt may have run unseen.
-	unknown bool
-	doubt   doubt
+	unknown   bool
+	suspicion suspicion
 }
 
 // times are the moments of a run.
@@ -73,20 +73,20 @@
 
 // NewRun prepares a request.
 func NewRun(c RunConfig) (*Run, error) {
-	chooser, err := ChooserNamed(c.Class.Choice)
+	chooser, err := chooserNamed(c.Class.Choice)
 	if err != nil {
 		return nil, err
 	}
-	admission, err := AdmissionNamed(c.Class.Admission)
+	admission, err := admissionNamed(c.Class.Admission)
 	if err != nil {
 		return nil, err
 	}
 	r := &Run{
 		fleet: c.Fleet, request: c, rules: newRules(&c), chooser: chooser, admission: admission,
-		parts:    make([]part, len(c.Replicas)),
-		attempts: make([]attempt, 0, len(c.Replicas)+spareAttempts),
-		progress: progress{parts: len(c.Replicas), open: len(c.Replicas)},
-		doubt:    doubt{subject: c.Subject},
+		parts:     make([]part, len(c.Replicas)),
+		attempts:  make([]attempt, 0, len(c.Replicas)+spareAttempts),
+		progress:  progress{parts: len(c.Replicas), open: len(c.Replicas)},
+		suspicion: suspicion{subject: c.Subject},
 	}
 	for i := range r.parts {
 		r.parts[i].replicas = c.Replicas[i]
@@ -99,13 +99,13 @@
 func (r *Run) Begin(now time.Duration) ([]Action, error) {
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
-	verdict, left := r.fleet.quarantine.judge(now, r.doubt.subject)
+	verdict, left := r.fleet.quarantine.judge(now, r.suspicion.subject)
 	if verdict == VerdictQuarantined {
 		r.finished = true
 		return nil, &Refusal{Reason: ReasonQuarantined, RetryAfter: left}
 	}
-	r.doubt.suspected = verdict == VerdictSuspected
-	if err := r.fleet.admit(r, now); err != nil {
+	r.suspicion.reported = verdict == VerdictSuspected
+	if err := r.fleet.admit(now, &r.request, r.admission); err != nil {
 		r.finished = true
 		return nil, err
 	}
@@ -114,14 +114,14 @@
 	r.rules.earn(len(r.parts))
 	var out []Action
 	for i := range r.parts {
-		out = r.startOrHold(now, i, out)
+		out = r.startOrDefer(now, i, out)
 		out = r.probe(now, i, out)
 	}
 	r.times.next = r.nextWake(now)
 	return r.finishIfDone(now, out), nil
 }
 
-// Granted tells that a queued attempt has its slot.
+// Granted is to be called when a queued attempt has its slot.
 func (r *Run) Granted(now time.Duration, n int) []Action {
 	a := &r.attempts[n]
 	if r.finished || a.phase != phaseQueued || r.parts[a.part].closed || now >= r.request.Deadline {
@@ -136,7 +136,7 @@
 		r.parts[a.part].remove(n)
 		return r.finishIfDone(now, append(r.freeSlot(n), r.failed(now, a.part, CallLeaving)...))
 	}
-	if r.holdGranted(n) {
+	if r.deferGranted(n) {
 		return r.finishIfDone(now, r.freeSlot(n))
 	}
 	r.leaveQueues(a.part, n)
@@ -149,8 +149,8 @@
 	return []Action{{Kind: ActionFree, Attempt: n, Part: a.part, Upstream: a.upstream}}
 }
 
-// Reply tells what became of a sent attempt. The part may be merged only if
-// ActionTake comes back.
+// Reply is to be called with what became of a sent attempt. The part may be merged only
+// if ActionTake comes back.
 func (r *Run) Reply(now time.Duration, n int, o CallOutcome) []Action {
 	a := &r.attempts[n]
 	if a.phase != phaseSent {
@@ -161,24 +161,26 @@
 	p.remove(n)
 	p.account(o)
 	if r.finished || p.closed || a.abandoned {
-		r.noteLateCrash(now, a, o)
+		if o == CallCrashed {
+			r.noteLateCrash(now, a)
+		}
 		return nil
 	}
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
 	if o == CallOK {
-		r.survive()
+		r.noteAnswer()
 		out := []Action{{Kind: ActionTake, Attempt: n, Part: a.part, Upstream: a.upstream}}
 		return r.finishIfDone(now, r.include(a.part, out))
 	}
-	if o == CallCrashed && r.crashed(now, a) {
+	if o == CallCrashed && r.noteCrash(now, a) {
 		r.unknown = !r.request.Repeatable
 		r.markMissing(a.part, reasonOf(o))
 		return r.finish(now, nil)
 	}
 	out := r.failed(now, a.part, o)
-	if o == CallCrashed && r.doubt.crashes == doubtAfter {
-		out = r.backOff(out)
+	if o == CallCrashed && r.suspicion.crashes == suspectAfter {
+		out = r.isolate(out)
 	}
 	return r.finishIfDone(now, out)
 }
@@ -204,10 +206,26 @@
 	return r.finishIfDone(now, out)
 }
 
+// wakePart does what is due for a part: a retry that was put off, or a hedge.
+func (r *Run) wakePart(now time.Duration, i int, out []Action) []Action {
+	p := &r.parts[i]
+	switch {
+	case p.retryAt > 0 && now >= p.retryAt:
+		p.retryAt = 0
+		return r.startOrDefer(now, i, out)
+	case !r.hedgeDue(now, p):
+		return out
+	case r.isolatedTimedOut(now, &r.attempts[p.live[0]]):
+		return r.replaceIsolated(now, i, out)
+	default:
+		return r.hedge(now, i, out)
+	}
+}
+
 // Next is when Wake is to be called.
 func (r *Run) Next() time.Duration { return r.times.next }
 
-// GiveUp tells that the caller is gone.
+// GiveUp is to be called when the caller is gone.
 func (r *Run) GiveUp(now time.Duration) []Action {
 	if r.finished {
 		return nil
@@ -222,6 +240,7 @@
 // be needless does no harm.
 func (r *Run) wakeBy(t time.Duration) { r.times.next = min(r.times.next, t) }
 
+// nextWake is the earliest time at which anything of the run is due.
 func (r *Run) nextWake(now time.Duration) time.Duration {
 	next := r.request.Deadline
 	if r.times.patience > now {
