--- a/tier/entry/engine.go
+++ b/tier/entry/engine.go
@@ -41,9 +41,9 @@
 	}
 	e.endpoints.Store(&map[string]*endpoint{})
 	k.OnView(e.follow)
-	k.Handle(methodRelay, e.serveRelay)
-	k.Handle(methodOrder, e.serveOrder)
-	k.Handle(methodAdopt, e.serveAdopt)
+	kernel.HandleMessage(k, methodRelay, "relay", e.serveRelay)
+	kernel.HandleMessage(k, methodOrder, "order", e.serveOrder)
+	kernel.HandleMessage(k, methodAdopt, "tickets", e.serveAdopt)
 	return e, func() {
 		for _, p := range *e.endpoints.Load() {
 			p.client.close()
--- a/tier/entry/order.go
+++ b/tier/entry/order.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"time"
@@ -153,11 +152,7 @@
 }
 
 // serveOrder serves an order that another host sent with sendOrder.
-func (e *engine) serveOrder(ctx context.Context, params json.RawMessage) (any, error) {
-	var in wire.OrderRequest
-	if err := json.Unmarshal(params, &in); err != nil {
-		return nil, fmt.Errorf("bad order: %w", err)
-	}
+func (e *engine) serveOrder(ctx context.Context, in *wire.OrderRequest) (any, error) {
 	t, err := parseTicket(in.Ticket)
 	if err != nil {
 		return nil, err
--- a/tier/entry/relay.go
+++ b/tier/entry/relay.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"time"
@@ -48,11 +47,7 @@
 const maxRelay = 10 * time.Minute
 
 // serveRelay makes a call that another host sent with sendRelay.
-func (e *engine) serveRelay(ctx context.Context, params json.RawMessage) (any, error) {
-	var in wire.RelayRequest
-	if err := json.Unmarshal(params, &in); err != nil {
-		return nil, fmt.Errorf("bad relay: %w", err)
-	}
+func (e *engine) serveRelay(ctx context.Context, in *wire.RelayRequest) (any, error) {
 	if in.Path != wire.PathPart && in.Path != wire.PathPlace {
 		return nil, fmt.Errorf("bad relay path %q: use %s or %s", in.Path, wire.PathPart, wire.PathPlace)
 	}
--- a/tier/entry/successor.go
+++ b/tier/entry/successor.go
@@ -2,9 +2,7 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
-	"fmt"
 	"slices"
 	"sync"
 	"time"
@@ -133,11 +131,7 @@
 }
 
 // serveAdopt adopts the tickets that another host sent with hand.
-func (e *engine) serveAdopt(_ context.Context, params json.RawMessage) (any, error) {
-	var in adoptRequest
-	if err := json.Unmarshal(params, &in); err != nil {
-		return nil, fmt.Errorf("bad tickets: %w", err)
-	}
+func (e *engine) serveAdopt(_ context.Context, in *adoptRequest) (any, error) {
 	if e.kernel.Phase() == kernel.PhaseDraining {
 		return nil, errors.New("this host stops too: give the tickets to another")
 	}
--- a/tier/kernel/handler.go
+++ b/tier/kernel/handler.go
@@ -4,6 +4,7 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"fmt"
 )
 
 // Handler serves one method that other entry hosts call.
@@ -22,6 +23,18 @@
 // Handle serves a method for other entry hosts.
 func (k *Kernel) Handle(method string, h Handler) { k.handlers.Store(method, h) }
 
+// HandleMessage serves a method with a typed handler; what is the name of the message in
+// the error for one that cannot be read.
+func HandleMessage[T any](k *Kernel, method, what string, serve func(ctx context.Context, in *T) (any, error)) {
+	k.Handle(method, func(ctx context.Context, params json.RawMessage) (any, error) {
+		var in T
+		if err := json.Unmarshal(params, &in); err != nil {
+			return nil, fmt.Errorf("bad %s: %w", what, err)
+		}
+		return serve(ctx, &in)
+	})
+}
+
 // Handler finds the handler of a method; nil if there is none.
 func (k *Kernel) Handler(method string) Handler {
 	h, ok := k.handlers.Load(method)
--- a/tier/pass/coordinate_server.go
+++ b/tier/pass/coordinate_server.go
@@ -47,10 +47,10 @@
 // handleCoordinate registers the methods of both ends of the exchange.
 func (e *engine) handleCoordinate() {
 	const name = "name of a forwarded request"
-	handle(e, methodCoordinate, "forwarded request", e.onCoordinate)
-	handle(e, methodCoordinateSign, name, e.onCoordinateSign)
-	handle(e, methodCoordinateBegin, name, e.onCoordinateBegin)
-	handle(e, methodCoordinateStop, name, e.onCoordinateStop)
+	kernel.HandleMessage(e.kernel, methodCoordinate, "forwarded request", e.onCoordinate)
+	kernel.HandleMessage(e.kernel, methodCoordinateSign, name, e.onCoordinateSign)
+	kernel.HandleMessage(e.kernel, methodCoordinateBegin, name, e.onCoordinateBegin)
+	kernel.HandleMessage(e.kernel, methodCoordinateStop, name, e.onCoordinateStop)
 }
 
 // onCoordinate carries a request out for another host.
--- a/tier/pass/exchange.go
+++ b/tier/pass/exchange.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
-	"fmt"
 	"math/rand/v2"
 	"strconv"
 	"sync"
@@ -13,18 +11,6 @@
 
 // This file has what the exchanges with relays and coordinators share.
 
-// handle serves a method of the protocol between hosts with a typed handler; what is
-// the name of the message in the error for one that cannot be read.
-func handle[T any](e *engine, method, what string, serve func(ctx context.Context, in *T) (any, error)) {
-	e.kernel.Handle(method, func(ctx context.Context, params json.RawMessage) (any, error) {
-		var in T
-		if err := json.Unmarshal(params, &in); err != nil {
-			return nil, fmt.Errorf("bad %s: %w", what, err)
-		}
-		return serve(ctx, &in)
-	})
-}
-
 // stopBound is how long telling a host to stop may take. Not measured.
 const stopBound = time.Second
 
--- a/tier/pass/relay_server.go
+++ b/tier/pass/relay_server.go
@@ -78,10 +78,10 @@
 
 // handleRelay registers the methods of both ends of the exchange.
 func (e *engine) handleRelay() {
-	handle(e, methodBatch, "gather", e.onBatch)
-	handle(e, methodBatchProgress, "progress", e.onBatchProgress)
-	handle(e, methodBatchStop, "batch name", e.onBatchStop)
-	handle(e, methodRecords, "request for records", e.onRecords)
+	kernel.HandleMessage(e.kernel, methodBatch, "gather", e.onBatch)
+	kernel.HandleMessage(e.kernel, methodBatchProgress, "progress", e.onBatchProgress)
+	kernel.HandleMessage(e.kernel, methodBatchStop, "batch name", e.onBatchStop)
+	kernel.HandleMessage(e.kernel, methodRecords, "request for records", e.onRecords)
 }
 
 // onBatch makes the calls, reports those that ended, and returns when all have.
--- a/tier/peers/announcement.go
+++ b/tier/peers/announcement.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"net/netip"
@@ -172,19 +171,15 @@
 
 // serveAnnouncements serves the method.
 func serveAnnouncements(k *kernel.Kernel, f *fetches) {
-	k.Handle(methodAnnounce, (&announcementServer{kernel: k, fetches: f}).onAnnouncement)
+	kernel.HandleMessage(k, methodAnnounce, "announcement", (&announcementServer{kernel: k, fetches: f}).onAnnouncement)
 }
 
 // onAnnouncement serves an announcement.
-func (a *announcementServer) onAnnouncement(_ context.Context, params json.RawMessage) (any, error) {
-	var m announcement
-	if err := json.Unmarshal(params, &m); err != nil {
-		return nil, fmt.Errorf("bad announcement: %w", err)
-	}
+func (a *announcementServer) onAnnouncement(_ context.Context, m *announcement) (any, error) {
 	if !m.Peer.IsValid() {
 		return nil, fmt.Errorf("bad announcement: host %q tells no address", m.Host)
 	}
-	a.kernel.Do(func(s *kernel.State) { a.learn(s, &m) })
+	a.kernel.Do(func(s *kernel.State) { a.learn(s, m) })
 	return struct{}{}, nil
 }
 
--- a/tier/peers/heartbeat.go
+++ b/tier/peers/heartbeat.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"context"
-	"encoding/json"
 	"fmt"
 	"maps"
 	"math/rand/v2"
@@ -156,11 +155,7 @@
 }
 
 // onHeartbeat serves a heartbeat.
-func (g *gossip) onHeartbeat(ctx context.Context, params json.RawMessage) (any, error) {
-	var in heartbeat
-	if err := json.Unmarshal(params, &in); err != nil {
-		return nil, fmt.Errorf("bad heartbeat: %w", err)
-	}
+func (g *gossip) onHeartbeat(ctx context.Context, in *heartbeat) (any, error) {
 	if len(in.Members) == 0 || len(in.Members) > heartbeatEntries {
 		return nil, fmt.Errorf("heartbeat of %d members: send 1 to %d", len(in.Members), heartbeatEntries)
 	}
@@ -170,7 +165,7 @@
 		if s.Index != nil && s.Index.Host(in.Members[0].Host) != nil {
 			from = s.Index.Host(in.Members[0].Host).Peer
 		}
-		g.learn(s, from, &in)
+		g.learn(s, from, in)
 		out <- g.message(s, g.kernel.Now())
 	})
 	select {
--- a/tier/peers/plugin.go
+++ b/tier/peers/plugin.go
@@ -42,7 +42,7 @@
 	g := newGossip(k, n, rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 0)))
 	g.fetches = serveFetches(k, n, g.sendAll)
 	serveAnnouncements(k, g.fetches)
-	k.Handle(methodHeartbeat, g.onHeartbeat)
+	kernel.HandleMessage(k, methodHeartbeat, "heartbeat", g.onHeartbeat)
 	stopStrikes := ServeStrikes(k)
 	stopHeartbeats := start(ctx, g.loop)
 	return func() {
--- a/tier/peers/refused_test.go
+++ b/tier/peers/refused_test.go
@@ -107,7 +107,7 @@
 	}
 	for host, k := range f.kernels {
 		// What is announced is enough: nothing is fetched.
-		k.Handle(methodAnnounce, serverWithoutFetches(k).onAnnouncement)
+		kernel.HandleMessage(k, methodAnnounce, "announcement", serverWithoutFetches(k).onAnnouncement)
 		k.Do(func(s *kernel.State) {
 			for n, m := range members {
 				if n != host {
