--- a/tier/entry/call.go
+++ b/tier/entry/call.go
@@ -32,7 +32,6 @@
 
 var _ runner.Caller[*wire.PartReply] = (*partCaller)(nil)
 
-// Call implements runner.Caller.
 func (c *partCaller) Call(ctx context.Context, a policy.Action) runner.Reply[*wire.PartReply] {
 	k := c.engine.kernel
 	id, body, err := c.message(a.Part, a.Attempt)
@@ -50,7 +49,6 @@
 	return runner.Reply[*wire.PartReply]{Outcome: outcome, Part: part}
 }
 
-// Take implements runner.Caller.
 func (c *partCaller) Take(_ int, p *wire.PartReply) { c.take(p) }
 
 // upstreamCall is one call to an upstream, made here or through the host that
--- a/tier/entry/operate.go
+++ b/tier/entry/operate.go
@@ -23,16 +23,12 @@
 
 func init() { kernel.Register(operators{}) }
 
-// Name implements kernel.Plugin.
 func (operators) Name() string { return "Operators" }
 
-// Default implements kernel.Plugin.
 func (operators) Default(*kernel.Settings) {}
 
-// Skip implements kernel.Plugin.
 func (operators) Skip(s *kernel.Settings) bool { return !s.Operate.IsValid() }
 
-// Run implements kernel.Plugin.
 func (operators) Run(_ context.Context, k *kernel.Kernel) (func(), error) {
 	mux := goahttp.NewMuxer()
 	endpoints := opsgen.NewEndpoints(&opsService{kernel: k})
@@ -70,7 +66,6 @@
 
 var _ opsgen.Service = (*opsService)(nil)
 
-// Status implements opsgen.Service.
 func (s *opsService) Status(context.Context) (*opsgen.StatusResult, error) {
 	k := s.kernel
 	v, now := k.View(), k.Now()
@@ -123,7 +118,6 @@
 	return "Silent"
 }
 
-// Document implements opsgen.Service.
 func (s *opsService) Document(context.Context) (*opsgen.DocumentResult, error) {
 	v := s.kernel.View()
 	out := &opsgen.DocumentResult{Newest: v.Published}
@@ -133,7 +127,6 @@
 	return out, nil
 }
 
-// Ready implements opsgen.Service.
 func (s *opsService) Ready(context.Context) error {
 	if s.kernel.Ready() {
 		return nil
@@ -141,7 +134,6 @@
 	return &opsgen.Fault{Kind: "Busy", Message: "the host is " + string(s.kernel.Phase()) + ": send work to another"}
 }
 
-// Drain implements opsgen.Service.
 func (s *opsService) Drain(context.Context) error {
 	s.kernel.SetPhase(kernel.PhaseDraining)
 	s.kernel.Stop()
--- a/tier/entry/serve.go
+++ b/tier/entry/serve.go
@@ -36,10 +36,8 @@
 
 func init() { kernel.Register(plugin{}) }
 
-// Name implements kernel.Plugin.
 func (plugin) Name() string { return "Entry" }
 
-// Default implements kernel.Plugin.
 func (plugin) Default(s *kernel.Settings) {
 	if s.TicketLife == 0 {
 		s.TicketLife = time.Minute
@@ -52,10 +50,8 @@
 	}
 }
 
-// Skip implements kernel.Plugin.
 func (plugin) Skip(s *kernel.Settings) bool { return s.Adapter != "" }
 
-// Run implements kernel.Plugin.
 func (plugin) Run(ctx context.Context, k *kernel.Kernel) (func(), error) {
 	engine, closeEngine := newEngine(k)
 	ctx, cancel := context.WithCancel(ctx)
--- a/tier/entry/service.go
+++ b/tier/entry/service.go
@@ -23,13 +23,11 @@
 
 var _ entrygen.Service = (*service)(nil)
 
-// Ask implements entrygen.Service.
 func (s *service) Ask(ctx context.Context, p *entrygen.AskPayload) (*entrygen.Answer, error) {
 	a, err := s.engine.Ask(ctx, p)
 	return a, typed(err)
 }
 
-// Ticket implements entrygen.Service.
 func (s *service) Ticket(context.Context) (*entrygen.TicketResult, error) {
 	if s.engine.kernel.Phase() != kernel.PhaseReady {
 		return nil, &entrygen.Fault{Kind: "Busy", Message: "the host takes no new work: ask another host"}
@@ -41,7 +39,6 @@
 	return &entrygen.TicketResult{Ticket: t.String(), ExpiresMillis: s.engine.kernel.Settings.TicketLife.Milliseconds()}, nil
 }
 
-// Order implements entrygen.Service.
 func (s *service) Order(ctx context.Context, p *entrygen.OrderPayload) (*entrygen.Answer, error) {
 	a, err := s.engine.Order(ctx, p)
 	return a, typed(err)
@@ -77,7 +74,6 @@
 
 var _ goahttp.Statuser = (*faultBody)(nil)
 
-// StatusCode implements goahttp.Statuser.
 func (f *faultBody) StatusCode() int { return f.status }
 
 // fault gives an error its body: the service's own have kind and remedy, those
--- a/tier/pass/coordinate_server.go
+++ b/tier/pass/coordinate_server.go
@@ -147,13 +147,10 @@
 
 var _ http.ResponseWriter = (*recorder)(nil)
 
-// Header implements http.ResponseWriter.
 func (r *recorder) Header() http.Header { return r.header }
 
-// Write implements http.ResponseWriter.
 func (r *recorder) Write(b []byte) (int, error) { return r.body.Write(b) }
 
-// WriteHeader implements http.ResponseWriter.
 func (r *recorder) WriteHeader(status int) { r.status = status }
 
 // reply describes the answer for the host that sent the request.
--- a/tier/pass/plugin.go
+++ b/tier/pass/plugin.go
@@ -29,16 +29,12 @@
 
 func init() { kernel.Register(plugin{}) }
 
-// Name implements kernel.Plugin.
 func (plugin) Name() string { return "Routes" }
 
-// Default implements kernel.Plugin.
 func (plugin) Default(*kernel.Settings) {}
 
-// Skip implements kernel.Plugin.
 func (plugin) Skip(s *kernel.Settings) bool { return s.Adapter == "" }
 
-// Run implements kernel.Plugin.
 func (plugin) Run(_ context.Context, k *kernel.Kernel) (func(), error) {
 	a, err := kernel.AdapterNamed(k.Settings.Adapter)
 	if err != nil {
--- a/tier/pass/relay_client.go
+++ b/tier/pass/relay_client.go
@@ -117,7 +117,6 @@
 	}
 }
 
-// CallBatch implements runner.Batcher.
 func (q *request) CallBatch(ctx context.Context, batch []policy.Action, to runner.Reporter[*answer]) {
 	k := q.engine.kernel
 	relay := q.relays.relayOf(batch[0].Attempt)
--- a/tier/pass/run.go
+++ b/tier/pass/run.go
@@ -51,7 +51,6 @@
 	return &c
 }
 
-// Call implements runner.Caller.
 func (q *request) Call(ctx context.Context, a policy.Action) runner.Reply[*answer] {
 	e := q.engine
 	l := e.link(a.Upstream.Name)
@@ -74,7 +73,6 @@
 	return out
 }
 
-// Take implements runner.Caller.
 func (q *request) Take(part int, a *answer) {
 	if q.route.Gather == nil {
 		q.answers.single = a
