--- a/tier/entry/answer.go
+++ b/tier/entry/answer.go
@@ -23,15 +23,20 @@
 // snapshots yet. A starting host has both within about a second. Not measured.
 const notReadyRetry = time.Second
 
+// newAnswer makes an answer without rows; its lists are not nil, as callers expect.
+func (e *engine) newAnswer(id, class, outcome string) *entrygen.Answer {
+	return &entrygen.Answer{
+		RequestID: id, Class: class, Outcome: outcome, EntryHost: e.kernel.Settings.Host,
+		Rows: []*entrygen.Row{}, Included: []*entrygen.KeyRange{}, Missing: []*entrygen.Missing{},
+	}
+}
+
 // describe makes the answer of a request that ran, without its rows.
 func (e *engine) describe(q *request, shards []config.Shard, r *policy.Result) *entrygen.Answer {
 	cover := query.Cover(shards, r.Reasons)
-	a := &entrygen.Answer{
-		RequestID: q.id, Class: q.class.Name, Outcome: outcomeComplete, Rows: []*entrygen.Row{},
-		Asked: uint32(cover.Asked), Revision: q.view.Index.Revision, MapRevision: q.service.MapRevision,
-		Included: []*entrygen.KeyRange{}, Missing: []*entrygen.Missing{},
-		EntryHost: e.kernel.Settings.Host, Attempts: uint32(r.Attempts),
-	}
+	a := e.newAnswer(q.id, q.class.Name, outcomeComplete)
+	a.Asked, a.Attempts = uint32(cover.Asked), uint32(r.Attempts)
+	a.Revision, a.MapRevision = q.view.Index.Revision, q.service.MapRevision
 	for _, i := range cover.Included {
 		a.Included = append(a.Included, &entrygen.KeyRange{From: i.From, To: i.To})
 	}
@@ -40,33 +45,26 @@
 	}
 	if len(a.Missing) > 0 {
 		a.Outcome = outcomePartial
-		a.Remedy = text("the ranges under Missing are not in the answer; ask again for them")
+		a.Remedy = new("the ranges under Missing are not in the answer; ask again for them")
 	}
 	return a
 }
 
 // refuse describes a request that did not run.
 func (e *engine) refuse(id, class, reason string, after time.Duration) *entrygen.Answer {
-	millis := uint64(after.Milliseconds())
-	a := &entrygen.Answer{
-		RequestID: id, Class: class, Outcome: outcomeNotRun, Rows: []*entrygen.Row{},
-		Included: []*entrygen.KeyRange{}, Missing: []*entrygen.Missing{},
-		EntryHost: e.kernel.Settings.Host, RetryAfterMillis: &millis,
-	}
-	a.Remedy = text(reason + "; ask again in " + after.String())
+	a := e.newAnswer(id, class, outcomeNotRun)
+	a.RetryAfterMillis = new(uint64(after.Milliseconds()))
+	a.Remedy = new(reason + "; ask again in " + after.String())
 	return a
 }
 
 // unknown describes a not-repeatable request that may have run.
 func (e *engine) unknown(in *entrygen.OrderPayload, remedy string) *entrygen.Answer {
-	return &entrygen.Answer{
-		RequestID: in.Ticket, Class: in.Class, Outcome: outcomeUnknown, Remedy: text(remedy), Rows: []*entrygen.Row{},
-		Included: []*entrygen.KeyRange{}, Missing: []*entrygen.Missing{}, EntryHost: e.kernel.Settings.Host,
-	}
+	a := e.newAnswer(in.Ticket, in.Class, outcomeUnknown)
+	a.Remedy = &remedy
+	return a
 }
 
-func text(s string) *string { return &s }
-
 func rowsOf(rows []query.Row) []*entrygen.Row {
 	out := make([]*entrygen.Row, 0, len(rows))
 	for i := range rows {
--- a/tier/entry/ask.go
+++ b/tier/entry/ask.go
@@ -31,7 +31,7 @@
 	// The same question of any caller is the same request.
 	content := policy.Content{HostName: ask.Service, Target: in.Statement}
 	q.subject.Fingerprint = content.Fingerprint()
-	return e.observe(ctx, observed{span: "ask", id: id, class: in.Class}, func(ctx context.Context) (*entrygen.Answer, error) {
+	return e.observe(ctx, "ask", id, in.Class, func(ctx context.Context) (*entrygen.Answer, error) {
 		return e.answer(ctx, q, ask)
 	})
 }
--- a/tier/entry/engine.go
+++ b/tier/entry/engine.go
@@ -66,19 +66,14 @@
 	return e.kernel.Settings.Host + "-" + e.kernel.Settings.Incarnation + "-" + strconv.FormatUint(e.requests.Add(1), 36)
 }
 
-// observed is one request as its span and metrics show it.
-type observed struct {
-	span, id, class string
-}
-
-// observe answers a request within a span. The request is counted as in flight
+// observe answers a request within a span, whose name is given. The request is counted as in flight
 // until it is answered, and its answer is counted in the metrics.
-func (e *engine) observe(ctx context.Context, o observed, answer func(context.Context) (*entrygen.Answer, error)) (*entrygen.Answer, error) {
+func (e *engine) observe(ctx context.Context, name, id, class string, answer func(context.Context) (*entrygen.Answer, error)) (*entrygen.Answer, error) {
 	e.kernel.InFlight.Add(1)
 	defer e.kernel.InFlight.Add(-1)
-	ctx, span := e.kernel.Tracer.Start(ctx, o.span)
+	ctx, span := e.kernel.Tracer.Start(ctx, name)
 	defer span.End()
-	span.SetAttributes(attribute.String("RequestID", o.id), attribute.String("Class", o.class))
+	span.SetAttributes(attribute.String("RequestID", id), attribute.String("Class", class))
 	started := e.kernel.Now()
 	a, err := answer(ctx)
 	if err != nil {
--- a/tier/entry/order.go
+++ b/tier/entry/order.go
@@ -16,9 +16,6 @@
 // methodOrder is the peer method that forwards an order to its ticket's host.
 const methodOrder = "Order"
 
-// mint makes a ticket for one not-repeatable request.
-func (e *engine) mintTicket() (ticket, error) { return e.tickets.mint(e.kernel.Now()) }
-
 // order is one not-repeatable request.
 type order struct {
 	*request
@@ -61,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return e.observe(ctx, observed{span: "order", id: in.Ticket, class: in.Class}, func(ctx context.Context) (*entrygen.Answer, error) {
+	return e.observe(ctx, "order", in.Ticket, in.Class, func(ctx context.Context) (*entrygen.Answer, error) {
 		return e.settle(ctx, o)
 	})
 }
@@ -106,11 +103,10 @@
 
 // await waits for the answer of the try that runs already.
 func (e *engine) await(ctx context.Context, tickets *ticketStore, o *order, c claim) *entrygen.Answer {
-	timer := time.NewTimer(o.deadline - e.kernel.Now())
-	defer timer.Stop()
+	ctx, cancel := context.WithTimeout(ctx, o.deadline-e.kernel.Now())
+	defer cancel()
 	select {
 	case <-c.settled:
-	case <-timer.C:
 	case <-ctx.Done():
 	}
 	if a := tickets.answer(o.ticket.Counter); a != nil {
--- a/tier/entry/serve.go
+++ b/tier/entry/serve.go
@@ -6,6 +6,7 @@
 	"net"
 	"net/http"
 	"net/netip"
+	"sync"
 	"time"
 
 	goahttp "goa.design/goa/v3/http"
@@ -56,18 +57,15 @@
 	engine, closeEngine := newEngine(k)
 	ctx, cancel := context.WithCancel(ctx)
 	r := &statusReader{kernel: k, engine: engine}
-	statusDone := make(chan struct{})
-	go func() {
-		defer close(statusDone)
-		r.loop(ctx)
-	}()
+	var status sync.WaitGroup
+	status.Go(func() { r.loop(ctx) })
 	mux := goahttp.NewMuxer()
 	endpoints := entrygen.NewEndpoints(&service{engine: engine})
 	server.New(endpoints, mux, goahttp.RequestDecoder, goahttp.ResponseEncoder, nil, fault).Mount(mux)
 	stop, err := listen(k.Settings.Listen, "-Listen", closing(k, traced(limited(mux))))
 	if err != nil {
 		cancel()
-		<-statusDone
+		status.Wait()
 		closeEngine()
 		return nil, err
 	}
@@ -76,7 +74,7 @@
 		engine.drain(k.Settings.StopBound)
 		engine.handOver()
 		cancel()
-		<-statusDone
+		status.Wait()
 		closeEngine()
 	}, nil
 }
--- a/tier/entry/service.go
+++ b/tier/entry/service.go
@@ -32,7 +32,7 @@
 	if s.engine.kernel.Phase() != kernel.PhaseReady {
 		return nil, &entrygen.Fault{Kind: "Busy", Message: "the host takes no new work: ask another host"}
 	}
-	t, err := s.engine.mintTicket()
+	t, err := s.engine.tickets.mint(s.engine.kernel.Now())
 	if err != nil {
 		return nil, &entrygen.Fault{Kind: "Busy", Message: err.Error()}
 	}
--- a/tier/entry/status.go
+++ b/tier/entry/status.go
@@ -106,12 +106,10 @@
 		}
 		r.kernel.Fleet.Asked(now, name)
 		slots <- struct{}{}
-		all.Add(1)
-		go func() {
-			defer all.Done()
+		all.Go(func() {
 			defer func() { <-slots }()
 			r.read(ctx, name, p)
-		}()
+		})
 	}
 	all.Wait()
 	return len(endpoints)
--- a/tier/entry/successor.go
+++ b/tier/entry/successor.go
@@ -74,7 +74,7 @@
 	for _, h := range handed {
 		if len(t.states) < maxTickets && t.states[h.Counter] == nil {
 			t.oldest = min(t.oldest, h.Counter)
-			t.states[h.Counter] = &ticketState{expires: now + min(h.Left, t.life), statement: h.Statement, answer: h.Answer}
+			t.states[h.Counter] = &ticketState{expires: now + min(h.Left, t.Life), statement: h.Statement, answer: h.Answer}
 		}
 	}
 }
@@ -150,14 +150,14 @@
 // ticket is sent once: if a message is lost, its tickets are Unknown.
 func (e *engine) handOver() {
 	for _, t := range append(e.adopted.list(), e.tickets) {
-		process := processOf(t.host, t.incarnation)
+		process := processOf(t.Host, t.Incarnation)
 		ranked := successors(e.kernel.View(), &e.kernel.Settings, process)
 		handed := t.giveAway(e.kernel.Now())
 		if len(handed) == 0 || len(ranked) == 0 {
 			continue
 		}
 		for part := range slices.Chunk(handed, handedAtOnce) {
-			e.hand(ranked[0], &adoptRequest{Host: t.host, Incarnation: t.incarnation, Next: t.next, Tickets: part})
+			e.hand(ranked[0], &adoptRequest{Host: t.Host, Incarnation: t.Incarnation, Next: t.next, Tickets: part})
 		}
 	}
 }
--- a/tier/entry/ticket.go
+++ b/tier/entry/ticket.go
@@ -91,10 +91,9 @@
 
 // ticketStore remembers the tickets of one process. It is safe for concurrent use.
 type ticketStore struct {
-	mu          sync.Mutex
-	host        string
-	incarnation string
-	life        time.Duration
+	ticketsConfig
+
+	mu sync.Mutex
 	// next is the counter of the next ticket.
 	next uint64
 	// oldest is the counter below which all tickets are forgotten.
@@ -113,10 +112,7 @@
 
 // newTicketStore makes an empty memory.
 func newTicketStore(c ticketsConfig) *ticketStore {
-	return &ticketStore{
-		host: c.Host, incarnation: c.Incarnation, life: c.Life,
-		next: 1, oldest: 1, states: map[uint64]*ticketState{},
-	}
+	return &ticketStore{ticketsConfig: c, next: 1, oldest: 1, states: map[uint64]*ticketState{}}
 }
 
 // mint makes a ticket.
@@ -125,12 +121,12 @@
 	defer t.mu.Unlock()
 	t.forget(now)
 	if t.given || len(t.states) >= maxTickets {
-		return ticket{}, fmt.Errorf("%w: ask again in %s", errTicketsFull, t.life)
+		return ticket{}, fmt.Errorf("%w: ask again in %s", errTicketsFull, t.Life)
 	}
 	n := t.next
 	t.next++
-	t.states[n] = &ticketState{expires: now + t.life}
-	return ticket{Host: t.host, Incarnation: t.incarnation, Counter: n}, nil
+	t.states[n] = &ticketState{expires: now + t.Life}
+	return ticket{Host: t.Host, Incarnation: t.Incarnation, Counter: n}, nil
 }
 
 // forget drops expired tickets. A running one is kept until it is settled.
