--- a/tier/entry/ask.go
+++ b/tier/entry/ask.go
@@ -132,19 +132,16 @@
 // run carries out a request. One that may be repeated is given up when the
 // context of its caller ends.
 func (e *engine) run(ctx context.Context, c *partCaller, q *request, replicas [][]*policy.Upstream, repeatable bool) (policy.Result, error) {
-	f, err := runner.New(runner.Config[*wire.PartReply]{
+	var giveUp <-chan struct{}
+	if repeatable {
+		giveUp = ctx.Done()
+	}
+	result, _, err := runner.Run(ctx, runner.Config[*wire.PartReply]{
 		Kernel: e.kernel, Caller: c,
 		Run: policy.RunConfig{
 			Fleet: e.kernel.Fleet, Pool: e.pool(q.service.Name), Class: q.class, Deadline: q.deadline,
 			Replicas: replicas, Snapshot: c.snapshot, Repeatable: repeatable, Subject: q.subject,
 		},
-	})
-	if err != nil {
-		return policy.Result{}, err
-	}
-	var giveUp <-chan struct{}
-	if repeatable {
-		giveUp = ctx.Done()
-	}
-	return f.Run(ctx, giveUp)
+	}, giveUp)
+	return result, err
 }
--- a/tier/pass/call.go
+++ b/tier/pass/call.go
@@ -12,6 +12,9 @@
 	"syscall"
 	"time"
 
+	"go.opentelemetry.io/otel/attribute"
+	"go.opentelemetry.io/otel/trace"
+
 	"loomgap/tier/kernel"
 	"loomgap/tier/policy"
 	"loomgap/tier/runner"
@@ -65,6 +68,9 @@
 	unrepeatable bool
 	// gathered is true for one part of a gather.
 	gathered bool
+	// batched is true for a call of a batch: one that broke after it was cancelled
+	// counts as cancelled.
+	batched bool
 }
 
 // result is what became of a call.
@@ -77,6 +83,22 @@
 	crowded bool
 }
 
+// callUpstream makes a call that belongs to a request, within a span of its own, unless
+// the upstream may get none of it now.
+func (e *engine) callUpstream(ctx context.Context, l *link, u *policy.Upstream, a *admission, c *call) runner.Reply[*answer] {
+	if !e.admits(e.kernel.Now(), a, u) {
+		return runner.Reply[*answer]{Outcome: policy.CallBarred}
+	}
+	ctx, span := e.kernel.Tracer.Start(ctx, "upstream", trace.WithSpanKind(trace.SpanKindClient))
+	defer span.End()
+	c.headers, c.id, c.upstream = &e.headers, a.request, u.Name
+	out := l.call(ctx, c)
+	if span.IsRecording() {
+		span.SetAttributes(attribute.String("Upstream", u.Name), attribute.String("Outcome", string(out.Outcome)))
+	}
+	return out
+}
+
 // call makes a call and judges the result. One that was cancelled while its connection
 // was being made is no evidence against the upstream.
 func (l *link) call(ctx context.Context, c *call) runner.Reply[*answer] {
@@ -87,6 +109,9 @@
 		out.Outcome = policy.CallNotSent
 	}
 	out.Outcome = runner.DetectCrash(ctx, out.Outcome, l.address)
+	if c.batched && out.Outcome == policy.CallBroken && ctx.Err() != nil {
+		out.Outcome = policy.CallCancelled
+	}
 	return out
 }
 
--- a/tier/pass/relay_server.go
+++ b/tier/pass/relay_server.go
@@ -8,8 +8,6 @@
 	"time"
 
 	"github.com/VictoriaMetrics/metrics"
-	"go.opentelemetry.io/otel/attribute"
-	"go.opentelemetry.io/otel/trace"
 
 	"loomgap/tier/kernel"
 	"loomgap/tier/peers"
@@ -197,22 +195,10 @@
 	if left <= 0 || !k.Awake() || ctx.Err() != nil {
 		return runner.Reply[*answer]{Outcome: policy.CallNotSent}
 	}
-	if !b.engine.admits(k.Now(), &admission{route: b.in.Route, request: b.in.RequestID, subject: b.subject}, u) {
-		return runner.Reply[*answer]{Outcome: policy.CallBarred}
-	}
-	ctx, span := k.Tracer.Start(ctx, "upstream", trace.WithSpanKind(trace.SpanKindClient))
-	defer span.End()
-	out := l.call(ctx, &call{
-		headers: &b.engine.headers, method: b.in.Method, head: []byte(b.in.Head), body: b.in.Body,
-		id: b.in.RequestID, upstream: u.Name, left: left, gathered: true,
+	admission := &admission{route: b.in.Route, request: b.in.RequestID, subject: b.subject}
+	return b.engine.callUpstream(ctx, l, u, admission, &call{
+		method: b.in.Method, head: []byte(b.in.Head), body: b.in.Body, left: left, gathered: true, batched: true,
 	})
-	if out.Outcome == policy.CallBroken && ctx.Err() != nil {
-		out.Outcome = policy.CallCancelled
-	}
-	if span.IsRecording() {
-		span.SetAttributes(attribute.String("Upstream", u.Name), attribute.String("Outcome", string(out.Outcome)))
-	}
-	return out
 }
 
 func (b *servedBatch) holdSlot(c *servedCall, u *policy.Upstream) {
@@ -226,21 +212,16 @@
 	k := b.engine.kernel
 	now := k.Now()
 	near, _ := k.Fleet.RoutedPools(b.in.Route)
+	b.mu.Lock()
+	delete(b.calls, i)
+	lingering := c.lingering
+	b.mu.Unlock()
 	policy.Deliver(k.Fleet.Finish(now, policy.Call{
 		Upstream: c.upstream, Pool: near, Outcome: r.Outcome, Took: now - started, Load: r.Load, Crowded: r.Crowded,
-		Lingering: b.release(i, c),
+		Lingering: lingering,
 	}))
 }
 
-// release takes a call out of those that may be cancelled, and reports whether it
-// lingered.
-func (b *servedBatch) release(i int, c *servedCall) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	delete(b.calls, i)
-	return c.lingering
-}
-
 // end notes a call that ended, with its records if it succeeded.
 func (b *servedBatch) end(c callReport, records []byte) {
 	b.mu.Lock()
--- a/tier/pass/run.go
+++ b/tier/pass/run.go
@@ -4,9 +4,6 @@
 	"context"
 	"time"
 
-	"go.opentelemetry.io/otel/attribute"
-	"go.opentelemetry.io/otel/trace"
-
 	"loomgap/tier/config"
 	"loomgap/tier/policy"
 	"loomgap/tier/runner"
@@ -19,7 +16,9 @@
 	k := q.engine.kernel
 	near, far := k.Fleet.RoutedPools(q.route.Name)
 	spent := k.Now() - q.times.begun
-	x, err := runner.New(runner.Config[*answer]{
+	stop := context.AfterFunc(ctx, func() { q.callerGone.Store(true) })
+	defer stop()
+	result, decidedAt, err := runner.Run(ctx, runner.Config[*answer]{
 		Kernel: k, Caller: q,
 		Run: policy.RunConfig{
 			Fleet: k.Fleet, Pool: near, Class: q.remainingClass(spent), Deadline: q.times.deadline,
@@ -30,14 +29,8 @@
 				Relayed: q.route.Gather != nil, Absent: q.plan.absent,
 			},
 		},
-	})
-	if err != nil {
-		return policy.Result{}, err
-	}
-	stop := context.AfterFunc(ctx, func() { q.callerGone.Store(true) })
-	defer stop()
-	result, err := x.Run(ctx, ctx.Done())
-	q.times.decidedAt = x.DecidedAt()
+	}, ctx.Done())
+	q.times.decidedAt = decidedAt
 	return result, err
 }
 
@@ -57,20 +50,11 @@
 	if l == nil {
 		return runner.Reply[*answer]{Outcome: policy.CallUnreachable}
 	}
-	if !e.admits(e.kernel.Now(), &admission{route: q.route.Name, request: q.in.id, subject: q.in.subject}, a.Upstream) {
-		return runner.Reply[*answer]{Outcome: policy.CallBarred}
-	}
-	ctx, span := e.kernel.Tracer.Start(ctx, "upstream", trace.WithSpanKind(trace.SpanKindClient))
-	defer span.End()
-	out := l.call(ctx, &call{
-		headers: &e.headers, method: q.in.method, head: q.in.head, body: q.in.body, id: q.in.id,
-		upstream: a.Upstream.Name, left: q.times.deadline - e.kernel.Now(),
+	admission := &admission{route: q.route.Name, request: q.in.id, subject: q.in.subject}
+	return e.callUpstream(ctx, l, a.Upstream, admission, &call{
+		method: q.in.method, head: q.in.head, body: q.in.body, left: q.times.deadline - e.kernel.Now(),
 		unrepeatable: !q.route.Repeatable, gathered: q.route.Gather != nil,
 	})
-	if span.IsRecording() {
-		span.SetAttributes(attribute.String("Upstream", a.Upstream.Name), attribute.String("Outcome", string(out.Outcome)))
-	}
-	return out
 }
 
 func (q *request) Take(part int, a *answer) {
--- a/tier/runner/batch.go
+++ b/tier/runner/batch.go
@@ -10,7 +10,7 @@
 // sendBatch starts the calls of a batch; the execution is locked. The batch is cancelled
 // once each of its calls was cancelled or has its reply. Its calls give back their slots:
 // another host makes them within its own.
-func (e *Execution[R]) sendBatch(batch []policy.Action) (granted []*policy.Waiter) {
+func (e *execution[R]) sendBatch(batch []policy.Action) (granted []*policy.Waiter) {
 	ctx, cancel := context.WithCancel(e.ctx)
 	pending := len(batch)
 	calls := make([]*call, len(batch))
@@ -39,8 +39,8 @@
 
 // callBatch makes the calls of a batch, and reports those that were not reported by its
 // end.
-func (e *Execution[R]) callBatch(ctx context.Context, batch []policy.Action, calls []*call) {
-	r := &reporter[R]{execution: e, batch: batch, calls: calls, reported: make([]bool, len(batch)), started: e.kernel.Now()}
+func (e *execution[R]) callBatch(ctx context.Context, batch []policy.Action, calls []*call) {
+	r := &reporter[R]{execution: e, batch: batch, calls: calls, started: e.kernel.Now()}
 	unreported := Reply[R]{Outcome: policy.CallNotSent}
 	if e.kernel.Awake() && r.started < e.deadline {
 		e.batcher.CallBatch(ctx, batch, r)
@@ -53,20 +53,17 @@
 
 // reporter reports the calls of one batch.
 type reporter[R any] struct {
-	execution *Execution[R]
+	execution *execution[R]
 	batch     []policy.Action
 	calls     []*call
-	reported  []bool
 	started   time.Duration
 }
 
 // Report implements Reporter.
 func (r *reporter[R]) Report(i int, reply Reply[R]) {
-	if r.reported[i] {
-		return
+	if !r.calls[i].ended {
+		r.execution.ended(r.batch[i], r.calls[i], r.started, reply)
 	}
-	r.reported[i] = true
-	r.execution.ended(r.batch[i], r.calls[i], r.started, reply)
 }
 
 // Overdue implements Reporter.
@@ -74,7 +71,7 @@
 	r.execution.handle(func(now time.Duration) []policy.Action {
 		var late []int
 		for i, a := range r.batch {
-			if !r.reported[i] {
+			if !r.calls[i].ended {
 				late = append(late, a.Attempt)
 			}
 		}
--- a/tier/runner/call.go
+++ b/tier/runner/call.go
@@ -26,7 +26,7 @@
 }
 
 // send starts a call; the execution is locked.
-func (e *Execution[R]) send(a policy.Action) {
+func (e *execution[R]) send(a policy.Action) {
 	ctx, cancel := context.WithCancel(e.ctx)
 	c := &call{cancel: cancel}
 	e.calls[a.Attempt] = c
@@ -35,7 +35,7 @@
 
 // call makes one call, unless the process has just slept or the deadline is over, and
 // accounts for it.
-func (e *Execution[R]) call(ctx context.Context, a policy.Action, c *call) {
+func (e *execution[R]) call(ctx context.Context, a policy.Action, c *call) {
 	k := e.kernel
 	started := k.Now()
 	reply := Reply[R]{Outcome: policy.CallNotSent}
@@ -47,7 +47,7 @@
 }
 
 // ended accounts for a call and passes what became of it to the run.
-func (e *Execution[R]) ended(a policy.Action, c *call, started time.Duration, reply Reply[R]) {
+func (e *execution[R]) ended(a policy.Action, c *call, started time.Duration, reply Reply[R]) {
 	k := e.kernel
 	now := k.Now()
 	if reply.Took == 0 {
@@ -76,7 +76,7 @@
 
 // settled distinguishes a call that was cancelled from one that broke; the
 // execution is locked.
-func (e *Execution[R]) settled(now time.Duration, c *call, o policy.CallOutcome) policy.CallOutcome {
+func (e *execution[R]) settled(now time.Duration, c *call, o policy.CallOutcome) policy.CallOutcome {
 	switch {
 	case o != policy.CallBroken && o != policy.CallLost:
 		return o
@@ -89,7 +89,7 @@
 }
 
 // linger lets a call go on for a while; the execution is locked.
-func (e *Execution[R]) linger(a policy.Action) {
+func (e *execution[R]) linger(a policy.Action) {
 	c := e.calls[a.Attempt]
 	if c == nil || c.ended {
 		e.kernel.Fleet.Lingered(a.Upstream)
@@ -100,7 +100,7 @@
 }
 
 // cancelLingering ends a call that lingered.
-func (e *Execution[R]) cancelLingering(c *call) {
+func (e *execution[R]) cancelLingering(c *call) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	c.cancel()
--- a/tier/runner/call_test.go
+++ b/tier/runner/call_test.go
@@ -28,7 +28,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			e := &Execution[int]{deadline: deadline}
+			e := &execution[int]{deadline: deadline}
 			assert.Equal(t, e.settled(tt.now, &call{outcome: tt.cancelled}, tt.outcome), tt.want)
 		})
 	}
--- a/tier/runner/doc.go
+++ b/tier/runner/doc.go
@@ -2,8 +2,8 @@
 // asks for, in goroutines of their own, wakes the run when it wants to be woken, and
 // feeds what became of each call back, one event at a time.
 //
-// An Execution is one run being carried out. Its user makes the calls, as a Caller. It
-// may besides make several calls in one message (Batcher) and see each call that ended
+// Run carries one out; begin reading there. Its user makes the calls, as a Caller. It may
+// besides make several calls in one message (Batcher) and see each call that ended
 // (Observer).
 //
 // # Owns
@@ -18,6 +18,6 @@
 //
 // # Concurrency
 //
-// An Execution guards its run with a lock. Waiters are notified of slots that they got
+// An execution guards its run with a lock. Waiters are notified of slots that they got
 // with no lock held.
 package runner
--- a/tier/runner/runner.go
+++ b/tier/runner/runner.go
@@ -13,12 +13,12 @@
 type Config[R any] struct {
 	Kernel *kernel.Kernel
 	Caller Caller[R]
-	// Run describes the request; its field Granted is set by New.
+	// Run describes the request; its field Granted is set by the function Run.
 	Run policy.RunConfig
 }
 
-// Execution is one run being carried out.
-type Execution[R any] struct {
+// execution is one run being carried out.
+type execution[R any] struct {
 	kernel *kernel.Kernel
 	caller Caller[R]
 	// observer is nil if the caller does not implement it.
@@ -47,41 +47,24 @@
 // never is a time that no timer is set to.
 const never = time.Duration(1<<63 - 1)
 
-// New prepares an execution.
-func New[R any](c Config[R]) (*Execution[R], error) {
-	e := &Execution[R]{
-		kernel: c.Kernel, caller: c.Caller, deadline: c.Run.Deadline,
+// Run carries out a run and waits for its end. decidedAt is when that was: what follows
+// is the making of the answer. A refused request gives a *policy.Refusal. The context
+// carries values only: calls are cancelled by the run alone, so that a caller who goes
+// away, which closes callerGone, leaves no call without its account.
+func Run[R any](ctx context.Context, c Config[R], callerGone <-chan struct{}) (r policy.Result, decidedAt time.Duration, err error) {
+	e := &execution[R]{
+		kernel: c.Kernel, caller: c.Caller, deadline: c.Run.Deadline, ctx: context.WithoutCancel(ctx),
 		calls: map[int]*call{}, done: make(chan struct{}),
 	}
 	e.batcher, _ = c.Caller.(Batcher[R])
 	e.observer, _ = c.Caller.(Observer[R])
 	c.Run.Granted = e.granted
-	r, err := policy.NewRun(c.Run)
-	if err != nil {
-		return nil, err
+	if e.run, err = policy.NewRun(c.Run); err != nil {
+		return policy.Result{}, 0, err
 	}
-	e.run = r
-	return e, nil
-}
-
-// Run starts the run and waits for its end. A refused request gives a
-// *policy.Refusal. The context carries values only: calls are cancelled by the
-// run alone, so that a caller who goes away, which closes callerGone, leaves no
-// call without its account.
-func (e *Execution[R]) Run(ctx context.Context, callerGone <-chan struct{}) (policy.Result, error) {
-	e.ctx = context.WithoutCancel(ctx)
-	now := e.kernel.Now()
-	e.mu.Lock()
-	actions, err := e.run.Begin(now)
-	if err != nil {
-		e.mu.Unlock()
-		return policy.Result{}, err
+	if err := e.begin(); err != nil {
+		return policy.Result{}, 0, err
 	}
-	e.wakeAt = e.run.Next()
-	e.timer = time.AfterFunc(e.wakeAt-now, e.wake)
-	granted := e.perform(actions)
-	e.mu.Unlock()
-	policy.Deliver(granted)
 	select {
 	case <-e.done:
 	case <-callerGone:
@@ -91,19 +74,28 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.timer.Stop()
-	return e.run.Result(), nil
+	return e.run.Result(), e.decidedAt, nil
 }
 
-// DecidedAt is when the run had its end, after Run has returned: what follows is
-// the making of the answer.
-func (e *Execution[R]) DecidedAt() time.Duration {
+// begin makes the first calls, unless the run is refused.
+func (e *execution[R]) begin() error {
+	now := e.kernel.Now()
 	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.decidedAt
+	actions, err := e.run.Begin(now)
+	if err != nil {
+		e.mu.Unlock()
+		return err
+	}
+	e.wakeAt = e.run.Next()
+	e.timer = time.AfterFunc(e.wakeAt-now, e.wake)
+	granted := e.perform(actions)
+	e.mu.Unlock()
+	policy.Deliver(granted)
+	return nil
 }
 
 // handle passes one event to the run and carries out what it asks for.
-func (e *Execution[R]) handle(event func(now time.Duration) []policy.Action) {
+func (e *execution[R]) handle(event func(now time.Duration) []policy.Action) {
 	e.mu.Lock()
 	now := e.kernel.Now()
 	granted := e.perform(event(now))
@@ -113,7 +105,7 @@
 }
 
 // schedule brings the timer forward if the run wants to be woken earlier.
-func (e *Execution[R]) schedule(now time.Duration) {
+func (e *execution[R]) schedule(now time.Duration) {
 	next := e.run.Next()
 	if e.timer != nil && next < e.wakeAt {
 		e.wakeAt = next
@@ -122,12 +114,12 @@
 }
 
 // granted passes on that a queued attempt has its slot.
-func (e *Execution[R]) granted(n int) {
+func (e *execution[R]) granted(n int) {
 	e.handle(func(now time.Duration) []policy.Action { return e.run.Granted(now, n) })
 }
 
 // wake passes on that the time has come which the run wants to be woken at.
-func (e *Execution[R]) wake() {
+func (e *execution[R]) wake() {
 	e.handle(func(now time.Duration) []policy.Action {
 		e.wakeAt = never
 		return e.run.Wake(now)
@@ -136,7 +128,7 @@
 
 // perform carries actions out; the execution is locked. It returns the waiters that got
 // a slot, for policy.Deliver after unlocking.
-func (e *Execution[R]) perform(actions []policy.Action) []*policy.Waiter {
+func (e *execution[R]) perform(actions []policy.Action) []*policy.Waiter {
 	var (
 		granted []*policy.Waiter
 		sends   []policy.Action
@@ -166,7 +158,7 @@
 
 // launch starts calls; the execution is locked. It returns the waiters that got a slot,
 // for policy.Deliver after unlocking.
-func (e *Execution[R]) launch(sends []policy.Action) (granted []*policy.Waiter) {
+func (e *execution[R]) launch(sends []policy.Action) (granted []*policy.Waiter) {
 	var batches [][]policy.Action
 	if e.batcher != nil && len(sends) > 0 {
 		batches, sends = e.batcher.Batches(sends)
