--- a/tier/pass/coordinate_server.go
+++ b/tier/pass/coordinate_server.go
@@ -32,13 +32,11 @@
 
 // await waits until the request may begin, and reports whether it may.
 func (r *servedRequest) await(ctx context.Context) bool {
-	timer := time.NewTimer(beginBound)
-	defer timer.Stop()
+	ctx, cancel := context.WithTimeout(ctx, beginBound)
+	defer cancel()
 	select {
 	case <-r.begin:
 		return true
-	case <-timer.C:
-		return false
 	case <-ctx.Done():
 		return false
 	}
--- a/tier/pass/exchange.go
+++ b/tier/pass/exchange.go
@@ -74,28 +74,17 @@
 // registry holds what this host does for others, by ID. It is safe for concurrent use; the
 // zero value is ready.
 type registry[T any] struct {
-	mu   sync.Mutex
-	byID map[string]*T
+	// byID holds a *T for each ID under way.
+	byID sync.Map
 }
 
-func (s *registry[T]) add(id string, item *T) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.byID == nil {
-		s.byID = map[string]*T{}
-	}
-	s.byID[id] = item
-}
+func (s *registry[T]) add(id string, item *T) { s.byID.Store(id, item) }
 
 // find returns nil for an ID that ended or was never begun.
 func (s *registry[T]) find(id string) *T {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.byID[id]
+	item, _ := s.byID.Load(id)
+	found, _ := item.(*T)
+	return found
 }
 
-func (s *registry[T]) drop(id string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.byID, id)
-}
+func (s *registry[T]) drop(id string) { s.byID.Delete(id) }
--- a/tier/pass/host_tracker.go
+++ b/tier/pass/host_tracker.go
@@ -194,23 +194,18 @@
 	t.host(host).backoff.begin(now)
 }
 
-// host and hall return what is known, with mu held.
-func (t *hostTracker) host(name string) *trackedHost {
-	h := t.hosts[name]
-	if h == nil {
-		h = &trackedHost{}
-		t.hosts[name] = h
-	}
-	return h
-}
+// host returns what is known of a host; mu is held.
+func (t *hostTracker) host(name string) *trackedHost { return tracked(t.hosts, name) }
+
+// hall returns what is known of a hall; mu is held.
+func (t *hostTracker) hall(name string) *trackedHall { return tracked(t.halls, name) }
 
-func (t *hostTracker) hall(name string) *trackedHall {
-	h := t.halls[name]
-	if h == nil {
-		h = &trackedHall{}
-		t.halls[name] = h
+// tracked returns the item of a name, which is made when it is first asked for.
+func tracked[T any](items map[string]*T, name string) *T {
+	if items[name] == nil {
+		items[name] = new(T)
 	}
-	return h
+	return items[name]
 }
 
 // responsive reports whether a host may be asked; mu is held.
--- a/tier/pass/split.go
+++ b/tier/pass/split.go
@@ -11,8 +11,9 @@
 // splitters holds the splitter of each route with a split. It is safe for concurrent
 // use; the zero value is ready.
 type splitters struct {
-	// byRoute holds a *splitter for each name of a route.
-	byRoute sync.Map
+	mu sync.Mutex
+	// byRoute holds the splitter of each route by name.
+	byRoute map[string]*splitter
 }
 
 // target returns the one group that a request of a route goes to.
@@ -20,26 +21,24 @@
 	if len(r.Split) == 0 {
 		return r.Group
 	}
-	old, ok := s.byRoute.Load(r.Name)
-	if ok && old.(*splitter).same(r.Split) {
-		return old.(*splitter).next()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.byRoute == nil {
+		s.byRoute = map[string]*splitter{}
 	}
-	n := newSplitter(r.Split)
-	if ok {
-		s.byRoute.CompareAndSwap(r.Name, old, n)
-	} else if winner, loaded := s.byRoute.LoadOrStore(r.Name, n); loaded {
-		n = winner.(*splitter)
+	n := s.byRoute[r.Name]
+	if n == nil || !slices.Equal(n.split, r.Split) {
+		n = newSplitter(r.Split)
+		s.byRoute[r.Name] = n
 	}
 	return n.next()
 }
 
 // splitter divides the requests of a route between groups in proportion to their weights:
 // each turn goes to the group that lags most behind its share. Drawing at random would
-// deviate from the weights over short times. It is safe for concurrent use.
+// deviate from the weights over short times.
 type splitter struct {
 	split []config.Weighted
-
-	mu sync.Mutex
 	// lag is how far each group is behind its share, in units of weight; next leaves
 	// the total unchanged.
 	lag []float64
@@ -60,14 +59,9 @@
 	return s
 }
 
-// same reports whether the splitter divides as a split says.
-func (s *splitter) same(split []config.Weighted) bool { return slices.Equal(s.split, split) }
-
 // next returns the group whose turn it is. A turn belongs to its group: it is not
 // given to another one that has more room.
 func (s *splitter) next() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
 	best := -1
 	for i, w := range s.split {
 		if w.Weight == 0 {
--- a/tier/pass/start.go
+++ b/tier/pass/start.go
@@ -38,17 +38,11 @@
 		return true
 	default:
 	}
-	left := startBound - now
-	if left <= 0 {
-		return false
-	}
-	timer := time.NewTimer(left)
-	defer timer.Stop()
+	ctx, cancel := context.WithTimeout(ctx, startBound-now)
+	defer cancel()
 	select {
 	case <-g.configured:
 		return true
-	case <-timer.C:
-		return false
 	case <-ctx.Done():
 		return false
 	}
