--- a/tier/entry/serve.go
+++ b/tier/entry/serve.go
@@ -6,7 +6,6 @@
 	"net"
 	"net/http"
 	"net/netip"
-	"sync"
 	"time"
 
 	goahttp "goa.design/goa/v3/http"
@@ -55,26 +54,24 @@
 
 func (plugin) Run(ctx context.Context, k *kernel.Kernel) (func(), error) {
 	engine, closeEngine := newEngine(k)
-	ctx, cancel := context.WithCancel(ctx)
 	r := &statusReader{kernel: k, engine: engine}
-	var status sync.WaitGroup
-	status.Go(func() { r.loop(ctx) })
+	stopStatus := kernel.RunLoops(ctx, r.loop)
 	mux := goahttp.NewMuxer()
 	endpoints := entrygen.NewEndpoints(&service{engine: engine})
 	server.New(endpoints, mux, goahttp.RequestDecoder, goahttp.ResponseEncoder, nil, fault).Mount(mux)
 	stop, err := listen(k.Settings.Listen, "-Listen", closing(k, traced(limited(mux))))
 	if err != nil {
-		cancel()
-		status.Wait()
+		stopStatus()
 		closeEngine()
 		return nil, err
 	}
 	return func() {
 		stop(k.Settings.StopBound)
-		engine.drain(k.Settings.StopBound)
+		ctx, cancel := context.WithTimeout(context.Background(), k.Settings.StopBound)
+		defer cancel()
+		k.AwaitIdle(ctx)
 		engine.handOver()
-		cancel()
-		status.Wait()
+		stopStatus()
 		closeEngine()
 	}, nil
 }
@@ -126,10 +123,3 @@
 		next.ServeHTTP(w, r)
 	})
 }
-
-// drain waits until nothing is in flight, or for a bound.
-func (e *engine) drain(bound time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
-	defer cancel()
-	e.kernel.AwaitIdle(ctx)
-}
--- a/tier/kernel/control.go
+++ b/tier/kernel/control.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"sync"
 	"time"
 )
 
@@ -31,6 +32,20 @@
 	}
 }
 
+// RunLoops runs each loop in a goroutine of its own. The clean-up function ends their
+// context and waits until they have returned.
+func RunLoops(ctx context.Context, loops ...func(context.Context)) func() {
+	ctx, cancel := context.WithCancel(ctx)
+	var running sync.WaitGroup
+	for _, loop := range loops {
+		running.Go(func() { loop(ctx) })
+	}
+	return func() {
+		cancel()
+		running.Wait()
+	}
+}
+
 // control is the control thread.
 func (k *Kernel) control(ctx context.Context, s *State) {
 	defer k.reportPanic(s)
@@ -61,8 +76,8 @@
 	k.Log.Error().Interface("Cause", cause).Bool("Document", s.Index != nil).Bool("Directory", s.Directory != nil).
 		Int("Members", len(s.Members)).Bool("Reading", s.Reading).Bool("Announcing", s.Announcing).
 		Bool("FeedDown", s.FeedDown).Dur("SourceAt", s.AnnouncedReadAt).Dur("Age", k.Now()).Msg("control thread failed")
-	if k.flushLog != nil {
-		k.flushLog()
+	if k.FlushLog != nil {
+		k.FlushLog()
 	}
 	panic(cause)
 }
--- a/tier/kernel/kernel.go
+++ b/tier/kernel/kernel.go
@@ -14,21 +14,14 @@
 
 // Kernel owns the control state of one entry host.
 type Kernel struct {
-	// Settings do not change after construction.
-	Settings Settings
-	Log      zerolog.Logger
+	Config
 	// Decisions takes lines about single requests. Beyond a rate they are
 	// dropped and counted, so that load cannot flood the log.
 	Decisions zerolog.Logger
-	Tracer    trace.Tracer
-	// Fleet is shared by all traffic.
-	Fleet *policy.Fleet
 	// Peers is set by the plug-in that serves the peer protocol.
 	Peers PeerCaller
 
 	lifecycle
-	// started is the origin of Now.
-	started time.Time
 	// live holds the settings that may change.
 	live atomic.Pointer[Live]
 	// jobs are run by the control thread, in order.
@@ -42,16 +35,15 @@
 	handlers sync.Map
 	// watchers are called for every new view; used on the control thread.
 	watchers []func(*View)
-	// flushLog writes the lines that the log holds back; nil for none.
-	flushLog func()
 }
 
-// Config configures a kernel.
+// Config configures a kernel. It does not change after construction.
 type Config struct {
 	Settings Settings
 	Log      zerolog.Logger
 	Tracer   trace.Tracer
-	Fleet    *policy.Fleet
+	// Fleet is shared by all traffic.
+	Fleet *policy.Fleet
 	// Started is the origin of Now.
 	Started time.Time
 	// FlushLog writes the lines that the log holds back; nil if it holds none.
@@ -62,10 +54,8 @@
 // stops it.
 func New(c Config) (*Kernel, func()) {
 	k := &Kernel{
-		Settings: c.Settings, Log: c.Log, Tracer: c.Tracer, Fleet: c.Fleet,
+		Config:    c,
 		Decisions: c.Log.Sample(newRateSampler(c.Settings.LogRate)),
-		started:   c.Started,
-		flushLog:  c.FlushLog,
 		jobs:      make(chan func(*State), jobBacklog),
 		lifecycle: lifecycle{stopping: make(chan struct{})},
 	}
@@ -74,20 +64,11 @@
 	state := newState()
 	k.view.Store(state.view())
 	k.lastPulse.Store(int64(k.Now()))
-	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		k.control(ctx, state)
-	}()
-	return k, func() {
-		cancel()
-		<-done
-	}
+	return k, RunLoops(context.Background(), func(ctx context.Context) { k.control(ctx, state) })
 }
 
 // Now is the time since the process started, on the monotonic clock.
-func (k *Kernel) Now() time.Duration { return time.Since(k.started) }
+func (k *Kernel) Now() time.Duration { return time.Since(k.Started) }
 
 // Live returns the settings that may change while the process runs.
 func (k *Kernel) Live() Live { return *k.live.Load() }
--- a/tier/kernel/kernel_test.go
+++ b/tier/kernel/kernel_test.go
@@ -180,7 +180,7 @@
 func TestPanicOfControlThreadIsLogged(t *testing.T) {
 	var line strings.Builder
 	flushed := false
-	k := &Kernel{Log: zerolog.New(&line), started: time.Now(), flushLog: func() { flushed = true }}
+	k := &Kernel{Config: Config{Log: zerolog.New(&line), Started: time.Now(), FlushLog: func() { flushed = true }}}
 	s := newState()
 	s.Announcing = true
 	func() {
--- a/tier/pass/engine.go
+++ b/tier/pass/engine.go
@@ -1,6 +1,7 @@
 package pass
 
 import (
+	"context"
 	"sync/atomic"
 	"time"
 
@@ -67,23 +68,22 @@
 	e.handleCoordinate()
 	e.links.Store(&map[string]*link{})
 	k.OnView(e.follow)
-	done := make(chan struct{})
-	go e.sweep(done)
+	stopSweep := kernel.RunLoops(context.Background(), e.sweep)
 	return e, func() {
-		close(done)
+		stopSweep()
 		for _, l := range *e.links.Load() {
 			l.close()
 		}
 	}
 }
 
-// sweep closes connections that were idle for too long, until done.
-func (e *engine) sweep(done <-chan struct{}) {
+// sweep closes connections that were idle for too long, until the context ends.
+func (e *engine) sweep(ctx context.Context) {
 	tick := time.NewTicker(sweepEvery)
 	defer tick.Stop()
 	for {
 		select {
-		case <-done:
+		case <-ctx.Done():
 			return
 		case <-tick.C:
 			for _, l := range *e.links.Load() {
--- a/tier/peers/feed.go
+++ b/tier/peers/feed.go
@@ -47,7 +47,7 @@
 	k.Do(func(s *kernel.State) { s.FeedDown = true })
 	// What another hall's reader announces is passed on at once.
 	k.OnView(f.announcer.onView)
-	stop := start(ctx, f.loop, f.announcer.loop)
+	stop := kernel.RunLoops(ctx, f.loop, f.announcer.loop)
 	return func() {
 		stop()
 		closeSource()
--- a/tier/peers/plugin.go
+++ b/tier/peers/plugin.go
@@ -44,7 +44,7 @@
 	serveAnnouncements(k, g.fetches)
 	kernel.HandleMessage(k, methodHeartbeat, "heartbeat", g.onHeartbeat)
 	stopStrikes := ServeStrikes(k)
-	stopHeartbeats := start(ctx, g.loop)
+	stopHeartbeats := kernel.RunLoops(ctx, g.loop)
 	return func() {
 		stopStrikes()
 		stopHeartbeats()
--- a/tier/peers/strikes.go
+++ b/tier/peers/strikes.go
@@ -97,7 +97,7 @@
 	k.Handle(methodStrikes, s.onStrikes)
 	k.Handle(methodKnownStrikes, s.onKnownStrikes)
 	k.Fleet.OnCrashReports(s.notify)
-	stop := start(context.Background(), s.loop)
+	stop := kernel.RunLoops(context.Background(), s.loop)
 	return func() {
 		k.Fleet.OnCrashReports(nil)
 		stop()
--- a/tier/peers/watch.go
+++ b/tier/peers/watch.go
@@ -63,7 +63,7 @@
 func (watchPlugin) Run(ctx context.Context, k *kernel.Kernel) (func(), error) {
 	transport := &http.Transport{DisableCompression: true}
 	w := &watcher{kernel: k, client: &http.Client{Transport: transport}, listed: map[string]wire.LiveState{}}
-	stop := start(ctx,
+	stop := kernel.RunLoops(ctx,
 		func(ctx context.Context) { w.loop(ctx, w.readDocument, true) },
 		func(ctx context.Context) { w.loop(ctx, w.readLive, false) },
 	)
