--- a/tier/kernel/state.go
+++ b/tier/kernel/state.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+	"net/netip"
 	"time"
 
 	"loomgap/tier/config"
@@ -72,3 +73,112 @@
 	}
 	return out
 }
+
+// Member is another entry host, as its heartbeats report it.
+type Member struct {
+	Host string
+	// Incarnation names its process.
+	Incarnation string
+	// Hall is its data hall, Peer where other hosts connect.
+	Hall string
+	Peer netip.AddrPort
+	// Live is true while its heartbeats arrive, directly or through other hosts.
+	Live bool
+	// Leaving is true once it reported that it stops.
+	Leaving bool
+	// Revision is the configuration in force there.
+	Revision uint64
+	// Capacity is how much work it can do, as of policy.Capacity; above 0.
+	Capacity int
+}
+
+// Staying reports whether the host is live and does not stop.
+func (m *Member) Staying() bool { return m.Live && !m.Leaving }
+
+// Callable reports whether requests and calls may be handed to the host.
+func (m *Member) Callable() bool { return m.Staying() && m.Peer.IsValid() }
+
+// LeavingState holds the signs that upstreams leave or are back. All times are since
+// the process started.
+type LeavingState struct {
+	// Leaving gives for each leaving upstream when its last sign was given.
+	Leaving map[string]time.Duration
+	// Returned gives for each upstream when it was last reported to be back; older
+	// signs of leaving do not count.
+	Returned map[string]time.Duration
+}
+
+// MarkLeaving notes a sign, given at a time, that an upstream leaves.
+func (s *State) MarkLeaving(upstream string, at time.Duration) {
+	if returned := s.Returned[upstream]; returned > 0 && at <= returned {
+		return
+	}
+	last, known := s.Leaving[upstream]
+	if known && last >= at {
+		return
+	}
+	s.Leaving[upstream] = at
+	s.changed = s.changed || !known
+}
+
+// MarkReturned notes that an upstream is back.
+func (s *State) MarkReturned(upstream string, at time.Duration) {
+	s.Returned[upstream] = at
+	if _, known := s.Leaving[upstream]; known {
+		delete(s.Leaving, upstream)
+		s.changed = true
+	}
+}
+
+// names is the set of the leaving upstreams.
+func (l *LeavingState) names() map[string]bool {
+	out := make(map[string]bool, len(l.Leaving))
+	for u := range l.Leaving {
+		out[u] = true
+	}
+	return out
+}
+
+// ReadingState is what a host knows of who reads the platform for whom. All times are
+// since the process started.
+type ReadingState struct {
+	// Reading is true while this host reads the platform.
+	Reading bool
+	// Announcing is true while this host announces to its hall what is published:
+	// what it reads itself, or what a reader in another hall announces to it.
+	Announcing bool
+	// FeedDown is true while this host should read the platform, cannot, and has to
+	// learn from peers what is published.
+	FeedDown bool
+	// PlatformReadAt is when the platform was last read, as far as this host knows: by
+	// itself, by another host of its hall, or by a reader that announces to the hall.
+	PlatformReadAt time.Duration
+	// AnnouncedReadAt is when what this host announces was read from the platform, by
+	// itself or by a reader in another hall; 0 for never.
+	AnnouncedReadAt time.Duration
+	// OwnReadAt is when this host last read the platform itself; 0 for never.
+	OwnReadAt time.Duration
+	// HallAnnouncers holds the last announcement of each host that announces to this
+	// hall, OtherReaders that of each reader in other halls.
+	HallAnnouncers, OtherReaders map[string]AnnouncerReport
+}
+
+// AnnouncerReport is the last announcement of a host that announces what is
+// published. Its times are since the process started.
+type AnnouncerReport struct {
+	// At is when it came.
+	At time.Duration
+	// Lost is true if that host gets no answer of the platform; Since is when its first
+	// announcement with this value of Lost came.
+	Lost  bool
+	Since time.Duration
+}
+
+// Next returns the report after a further announcement of the same host.
+func (r AnnouncerReport) Next(now time.Duration, lost bool) AnnouncerReport {
+	if r.At == 0 || r.Lost != lost {
+		r.Since = now
+	}
+	r.At, r.Lost = now, lost
+	return r
+}
