--- a/tier/policy/fleet.go
+++ b/tier/policy/fleet.go
@@ -77,7 +77,7 @@
 		}
 		u.slots.set(s.Slots, s.Most)
 		u.leaving = s.Leaving || u.gone
-		u.kind, u.near, u.hall = kindOf(&s), s.Near, s.Hall
+		u.kind, u.near, u.hall = kindOf(s.Listed), s.Near, s.Hall
 		if u.kind.inHall {
 			u.condition.hall = f.conditionsOf(s.Hall)
 			u.cold.take(now, s.Cold)
--- a/tier/policy/kind.go
+++ b/tier/policy/kind.go
@@ -27,9 +27,9 @@
 	inHall bool
 }
 
-// kindOf returns the kind of a share.
-func kindOf(s *Share) *kind {
-	if s.Listed {
+// kindOf returns the kind of an upstream.
+func kindOf(listed bool) *kind {
+	if listed {
 		return &listedKind
 	}
 	return &declaredKind
--- /dev/null
+++ b/tier/policy/layers_test.go
@@ -0,0 +1,76 @@
+package policy
+
+import (
+	"errors"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"go/types"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"gotest.tools/v3/assert"
+)
+
+// layers names the files of the package from the lowest layer up; those not named are
+// the top one. A file uses nothing of a higher layer, so that it can be read without it.
+var layers = [][]string{
+	// What a call can end as, and single matters of an upstream.
+	{
+		"outcome.go", "kind.go", "declared.go", "listed.go", "ejection.go", "backoff.go", "outlier.go", "stall.go",
+		"cold.go", "borrowing.go", "limit.go", "latency.go", "condition.go", "load.go", "status.go", "pool.go",
+	},
+	// An upstream, which composes them, and the calls that wait for its slots.
+	{"slots.go", "queue.go", "upstream.go", "learn.go"},
+}
+
+// TestLayers lists uses of a higher layer.
+func TestLayers(t *testing.T) {
+	names, err := filepath.Glob("*.go")
+	assert.NilError(t, err)
+	files := token.NewFileSet()
+	var parsed []*ast.File
+	for _, n := range names {
+		if strings.HasSuffix(n, "_test.go") {
+			continue
+		}
+		f, err := parser.ParseFile(files, n, nil, 0)
+		assert.NilError(t, err)
+		parsed = append(parsed, f)
+	}
+	layerOf := func(file string) int {
+		for i, l := range layers {
+			if slices.Contains(l, file) {
+				return i
+			}
+		}
+		return len(layers)
+	}
+	uses := map[*ast.Ident]types.Object{}
+	c := types.Config{Importer: noImports{}, Error: func(error) {}}
+	p, _ := c.Check("policy", files, parsed, &types.Info{Uses: uses})
+	found := 0
+	for id, o := range uses {
+		if o.Pkg() != p {
+			continue
+		}
+		user, declared := files.Position(id.Pos()), files.Position(o.Pos())
+		found++
+		assert.Check(t, layerOf(user.Filename) >= layerOf(declared.Filename), "%s uses %s of %s", user, id.Name, declared.Filename)
+	}
+	assert.Assert(t, found > 1000, "%d uses found", found)
+	for _, l := range layers {
+		for _, n := range l {
+			assert.Check(t, slices.Contains(names, n), "%s is no file of the package", n)
+		}
+	}
+}
+
+// noImports leaves imported packages out: only uses within the package count.
+type noImports struct{}
+
+var _ types.Importer = noImports{}
+
+func (noImports) Import(string) (*types.Package, error) { return nil, errors.New("left out") }
