--- a/tier/entry/call.go
+++ b/tier/entry/call.go
@@ -45,7 +45,7 @@
 		id: id, body: body, snapshot: c.snapshot, deadline: c.deadline,
 	})
 	if part != nil {
-		k.Fleet.Note(k.Now(), a.Upstream, policy.Window{Oldest: part.Oldest, Newest: part.Newest, Known: true}, part.Leaving)
+		k.Fleet.NoteStatus(k.Now(), a.Upstream, policy.Window{Oldest: part.Oldest, Newest: part.Newest, Known: true}, part.Leaving)
 	}
 	return runner.Reply[*wire.PartReply]{Outcome: outcome, Part: part}
 }
--- a/tier/entry/status.go
+++ b/tier/entry/status.go
@@ -99,12 +99,12 @@
 	}
 	slots := make(chan struct{}, statusConcurrency)
 	var all sync.WaitGroup
-	for _, name := range r.kernel.Fleet.Unheard(now-statusInterval, limit) {
+	for _, name := range r.kernel.Fleet.SilentSince(now-statusInterval, limit) {
 		p := endpoints[name]
 		if p == nil {
 			continue
 		}
-		r.kernel.Fleet.Asked(now, name)
+		r.kernel.Fleet.NoteStatusRead(now, name)
 		slots <- struct{}{}
 		all.Add(1)
 		go func() {
@@ -129,7 +129,7 @@
 	now := r.kernel.Now()
 	if u := r.kernel.Fleet.Find(name); u != nil {
 		window := policy.Window{Oldest: status.Oldest, Newest: status.Newest, Known: status.Newest > 0}
-		r.kernel.Fleet.Note(now, u, window, status.Leaving)
+		r.kernel.Fleet.NoteStatus(now, u, window, status.Leaving)
 	}
 	if r.kernel.View().Leaving[name] {
 		r.kernel.Do(func(s *kernel.State) { r.updateLeaving(s, name, now, status.Leaving) })
--- a/tier/peers/rank.go
+++ b/tier/peers/rank.go
@@ -64,10 +64,10 @@
 			continue
 		}
 		out = append(out, policy.Share{
-			Name:    u.Name,
-			Slots:   Divide(u.Name, u.Slots, hosts, s.Host),
-			Most:    u.Slots,
-			Leaving: u.Leaving || v.Leaving[u.Name],
+			Name:     u.Name,
+			Slots:    Divide(u.Name, u.Slots, hosts, s.Host),
+			MaxSlots: u.Slots,
+			Leaving:  u.Leaving || v.Leaving[u.Name],
 		})
 	}
 	return out
--- a/tier/policy/condition.go
+++ b/tier/policy/condition.go
@@ -43,7 +43,21 @@
 type hallConditions struct {
 	// reported holds the upstreams that do worse than others; the rest do well.
 	reported map[string]Condition
-	at       time.Duration
+	// at is when the report came; never before the first.
+	at time.Duration
+}
+
+// conditions holds the last reports by hall.
+type conditions map[string]*hallConditions
+
+// of returns the report about a hall, which is made at first use and stays the same.
+func (c conditions) of(hall string) *hallConditions {
+	h := c[hall]
+	if h == nil {
+		h = &hallConditions{at: never}
+		c[hall] = h
+	}
+	return h
 }
 
 // condition is how slow and how faulty an upstream is, by this host's own calls and
--- a/tier/policy/conditions.go
+++ b/tier/policy/conditions.go
@@ -27,19 +27,9 @@
 func (f *Fleet) TakeConditions(now time.Duration, hall string, reported []Condition) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	h := f.conditionsOf(hall)
+	h := f.conditions.of(hall)
 	h.reported, h.at = make(map[string]Condition, len(reported)), now
 	for _, c := range reported {
 		h.reported[c.Upstream] = c
 	}
 }
-
-// conditionsOf returns the report about a hall; the fleet is locked.
-func (f *Fleet) conditionsOf(hall string) *hallConditions {
-	h := f.conditions[hall]
-	if h == nil {
-		h = &hallConditions{at: never}
-		f.conditions[hall] = h
-	}
-	return h
-}
--- a/tier/policy/fleet.go
+++ b/tier/policy/fleet.go
@@ -8,18 +8,20 @@
 // Fleet holds the upstreams and what all requests of a host share about them.
 // It is safe for concurrent use.
 type Fleet struct {
+	// mu guards all below.
 	mu     sync.Mutex
 	random Random
-	// self is the name of this host, as SetColdOwners gave it.
-	self      string
+	// self is the name of this host, as SetColdOwners gave it; empty before.
+	self string
+	// upstreams holds those of the last Apply, by name.
 	upstreams map[string]*Upstream
-	pools     map[string]*Pool
+	pools     pools
 	classes   map[string]*classState
 	// retries holds the tokens of each group of a routed request.
 	retries      map[string]*budget
 	retryBudgets RetryBudgets
-	// conditions holds the reports about the upstreams of other halls, by hall.
-	conditions map[string]*hallConditions
+	// conditions holds the reports about the upstreams of other halls.
+	conditions conditions
 	// quarantine remembers the requests that crash upstreams.
 	quarantine quarantine
 }
@@ -35,22 +37,24 @@
 	return &Fleet{
 		random:     c.Random,
 		upstreams:  map[string]*Upstream{},
-		pools:      map[string]*Pool{},
+		pools:      pools{},
 		classes:    map[string]*classState{},
 		retries:    map[string]*budget{},
-		conditions: map[string]*hallConditions{},
+		conditions: conditions{},
 		quarantine: quarantine{suspects: map[Fingerprint]*suspect{}},
 	}
 }
 
-// Share is a host's part of an upstream.
+// Share is this host's part of an upstream, and what the configuration says of it.
 type Share struct {
+	// Name is the name of the upstream; never empty.
 	Name string
 	// Slots is how many calls this host may always have at work there.
 	Slots int
-	// Most is how many it may have while the upstream does not shed; Slots or
-	// more, 0 for Slots.
-	Most    int
+	// MaxSlots is how many it may have while the upstream does not shed; Slots if it is
+	// less.
+	MaxSlots int
+	// Leaving is true if the upstream is to get no new calls.
 	Leaving bool
 	// Listed is true for an upstream that listed itself with the platform, false for
 	// one that the document declares.
@@ -59,7 +63,7 @@
 	// hall of this host.
 	Hall string
 	Near bool
-	// Cold is what is known of its start.
+	// Cold is what is known of the start of a listed upstream.
 	Cold Cold
 }
 
@@ -75,11 +79,11 @@
 		if u == nil {
 			u = &Upstream{Name: s.Name, status: status{heardAt: never, readAt: never}}
 		}
-		u.slots.set(s.Slots, s.Most)
+		u.slots.set(s.Slots, s.MaxSlots)
 		u.leaving = s.Leaving || u.gone
 		u.kind, u.near, u.hall = kindOf(s.Listed), s.Near, s.Hall
 		if u.kind.inHall {
-			u.condition.hall = f.conditionsOf(s.Hall)
+			u.condition.hall = f.conditions.of(s.Hall)
 			u.cold.take(now, s.Cold)
 		}
 		next[s.Name] = u
@@ -130,7 +134,7 @@
 func (f *Fleet) Pool(service string) *Pool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.pool(service, poolWindow)
+	return f.pools.of(service, poolWindow)
 }
 
 // RoutedPools give the latencies of a route's calls within this host's hall and
@@ -139,33 +143,29 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	// A route may have the name of a service.
-	return f.pool("near "+route, routedWindow), f.pool("far "+route, routedWindow)
-}
-
-// pool finds or makes a pool; the fleet is locked.
-func (f *Fleet) pool(name string, window int64) *Pool {
-	p := f.pools[name]
-	if p == nil {
-		p = newPool(window)
-		f.pools[name] = p
-	}
-	return p
+	return f.pools.of("near "+route, routedWindow), f.pools.of("far "+route, routedWindow)
 }
 
 // UpstreamState is a copy of what is known of an upstream, for operators.
 type UpstreamState struct {
-	Name                 string
+	Name string
+	// InUse counts this host's calls at work there, Share those that it may always
+	// have, Queued those that wait for a slot.
 	InUse, Share, Queued int
-	Latency              time.Duration
-	Window               Window
-	Ejected, Leaving     bool
+	// Latency is the smoothed time of its calls; 0 before the first.
+	Latency time.Duration
+	// Window is the span of index snapshots that it last stated.
+	Window Window
+	// Ejected is true while it is out of rotation after failures, Leaving from the
+	// first sign that it leaves.
+	Ejected, Leaving bool
 	// Evacuated is true while its hall is evacuated, Cold while it has not warmed
 	// up; ColdOwner is the host that makes the calls to it then, empty for any.
 	Evacuated, Cold bool
 	ColdOwner       string
 }
 
-// State lists all upstreams.
+// State lists all upstreams, in no order.
 func (f *Fleet) State(now time.Duration) []UpstreamState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/tier/policy/run_test.go
+++ b/tier/policy/run_test.go
@@ -59,7 +59,7 @@
 	var shares []Share
 	for _, n := range names {
 		slots := rapid.IntRange(1, 3).Draw(t, "slots")
-		shares = append(shares, Share{Name: n, Slots: slots, Most: slots + 1, Leaving: n == "C" && rapid.Bool().Draw(t, "leaving")})
+		shares = append(shares, Share{Name: n, Slots: slots, MaxSlots: slots + 1, Leaving: n == "C" && rapid.Bool().Draw(t, "leaving")})
 	}
 	m.fleet.Apply(0, shares)
 	m.upstreams = m.fleet.resolve(names)
@@ -266,7 +266,7 @@
 	f.Apply(0, []Share{{Name: "A", Slots: 1}, {Name: "B", Slots: 1}, {Name: "C", Slots: 1}})
 	windows := map[string]Window{"A": {3, 5, true}, "B": {4, 4, true}, "C": {4, 6, true}}
 	for n, w := range windows {
-		f.Note(0, f.Find(n), w, false)
+		f.NoteStatus(0, f.Find(n), w, false)
 	}
 	_, s := f.Plan([][]string{{"A"}, {"B"}, {"C"}})
 	assert.Equal(t, s, uint64(4))
--- a/tier/policy/state_golden_test.go
+++ b/tier/policy/state_golden_test.go
@@ -53,7 +53,7 @@
 	t.fleet = NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(3, 5))})
 	for i := range 4 {
 		t.shares = append(t.shares, Share{
-			Name: fmt.Sprint("U", i), Slots: 1 + i, Most: 2 + 2*i, Listed: listed,
+			Name: fmt.Sprint("U", i), Slots: 1 + i, MaxSlots: 2 + 2*i, Listed: listed,
 			Hall: string(rune('A' + i%2)), Near: i%2 == 0,
 		})
 	}
@@ -76,7 +76,7 @@
 func (t *tracer) apply() {
 	s := &t.shares[t.random.IntN(len(t.shares))]
 	s.Slots = 1 + t.random.IntN(4)
-	s.Most = s.Slots + t.random.IntN(4)
+	s.MaxSlots = s.Slots + t.random.IntN(4)
 	s.Leaving = t.random.IntN(8) == 0
 	s.Cold = Cold{
 		Left: time.Duration(t.random.IntN(3)) * time.Second, Revision: uint64(t.random.IntN(5)),
@@ -136,8 +136,8 @@
 	case what == 19:
 		return fmt.Sprint("linger ", t.fleet.Linger(u))
 	case what == 20:
-		t.fleet.Note(t.now, u, Window{Oldest: 1, Newest: uint64(t.random.IntN(5)), Known: t.random.IntN(2) == 0}, t.random.IntN(40) == 0)
-		return fmt.Sprint("note ", t.fleet.Unheard(t.now-100*time.Millisecond, 2))
+		t.fleet.NoteStatus(t.now, u, Window{Oldest: 1, Newest: uint64(t.random.IntN(5)), Known: t.random.IntN(2) == 0}, t.random.IntN(40) == 0)
+		return fmt.Sprint("note ", t.fleet.SilentSince(t.now-100*time.Millisecond, 2))
 	case what == 21:
 		told := []Condition{{Upstream: u.Name, Slowness: t.random.IntN(8), FaultPercent: t.random.IntN(100)}}
 		t.fleet.TakeConditions(t.now, string(rune('A'+t.random.IntN(2))), told[:t.random.IntN(2)])
--- a/tier/policy/status.go
+++ b/tier/policy/status.go
@@ -2,6 +2,9 @@
 
 import "time"
 
+// never is a time before all others, for what has not happened yet.
+const never = time.Duration(-1 << 62)
+
 // Window is the span of index snapshots that an upstream holds.
 type Window struct {
 	// Oldest and Newest are the first and the last snapshot.
--- a/tier/policy/statuses.go
+++ b/tier/policy/statuses.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Note records what an upstream said of itself.
-func (f *Fleet) Note(now time.Duration, u *Upstream, w Window, leaving bool) {
+// NoteStatus records what an upstream said of itself.
+func (f *Fleet) NoteStatus(now time.Duration, u *Upstream, w Window, leaving bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	u.status.take(now, w)
 	u.leaving = u.leaving || leaving
 }
 
-// Unheard lists upstreams that have said nothing since a time, at most so many: the
-// one whose status was read longest ago first.
-func (f *Fleet) Unheard(since time.Duration, most int) []string {
+// SilentSince lists upstreams that have said nothing since a time, at most limit of
+// them: the one whose status was read longest ago first.
+func (f *Fleet) SilentSince(since time.Duration, limit int) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var all []*Upstream
@@ -29,14 +29,14 @@
 		return cmp.Or(cmp.Compare(a.status.readAt, b.status.readAt), cmp.Compare(a.Name, b.Name))
 	})
 	var out []string
-	for _, u := range all[:min(most, len(all))] {
+	for _, u := range all[:min(limit, len(all))] {
 		out = append(out, u.Name)
 	}
 	return out
 }
 
-// Asked notes that an upstream's status is being read.
-func (f *Fleet) Asked(now time.Duration, name string) {
+// NoteStatusRead notes that an upstream's status is being read.
+func (f *Fleet) NoteStatusRead(now time.Duration, name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if u := f.upstreams[name]; u != nil {
--- a/tier/policy/upstream.go
+++ b/tier/policy/upstream.go
@@ -2,9 +2,6 @@
 
 import "time"
 
-// never is a time before all others.
-const never = time.Duration(-1 << 62)
-
 // Upstream is what this host knows of one back end: what its own calls have shown,
 // what the upstream says of itself, and what other hosts report of it. Each matter is
 // a type of its own. Its fields belong to the fleet and are used with the fleet locked.
--- a/tier/replay/replay.go
+++ b/tier/replay/replay.go
@@ -206,14 +206,14 @@
 	for i := range w.c.Shards {
 		s := policy.Share{Name: upstreamName(i), Slots: w.share(index, i)}
 		if w.c.Division == DivideBorrow {
-			s.Most = w.c.Slots
+			s.MaxSlots = w.c.Slots
 		}
 		shares = append(shares, s)
 	}
 	h.fleet.Apply(0, shares)
 	h.pool = h.fleet.Pool("Data")
 	for i := range w.c.Shards {
-		h.fleet.Note(0, h.fleet.Find(upstreamName(i)), policy.Window{Oldest: 1, Newest: 1, Known: true}, false)
+		h.fleet.NoteStatus(0, h.fleet.Find(upstreamName(i)), policy.Window{Oldest: 1, Newest: 1, Known: true}, false)
 	}
 	return h
 }
