--- a/tier/pass/merge.go
+++ b/tier/pass/merge.go
@@ -5,21 +5,28 @@
 	"slices"
 )
 
-// recordBytes is the size of a record. A shorter rest of a part is no record.
-const recordBytes = 16
+const (
+	// recordBytes is the size of a record; a shorter piece at the end of a part is none.
+	recordBytes = 16
+	// mergeSpareTops is how many times the records of an answer a merger may hold until
+	// it drops the least. Not measured.
+	mergeSpareTops = 8
+	// mergeSpareRecords is how many records it may hold besides. Not measured.
+	mergeSpareRecords = 1024
+)
 
-// merger keeps the greatest records of the parts added.
+// merger keeps the greatest records of the parts added; top is how many.
 type merger struct {
 	top     int
 	records [][]byte
 }
 
-// add takes the records of a part in; the part must not change afterwards.
+// add adds the records of a part, which must not change afterwards.
 func (m *merger) add(part []byte) {
 	for ; len(part) >= recordBytes; part = part[recordBytes:] {
 		m.records = append(m.records, part[:recordBytes])
 	}
-	if len(m.records) > 8*m.top+1024 {
+	if len(m.records) > mergeSpareTops*m.top+mergeSpareRecords {
 		m.cut()
 	}
 }
@@ -37,34 +44,34 @@
 	m.records = m.records[:keep]
 }
 
-// block is the merged records of several parts. They cannot be told apart any
-// more, so a block is in an answer with all its parts or not at all.
+// block is the merged records of several parts. They cannot be told apart, so a block
+// is in an answer with all its parts or not at all.
 type block struct {
 	records []byte
 	// stamps are the proofs of the parts, by number of the part.
 	stamps map[int]string
-	// rest tells where the least records are that were not sent; nil if all were.
-	rest *omitted
+	// leftOut says where the least records are that were not sent; nil if all were.
+	leftOut *leftOutAt
 }
 
 // lacks reports whether records that were not sent may belong to an answer whose
 // least record is given, nil for an answer with room for more.
 func (b *block) lacks(least []byte) bool {
-	if b.rest == nil || len(b.records) < recordBytes {
-		return b.rest != nil
+	if b.leftOut == nil || len(b.records) < recordBytes {
+		return b.leftOut != nil
 	}
 	last := b.records[len(b.records)-recordBytes:]
 	return least == nil || bytes.Compare(last, least) > 0
 }
 
-// gathered collects the parts of one answer.
-type gathered struct {
+// gatheredParts collects the parts of one answer. It is not safe for concurrent use.
+type gatheredParts struct {
 	// single are the parts that came by themselves, by number of the part.
 	single map[int]*answer
 	blocks []*block
 }
 
-func (g *gathered) take(part int, a *answer) {
+func (g *gatheredParts) take(part int, a *answer) {
 	switch {
 	case a.block == nil:
 		if g.single == nil {
@@ -77,7 +84,7 @@
 }
 
 // merged merges what makes the answer, and returns that too.
-func (g *gathered) merged(top int) (m merger, blocks []*block, single map[int]*answer) {
+func (g *gatheredParts) merged(top int) (m merger, blocks []*block, single map[int]*answer) {
 	m = merger{top: top}
 	blocks, single = g.choose()
 	for _, b := range blocks {
@@ -91,7 +98,7 @@
 
 // lacking lists the blocks of the answer of which records that were not sent may
 // belong to it.
-func (g *gathered) lacking(top int) []*block {
+func (g *gatheredParts) lacking(top int) []*block {
 	m, blocks, _ := g.merged(top)
 	m.cut()
 	var least []byte
@@ -102,13 +109,13 @@
 }
 
 // drop leaves a block out of the answer.
-func (g *gathered) drop(b *block) {
+func (g *gatheredParts) drop(b *block) {
 	g.blocks = slices.DeleteFunc(g.blocks, func(other *block) bool { return other == b })
 }
 
 // choose returns blocks with no part in common, the largest first, and the
 // single parts that no block has.
-func (g *gathered) choose() (blocks []*block, single map[int]*answer) {
+func (g *gatheredParts) choose() (blocks []*block, single map[int]*answer) {
 	slices.SortStableFunc(g.blocks, func(a, b *block) int { return len(b.stamps) - len(a.stamps) })
 	in := map[int]bool{}
 	for _, b := range g.blocks {
@@ -139,7 +146,7 @@
 }
 
 // merge returns the greatest records and the stamps of the parts they are from.
-func (g *gathered) merge(top int, stampHeader string) (records []byte, stamps []string) {
+func (g *gatheredParts) merge(top int, stampHeader string) (records []byte, stamps []string) {
 	m, blocks, single := g.merged(top)
 	for _, b := range blocks {
 		for _, s := range b.stamps {
