--- a/tier/pass/warmup.go
+++ b/tier/pass/warmup.go
@@ -21,7 +21,7 @@
 // assignCold assigns each cold upstream that can handle a bounded number of calls to
 // one host of its hall; it runs on the control thread.
 func (e *engine) assignCold(v *kernel.View) {
-	cold := e.kernel.Fleet.BoundedCold(e.kernel.Now())
+	cold := e.kernel.Fleet.ThrottledCold(e.kernel.Now())
 	if len(cold) == 0 {
 		return
 	}
--- a/tier/policy/admit.go
+++ b/tier/policy/admit.go
@@ -92,7 +92,7 @@
 		best := time.Duration(math.MaxInt64)
 		for _, u := range r.parts[i].replicas {
 			if !u.leaving {
-				best = min(best, u.wait(r.request.Pool)+u.latency.or(r.request.Pool.median()))
+				best = min(best, u.expectedWait(r.request.Pool)+u.latency.or(r.request.Pool.median()))
 			}
 		}
 		switch {
--- a/tier/policy/attempt.go
+++ b/tier/policy/attempt.go
@@ -83,7 +83,7 @@
 			continue
 		}
 		s := r.score(now, u)
-		if u.cold.bounded(now) {
+		if u.cold.throttled(now) {
 			s += coldPenalty
 		}
 		if s < low {
--- a/tier/policy/borrowing.go
+++ b/tier/policy/borrowing.go
@@ -23,8 +23,8 @@
 // upstream that queues nothing sheds few calls for it, since each shed delays the
 // next attempt.
 type borrowing struct {
-	// borrowed is how many calls over the share this host may have at work; 0 to what
-	// the upstream has beyond the share.
+	// borrowed is how many calls over the share this host may have in progress; 0 to
+	// what the upstream has beyond the share.
 	borrowed int
 	// notShed counts calls that were not shed since borrowed last changed.
 	notShed int
--- a/tier/policy/choose.go
+++ b/tier/policy/choose.go
@@ -18,8 +18,7 @@
 	// stalledPenalty applies to an unresponsive upstream, in seconds. Only its order
 	// matters.
 	stalledPenalty = 10.0
-	// coldPenalty applies to a cold upstream with bounded calls, in seconds. Only its
-	// order matters.
+	// coldPenalty applies to a throttled upstream, in seconds. Only its order matters.
 	coldPenalty = 1e5
 	// outlierPenalty applies to an outlier and to an upstream in backoff, in seconds.
 	// Only its order matters.
--- a/tier/policy/cold.go
+++ b/tier/policy/cold.go
@@ -46,14 +46,14 @@
 }
 
 // cold is whether an upstream is cold, and which host may call it meanwhile. It is
-// cold until its warm-up has passed; calls to it are bounded only if its group says
-// how many it can handle.
+// cold until its warm-up has passed. While it is cold it is throttled if its group says
+// how many calls it can handle: one host makes all its calls, so many a second.
 type cold struct {
 	// entry is what its share last said.
 	entry Cold
 	// until is when it will have warmed up.
 	until time.Duration
-	// owner is the host that makes the calls while they are bounded; empty for none.
+	// owner is the host that makes the calls while it is throttled; empty for none.
 	owner string
 	// sentAt is when this host sent it the last calls, at most limit of them.
 	sentAt []time.Duration
@@ -76,12 +76,12 @@
 // active reports whether the upstream is cold now.
 func (c *cold) active(now time.Duration) bool { return now < c.until }
 
-// bounded reports whether calls to the upstream are bounded now.
-func (c *cold) bounded(now time.Duration) bool { return c.entry.Calls > 0 && c.active(now) }
+// throttled reports whether the upstream is cold and its calls are bounded.
+func (c *cold) throttled(now time.Duration) bool { return c.entry.Calls > 0 && c.active(now) }
 
 // ownerAt is the host that makes the calls now; empty if any may.
 func (c *cold) ownerAt(now time.Duration) string {
-	if !c.bounded(now) {
+	if !c.throttled(now) {
 		return ""
 	}
 	return c.owner
--- a/tier/policy/cold_test.go
+++ b/tier/policy/cold_test.go
@@ -43,9 +43,9 @@
 	assert.Equal(t, f.DestinationOf(now+10*time.Second, u), Destination{Hall: "A"})
 }
 
-// TestOwnerKeepsToWhatAColdUpstreamBears presses an owner: within any second it
+// TestOwnerKeepsToWhatAColdUpstreamCanHandle loads an owner: within any second it
 // sends no more than its part of the bound, and as much as that.
-func TestOwnerKeepsToWhatAColdUpstreamBears(t *testing.T) {
+func TestOwnerKeepsToWhatAColdUpstreamCanHandle(t *testing.T) {
 	f, u := coldFleet(11)
 	f.SetColdOwners("Self", map[string]string{"U": "Self"})
 	var sent []time.Duration
@@ -74,13 +74,13 @@
 func TestColdStateFollowsItsEntry(t *testing.T) {
 	second := time.Second
 	tests := []struct {
-		name string
-		told []Cold
-		want time.Duration
+		name    string
+		entries []Cold
+		want    time.Duration
 	}{
 		{"warm", []Cold{{Revision: 1}}, 0},
 		{"cold", []Cold{{Revision: 1, Left: 3 * second}}, 3 * second},
-		{"told twice", []Cold{{Revision: 1, Left: 3 * second}, {Revision: 1, Left: 3 * second}}, 3 * second},
+		{"the same entry twice", []Cold{{Revision: 1, Left: 3 * second}, {Revision: 1, Left: 3 * second}}, 3 * second},
 		{"warm again", []Cold{{Revision: 1, Left: 3 * second}, {Revision: 2}}, second},
 		{"turned cold", []Cold{{Revision: 1}, {Revision: 2, Left: 3 * second}}, 4 * second},
 		{"back from an evacuation", []Cold{{Revision: 1, Evacuated: true}, {Revision: 1, Warmup: 3 * second}}, 4 * second},
@@ -91,8 +91,8 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			var c cold
-			for i, told := range tt.told {
-				c.take(time.Duration(i)*second, told)
+			for i, entry := range tt.entries {
+				c.take(time.Duration(i)*second, entry)
 			}
 			assert.Equal(t, c.until, tt.want)
 		})
@@ -136,7 +136,7 @@
 }
 
 // byChance lets each request through by chance, so that a third of the bound is
-// used on average at the load that it is told.
+// used on average at the load that it knows of.
 type byChance struct {
 	random *rand.Rand
 	part   float64
@@ -153,8 +153,8 @@
 
 func (b *byOwner) admit(_ int, now time.Duration) bool { return b.fleet.AdmitCold(now, b.upstream) }
 
-// TestWaysToDivideAColdUpstream presses a cold upstream from many hosts with five
-// times what it bears, all at once at first as after a loss of power: the seconds in
+// TestWaysToDivideAColdUpstream loads a cold upstream from many hosts with five
+// times what it can handle, all at once at first as after a loss of power: the seconds in
 // which it gets too much, and the part of the bound that is used. The owner alone
 // keeps the bound at any number of hosts.
 func TestWaysToDivideAColdUpstream(t *testing.T) {
--- a/tier/policy/coldowner.go
+++ b/tier/policy/coldowner.go
@@ -3,8 +3,8 @@
 import "time"
 
 // A cold upstream can handle few calls a second from all hosts together, and hosts
-// share no state. While it is cold one host of its hall, the owner, makes all calls to
-// it within that bound; other hosts have the owner make theirs, as they do with calls
+// share no state. While it is throttled one host of its hall, the owner, makes all calls
+// to it within that bound; other hosts have the owner make theirs, as they do with calls
 // to other halls. Even shares do not keep the bound: with 300 hosts and a bound of 11
 // calls, 49 came within a second (replayed); the owner sends 5.
 
@@ -28,8 +28,8 @@
 	return owner
 }
 
-// SetColdOwners sets for each cold upstream with bounded calls which host makes them.
-// Self is this host.
+// SetColdOwners sets for each throttled upstream which host makes its calls. Self is
+// this host.
 func (f *Fleet) SetColdOwners(self string, owners map[string]string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -39,14 +39,13 @@
 	}
 }
 
-// BoundedCold names the upstreams that are cold and whose calls are bounded, with
-// their halls.
-func (f *Fleet) BoundedCold(now time.Duration) map[string]string {
+// ThrottledCold names the upstreams that are throttled, with their halls.
+func (f *Fleet) ThrottledCold(now time.Duration) map[string]string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out map[string]string
 	for name, u := range f.upstreams {
-		if !u.cold.bounded(now) {
+		if !u.cold.throttled(now) {
 			continue
 		}
 		if out == nil {
@@ -61,7 +60,7 @@
 type Destination struct {
 	// Hall is the upstream's data hall: any host there may make the calls.
 	Hall string
-	// Owner is the one host that may, while the upstream is cold; empty for any.
+	// Owner is the one host that may, while the upstream is throttled; empty for any.
 	Owner string
 }
 
@@ -73,12 +72,11 @@
 }
 
 // AdmitCold reports whether this host may send a call to an upstream now, and counts
-// it. Only the owner may send to one that is cold and whose calls are bounded, and no
-// more than the bound.
+// it. Only the owner may send to one that is throttled, and no more than the bound.
 func (f *Fleet) AdmitCold(now time.Duration, u *Upstream) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !u.cold.bounded(now) {
+	if !u.cold.throttled(now) {
 		return true
 	}
 	if !f.owns(u) || !u.cold.admits(now) {
@@ -88,6 +86,6 @@
 	return true
 }
 
-// owns reports whether this host makes the calls to a cold upstream; the fleet is
+// owns reports whether this host makes the calls to a throttled upstream; the fleet is
 // locked.
 func (f *Fleet) owns(u *Upstream) bool { return u.cold.owner != "" && u.cold.owner == f.self }
--- a/tier/policy/conditions_test.go
+++ b/tier/policy/conditions_test.go
@@ -8,10 +8,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestConditionsAreToldAndBelieved has a near host see that one of its upstreams
-// is slow. A far host that was told leaves it without a call of its own, and
-// comes back once it is not told of any more.
-func TestConditionsAreToldAndBelieved(t *testing.T) {
+// TestConditionsAreReportedAndBelieved has a near host see that one of its upstreams
+// is slow. A far host that gets the report passes it over without a call of its own,
+// and comes back once it is not reported any more.
+func TestConditionsAreReportedAndBelieved(t *testing.T) {
 	near := routedFleet(4, RetryBudget{})
 	pool, _ := near.RoutedPools("Find")
 	finish := func(f *Fleet, name string, took time.Duration) {
@@ -24,11 +24,11 @@
 	for range 10 {
 		finish(near, "N1", 100*time.Millisecond)
 	}
-	told := near.Conditions(time.Second)
-	assert.Equal(t, len(told), 1)
-	assert.Equal(t, told[0].Upstream, "N1")
-	assert.Assert(t, told[0].Slowness >= 5, "%+v", told)
-	assert.Equal(t, len(near.Conditions(reportFresh+time.Second)), 0, "old knowledge is not told")
+	reported := near.Conditions(time.Second)
+	assert.Equal(t, len(reported), 1)
+	assert.Equal(t, reported[0].Upstream, "N1")
+	assert.Assert(t, reported[0].Slowness >= 5, "%+v", reported)
+	assert.Equal(t, len(near.Conditions(reportFresh+time.Second)), 0, "what was seen long ago is not reported")
 
 	far := routedFleet(4, RetryBudget{})
 	first := func(now time.Duration) string {
@@ -36,17 +36,17 @@
 		return sends(actions)[1].Upstream.Name
 	}
 	assert.Equal(t, first(0), "N1")
-	far.TakeConditions(0, "A", told)
+	far.TakeConditions(0, "A", reported)
 	assert.Equal(t, first(time.Millisecond), "F1")
 	far.TakeConditions(time.Second, "A", nil)
 	assert.Equal(t, first(time.Second), "N1")
-	far.TakeConditions(time.Second, "A", told)
-	assert.Equal(t, first(time.Second+conditionLife+1), "N1", "old news are not believed")
+	far.TakeConditions(time.Second, "A", reported)
+	assert.Equal(t, first(time.Second+conditionLife+1), "N1", "an old report is not believed")
 }
 
-// TestWhatIsNotToldOfDoesWell has a host that saw an upstream slow learn from one
+// TestWhatIsNotReportedDoesWell has a host that saw an upstream slow learn from one
 // that sees more of its calls that it does well.
-func TestWhatIsNotToldOfDoesWell(t *testing.T) {
+func TestWhatIsNotReportedDoesWell(t *testing.T) {
 	f := routedFleet(1, RetryBudget{})
 	u := f.Find("F0")
 	u.condition.slowness, u.latency.samples, u.condition.seenAt = 20, 5, 0
--- a/tier/policy/fleet.go
+++ b/tier/policy/fleet.go
@@ -49,7 +49,7 @@
 type Share struct {
 	// Name is the name of the upstream; never empty.
 	Name string
-	// Slots is how many calls this host may always have at work there.
+	// Slots is how many calls this host may always have in progress there.
 	Slots int
 	// MaxSlots is how many it may have while the upstream does not shed; Slots if it is
 	// less.
@@ -149,7 +149,7 @@
 // UpstreamState is a copy of what is known of an upstream, for operators.
 type UpstreamState struct {
 	Name string
-	// InUse counts this host's calls at work there, Share those that it may always
+	// InUse counts this host's calls in progress there, Share those that it may always
 	// have, Queued those that wait for a slot.
 	InUse, Share, Queued int
 	// Latency is the smoothed time of its calls; 0 before the first.
@@ -159,8 +159,8 @@
 	// Ejected is true while it is out of rotation after failures, Leaving from the
 	// first sign that it leaves.
 	Ejected, Leaving bool
-	// Evacuated is true while its hall is evacuated, Cold while it has not warmed
-	// up; ColdOwner is the host that makes the calls to it then, empty for any.
+	// Evacuated is true while its hall is evacuated, Cold while it has not warmed up;
+	// ColdOwner is the host that makes its calls while it is throttled, empty for any.
 	Evacuated, Cold bool
 	ColdOwner       string
 }
--- a/tier/policy/hedge.go
+++ b/tier/policy/hedge.go
@@ -23,7 +23,7 @@
 		return out
 	}
 	u := r.pick(now, i, true)
-	if u == nil || !u.free() {
+	if u == nil || !u.hasSlot() {
 		u = r.sameAgain(now, i)
 	}
 	if u == nil {
@@ -62,9 +62,9 @@
 	switch {
 	case u == nil:
 		return HedgeNoUpstream
-	case u.cold.bounded(now):
+	case u.cold.throttled(now):
 		return HedgeCold
-	case !u.free():
+	case !u.hasSlot():
 		return HedgeNoSlot
 	case !r.rules.payHedge(i, &r.parts[i]):
 		return HedgeNoBudget
@@ -76,7 +76,7 @@
 // sameAgain returns the upstream of the shard's one live attempt, if it is fit.
 func (r *Run) sameAgain(now time.Duration, i int) *Upstream {
 	u := r.attempts[r.parts[i].live[0]].upstream
-	if !r.rules.hedgesAtSame() || !u.free() || !u.eligible(now) {
+	if !r.rules.hedgesAtSame() || !u.hasSlot() || !u.eligible(now) {
 		return nil
 	}
 	return u
@@ -100,7 +100,7 @@
 		return out
 	}
 	for _, u := range r.parts[i].replicas {
-		if !u.outlier.probeDue(now) || u.leaving || u.ejection.active(now) || !u.free() {
+		if !u.outlier.probeDue(now) || u.leaving || u.ejection.active(now) || !u.hasSlot() {
 			continue
 		}
 		if u == r.attempts[r.parts[i].live[0]].upstream || !r.fleet.class(r.request.Class.Name).hedges.take() {
--- a/tier/policy/limit.go
+++ b/tier/policy/limit.go
@@ -10,7 +10,7 @@
 	limitGrowth = 4
 )
 
-// callLimit bounds the calls that this host has at work at an upstream, as learnt
+// callLimit bounds the calls that this host has in progress at an upstream, as learnt
 // from new connections that the upstream reset: it takes no more connections then.
 type callLimit struct {
 	// calls is the limit; 0 for none, else at least limitLeast.
--- a/tier/policy/queue.go
+++ b/tier/policy/queue.go
@@ -38,7 +38,7 @@
 // enter grants a waiter a slot, or else queues it unless the queue is full.
 func (u *Upstream) enter(w *Waiter) (granted, queued bool) {
 	w.place = placeOut
-	if u.free() {
+	if u.hasSlot() {
 		u.slots.inUse++
 		w.place = placeGranted
 		return true, false
@@ -61,7 +61,7 @@
 // past their deadline are dropped; their requests have been answered by then.
 func (u *Upstream) grant(now time.Duration) []*Waiter {
 	var out []*Waiter
-	for u.slots.queue.Len() > 0 && u.free() {
+	for u.slots.queue.Len() > 0 && u.hasSlot() {
 		w := heap.Pop(&u.slots.queue).(*Waiter)
 		if w.Deadline <= now {
 			continue
--- a/tier/policy/route_test.go
+++ b/tier/policy/route_test.go
@@ -353,7 +353,7 @@
 	u, p := f.Find("U"), newPool(poolWindow)
 	enter := func() int {
 		n := 0
-		for u.free() {
+		for u.hasSlot() {
 			u.slots.inUse++
 			n++
 		}
--- a/tier/policy/routed.go
+++ b/tier/policy/routed.go
@@ -121,7 +121,7 @@
 // calls for the run.
 func (r *routedRules) barred(now time.Duration, u *Upstream) bool {
 	switch {
-	case !u.cold.bounded(now):
+	case !u.cold.throttled(now):
 		return false
 	case r.fleet.owns(u):
 		return !u.cold.admits(now)
--- a/tier/policy/slots.go
+++ b/tier/policy/slots.go
@@ -4,10 +4,10 @@
 // gets more than one at a time. Not measured.
 const warmSamples = 10
 
-// slots counts the calls that this host has at work at an upstream, and those that
+// slots counts the calls that this host has in progress at an upstream, and those that
 // wait for a slot.
 type slots struct {
-	// share is how many calls this host may always have at work there; 0 means that
+	// share is how many calls this host may always have in progress there; 0 means that
 	// another host of the hall calls on this one's behalf.
 	share int
 	// ceiling is the slots of the upstream; at least share.
@@ -27,7 +27,7 @@
 	s.borrowing.bound(s.ceiling - s.share)
 }
 
-// allowed is how many calls this host may have at work now, but for the slow start.
+// allowed is how many calls this host may have in progress now, but for the slow start.
 func (s *slots) allowed() int {
 	n := s.share + s.borrowing.borrowed
 	if s.limit.known() {
--- a/tier/policy/state_golden_test.go
+++ b/tier/policy/state_golden_test.go
@@ -143,7 +143,7 @@
 		t.fleet.TakeConditions(t.now, string(rune('A'+t.random.IntN(2))), told[:t.random.IntN(2)])
 		return fmt.Sprint("conditions ", len(t.fleet.Conditions(t.now)))
 	case what == 22:
-		return fmt.Sprint("cold ", t.fleet.AdmitCold(t.now, u), t.fleet.DestinationOf(t.now, u), t.fleet.BoundedCold(t.now))
+		return fmt.Sprint("cold ", t.fleet.AdmitCold(t.now, u), t.fleet.DestinationOf(t.now, u), t.fleet.ThrottledCold(t.now))
 	default:
 		if t.random.IntN(10) == 0 {
 			t.apply()
@@ -161,7 +161,7 @@
 		u := t.fleet.Find(s.Name)
 		r := rand.New(rand.NewPCG(1, 1))
 		out = append(out, fmt.Sprintf("%v fit %v free %v wait %v least %.9g listed %.9g first %.9g",
-			s, u.eligible(t.now), u.free(), u.wait(t.pool),
+			s, u.eligible(t.now), u.hasSlot(), u.expectedWait(t.pool),
 			leastTime{}.Score(t.now, u, t.pool, r), leastLatency{}.Score(t.now, u, t.pool, r), first{}.Score(t.now, u, t.pool, r)))
 	}
 	return strings.Join(out, "\n")
--- a/tier/policy/upstream.go
+++ b/tier/policy/upstream.go
@@ -39,8 +39,8 @@
 	status    status
 }
 
-// free reports whether a call may start.
-func (u *Upstream) free() bool {
+// hasSlot reports whether a call may start.
+func (u *Upstream) hasSlot() bool {
 	limit := u.slots.allowed()
 	if u.starting() {
 		limit = min(limit, 1)
@@ -68,11 +68,11 @@
 // eligible reports whether the upstream is as good as any for a call now. One that is
 // not is called only if its shard has no eligible one.
 func (u *Upstream) eligible(now time.Duration) bool {
-	return !u.leaving && !u.outlier.marked && !u.ejection.active(now) && !u.backoff.active(now) && !u.cold.bounded(now)
+	return !u.leaving && !u.outlier.marked && !u.ejection.active(now) && !u.backoff.active(now) && !u.cold.throttled(now)
 }
 
-// wait is how long a new call is expected to wait for a slot.
-func (u *Upstream) wait(p *Pool) time.Duration {
+// expectedWait is how long a new call is expected to wait for a slot.
+func (u *Upstream) expectedWait(p *Pool) time.Duration {
 	s := &u.slots
 	if s.share == 0 || s.excess() == 0 {
 		return 0
