--- a/tier/peers/start_test.go
+++ b/tier/peers/start_test.go
@@ -29,9 +29,11 @@
 // state makes the control state of a host that knows so much.
 func (n known) state() *kernel.State {
 	s := &kernel.State{
-		Members:     map[string]kernel.Member{},
-		HallSources: map[string]kernel.SourceSign{}, OtherSources: map[string]kernel.SourceSign{},
-		Announcing: n.announcing, Reading: n.reading, FeedDown: n.feedDown,
+		Members: map[string]kernel.Member{},
+		ReadingState: kernel.ReadingState{
+			HallAnnouncers: map[string]kernel.AnnouncerReport{}, OtherReaders: map[string]kernel.AnnouncerReport{},
+			Announcing: n.announcing, Reading: n.reading, FeedDown: n.feedDown,
+		},
 	}
 	if n.source {
 		s.SourceAt = time.Millisecond
@@ -55,22 +57,22 @@
 		n := combination(i)
 		t.Run(fmt.Sprintf("%+v", n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				k := newsKernel(t, "Self")
-				k.Peers = &toldPeers{}
+				k := newHallKernel(t, "Self")
+				k.Peers = &peerRecorder{}
 				time.Sleep(time.Second)
 				s := n.state()
 				tl := &announcer{kernel: k}
 				tl.announce(s)
 				g := &gossip{
-					kernel: k, listing: true, fetching: true,
-					table: NewTable(TableConfig{Host: "Self", Beat: time.Second}),
+					kernel: k,
+					table:  newMemberTable(memberTableConfig{Self: memberEntry{Host: "Self"}, Interval: time.Second}),
 				}
 				g.message(s, k.Now())
-				g.takeAnnouncement(s, &Announcement{Host: "Other", Hall: "B", Age: time.Millisecond, Revision: 7, DirectoryRevision: 1})
+				serverWithoutFetches(k).learn(s, &announcement{Host: "Other", Hall: "B", Age: time.Millisecond, Revision: 7, DirectoryRevision: 1})
 				tl.announce(s)
-				rolesOf(k, s)
+				roleOf(k, s)
 				synctest.Wait()
-				told := k.Peers.(*toldPeers).hosts["Mate"]
+				told := k.Peers.(*peerRecorder).hosts["Mate"]
 				assert.Assert(t, !told || n.directory, "a host without a directory announced one")
 			})
 		})
@@ -84,16 +86,16 @@
 		listing := func(name string, revision uint64) config.Listing {
 			return config.Listing{Name: name, Group: "G", Hall: "A", Slots: 1, Revision: revision}
 		}
-		k := newsKernel(t, "Starting")
-		told := &sentNews{last: map[string]Announcement{}}
+		k := newHallKernel(t, "Starting")
+		told := &announcementRecorder{last: map[string]announcement{}}
 		k.Peers = told
 		time.Sleep(time.Second)
 		starting := combination(0).state()
 		starting.Announcing = true
 		starting.Members["Mate"] = kernel.Member{Host: "Mate", Hall: "A", Live: true}
-		g := &gossip{kernel: k, listing: true, fetching: true}
+		server := serverWithoutFetches(k)
 		change := &config.DirectoryChange{Revision: 9, Listed: []config.Listing{listing("U9", 9)}}
-		g.takeAnnouncement(starting, &Announcement{Host: "Reader", Hall: "B", DirectoryRevision: 9, Directory: 1, Change: change})
+		server.learn(starting, &announcement{Host: "Reader", Hall: "B", DirectoryRevision: 9, Directory: 1, Change: change})
 		(&announcer{kernel: k}).announce(starting)
 		synctest.Wait()
 		_, announced := told.last["Mate"]
@@ -101,7 +103,7 @@
 		assert.Equal(t, starting.Directory.Whole().Revision, uint64(0), "it would give others a directory of one upstream")
 
 		whole := &config.DirectoryChange{Revision: 9, Whole: true, Listed: []config.Listing{listing("U1", 1), listing("U9", 9)}}
-		g.takeAnnouncement(starting, &Announcement{Host: "Reader", Hall: "B", DirectoryRevision: 9, Directory: 1, Change: whole})
+		server.learn(starting, &announcement{Host: "Reader", Hall: "B", DirectoryRevision: 9, Directory: 1, Change: whole})
 		assert.Equal(t, starting.Directory.Size(), 2)
 	})
 }
