--- /dev/null
+++ b/tier/policy/upstream_test.go
@@ -0,0 +1,95 @@
+package policy
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+func TestEligible(t *testing.T) {
+	const now = time.Minute
+	later := now + time.Second
+	tests := []struct {
+		name     string
+		upstream Upstream
+		want     bool
+	}{
+		{"as good as any", Upstream{}, true},
+		{"leaving", Upstream{leaving: true}, false},
+		{"an outlier", Upstream{outlier: outlier{marked: true}}, false},
+		{"ejected", Upstream{ejection: ejection{until: later}}, false},
+		{"ejected until now", Upstream{ejection: ejection{until: now}}, true},
+		{"in backoff", Upstream{backoff: backoff{until: later}}, false},
+		{"cold", Upstream{cold: cold{until: later}}, true},
+		{"throttled", Upstream{cold: cold{until: later, entry: Cold{Calls: 5}}}, false},
+		{"unresponsive", Upstream{stall: stall{until: later}}, true},
+		{"slower than its like", Upstream{condition: condition{slowness: 9, faults: 0.9, seenAt: now}}, true},
+	}
+	for _, tt := range tests {
+		assert.Equal(t, tt.upstream.eligible(now), tt.want, "%s", tt.name)
+	}
+}
+
+func TestSlowStart(t *testing.T) {
+	tests := []struct {
+		name    string
+		kind    *kind
+		samples int
+		want    int
+	}{
+		{"new and declared", &declaredKind, 0, 1},
+		{"not yet warm", &declaredKind, warmSamples - 1, 1},
+		{"warm", &declaredKind, warmSamples, 4},
+		{"listed", &listedKind, 0, 4},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			u := Upstream{kind: tt.kind, latency: latency{samples: tt.samples}}
+			u.slots.set(4, 4)
+			n := 0
+			for u.hasSlot() {
+				u.slots.inUse++
+				n++
+			}
+			assert.Equal(t, n, tt.want)
+		})
+	}
+}
+
+func TestExpectedWait(t *testing.T) {
+	const ms = time.Millisecond
+	tests := []struct {
+		name    string
+		slots   slots
+		latency time.Duration
+		want    time.Duration
+	}{
+		{"no share here", slots{inUse: 3}, 8 * ms, 0},
+		{"a free slot", slots{share: 2, inUse: 1}, 8 * ms, 0},
+		{"all in use", slots{share: 2, inUse: 2}, 8 * ms, 4 * ms},
+		{"one waits", slots{share: 2, inUse: 2, queue: waiters{{}}}, 8 * ms, 8 * ms},
+		{"latency not known", slots{share: 2, inUse: 2}, 0, poolFallback / 2},
+	}
+	for _, tt := range tests {
+		u := Upstream{slots: tt.slots, latency: latency{smoothed: tt.latency}}
+		assert.Equal(t, u.expectedWait(newPool(poolWindow)), tt.want, "%s", tt.name)
+	}
+}
+
+func TestLinger(t *testing.T) {
+	tests := []struct {
+		name     string
+		upstream Upstream
+		want     bool
+	}{
+		{"listed", Upstream{kind: &listedKind}, true},
+		{"declared", Upstream{kind: &declaredKind}, false},
+		{"one lingers", Upstream{kind: &listedKind, stall: stall{lingering: true}}, false},
+		{"calls queue there", Upstream{kind: &listedKind, load: queueReport{perSlot: 0.25}}, false},
+	}
+	for _, tt := range tests {
+		assert.Equal(t, tt.upstream.linger(), tt.want, "%s", tt.name)
+		assert.Equal(t, tt.upstream.stall.lingering, tt.want || tt.name == "one lingers", "%s", tt.name)
+	}
+}
