--- a/tier/policy/admit.go
+++ b/tier/policy/admit.go
@@ -15,28 +15,6 @@
 	costWeight = 0.05
 )
 
-// classState is what the requests of a class share in one host.
-type classState struct {
-	// hedges and retries pay for the hedges and retries of its requests.
-	hedges, retries budget
-	// cost is the smoothed number of parts of a request; 0 before the first.
-	cost float64
-	// worth is the worth of a request as last configured.
-	worth float64
-	// inFlight counts the requests that were admitted and have no answer.
-	inFlight int
-}
-
-// class finds or makes the state of a class; the fleet is locked.
-func (f *Fleet) class(name string) *classState {
-	c := f.classes[name]
-	if c == nil {
-		c = &classState{hedges: budget{budgetStart}, retries: budget{budgetStart}}
-		f.classes[name] = c
-	}
-	return c
-}
-
 // Refusal is a request that was not run, with when to ask again.
 type Refusal struct {
 	Reason string
@@ -72,18 +50,6 @@
 	return nil
 }
 
-// density is the worth of a request for each upstream call that it takes.
-func (c *classState) density() float64 { return c.worth / max(c.cost, 1) }
-
-// topDensity is the density of the class that has the most.
-func (f *Fleet) topDensity() float64 {
-	top := 0.0
-	for _, c := range f.classes {
-		top = max(top, c.density())
-	}
-	return top
-}
-
 // expected counts the parts whose best upstream is expected to answer within the time
 // allowed, and gives the shortest expected time of the others, 0 if there are none. A
 // part without an upstream counts as in time: it is no overload, and the answer says
--- /dev/null
+++ b/tier/policy/classstate.go
@@ -0,0 +1,35 @@
+package policy
+
+// classState is what the requests of a class share in one host.
+type classState struct {
+	// hedges and retries pay for the hedges and retries of its requests.
+	hedges, retries budget
+	// cost is the smoothed number of parts of a request; 0 before the first.
+	cost float64
+	// worth is the worth of a request as last configured.
+	worth float64
+	// inFlight counts the requests that were admitted and have no answer.
+	inFlight int
+}
+
+// class finds or makes the state of a class; the fleet is locked.
+func (f *Fleet) class(name string) *classState {
+	c := f.classes[name]
+	if c == nil {
+		c = &classState{hedges: budget{budgetStart}, retries: budget{budgetStart}}
+		f.classes[name] = c
+	}
+	return c
+}
+
+// density is the worth of a request for each upstream call that it takes.
+func (c *classState) density() float64 { return c.worth / max(c.cost, 1) }
+
+// topDensity is the density of the class that has the most.
+func (f *Fleet) topDensity() float64 {
+	top := 0.0
+	for _, c := range f.classes {
+		top = max(top, c.density())
+	}
+	return top
+}
--- a/tier/policy/doc.go
+++ b/tier/policy/doc.go
@@ -43,8 +43,9 @@
 //   - rules on a request: placement.go says where it may go, coordinator.go which host
 //     carries it out, admit.go and retryafter.go whether it is refused and until when,
 //     margin.go what is kept back from its deadline; budget.go and retrybudget.go pay for
-//     its hedges and retries; quarantine.go judges it by what suspects.go remembers of
-//     its fingerprint.go and hosts exchange (crashreport.go)
+//     its hedges and retries, classstate.go holds what requests of a class share;
+//     quarantine.go judges it by what suspects.go remembers of its fingerprint.go and
+//     hosts exchange (crashreport.go)
 //   - what requests of a class and routed ones do differently: class.go and routed.go,
 //     behind rules.go
 //   - the run: run.go takes events, pick.go, hedge.go, retry.go and finish.go decide,
--- a/tier/policy/layers_test.go
+++ b/tier/policy/layers_test.go
@@ -15,7 +15,8 @@
 )
 
 // layers names the files of the package from the lowest layer up; those not named are
-// the top one. A file uses nothing of a higher layer, so that it can be read without it.
+// the top one, the run of a request. A file uses nothing of a higher layer, so that it
+// can be read without it.
 var layers = [][]string{
 	// What a call can end as, and single matters of an upstream.
 	{
@@ -24,6 +25,13 @@
 	},
 	// An upstream, which composes them, and the calls that wait for its slots.
 	{"slots.go", "queue.go", "upstream.go", "learn.go"},
+	// What a host knows of all upstreams and of all requests, and the rules that go by
+	// it.
+	{
+		"fleet.go", "calls.go", "acquire.go", "statuses.go", "conditions.go", "coldowner.go", "snapshot.go", "coordinator.go",
+		"placement.go", "margin.go", "plugin.go", "choose.go", "leastlatency.go", "admission.go", "budget.go", "retrybudget.go",
+		"fingerprint.go", "quarantine.go", "suspects.go", "crashreport.go", "classstate.go",
+	},
 }
 
 // TestLayers lists uses of a higher layer.
