--- a/tier/pass/outcome.go
+++ b/tier/pass/outcome.go
@@ -62,7 +62,7 @@
 	}
 	if q.view.Index != nil {
 		line = line.Uint64("Revision", q.view.Index.Revision).
-			Int64("PlatformAgeMillis", (k.Now() - q.view.PlatformHeard).Milliseconds())
+			Int64("PlatformAgeMillis", (k.Now() - q.view.PlatformReadAt).Milliseconds())
 	}
 	return line
 }
