--- a/tier/policy/cold.go
+++ b/tier/policy/cold.go
@@ -19,11 +19,11 @@
 	coldOwnerAge = 3 * time.Second
 )
 
-// Cold is what a share says of an upstream that may be cold: it started, or came back
+// Cold is what a share says about an upstream that may be cold: it started, or came back
 // from an evacuation, a moment ago and can handle only a few calls a second.
 type Cold struct {
-	// Left is how much longer it was cold when its entry of Revision was written.
-	Left time.Duration
+	// Remaining is how much longer it was cold when its entry of Revision was written.
+	Remaining time.Duration
 	// Revision is that of its entry in the directory.
 	Revision uint64
 	// Warmup is how long it may be cold after its hall was evacuated.
@@ -59,11 +59,11 @@
 	sentAt []time.Duration
 }
 
-// take takes in what a share says. An entry that arrives late counts as written just
+// update records what a share says. An entry that arrives late counts as written just
 // now.
-func (c *cold) take(now time.Duration, entry Cold) {
+func (c *cold) update(now time.Duration, entry Cold) {
 	if entry.Revision != c.entry.Revision {
-		c.until = now + entry.Left
+		c.until = now + entry.Remaining
 	}
 	if c.entry.Evacuated && !entry.Evacuated {
 		// It may have turned cold meanwhile, and says so only with its next
--- a/tier/policy/cold_test.go
+++ b/tier/policy/cold_test.go
@@ -25,7 +25,7 @@
 // coldFleet is a fleet with one cold upstream of this host's hall.
 func coldFleet(calls int) (*Fleet, *Upstream) {
 	f := NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(1, 2))})
-	share := Share{Name: "U", Slots: 100, Listed: true, Hall: "A", Near: true, Cold: Cold{Left: 10 * time.Second, Revision: 1, Calls: calls}}
+	share := Share{Name: "U", Slots: 100, Listed: true, Hall: "A", Near: true, Cold: Cold{Remaining: 10 * time.Second, Revision: 1, Calls: calls}}
 	f.Apply(time.Minute, []Share{share})
 	return f, f.Find("U")
 }
@@ -79,12 +79,12 @@
 		want    time.Duration
 	}{
 		{"warm", []Cold{{Revision: 1}}, 0},
-		{"cold", []Cold{{Revision: 1, Left: 3 * second}}, 3 * second},
-		{"the same entry twice", []Cold{{Revision: 1, Left: 3 * second}, {Revision: 1, Left: 3 * second}}, 3 * second},
-		{"warm again", []Cold{{Revision: 1, Left: 3 * second}, {Revision: 2}}, second},
-		{"turned cold", []Cold{{Revision: 1}, {Revision: 2, Left: 3 * second}}, 4 * second},
+		{"cold", []Cold{{Revision: 1, Remaining: 3 * second}}, 3 * second},
+		{"the same entry twice", []Cold{{Revision: 1, Remaining: 3 * second}, {Revision: 1, Remaining: 3 * second}}, 3 * second},
+		{"warm again", []Cold{{Revision: 1, Remaining: 3 * second}, {Revision: 2}}, second},
+		{"turned cold", []Cold{{Revision: 1}, {Revision: 2, Remaining: 3 * second}}, 4 * second},
 		{"back from an evacuation", []Cold{{Revision: 1, Evacuated: true}, {Revision: 1, Warmup: 3 * second}}, 4 * second},
-		{"back, and said to be cold for longer", []Cold{{Revision: 1, Evacuated: true}, {Revision: 2, Left: 5 * second, Warmup: 3 * second}}, 6 * second},
+		{"back, and said to be cold for longer", []Cold{{Revision: 1, Evacuated: true}, {Revision: 2, Remaining: 5 * second, Warmup: 3 * second}}, 6 * second},
 		{"back, then said to be warm", []Cold{{Evacuated: true}, {Warmup: 3 * second}, {Revision: 3, Warmup: 3 * second}}, 2 * second},
 		{"evacuated", []Cold{{Revision: 1}, {Revision: 1, Evacuated: true, Warmup: 3 * second}}, 0},
 	}
@@ -92,7 +92,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			var c cold
 			for i, entry := range tt.entries {
-				c.take(time.Duration(i)*second, entry)
+				c.update(time.Duration(i)*second, entry)
 			}
 			assert.Equal(t, c.until, tt.want)
 		})
--- a/tier/policy/condition.go
+++ b/tier/policy/condition.go
@@ -4,8 +4,8 @@
 
 // Constants of conditions.
 const (
-	// reportSlow is how many times slower than its like an upstream must be to be
-	// reported. Measured with reportFaults: from 1.6 and 0.15 on, reports were two in
+	// reportSlow is how many times slower than comparable upstreams one must be to
+	// be reported. Measured with reportFaults: from 1.6 and 0.15 on, reports were two in
 	// five bytes between halls (60 hosts in simulated time).
 	reportSlow = 3
 	// reportFaults is the share of calls without a usable answer from which on an
@@ -33,7 +33,7 @@
 // than others.
 type Condition struct {
 	Upstream string
-	// Slowness is how many times as long its calls take as like ones; 0 or more.
+	// Slowness is how many times as long its calls take as comparable ones, 0 or more.
 	Slowness int `json:",omitempty"`
 	// FaultPercent is the share of its calls that bring no usable answer, 0 to 100.
 	FaultPercent int `json:",omitempty"`
@@ -63,8 +63,8 @@
 // condition is how slow and how faulty an upstream is, by this host's own calls and
 // by the reports of its hall.
 type condition struct {
-	// slowness is the smoothed ratio of its calls' time to the median of like
-	// calls; 0 before the first call. Unlike the latency it does not depend on
+	// slowness is the smoothed ratio of its calls' time to the median of
+	// comparable calls; 0 before the first call. Unlike the latency it does not depend on
 	// which routes' calls it had last.
 	slowness float64
 	// faults is the smoothed share of calls that brought no usable answer, 0 to 1.
@@ -75,7 +75,7 @@
 	hall *hallConditions
 }
 
-// observeOutcome takes in how a call ended. Outcomes that say nothing of the upstream
+// observeOutcome records how a call ended. Outcomes that say nothing about the upstream
 // leave the share of faults as it is.
 func (c *condition) observeOutcome(now time.Duration, o CallOutcome) {
 	c.seenAt = now
@@ -87,7 +87,7 @@
 	}
 }
 
-// observeRatio takes in how many times as long a call took as like ones.
+// observeRatio records how many times as long a call took as comparable ones.
 func (c *condition) observeRatio(ratio, weight float64) {
 	if c.slowness == 0 {
 		c.slowness = ratio
--- a/tier/policy/fleet.go
+++ b/tier/policy/fleet.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// Share is this host's part of an upstream, and what the configuration says of it.
+// Share is this host's part of an upstream, and what the configuration says about it.
 type Share struct {
 	// Name is the name of the upstream; never empty.
 	Name string
@@ -84,7 +84,7 @@
 		u.kind, u.near, u.hall = kindOf(s.Listed), s.Near, s.Hall
 		if u.kind.inHall {
 			u.condition.hall = f.conditions.of(s.Hall)
-			u.cold.take(now, s.Cold)
+			u.cold.update(now, s.Cold)
 		}
 		next[s.Name] = u
 		granted = append(granted, u.grant(now)...)
--- a/tier/policy/latency.go
+++ b/tier/policy/latency.go
@@ -15,12 +15,12 @@
 type latency struct {
 	// smoothed is 0 before the first call.
 	smoothed time.Duration
-	// samples counts the latencies that were taken in.
+	// samples counts the latencies that were observed.
 	samples int
 }
 
-// observe takes in how long a call took. It returns what the call counted for, with
-// which weight.
+// observe records how long a call took. It returns the time that the call counted for,
+// and with which weight.
 func (l *latency) observe(took time.Duration, s smoothing) (counted time.Duration, weight float64) {
 	l.samples++
 	if l.smoothed == 0 {
--- a/tier/policy/learn.go
+++ b/tier/policy/learn.go
@@ -5,7 +5,7 @@
 // Call is a finished call, as reported to the fleet.
 type Call struct {
 	Upstream *Upstream
-	// Pool holds the latencies of like calls.
+	// Pool holds the latencies of comparable calls.
 	Pool    *Pool
 	Outcome CallOutcome
 	// Took is the time from dispatch to the outcome.
@@ -26,7 +26,7 @@
 func (u *Upstream) learn(now time.Duration, c Call) {
 	u.condition.observeOutcome(now, c.Outcome)
 	u.learnStall(now, c)
-	u.load.take(now, c.Load)
+	u.load.update(now, c.Load)
 	u.learnLatency(c)
 	u.learnHealth(now, c.Outcome)
 	u.compare(c.Pool)
@@ -50,7 +50,7 @@
 	}
 }
 
-// learnLatency takes in how long a call took, or how long it took at least.
+// learnLatency records how long a call took, or how long it took at least.
 func (u *Upstream) learnLatency(c Call) {
 	switch c.Outcome {
 	case CallOK:
@@ -103,7 +103,7 @@
 	s.borrowing.succeeded(s.ceiling - s.share)
 }
 
-// observe compares the time of a call with that of like calls.
+// observe compares the time of a call with that of comparable calls.
 func (u *Upstream) observe(d time.Duration, p *Pool) {
 	counted, weight := u.latency.observe(d, u.kind.smoothing)
 	u.condition.observeRatio(counted.Seconds()/p.median().Seconds(), weight)
--- a/tier/policy/leastlatency.go
+++ b/tier/policy/leastlatency.go
@@ -15,7 +15,7 @@
 )
 
 // leastLatency takes the listed upstream whose answer is expected first: by how it
-// compares with like ones, the calls ahead of a new one, and its faults.
+// compares with others, the calls ahead of a new one, and its faults.
 type leastLatency struct{}
 
 var _ chooser = leastLatency{}
--- a/tier/policy/load.go
+++ b/tier/policy/load.go
@@ -6,7 +6,7 @@
 // less as it gets older. Not measured.
 const loadLife = 300 * time.Millisecond
 
-// Load is what an upstream reports of its work.
+// Load is what an upstream reports about its work.
 type Load struct {
 	// Running and Waiting count its calls, Slots those that it runs at a time; 0
 	// slots for no report.
@@ -21,8 +21,8 @@
 	at      time.Duration
 }
 
-// take takes in what came with an answer.
-func (q *queueReport) take(now time.Duration, l Load) {
+// update records what came with an answer.
+func (q *queueReport) update(now time.Duration, l Load) {
 	if l.Slots > 0 {
 		q.perSlot, q.at = float64(l.Waiting)/float64(l.Slots), now
 	}
--- a/tier/policy/load_test.go
+++ b/tier/policy/load_test.go
@@ -24,7 +24,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			q := queueReport{}
-			q.take(now, tt.load)
+			q.update(now, tt.load)
 			assert.Equal(t, q.ahead(now+tt.age), tt.want)
 		})
 	}
@@ -33,7 +33,7 @@
 // TestQueueReportOutlastsAnswersWithoutOne has an answer come without a report.
 func TestQueueReportOutlastsAnswersWithoutOne(t *testing.T) {
 	q := queueReport{}
-	q.take(time.Minute, Load{Waiting: 4, Slots: 4})
-	q.take(time.Minute+loadLife/2, Load{})
+	q.update(time.Minute, Load{Waiting: 4, Slots: 4})
+	q.update(time.Minute+loadLife/2, Load{})
 	assert.Equal(t, q.ahead(time.Minute), 1.0)
 }
--- a/tier/policy/margin.go
+++ b/tier/policy/margin.go
@@ -29,7 +29,7 @@
 	known bool
 }
 
-// Observe takes in how long it took once.
+// Observe records how long it took once.
 func (m *Margin) Observe(took time.Duration) {
 	x := float64(took)
 	if !m.known {
--- a/tier/policy/pool.go
+++ b/tier/policy/pool.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// record takes a latency in.
+// record adds a latency.
 func (p *Pool) record(d time.Duration) {
 	// A value between the bounds of the histogram is never an error.
 	_ = p.current.RecordValue(min(max(d.Microseconds(), poolLowest), poolHighest))
--- a/tier/policy/slots.go
+++ b/tier/policy/slots.go
@@ -21,7 +21,7 @@
 	queue waiters
 }
 
-// set takes a new division of the upstream in.
+// set applies a new division of the upstream's slots.
 func (s *slots) set(share, ceiling int) {
 	s.share, s.ceiling = share, max(ceiling, share)
 	s.borrowing.bound(s.ceiling - s.share)
--- a/tier/policy/stall.go
+++ b/tier/policy/stall.go
@@ -7,7 +7,7 @@
 const (
 	// stalledFactor is how many latencies may pass without any answer until an
 	// upstream is considered unresponsive. Measured: 1.5 makes no difference; waiting
-	// for the 0.95 quantile of like calls costs 0.04 of worth.
+	// for the 0.95 quantile of comparable calls costs 0.04 of worth.
 	stalledFactor = 2
 	// stalledLeast is the least such time; it also holds while the latency is not
 	// known. Measured: to exempt unknown latencies changes worth by 0.002 (noise).
--- a/tier/policy/state_golden_test.go
+++ b/tier/policy/state_golden_test.go
@@ -79,7 +79,7 @@
 	s.MaxSlots = s.Slots + t.random.IntN(4)
 	s.Leaving = t.random.IntN(8) == 0
 	s.Cold = Cold{
-		Left: time.Duration(t.random.IntN(3)) * time.Second, Revision: uint64(t.random.IntN(5)),
+		Remaining: time.Duration(t.random.IntN(3)) * time.Second, Revision: uint64(t.random.IntN(5)),
 		Warmup: time.Duration(t.random.IntN(2)) * time.Second, Calls: t.random.IntN(12), Evacuated: t.random.IntN(6) == 0,
 	}
 	Deliver(t.fleet.Apply(t.now, t.shares))
--- a/tier/policy/status.go
+++ b/tier/policy/status.go
@@ -18,18 +18,18 @@
 	return w.Known && w.Oldest <= snapshot && snapshot <= w.Newest
 }
 
-// status is what an upstream last said of itself, with an answer or when its status
-// was read.
+// status is what an upstream last reported about itself, with an answer or when its
+// status was read.
 type status struct {
 	window Window
-	// heardAt is when it last said something; never before that.
+	// heardAt is when it last reported anything; never before that.
 	heardAt time.Duration
 	// readAt is when its status was last read; never before that.
 	readAt time.Duration
 }
 
-// take takes in what the upstream said. A window older than the one known came late.
-func (s *status) take(now time.Duration, w Window) {
+// update records what the upstream reported. A window older than the one known came late.
+func (s *status) update(now time.Duration, w Window) {
 	s.heardAt = now
 	if w.Known && (!s.window.Known || w.Newest >= s.window.Newest) {
 		s.window = w
--- a/tier/policy/status_test.go
+++ b/tier/policy/status_test.go
@@ -45,7 +45,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			s := status{heardAt: never}
 			for i, w := range tt.said {
-				s.take(time.Duration(i)*time.Second, w)
+				s.update(time.Duration(i)*time.Second, w)
 			}
 			assert.Equal(t, s.window, tt.want)
 			assert.Equal(t, s.heardAt, time.Duration(len(tt.said)-1)*time.Second)
--- a/tier/policy/statuses.go
+++ b/tier/policy/statuses.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// NoteStatus records what an upstream said of itself.
+// NoteStatus records what an upstream reported about itself.
 func (f *Fleet) NoteStatus(now time.Duration, u *Upstream, w Window, leaving bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	u.status.take(now, w)
+	u.status.update(now, w)
 	u.leaving = u.leaving || leaving
 }
 
-// SilentSince lists upstreams that have said nothing since a time, at most limit of
+// SilentSince lists upstreams that have reported nothing since a time, at most limit of
 // them: the one whose status was read longest ago first.
 func (f *Fleet) SilentSince(since time.Duration, limit int) []string {
 	f.mu.Lock()
--- a/tier/policy/upstream.go
+++ b/tier/policy/upstream.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// Upstream is what this host knows of one back end: what its own calls have shown,
-// what the upstream says of itself, and what other hosts report of it. Each matter is
-// a type of its own. Its fields belong to the fleet and are used with the fleet locked.
+// Upstream is what this host knows about one upstream: what its own calls have shown,
+// what the upstream reports about itself, and what other hosts report about it. Each
+// matter is a type of its own. The fields belong to the fleet and are used with the
+// fleet locked.
 type Upstream struct {
 	// Name is the name in the document or in the directory.
 	Name string
