--- a/tier/policy/cold.go
+++ b/tier/policy/cold.go
@@ -9,21 +9,21 @@
 // Constants of cold upstreams.
 const (
 	// coldOwners is how many hosts may believe at a time that they are the owner: one
-	// that was frozen or cut off from its hall does not know of the next.
+	// that was frozen or cut off from its hall does not know of the next. Not measured.
 	coldOwners = 2
-	// coldWindow is the time within which calls to a cold upstream are counted; the
-	// document gives their rate by the second.
+	// coldWindow is the time within which calls to a cold upstream are counted: the
+	// configuration gives their rate by the second.
 	coldWindow = time.Second
 	// coldOwnerAge is the age of the process before which a host is no owner: for its
 	// first heartbeats it knows no other host and would own everything. Not measured.
 	coldOwnerAge = 3 * time.Second
 )
 
-// Cold is what a share says of an upstream that may be cold: it started, or came back
+// Cold is what a share says about an upstream that may be cold: it started, or came back
 // from an evacuation, a moment ago and can handle only a few calls a second.
 type Cold struct {
-	// Left is how much longer it was cold when its entry of Revision was written.
-	Left time.Duration
+	// Remaining is how much longer it was cold when its entry of Revision was written.
+	Remaining time.Duration
 	// Revision is that of its entry in the directory.
 	Revision uint64
 	// Warmup is how long it may be cold after its hall was evacuated.
@@ -46,24 +46,24 @@
 }
 
 // cold is whether an upstream is cold, and which host may call it meanwhile. It is
-// cold until its warm-up has passed; calls to it are bounded only if its group says
-// how many it can handle.
+// cold until its warm-up has passed. While it is cold it is throttled if its group says
+// how many calls it can handle: one host makes all its calls, so many a second.
 type cold struct {
 	// entry is what its share last said.
 	entry Cold
 	// until is when it will have warmed up.
 	until time.Duration
-	// owner is the host that makes the calls while they are bounded; empty for none.
+	// owner is the host that makes the calls while it is throttled; empty for none.
 	owner string
 	// sentAt is when this host sent it the last calls, at most limit of them.
 	sentAt []time.Duration
 }
 
-// take takes in what a share says. An entry that arrives late counts as written just
+// update records what a share says. An entry that arrives late counts as written just
 // now.
-func (c *cold) take(now time.Duration, entry Cold) {
+func (c *cold) update(now time.Duration, entry Cold) {
 	if entry.Revision != c.entry.Revision {
-		c.until = now + entry.Left
+		c.until = now + entry.Remaining
 	}
 	if c.entry.Evacuated && !entry.Evacuated {
 		// It may have turned cold meanwhile, and says so only with its next
@@ -76,12 +76,12 @@
 // active reports whether the upstream is cold now.
 func (c *cold) active(now time.Duration) bool { return now < c.until }
 
-// bounded reports whether calls to the upstream are bounded now.
-func (c *cold) bounded(now time.Duration) bool { return c.entry.Calls > 0 && c.active(now) }
+// throttled reports whether the upstream is cold and its calls are bounded.
+func (c *cold) throttled(now time.Duration) bool { return c.entry.Calls > 0 && c.active(now) }
 
 // ownerAt is the host that makes the calls now; empty if any may.
 func (c *cold) ownerAt(now time.Duration) string {
-	if !c.bounded(now) {
+	if !c.throttled(now) {
 		return ""
 	}
 	return c.owner
--- a/tier/policy/hedge.go
+++ b/tier/policy/hedge.go
@@ -62,9 +62,9 @@
 	switch {
 	case u == nil:
 		return nil, HedgeNoUpstream
-	case u.cold.bounded(now):
+	case u.cold.throttled(now):
 		return nil, HedgeCold
-	case !u.free():
+	case !u.hasSlot():
 		return nil, HedgeNoSlot
 	case !r.rules.payHedge(i, &r.parts[i]):
 		return nil, HedgeNoBudget
@@ -76,10 +76,10 @@
 // hedgeTarget is the upstream that may get the hedge of a part: the best eligible one
 // that was not asked, else the same one again, else any that was not asked.
 func (r *Run) hedgeTarget(now time.Duration, i int) *Upstream {
-	if u := r.pick(now, i, onlyEligible); u != nil && u.free() {
+	if u := r.pick(now, i, onlyEligible); u != nil && u.hasSlot() {
 		return u
 	}
-	if u := r.attempts[r.parts[i].live[0]].upstream; r.rules.hedgesAtSame() && u.free() && u.eligible(now) {
+	if u := r.attempts[r.parts[i].live[0]].upstream; r.rules.hedgesAtSame() && u.hasSlot() && u.eligible(now) {
 		return u
 	}
 	return r.pick(now, i, anyUpstream)
@@ -135,7 +135,7 @@
 		return out
 	}
 	for _, u := range r.parts[i].replicas {
-		if !u.outlier.probeDue(now) || u.leaving || u.ejection.active(now) || !u.free() {
+		if !u.outlier.probeDue(now) || u.leaving || u.ejection.active(now) || !u.hasSlot() {
 			continue
 		}
 		if u == r.attempts[r.parts[i].live[0]].upstream || !r.fleet.class(r.request.Class.Name).hedges.take() {
--- a/tier/policy/status_test.go
+++ b/tier/policy/status_test.go
@@ -45,7 +45,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			s := status{heardAt: never}
 			for i, w := range tt.said {
-				s.take(time.Duration(i)*time.Second, w)
+				s.update(time.Duration(i)*time.Second, w)
 			}
 			assert.Equal(t, s.window, tt.want)
 			assert.Equal(t, s.heardAt, time.Duration(len(tt.said)-1)*time.Second)
@@ -59,12 +59,12 @@
 	f := NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(1, 0))})
 	f.Apply(0, []Share{{Name: "A", Slots: 1}, {Name: "B", Slots: 1}, {Name: "C", Slots: 1}})
 	second := time.Second
-	assert.DeepEqual(t, f.Unheard(second, 9), []string{"A", "B", "C"})
-	assert.DeepEqual(t, f.Unheard(second, 2), []string{"A", "B"})
-	f.Asked(second, "A")
-	f.Asked(second, "None")
-	assert.DeepEqual(t, f.Unheard(second, 9), []string{"B", "C", "A"})
-	f.Note(2*second, f.Find("B"), Window{}, true)
-	assert.DeepEqual(t, f.Unheard(second, 9), []string{"C", "A"})
+	assert.DeepEqual(t, f.SilentSince(second, 9), []string{"A", "B", "C"})
+	assert.DeepEqual(t, f.SilentSince(second, 2), []string{"A", "B"})
+	f.NoteStatusRead(second, "A")
+	f.NoteStatusRead(second, "None")
+	assert.DeepEqual(t, f.SilentSince(second, 9), []string{"B", "C", "A"})
+	f.NoteStatus(2*second, f.Find("B"), Window{}, true)
+	assert.DeepEqual(t, f.SilentSince(second, 9), []string{"C", "A"})
 	assert.DeepEqual(t, f.Leaving(), []string{"B"})
 }
