--- a/tier/entry/client.go
+++ b/tier/entry/client.go
@@ -84,25 +84,10 @@
 	}
 	defer answer.Body.Close()
 	out.status = answer.StatusCode
-	out.body, out.err = readAll(answer)
+	out.body, out.err = wire.ReadBody(answer, wire.MaxReply)
 	return out
 }
 
-func readAll(answer *http.Response) ([]byte, error) {
-	if answer.ContentLength > wire.MaxReply {
-		return nil, wire.ErrTooLarge
-	}
-	var b bytes.Buffer
-	if answer.ContentLength > 0 {
-		b.Grow(int(answer.ContentLength) + bytes.MinRead)
-	}
-	n, err := b.ReadFrom(io.LimitReader(answer.Body, wire.MaxReply+1))
-	if err == nil && n > wire.MaxReply {
-		err = wire.ErrTooLarge
-	}
-	return b.Bytes(), err
-}
-
 // classify returns what a reply means for the call with an identity. Only a reply
 // with the call's own identity counts, refusals included.
 func classify(r *reply, id wire.Identity, snapshot uint64) (policy.CallOutcome, *wire.PartReply) {
--- a/tier/pass/call.go
+++ b/tier/pass/call.go
@@ -5,7 +5,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"net/http"
 	"strconv"
 	"strings"
@@ -18,6 +17,7 @@
 	"loomgap/tier/kernel"
 	"loomgap/tier/policy"
 	"loomgap/tier/runner"
+	"loomgap/tier/wire"
 )
 
 const (
@@ -36,11 +36,8 @@
 	ownHeaderBytes = 128
 )
 
-// Errors of upstream answers.
-var (
-	errCrossed  = errors.New("answer belongs to another request")
-	errTooLarge = errors.New("answer is too large")
-)
+// errCrossed means that an answer is not that of the call it was read for.
+var errCrossed = errors.New("answer belongs to another request")
 
 // answer is an upstream's whole answer, or one part of a block.
 type answer struct {
@@ -204,7 +201,7 @@
 		return nil, false, err
 	}
 	defer r.Body.Close()
-	body, err := readBody(r)
+	body, err := wire.ReadBody(r, maxAnswer)
 	if err != nil {
 		return nil, false, err
 	}
@@ -213,25 +210,6 @@
 	return &answer{status: r.StatusCode, header: r.Header, body: body}, keep, nil
 }
 
-func readBody(r *http.Response) ([]byte, error) {
-	if r.ContentLength > maxAnswer {
-		return nil, errTooLarge
-	}
-	if r.ContentLength >= 0 {
-		body := make([]byte, r.ContentLength)
-		if r.Body == http.NoBody {
-			return body[:0], nil
-		}
-		_, err := io.ReadFull(r.Body, body)
-		return body, err
-	}
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxAnswer+1))
-	if err == nil && len(body) > maxAnswer {
-		err = errTooLarge
-	}
-	return body, err
-}
-
 // noteKeepAlive takes in how long the upstream keeps an idle connection.
 func (n *conn) noteKeepAlive(h http.Header) {
 	_, after, found := strings.Cut(h.Get("Keep-Alive"), "timeout=")
@@ -252,7 +230,7 @@
 	switch {
 	case r.err != nil && !r.sent:
 		return runner.Reply[*answer]{Outcome: policy.CallUnreachable}
-	case errors.Is(r.err, errCrossed) || errors.Is(r.err, errTooLarge):
+	case errors.Is(r.err, errCrossed) || errors.Is(r.err, wire.ErrTooLarge):
 		return runner.Reply[*answer]{Outcome: policy.CallGarbage}
 	case r.err != nil:
 		return runner.Reply[*answer]{Outcome: policy.CallBroken}
--- a/tier/wire/wire.go
+++ b/tier/wire/wire.go
@@ -11,6 +11,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"net/http"
 
 	"github.com/go-json-experiment/json"
 
@@ -232,6 +233,25 @@
 	Part    PartReply
 }
 
+// ReadBody reads the body of an answer, which has at most so many bytes.
+func ReadBody(r *http.Response, most int64) ([]byte, error) {
+	switch {
+	case r.ContentLength > most:
+		return nil, ErrTooLarge
+	case r.Body == http.NoBody:
+		return []byte{}, nil
+	case r.ContentLength >= 0:
+		body := make([]byte, r.ContentLength)
+		_, err := io.ReadFull(r.Body, body)
+		return body, err
+	}
+	body, err := io.ReadAll(io.LimitReader(r.Body, most+1))
+	if err == nil && int64(len(body)) > most {
+		err = ErrTooLarge
+	}
+	return body, err
+}
+
 // Decode reads one JSON value of at most limit bytes.
 func Decode(r io.Reader, limit int64, v any) error {
 	text, err := io.ReadAll(io.LimitReader(r, limit+1))
