--- a/tier/entry/ask.go
+++ b/tier/entry/ask.go
@@ -106,8 +106,7 @@
 		take: func(p *wire.PartReply) { merger.Add(p.Count, p.Rows) },
 	}
 	result, err := e.run(ctx, c, q, replicas, true)
-	var refusal *policy.Refusal
-	if errors.As(err, &refusal) {
+	if refusal, refused := errors.AsType[*policy.Refusal](err); refused {
 		return e.refuse(q.id, q.class.Name, refusal.Reason, refusal.RetryAfter), nil
 	}
 	if err != nil {
@@ -139,7 +138,7 @@
 	result, _, err := runner.Run(ctx, runner.Config[*wire.PartReply]{
 		Kernel: e.kernel, Caller: c,
 		Run: policy.RunConfig{
-			Fleet: e.kernel.Fleet, Pool: e.pool(q.service.Name), Class: q.class, Deadline: q.deadline,
+			Fleet: e.kernel.Fleet, Pool: e.kernel.Fleet.Pool(q.service.Name), Class: q.class, Deadline: q.deadline,
 			Replicas: replicas, Snapshot: c.snapshot, Repeatable: repeatable, Subject: q.subject,
 		},
 	}, giveUp)
--- a/tier/entry/engine.go
+++ b/tier/entry/engine.go
@@ -3,14 +3,12 @@
 import (
 	"context"
 	"strconv"
-	"sync"
 	"sync/atomic"
 
 	"go.opentelemetry.io/otel/attribute"
 
 	entrygen "loomgap/tier/gen/entry"
 	"loomgap/tier/kernel"
-	"loomgap/tier/policy"
 )
 
 // engine serves requests. It is safe for concurrent use.
@@ -24,8 +22,6 @@
 	endpoints atomic.Pointer[map[string]*endpoint]
 	// basis is what the endpoints were made from; used on the control thread only.
 	basis basis
-	// pools caches the latency pool of each service by name.
-	pools sync.Map
 	// requests counts the request IDs given out.
 	requests atomic.Uint64
 }
@@ -51,16 +47,6 @@
 	}
 }
 
-// pool returns the latencies of a service's calls.
-func (e *engine) pool(service string) *policy.Pool {
-	if p, ok := e.pools.Load(service); ok {
-		return p.(*policy.Pool)
-	}
-	p := e.kernel.Fleet.Pool(service)
-	e.pools.Store(service, p)
-	return p
-}
-
 // requestID returns an ID that no other request of any host has.
 func (e *engine) requestID() string {
 	return e.kernel.Settings.Host + "-" + e.kernel.Settings.Incarnation + "-" + strconv.FormatUint(e.requests.Add(1), 36)
--- a/tier/entry/relay.go
+++ b/tier/entry/relay.go
@@ -86,7 +86,7 @@
 	}
 	now := e.kernel.Now()
 	policy.Deliver(e.kernel.Fleet.Finish(now, policy.Call{
-		Upstream: u, Pool: e.pool(x.service), Outcome: outcome, Took: now - started,
+		Upstream: u, Pool: e.kernel.Fleet.Pool(x.service), Outcome: outcome, Took: now - started,
 	}))
 	return outcome, part
 }
--- a/tier/entry/service.go
+++ b/tier/entry/service.go
@@ -79,20 +79,17 @@
 // fault gives an error its body: the service's own have kind and remedy, those
 // of the generated decoder get them here.
 func fault(_ context.Context, err error) goahttp.Statuser {
-	var own *entrygen.Fault
-	if errors.As(err, &own) {
+	if own, ok := errors.AsType[*entrygen.Fault](err); ok {
 		return &faultBody{Kind: own.Kind, Message: own.Message, status: statusOf(own.Kind)}
 	}
-	var ops *opsgen.Fault
-	if errors.As(err, &ops) {
+	if ops, ok := errors.AsType[*opsgen.Fault](err); ok {
 		return &faultBody{Kind: ops.Kind, Message: ops.Message, status: statusOf(ops.Kind)}
 	}
 	// The decoder keeps only the text of the error of http.MaxBytesReader.
 	if strings.Contains(err.Error(), tooLarge) {
 		return &faultBody{Kind: "Invalid", Message: fmt.Sprintf("body over %d bytes: send a shorter statement", wire.MaxBody), status: http.StatusRequestEntityTooLarge}
 	}
-	var g *goa.ServiceError
-	if errors.As(err, &g) && !g.Fault {
+	if g, ok := errors.AsType[*goa.ServiceError](err); ok && !g.Fault {
 		return &faultBody{Kind: "Invalid", Message: g.Message + ": correct the field; docs/PROTOCOLS.md has the format", status: http.StatusBadRequest}
 	}
 	return &faultBody{Kind: "Internal", Message: "the host failed to answer: ask again, and give operators the time", status: http.StatusInternalServerError}
--- a/tier/kernel/handler.go
+++ b/tier/kernel/handler.go
@@ -47,21 +47,19 @@
 // errNoPush means that Push was called outside of a call from another host.
 var errNoPush = errors.New("no connection to push on: push only while serving a call of another host")
 
-// pushFunc sends the caller of a method a message before the answer.
-type pushFunc func(method string, params any) error
-
+// pushKey is the key under which a context has what WithPush gave it.
 type pushKey struct{}
 
 // WithPush gives the handler of a call a function by which Push sends its caller a
 // message before the answer.
 func WithPush(ctx context.Context, push func(method string, params any) error) context.Context {
-	return context.WithValue(ctx, pushKey{}, pushFunc(push))
+	return context.WithValue(ctx, pushKey{}, push)
 }
 
 // Push sends the caller of the method that is being served a message, which the
 // caller's handler of that other method gets. It may be handled after the answer.
 func Push(ctx context.Context, method string, params any) error {
-	push, ok := ctx.Value(pushKey{}).(pushFunc)
+	push, ok := ctx.Value(pushKey{}).(func(method string, params any) error)
 	if !ok {
 		return errNoPush
 	}
--- a/tier/pass/call.go
+++ b/tier/pass/call.go
@@ -128,7 +128,7 @@
 	if !keep {
 		_ = n.Close()
 		if err != nil && n.reused && l.now()-started >= silentCallBound {
-			l.closeIdleBefore(started)
+			l.closeIdle(func(c *conn) bool { return c.idleSince < started })
 		}
 		return result{answer: a, sent: true, err: err, crowded: !n.reused && errors.Is(err, syscall.ECONNRESET)}
 	}
--- a/tier/pass/conn.go
+++ b/tier/pass/conn.go
@@ -144,21 +144,12 @@
 	})
 }
 
-// closeIdleBefore closes the connections that have been idle since before a call that got
-// no answer.
-func (l *link) closeIdleBefore(since time.Duration) {
-	l.closeIdle(func(c *conn) bool { return c.idleSince < since })
-}
-
 // close closes the idle connections; calls under way go on.
 func (l *link) close() {
 	l.mu.Lock()
-	defer l.mu.Unlock()
 	l.closed = true
-	for _, c := range l.idle {
-		_ = c.Close()
-	}
-	l.idle = nil
+	l.mu.Unlock()
+	l.closeIdle(func(*conn) bool { return true })
 }
 
 // checkIdle fails if the upstream closed the connection or sent bytes that nobody asked
--- a/tier/pass/relay_server.go
+++ b/tier/pass/relay_server.go
@@ -307,7 +307,10 @@
 			return
 		case <-b.changed:
 			now = b.engine.kernel.Now()
-			if delay, due := b.replyDelay(firstWasDue); due && now+delay < until {
+			b.mu.Lock()
+			delay, due := b.unreported.replyDelay(firstWasDue)
+			b.mu.Unlock()
+			if due && now+delay < until {
 				until = now + delay
 				timer.Reset(delay)
 			}
@@ -315,12 +318,6 @@
 	}
 }
 
-func (b *servedBatch) replyDelay(firstWasDue bool) (delay time.Duration, due bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.unreported.replyDelay(firstWasDue)
-}
-
 // neverArrived reports whether an error proves that a message did not reach its host,
 // so that nothing was begun there.
 func neverArrived(err error) bool { return errors.Is(err, peers.ErrNoPeer) }
--- a/tier/runner/runner.go
+++ b/tier/runner/runner.go
@@ -99,18 +99,12 @@
 	e.mu.Lock()
 	now := e.kernel.Now()
 	granted := e.perform(event(now))
-	e.schedule(now)
-	e.mu.Unlock()
-	policy.Deliver(granted)
-}
-
-// schedule brings the timer forward if the run wants to be woken earlier.
-func (e *execution[R]) schedule(now time.Duration) {
-	next := e.run.Next()
-	if e.timer != nil && next < e.wakeAt {
+	if next := e.run.Next(); e.timer != nil && next < e.wakeAt {
 		e.wakeAt = next
 		e.timer.Reset(max(next-now, 0))
 	}
+	e.mu.Unlock()
+	policy.Deliver(granted)
 }
 
 // granted passes on that a queued attempt has its slot.
