--- a/tier/entry/call.go
+++ b/tier/entry/call.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"errors"
+	"fmt"
 	"net/http"
 	"strconv"
 	"time"
@@ -9,6 +11,7 @@
 	"go.opentelemetry.io/otel/attribute"
 	"go.opentelemetry.io/otel/trace"
 
+	"loomgap/tier/peers"
 	"loomgap/tier/policy"
 	"loomgap/tier/runner"
 	"loomgap/tier/wire"
@@ -97,3 +100,80 @@
 	}
 	return outcome, part
 }
+
+// methodRelay is the peer method for a call on another host's behalf.
+const methodRelay = "Relay"
+
+// sendRelay has the host that holds an upstream's slots make a call. It is sent
+// once: after it may have left, only the owner's reply tells what became of it.
+func (e *engine) sendRelay(ctx context.Context, owner string, x *upstreamCall) (policy.CallOutcome, *wire.PartReply) {
+	ctx, span := e.kernel.Tracer.Start(ctx, "relay", trace.WithSpanKind(trace.SpanKindClient))
+	defer span.End()
+	span.SetAttributes(attribute.String("Owner", owner), attribute.String("Upstream", x.upstream))
+	in := wire.RelayRequest{
+		Upstream: x.upstream, Service: x.service, Path: x.path, Body: string(x.body), Identity: x.id,
+		Snapshot: x.snapshot, DeadlineMillis: (x.deadline - e.kernel.Now()).Milliseconds(), Trace: wire.TraceOf(ctx),
+	}
+	var out wire.RelayReply
+	err := e.kernel.Peers.Call(ctx, owner, methodRelay, in, &out)
+	switch {
+	case errors.Is(err, peers.ErrNoPeer):
+		return policy.CallUnreachable, nil
+	case err != nil:
+		return policy.CallBroken, nil
+	case policy.CallOutcome(out.Outcome) != policy.CallOK:
+		return policy.CallOutcome(out.Outcome), nil
+	case out.Part.Identity != x.id || x.snapshot > 0 && out.Part.Snapshot != x.snapshot:
+		return dropped("crossed"), nil
+	}
+	return policy.CallOK, &out.Part
+}
+
+// maxRelay bounds the time that another host may ask for: the longest deadline that
+// a class may have.
+const maxRelay = 10 * time.Minute
+
+// serveRelay makes a call that another host sent with sendRelay.
+func (e *engine) serveRelay(ctx context.Context, in *wire.RelayRequest) (any, error) {
+	if in.Path != wire.PathPart && in.Path != wire.PathPlace {
+		return nil, fmt.Errorf("bad relay path %q: use %s or %s", in.Path, wire.PathPart, wire.PathPlace)
+	}
+	e.kernel.InFlight.Add(1)
+	defer e.kernel.InFlight.Add(-1)
+	ctx = wire.TraceInto(ctx, in.Trace)
+	left := min(time.Duration(in.DeadlineMillis)*time.Millisecond, maxRelay)
+	x := &upstreamCall{
+		upstream: in.Upstream, service: in.Service, path: in.Path, id: in.Identity,
+		body: []byte(in.Body), snapshot: in.Snapshot, deadline: e.kernel.Now() + left,
+	}
+	outcome, part := e.callWithinSlots(ctx, x)
+	out := wire.RelayReply{Outcome: string(outcome)}
+	if part != nil {
+		out.Part = *part
+	}
+	return out, nil
+}
+
+// callWithinSlots makes a call for another host once this host has a free slot of the
+// upstream. It is shed if none becomes free before the deadline.
+func (e *engine) callWithinSlots(ctx context.Context, x *upstreamCall) (policy.CallOutcome, *wire.PartReply) {
+	u := e.kernel.Fleet.Find(x.upstream)
+	p := e.endpoint(x.upstream)
+	if u == nil || p == nil || p.owner != "" {
+		// The hosts' views differ for now; the other tries again elsewhere.
+		return policy.CallShed, nil
+	}
+	if !e.kernel.Fleet.Acquire(ctx, u, x.deadline, e.kernel.Now) {
+		return policy.CallShed, nil
+	}
+	started := e.kernel.Now()
+	outcome, part := policy.CallNotSent, (*wire.PartReply)(nil)
+	if e.kernel.Awake() && started < x.deadline {
+		outcome, part = e.call(ctx, x)
+	}
+	now := e.kernel.Now()
+	policy.Deliver(e.kernel.Fleet.Finish(now, policy.Call{
+		Upstream: u, Pool: e.kernel.Fleet.Pool(x.service), Outcome: outcome, Took: now - started,
+	}))
+	return outcome, part
+}
--- a/tier/entry/doc.go
+++ b/tier/entry/doc.go
@@ -13,7 +13,7 @@
 // order.go, which asks ticket.go whether it may run. endpoint.go follows the
 // configuration: it divides the slots of the upstreams among the hosts of the
 // data hall. A host without a slot of an upstream calls it through the host that
-// has them (relay.go). status.go reads what upstreams say of themselves.
+// has them (sendRelay). status.go reads what upstreams say of themselves.
 //
 // Requests are served on goroutines of their own. Only endpoint.go, and the jobs
 // that status.go hands to the kernel, run on the control thread.
--- a/tier/pass/doc.go
+++ b/tier/pass/doc.go
@@ -20,12 +20,12 @@
 // Begin reading at ServeHTTP in serve.go, which lists the stages. Each has its file,
 // and a request passes them from top to bottom:
 //
-//	serve.go              the stages
+//	serve.go              the request and its stages
 //	start.go              wait for the first configuration
-//	inbound.go            find the route, read the request; header.go what is passed on
+//	inbound.go            find the route, read the request, and what of it is passed on
 //	refuse.go             refuse, with each Retry-After
 //	coordinate_client.go  hand a gather over to a coordinator (coordinators.go)
-//	plan.go               which upstreams may answer; split.go which group
+//	plan.go               which upstreams may answer, and which group of a split
 //	run.go                make the calls; admit.go whether a call may be sent
 //	call.go               one call to an upstream, on a connection of conn.go
 //	relay_client.go       calls to another hall, through a relay there
