--- a/tier/entry/endpoint.go
+++ b/tier/entry/endpoint.go
@@ -12,7 +12,6 @@
 
 // endpoint is how this host reaches one upstream of its data hall.
 type endpoint struct {
-	upstream    config.Upstream
 	connections int
 	client      *client
 	// owner is the host that calls on this one's behalf; empty if this host
@@ -56,17 +55,17 @@
 	shares := peers.Shares(v, s)
 	for i := range shares {
 		u := v.Index.Upstream(shares[i].Name)
-		n := old[u.Name]
-		connections := max(u.Connections/len(hosts), 1)
-		owner := ""
+		p := &endpoint{connections: max(u.Connections/len(hosts), 1)}
 		if shares[i].Slots == 0 {
-			owner = peers.Owner(u.Name, hosts)
+			p.owner = peers.Owner(u.Name, hosts)
 			shares[i].Slots = u.Slots // the owner keeps to the slots
 		}
-		if n == nil || n.upstream.Address != u.Address || n.connections != connections {
-			n = &endpoint{upstream: *u, connections: connections, client: newClient(u, connections)}
+		if o := old[u.Name]; o != nil && o.client.address == u.Address && o.connections == p.connections {
+			p.client = o.client
+		} else {
+			p.client = newClient(u, p.connections)
 		}
-		next[u.Name] = &endpoint{upstream: *u, connections: connections, client: n.client, owner: owner}
+		next[u.Name] = p
 	}
 	granted := e.kernel.Fleet.Apply(e.kernel.Now(), shares)
 	e.endpoints.Store(&next)
--- a/tier/entry/serve.go
+++ b/tier/entry/serve.go
@@ -54,8 +54,7 @@
 
 func (plugin) Run(ctx context.Context, k *kernel.Kernel) (func(), error) {
 	engine, closeEngine := newEngine(k)
-	r := &statusReader{kernel: k, engine: engine}
-	stopStatus := kernel.RunLoops(ctx, r.loop)
+	stopStatus := kernel.RunLoops(ctx, (&statusReader{engine}).loop)
 	mux := goahttp.NewMuxer()
 	endpoints := entrygen.NewEndpoints(&service{engine: engine})
 	server.New(endpoints, mux, goahttp.RequestDecoder, goahttp.ResponseEncoder, nil, fault).Mount(mux)
--- a/tier/entry/status.go
+++ b/tier/entry/status.go
@@ -37,10 +37,7 @@
 // statusReader reads the status endpoints of upstreams. What they report is a hint:
 // it brings the snapshots held and signs of leaving, and is never taken as evidence
 // that an upstream is healthy.
-type statusReader struct {
-	kernel *kernel.Kernel
-	engine *engine
-}
+type statusReader struct{ *engine }
 
 // loop reads until the context ends.
 func (r *statusReader) loop(ctx context.Context) {
@@ -92,7 +89,7 @@
 // many upstreams there are. While the host starts it reads all, later a few a
 // round: an upstream that is called reports with each reply.
 func (r *statusReader) round(ctx context.Context) int {
-	endpoints := *r.engine.endpoints.Load()
+	endpoints := *r.endpoints.Load()
 	now, limit := r.kernel.Now(), statusPerRound
 	if r.kernel.Phase() == kernel.PhaseStarting {
 		limit = len(endpoints)
--- a/tier/entry/successor.go
+++ b/tier/entry/successor.go
@@ -81,10 +81,9 @@
 
 // adoptedTickets holds the tickets of processes that stopped as planned.
 type adoptedTickets struct {
-	mu  sync.Mutex
-	all map[string]*ticketStore
-	// order lists the processes by when they were adopted.
-	order []string
+	mu sync.Mutex
+	// stores has one for each process, by when they were adopted.
+	stores []*ticketStore
 }
 
 // processOf names the process that minted a ticket.
@@ -94,7 +93,17 @@
 func (a *adoptedTickets) find(process string) *ticketStore {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.all[process]
+	return a.held(process)
+}
+
+// held is find with mu held.
+func (a *adoptedTickets) held(process string) *ticketStore {
+	for _, t := range a.stores {
+		if processOf(t.Host, t.Incarnation) == process {
+			return t
+		}
+	}
+	return nil
 }
 
 // open returns the tickets of a process, made empty at first; the oldest process
@@ -102,20 +111,11 @@
 func (a *adoptedTickets) open(host, incarnation string, life time.Duration) *ticketStore {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	process := processOf(host, incarnation)
-	if t := a.all[process]; t != nil {
-		return t
+	t := a.held(processOf(host, incarnation))
+	if t == nil {
+		t = newTicketStore(ticketsConfig{Host: host, Incarnation: incarnation, Life: life})
+		a.stores = append(a.stores[max(len(a.stores)+1-maxAdopted, 0):], t)
 	}
-	if len(a.order) >= maxAdopted {
-		delete(a.all, a.order[0])
-		a.order = a.order[1:]
-	}
-	t := newTicketStore(ticketsConfig{Host: host, Incarnation: incarnation, Life: life})
-	if a.all == nil {
-		a.all = map[string]*ticketStore{}
-	}
-	a.all[process] = t
-	a.order = append(a.order, process)
 	return t
 }
 
@@ -123,11 +123,7 @@
 func (a *adoptedTickets) list() []*ticketStore {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	var out []*ticketStore
-	for _, p := range a.order {
-		out = append(out, a.all[p])
-	}
-	return out
+	return slices.Clone(a.stores)
 }
 
 // serveAdopt adopts the tickets that another host sent with hand.
--- a/tier/pass/answer.go
+++ b/tier/pass/answer.go
@@ -25,10 +25,8 @@
 		q.write(w, a.status, a.header, a.body)
 	case r.Ran == 0 && !r.Unknown && q.answers.failure == nil:
 		q.refuse(w, "no upstream took it: "+string(r.Reasons[0]), q.retryUpstream())
-	case q.engine.kernel.Now() >= q.times.deadline:
-		q.fail(w, http.StatusGatewayTimeout, outcomeLate, r)
 	default:
-		q.fail(w, http.StatusBadGateway, outcomeUnknown, r)
+		q.fail(w, outcomeUnknown, r)
 	}
 }
 
@@ -54,10 +52,8 @@
 		q.write(w, http.StatusOK, h, records)
 	case r.Ran == 0:
 		q.refuse(w, "no upstream took it", q.retryUpstream())
-	case q.engine.kernel.Now() >= q.times.deadline:
-		q.fail(w, http.StatusGatewayTimeout, outcomeLate, r)
 	default:
-		q.fail(w, http.StatusBadGateway, outcomeBelowCoverage, r)
+		q.fail(w, outcomeBelowCoverage, r)
 	}
 }
 
@@ -86,8 +82,13 @@
 	}
 }
 
-// fail answers that the request may have run and has no answer.
-func (q *request) fail(w http.ResponseWriter, status int, o outcome, r *policy.Result) {
+// fail answers that the request may have run and has no answer: because the deadline has
+// passed, or as the outcome says.
+func (q *request) fail(w http.ResponseWriter, o outcome, r *policy.Result) {
+	status := http.StatusBadGateway
+	if q.engine.kernel.Now() >= q.times.deadline {
+		o, status = outcomeLate, http.StatusGatewayTimeout
+	}
 	q.log(o, status).Int("Calls", r.Attempts).Int("Ran", r.Ran).
 		Int("Included", r.Included).Strs("Lacking", q.lacking(r)).Msg("request failed")
 	http.Error(w, noAnswer(o), status)
--- a/tier/pass/coordinate_server.go
+++ b/tier/pass/coordinate_server.go
@@ -140,21 +140,19 @@
 type recorder struct {
 	status int
 	header http.Header
-	body   bytes.Buffer
+	bytes.Buffer
 }
 
 var _ http.ResponseWriter = (*recorder)(nil)
 
 func (r *recorder) Header() http.Header { return r.header }
 
-func (r *recorder) Write(b []byte) (int, error) { return r.body.Write(b) }
-
 func (r *recorder) WriteHeader(status int) { r.status = status }
 
 // reply describes the answer for the host that sent the request.
 func (r *recorder) reply(o outcome, held time.Duration) *coordinateReply {
 	out := &coordinateReply{
-		Status: r.status, Outcome: o, Header: map[string]string{}, Body: r.body.Bytes(), HeldMicros: held.Microseconds(),
+		Status: r.status, Outcome: o, Header: map[string]string{}, Body: r.Bytes(), HeldMicros: held.Microseconds(),
 	}
 	for name := range r.header {
 		if v := r.header.Get(name); v != "" {
--- a/tier/pass/relay_client.go
+++ b/tier/pass/relay_client.go
@@ -37,8 +37,6 @@
 	progressGrace = 20 * time.Millisecond
 )
 
-var _ runner.Batcher[*answer] = (*request)(nil)
-
 // requestRelays are the relays of one request. It is safe for concurrent use.
 type requestRelays struct {
 	mu sync.Mutex
--- a/tier/pass/serve.go
+++ b/tier/pass/serve.go
@@ -39,6 +39,7 @@
 }
 
 var (
+	_ runner.Batcher[*answer]  = (*request)(nil)
 	_ runner.Caller[*answer]   = (*request)(nil)
 	_ runner.Observer[*answer] = (*request)(nil)
 	_ http.Handler             = (*engine)(nil)
@@ -97,20 +98,15 @@
 	ctx := wire.TraceFrom(r.Context(), r.Header)
 	if !q.handOver(ctx, w) {
 		q.serve(ctx, w)
-		q.noteAnswerTime()
+		if q.times.decidedAt > 0 {
+			e.overhead.answer.observe(e.kernel.Now() - q.times.decidedAt)
+		}
 	}
 	if r.Context().Err() != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// noteAnswerTime observes how long the answer took to make and write.
-func (q *request) noteAnswerTime() {
-	if q.times.decidedAt > 0 {
-		q.engine.overhead.answer.observe(q.engine.kernel.Now() - q.times.decidedAt)
-	}
-}
-
 // serve plans the request, runs it and answers it. A caller that is gone gets no
 // answer.
 func (q *request) serve(ctx context.Context, w http.ResponseWriter) {
