--- a/tier/pass/relay_client.go
+++ b/tier/pass/relay_client.go
@@ -40,29 +40,11 @@
 // requestRelays are the relays of one request. It is safe for concurrent use.
 type requestRelays struct {
 	mu sync.Mutex
-	// byAttempt has the relay of each batch, by number of the batch's first attempt.
-	byAttempt map[int]string
 	// pending counts the batches that a relay gave no sign of yet. A hedge must not
 	// wait for the same relay as the call that it hedges.
 	pending map[string]int
 }
 
-// assign notes the relay of a batch; mu is held.
-func (r *requestRelays) assign(attempt int, host string) {
-	if r.byAttempt == nil {
-		r.byAttempt, r.pending = map[int]string{}, map[string]int{}
-	}
-	r.byAttempt[attempt] = host
-	r.pending[host]++
-}
-
-// relayOf returns the relay of a batch.
-func (r *requestRelays) relayOf(attempt int) string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.byAttempt[attempt]
-}
-
 func (r *requestRelays) answered(host string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -74,13 +56,16 @@
 // upstream, and making one from afar takes longer than the call. When single
 // calls went through relays too, partial gathers of one site fell from 374 to 248. Calls
 // to a cold upstream go through its owner, whatever the hall.
-func (q *request) Batches(sends []policy.Action) (batches [][]policy.Action, apart []policy.Action) {
+func (q *request) Batches(sends []policy.Action) (batches []runner.Batch, apart []policy.Action) {
 	if q.route.Gather == nil {
 		return nil, sends
 	}
 	k := q.engine.kernel
 	q.relays.mu.Lock()
 	defer q.relays.mu.Unlock()
+	if q.relays.pending == nil {
+		q.relays.pending = map[string]int{}
+	}
 	now := k.Now()
 	byDestination := map[policy.Destination][]policy.Action{}
 	for _, a := range sends {
@@ -93,8 +78,8 @@
 			apart = append(apart, calls...)
 			continue
 		}
-		q.relays.assign(calls[0].Attempt, relay)
-		batches = append(batches, calls)
+		q.relays.pending[relay]++
+		batches = append(batches, runner.Batch{Host: relay, Calls: calls})
 	}
 	return batches, apart
 }
@@ -115,29 +100,28 @@
 	}
 }
 
-func (q *request) CallBatch(ctx context.Context, batch []policy.Action, to runner.Reporter[*answer]) {
+func (q *request) CallBatch(ctx context.Context, b runner.Batch, to runner.Reporter[*answer]) {
 	k := q.engine.kernel
-	relay := q.relays.relayOf(batch[0].Attempt)
 	ctx, span := k.Tracer.Start(ctx, "relay", trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
 	if span.IsRecording() {
-		span.SetAttributes(attribute.String("Relay", relay), attribute.Int("Calls", len(batch)))
+		span.SetAttributes(attribute.String("Relay", b.Host), attribute.Int("Calls", len(b.Calls)))
 	}
-	s := q.newSentBatch(batch, relay, to)
+	s := q.newSentBatch(b, to)
 	s.in.Trace = wire.TraceOf(ctx)
 	s.carryOut(ctx)
 }
 
 // newSentBatch describes a batch for its relay.
-func (q *request) newSentBatch(batch []policy.Action, relay string, to runner.Reporter[*answer]) *sentBatch {
+func (q *request) newSentBatch(b runner.Batch, to runner.Reporter[*answer]) *sentBatch {
 	e := q.engine
-	started, roundTrip := e.kernel.Now(), e.hosts.roundTrip(relay)
-	in := q.newBatchRequest(batch, roundTrip)
+	started, roundTrip := e.kernel.Now(), e.hosts.roundTrip(b.Host)
+	in := q.newBatchRequest(b.Calls, roundTrip)
 	due := started + roundTrip + time.Duration(in.FirstMillis)*time.Millisecond
 	if in.FirstMillis == 0 {
 		due = started + roundTrip + hedgesDue
 	}
-	return &sentBatch{request: q, calls: batch, in: in, relay: relay, started: started, due: due, roundTrip: roundTrip, to: to}
+	return &sentBatch{request: q, calls: b.Calls, in: in, relay: b.Host, started: started, due: due, roundTrip: roundTrip, to: to}
 }
 
 // newBatchRequest describes a batch for its relay. The first reply is to be here before
--- a/tier/runner/batch.go
+++ b/tier/runner/batch.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"sync"
 	"time"
 
 	"loomgap/tier/policy"
@@ -10,43 +11,38 @@
 // sendBatch starts the calls of a batch; the execution is locked. The batch is cancelled
 // once each of its calls was cancelled or has its reply. Its calls give back their slots:
 // another host makes them within its own.
-func (e *execution[R]) sendBatch(batch []policy.Action) (granted []*policy.Waiter) {
+func (e *execution[R]) sendBatch(b Batch) (granted []*policy.Waiter) {
 	ctx, cancel := context.WithCancel(e.ctx)
-	pending := len(batch)
-	calls := make([]*call, len(batch))
-	for i, a := range batch {
+	pending := len(b.Calls)
+	calls := make([]*call, len(b.Calls))
+	for i, a := range b.Calls {
 		// Calls are cancelled with the execution locked.
-		once := false
-		calls[i] = &call{batched: true, cancel: func() {
-			if once {
-				return
-			}
-			once = true
+		calls[i] = &call{batched: true, cancel: sync.OnceFunc(func() {
 			if pending--; pending == 0 {
 				cancel()
 			}
-		}}
+		})}
 		e.calls[a.Attempt] = calls[i]
 		e.run.DelayHedge(a.Attempt)
 		granted = append(granted, e.kernel.Fleet.Free(e.kernel.Now(), a.Upstream)...)
 	}
 	go func() {
 		defer cancel()
-		e.callBatch(ctx, batch, calls)
+		e.callBatch(ctx, b, calls)
 	}()
 	return granted
 }
 
 // callBatch makes the calls of a batch, and reports those that were not reported by its
 // end.
-func (e *execution[R]) callBatch(ctx context.Context, batch []policy.Action, calls []*call) {
-	r := &reporter[R]{execution: e, batch: batch, calls: calls, started: e.kernel.Now()}
+func (e *execution[R]) callBatch(ctx context.Context, b Batch, calls []*call) {
+	r := &reporter[R]{execution: e, batch: b.Calls, calls: calls, started: e.kernel.Now()}
 	unreported := Reply[R]{Outcome: policy.CallNotSent}
 	if e.kernel.Awake() && r.started < e.deadline {
-		e.batcher.CallBatch(ctx, batch, r)
+		e.batcher.CallBatch(ctx, b, r)
 		unreported.Outcome = policy.CallLost
 	}
-	for i := range batch {
+	for i := range b.Calls {
 		r.Report(i, unreported)
 	}
 }
--- a/tier/runner/caller.go
+++ b/tier/runner/caller.go
@@ -38,15 +38,21 @@
 	Ended(a policy.Action, reply Reply[R], took time.Duration, over bool)
 }
 
+// Batch is calls that go to another host together.
+type Batch struct {
+	Host  string
+	Calls []policy.Action
+}
+
 // Batcher makes several calls in one. A Caller may implement it.
 type Batcher[R any] interface {
 	// Batches divides calls that begin together into batches and those that
 	// Call is to make.
-	Batches(sends []policy.Action) (batches [][]policy.Action, apart []policy.Action)
+	Batches(sends []policy.Action) (batches []Batch, apart []policy.Action)
 	// CallBatch makes the calls of a batch and reports what became of each, as
 	// soon as it is known. What it has not reported when it returns counts as
 	// lost. It ends soon after its context does.
-	CallBatch(ctx context.Context, batch []policy.Action, to Reporter[R])
+	CallBatch(ctx context.Context, b Batch, to Reporter[R])
 }
 
 // Reporter takes in what becomes of the calls of a batch. It is used by one
--- a/tier/runner/runner.go
+++ b/tier/runner/runner.go
@@ -153,7 +153,7 @@
 // launch starts calls; the execution is locked. It returns the waiters that got a slot,
 // for policy.Deliver after unlocking.
 func (e *execution[R]) launch(sends []policy.Action) (granted []*policy.Waiter) {
-	var batches [][]policy.Action
+	var batches []Batch
 	if e.batcher != nil && len(sends) > 0 {
 		batches, sends = e.batcher.Batches(sends)
 	}
