--- a/tier/pass/call.go
+++ b/tier/pass/call.go
@@ -70,16 +70,6 @@
 	batched bool
 }
 
-// result is what became of a call.
-type result struct {
-	answer *answer
-	// sent is false if it is certain that no byte left.
-	sent bool
-	err  error
-	// crowded is true if a new connection was reset before any answer.
-	crowded bool
-}
-
 // callUpstream makes a call that belongs to a request, within a span of its own, unless
 // the upstream may get none of it now.
 func (e *engine) callUpstream(ctx context.Context, l *link, u *policy.Upstream, a *admission, c *call) runner.Reply[*answer] {
@@ -99,9 +89,7 @@
 // call makes a call and judges the result. One that was cancelled while its connection
 // was being made is no evidence against the upstream.
 func (l *link) call(ctx context.Context, c *call) runner.Reply[*answer] {
-	r := l.do(ctx, c)
-	out := judge(c, r)
-	out.Crowded = r.crowded
+	out := l.do(ctx, c)
 	if out.Outcome == policy.CallUnreachable && ctx.Err() != nil {
 		out.Outcome = policy.CallNotSent
 	}
@@ -113,27 +101,26 @@
 }
 
 // do makes a call on a connection of the link.
-func (l *link) do(ctx context.Context, c *call) result {
+func (l *link) do(ctx context.Context, c *call) runner.Reply[*answer] {
 	n, err := l.get(ctx, c.unrepeatable)
 	if err != nil {
-		return result{err: err}
+		return runner.Reply[*answer]{Outcome: policy.CallUnreachable}
 	}
 	// A cancelled call closes its connection: that is how the upstream learns of it.
 	stop := context.AfterFunc(ctx, func() { _ = n.Close() })
 	started := l.now()
 	a, keep, err := n.exchange(c)
-	if !stop() {
-		keep = false
+	out := judge(c, a, err)
+	if stop() && keep {
+		l.put(n)
+		return out
 	}
-	if !keep {
-		_ = n.Close()
-		if err != nil && n.reused && l.now()-started >= silentCallBound {
-			l.closeIdle(func(c *conn) bool { return c.idleSince < started })
-		}
-		return result{answer: a, sent: true, err: err, crowded: !n.reused && errors.Is(err, syscall.ECONNRESET)}
+	_ = n.Close()
+	if err != nil && n.reused && l.now()-started >= silentCallBound {
+		l.closeIdle(func(c *conn) bool { return c.idleSince < started })
 	}
-	l.put(n)
-	return result{answer: a, sent: true, err: err}
+	out.Crowded = !n.reused && errors.Is(err, syscall.ECONNRESET)
+	return out
 }
 
 // exchange writes the request and reads its answer. The connection may be reused only if
@@ -224,18 +211,15 @@
 	n.idleBound = time.Duration(seconds)*time.Second - idleReserve
 }
 
-// judge says what the result of a call means. A reply carries the answer only if it may
+// judge says what the answer to a call that was sent means, or its error. A reply carries the answer only if it may
 // be given to the caller or merged.
-func judge(c *call, r result) runner.Reply[*answer] {
+func judge(c *call, a *answer, err error) runner.Reply[*answer] {
 	switch {
-	case r.err != nil && !r.sent:
-		return runner.Reply[*answer]{Outcome: policy.CallUnreachable}
-	case errors.Is(r.err, errCrossed) || errors.Is(r.err, wire.ErrTooLarge):
+	case errors.Is(err, errCrossed) || errors.Is(err, wire.ErrTooLarge):
 		return runner.Reply[*answer]{Outcome: policy.CallGarbage}
-	case r.err != nil:
+	case err != nil:
 		return runner.Reply[*answer]{Outcome: policy.CallBroken}
 	}
-	a := r.answer
 	out := runner.Reply[*answer]{Load: loadOf(a.header.Get(c.headers.Load)), Part: a}
 	switch {
 	case a.status == http.StatusMisdirectedRequest:
--- a/tier/pass/conn.go
+++ b/tier/pass/conn.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"context"
 	"errors"
-	"fmt"
 	"net"
 	"net/netip"
 	"slices"
@@ -39,9 +38,6 @@
 	silentCallBound = policy.LingerFor
 )
 
-// errStale is an idle connection that was closed or brought bytes that nobody asked for.
-var errStale = errors.New("idle connection is no longer usable")
-
 // conn is one connection to an upstream. One request is on it at a time.
 type conn struct {
 	net.Conn
@@ -59,7 +55,6 @@
 
 // link holds the idle connections to one upstream.
 type link struct {
-	name    string
 	address netip.AddrPort
 	now     func() time.Duration
 
@@ -81,7 +76,7 @@
 			return l.dial(ctx)
 		}
 		idle := l.now() - c.idleSince
-		if idle < c.idleBound && (!fresh || idle < freshEnough) && c.checkIdle() == nil {
+		if idle < c.idleBound && (!fresh || idle < freshEnough) && c.usable() {
 			return c, nil
 		}
 		_ = c.Close()
@@ -103,12 +98,12 @@
 func (l *link) dial(ctx context.Context) (*conn, error) {
 	c, err := upstreamDialer.DialContext(ctx, "tcp4", l.address.String())
 	if err != nil {
-		return nil, fmt.Errorf("connect to %s: %w", l.name, err)
+		return nil, err
 	}
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		_ = c.Close()
-		return nil, fmt.Errorf("connect to %s: %w", l.name, err)
+		return nil, err
 	}
 	return &conn{Conn: c, raw: raw, reader: bufio.NewReaderSize(c, readBuffer), idleBound: idleUnknown}, nil
 }
@@ -152,11 +147,11 @@
 	l.closeIdle(func(*conn) bool { return true })
 }
 
-// checkIdle fails if the upstream closed the connection or sent bytes that nobody asked
-// for. It peeks without waiting and consumes nothing.
-func (n *conn) checkIdle() error {
+// usable reports whether the upstream left an idle connection open and sent no bytes that
+// nobody asked for. It peeks without waiting and consumes nothing.
+func (n *conn) usable() bool {
 	if n.reader.Buffered() > 0 {
-		return errStale
+		return false
 	}
 	var (
 		one    [1]byte
@@ -167,11 +162,5 @@
 		read, _, failed = syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		return true
 	})
-	if err != nil {
-		return err
-	}
-	if read > 0 || !errors.Is(failed, syscall.EAGAIN) {
-		return errStale
-	}
-	return nil
+	return err == nil && read <= 0 && errors.Is(failed, syscall.EAGAIN)
 }
--- a/tier/pass/engine.go
+++ b/tier/pass/engine.go
@@ -130,7 +130,7 @@
 	for _, l := range d.All() {
 		n := old[l.Name]
 		if n == nil || n.address != l.Address {
-			n = &link{name: l.Name, address: l.Address, now: e.kernel.Now}
+			n = &link{address: l.Address, now: e.kernel.Now}
 		}
 		links[l.Name] = n
 	}
--- a/tier/pass/single_test.go
+++ b/tier/pass/single_test.go
@@ -386,7 +386,7 @@
 	at := netip.MustParseAddrPort(l.Addr().String())
 	assert.NilError(t, l.Close())
 	started := time.Now()
-	k := &link{name: "U1", address: at, now: func() time.Duration { return time.Since(started) }}
+	k := &link{address: at, now: func() time.Duration { return time.Since(started) }}
 	ctx, cancel := context.WithCancel(t.Context())
 	c := &call{headers: &names, method: http.MethodGet, id: "one", upstream: "U1", left: time.Second, gathered: true}
 	assert.Equal(t, k.call(ctx, c).Outcome, policy.CallUnreachable)
@@ -532,7 +532,7 @@
 // next must not be.
 func TestSilentConnectionsAreDistrusted(t *testing.T) {
 	u := newUpstream(t, "U1", good("x"))
-	l := &link{name: "U1", address: netip.MustParseAddrPort(u.listener.Addr().String()), now: sinceStart(time.Now())}
+	l := &link{address: netip.MustParseAddrPort(u.listener.Addr().String()), now: sinceStart(time.Now())}
 	t.Cleanup(l.close)
 	var kept []*conn
 	for range 3 {
