--- a/tier/entry/service.go
+++ b/tier/entry/service.go
@@ -46,9 +46,6 @@
 
 // typed turns an error into the typed one of the design.
 func typed(err error) error {
-	if err == nil {
-		return nil
-	}
 	if errors.Is(err, errInvalid) {
 		return &entrygen.Fault{Kind: "Invalid", Message: err.Error()}
 	}
--- a/tier/pass/merge.go
+++ b/tier/pass/merge.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"maps"
 	"slices"
 )
 
@@ -117,28 +118,24 @@
 // single parts that no block has.
 func (g *gatheredParts) choose() (blocks []*block, single map[int]*answer) {
 	slices.SortStableFunc(g.blocks, func(a, b *block) int { return len(b.stamps) - len(a.stamps) })
-	in := map[int]bool{}
+	in := map[int]string{}
 	for _, b := range g.blocks {
-		if overlaps(b, in) {
-			continue
-		}
-		blocks = append(blocks, b)
-		for part := range b.stamps {
-			in[part] = true
+		if !overlap(b.stamps, in) {
+			blocks = append(blocks, b)
+			maps.Copy(in, b.stamps)
 		}
 	}
-	single = map[int]*answer{}
-	for part, a := range g.single {
-		if !in[part] {
-			single[part] = a
-		}
+	single = maps.Clone(g.single)
+	for part := range in {
+		delete(single, part)
 	}
 	return blocks, single
 }
 
-func overlaps(b *block, in map[int]bool) bool {
-	for part := range b.stamps {
-		if in[part] {
+// overlap reports whether two sets of parts have one in common.
+func overlap(a, b map[int]string) bool {
+	for part := range a {
+		if _, both := b[part]; both {
 			return true
 		}
 	}
--- a/tier/pass/plan.go
+++ b/tier/pass/plan.go
@@ -34,17 +34,16 @@
 
 // plan makes the plan of a request of a route.
 func (e *engine) plan(v *kernel.View, r *config.Route) plan {
+	var groups []string
 	if r.Gather != nil {
-		return e.planOf(v, r.Gather.Groups, r.Homes)
+		groups = r.Gather.Groups
+	} else {
+		groups = []string{e.splitters.target(r)}
 	}
-	return e.planOf(v, []string{e.splitters.target(r)}, r.Homes)
-}
-
-func (e *engine) planOf(v *kernel.View, groups, homes []string) plan {
 	names, absent := make([][]string, len(groups)), make([]query.Reason, len(groups))
 	placement := e.placement(v)
 	for i, g := range groups {
-		names[i], absent[i] = placement.Usable(g, homes)
+		names[i], absent[i] = placement.Usable(g, r.Homes)
 	}
 	p := plan{groups: groups, replicas: e.kernel.Fleet.Resolve(names), absent: absent}
 	for _, us := range p.replicas {
--- a/tier/pass/relay_client.go
+++ b/tier/pass/relay_client.go
@@ -101,39 +101,35 @@
 }
 
 func (q *request) CallBatch(ctx context.Context, b runner.Batch, to runner.Reporter[*answer]) {
-	k := q.engine.kernel
-	ctx, span := k.Tracer.Start(ctx, "relay", trace.WithSpanKind(trace.SpanKindClient))
+	e := q.engine
+	ctx, span := e.kernel.Tracer.Start(ctx, "relay", trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
 	if span.IsRecording() {
 		span.SetAttributes(attribute.String("Relay", b.Host), attribute.Int("Calls", len(b.Calls)))
 	}
-	s := q.newSentBatch(b, to)
-	s.in.Trace = wire.TraceOf(ctx)
-	s.carryOut(ctx)
-}
-
-// newSentBatch describes a batch for its relay.
-func (q *request) newSentBatch(b runner.Batch, to runner.Reporter[*answer]) *sentBatch {
-	e := q.engine
 	started, roundTrip := e.kernel.Now(), e.hosts.roundTrip(b.Host)
-	in := q.newBatchRequest(b.Calls, roundTrip)
-	due := started + roundTrip + time.Duration(in.FirstMillis)*time.Millisecond
+	in := q.newBatchRequest(ctx, b.Calls, roundTrip)
+	first := time.Duration(in.FirstMillis) * time.Millisecond
 	if in.FirstMillis == 0 {
-		due = started + roundTrip + hedgesDue
+		first = hedgesDue
 	}
-	return &sentBatch{request: q, calls: b.Calls, in: in, relay: b.Host, started: started, due: due, roundTrip: roundTrip, to: to}
+	s := &sentBatch{
+		request: q, calls: b.Calls, in: in, relay: b.Host, to: to,
+		started: started, due: started + roundTrip + first, roundTrip: roundTrip,
+	}
+	s.carryOut(ctx)
 }
 
 // newBatchRequest describes a batch for its relay. The first reply is to be here before
 // the calls that it lacks are hedged.
-func (q *request) newBatchRequest(batch []policy.Action, roundTrip time.Duration) *batchRequest {
+func (q *request) newBatchRequest(ctx context.Context, batch []policy.Action, roundTrip time.Duration) *batchRequest {
 	e := q.engine
 	now := e.kernel.Now()
 	in := &batchRequest{
 		ID:    e.ids.next(),
 		Route: q.route.Name, RequestID: q.in.id, Method: q.in.method, Head: string(q.in.head), Body: q.in.body, Top: q.route.Gather.Top,
 		FirstMillis:    q.firstReplyIn(batch, roundTrip).Milliseconds(),
-		DeadlineMillis: (q.times.deadline - now).Milliseconds(),
+		DeadlineMillis: (q.times.deadline - now).Milliseconds(), Trace: wire.TraceOf(ctx),
 	}
 	if !e.relay.allRecords.wanted(q.route.Name, now) {
 		in.Of = len(q.plan.groups)
--- a/tier/pass/relay_messages.go
+++ b/tier/pass/relay_messages.go
@@ -14,10 +14,7 @@
 	// reply comes when all calls have ended.
 	methodBatch = "Gather"
 	// methodBatchProgress is pushed to the sender of methodBatch and reports calls
-	// that ended before the others: when the first reply is due, soon after a call
-	// has failed, so that another upstream can be asked, and, once the first reply
-	// was due, soon after any call has ended, so that one call that hangs does not
-	// hold back the others.
+	// that ended before the others; servedBatch.await says when.
 	methodBatchProgress = "GatherProgress"
 	// methodBatchStop cancels the calls still under way.
 	methodBatchStop = "GatherStop"
--- a/tier/pass/relay_server.go
+++ b/tier/pass/relay_server.go
@@ -289,8 +289,9 @@
 }
 
 // await returns when a reply is due: when all calls have ended, when the first reply
-// is due, soon after a call has failed, and, once the first reply was due, soon after
-// any call has ended.
+// is due, soon after a call has failed, so that another upstream can be asked, and, once
+// the first reply was due, soon after any call has ended, so that one call that hangs
+// does not hold back the others.
 func (b *servedBatch) await(now time.Duration) {
 	firstWasDue := now >= b.firstDue
 	until := b.firstDue
--- a/tier/runner/call.go
+++ b/tier/runner/call.go
@@ -96,14 +96,11 @@
 		return
 	}
 	c.outcome, c.lingering = a.Outcome, true
-	time.AfterFunc(a.For, func() { e.cancelLingering(c) })
-}
-
-// cancelLingering ends a call that lingered.
-func (e *execution[R]) cancelLingering(c *call) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	c.cancel()
+	time.AfterFunc(a.For, func() {
+		e.mu.Lock()
+		defer e.mu.Unlock()
+		c.cancel()
+	})
 }
 
 var callCounters sync.Map
