--- /dev/null
+++ b/tier/docs_test.go
@@ -0,0 +1,157 @@
+// Package tier holds the design page to the code.
+package tier
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"gotest.tools/v3/assert"
+)
+
+// root is the root of the repository, from this folder.
+const root = ".."
+
+var (
+	// functionRow names a function of a file in its second and third cell.
+	functionRow = regexp.MustCompile("^\\| [^|]+\\| `((?:tier|platform)/[a-z_/]+\\.go)` \\| `([A-Za-z]+)` \\|(.*)$")
+	// codeWord is a word set as code.
+	codeWord = regexp.MustCompile("`([^`]+)`")
+	// identifier is a constant's name.
+	identifier = regexp.MustCompile(`^[a-zA-Z][A-Za-z0-9]+$`)
+)
+
+// designLines reads the design page.
+func designLines(t *testing.T) []string {
+	page, err := os.ReadFile(filepath.Join(root, "docs", "DESIGN.md"))
+	assert.NilError(t, err)
+	return strings.Split(string(page), "\n")
+}
+
+// parseFile parses a file of the repository.
+func parseFile(t *testing.T, path string) *ast.File {
+	parsed, err := parser.ParseFile(token.NewFileSet(), filepath.Join(root, path), nil, parser.SkipObjectResolution)
+	assert.NilError(t, err)
+	return parsed
+}
+
+// functionsIn lists the functions and methods of a file.
+func functionsIn(f *ast.File) (out []string) {
+	for _, d := range f.Decls {
+		if f, ok := d.(*ast.FuncDecl); ok {
+			out = append(out, f.Name.Name)
+		}
+	}
+	return out
+}
+
+// constantsOf lists the constants of a folder.
+func constantsOf(t *testing.T, folder string) (out []string) {
+	files, err := filepath.Glob(filepath.Join(root, folder, "*.go"))
+	assert.NilError(t, err)
+	for _, path := range files {
+		relative, err := filepath.Rel(root, path)
+		assert.NilError(t, err)
+		ast.Inspect(parseFile(t, relative), func(n ast.Node) bool {
+			if d, ok := n.(*ast.GenDecl); ok && d.Tok == token.CONST {
+				for _, s := range d.Specs {
+					for _, name := range s.(*ast.ValueSpec).Names {
+						out = append(out, name.Name)
+					}
+				}
+			}
+			return true
+		})
+	}
+	return out
+}
+
+// TestDesignNamesFunctionsAndConstants wants each file, function and constant that the
+// design page names in a table to be there, and each decision to have its constants in
+// the package of its function.
+func TestDesignNamesFunctionsAndConstants(t *testing.T) {
+	rows, constants := 0, 0
+	for _, line := range designLines(t) {
+		m := functionRow.FindStringSubmatch(line)
+		if m == nil {
+			continue
+		}
+		rows++
+		file, function := m[1], m[2]
+		if _, err := os.Stat(filepath.Join(root, file)); err != nil {
+			t.Error(err)
+			continue
+		}
+		assert.Check(t, slices.Contains(functionsIn(parseFile(t, file)), function), "%s has no function %s", file, function)
+		cells := strings.Split(m[3], "|")
+		if len(cells) < 5 {
+			continue // a step of a way, without constants
+		}
+		known := constantsOf(t, filepath.Dir(file))
+		for _, word := range codeWord.FindAllStringSubmatch(cells[1], -1) {
+			if !identifier.MatchString(word[1]) {
+				continue // a setting such as -Settle
+			}
+			constants++
+			assert.Check(t, slices.Contains(known, word[1]), "%s has no constant %s", filepath.Dir(file), word[1])
+		}
+	}
+	assert.Assert(t, rows >= 90, "only %d rows name a function", rows)
+	assert.Assert(t, constants >= 90, "only %d constants", constants)
+}
+
+// literals lists the string literals of the product.
+func literals(t *testing.T) map[string]bool {
+	out := map[string]bool{}
+	for _, module := range []string{"tier", "platform", "loomd"} {
+		err := filepath.WalkDir(filepath.Join(root, module), func(path string, _ fs.DirEntry, err error) error {
+			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+				return err
+			}
+			relative, err := filepath.Rel(root, path)
+			assert.NilError(t, err)
+			ast.Inspect(parseFile(t, relative), func(n ast.Node) bool {
+				if l, ok := n.(*ast.BasicLit); ok && l.Kind == token.STRING {
+					text, err := strconv.Unquote(l.Value)
+					assert.NilError(t, err)
+					out[text] = true
+				}
+				return true
+			})
+			return nil
+		})
+		assert.NilError(t, err)
+	}
+	return out
+}
+
+// logMessage is a log message, set as code in a table: some words in lower case.
+var logMessage = regexp.MustCompile(`^[a-z]+( [a-z]+)+(, [a-z ]+)?$`)
+
+// TestDesignNamesLogMessages wants each log message of the design page and of the
+// operators' page to be in the product.
+func TestDesignNamesLogMessages(t *testing.T) {
+	known, messages := literals(t), 0
+	operations, err := os.ReadFile(filepath.Join(root, "docs", "OPERATIONS.md"))
+	assert.NilError(t, err)
+	for _, line := range append(designLines(t), strings.Split(string(operations), "\n")...) {
+		if !strings.HasPrefix(line, "| ") {
+			continue
+		}
+		for _, word := range codeWord.FindAllStringSubmatch(line, -1) {
+			if logMessage.MatchString(word[1]) && !strings.HasPrefix(word[1], "loom") { // a command
+				messages++
+				assert.Check(t, known[word[1]], "nothing logs %q", word[1])
+			}
+		}
+	}
+	assert.Assert(t, messages >= 60, "only %d messages", messages)
+}
