--- a/tier/policy/learn.go
+++ b/tier/policy/learn.go
@@ -94,13 +94,13 @@
 	case c.Crowded && u.kind.learnsLimit:
 		s.limit.reset(s.inUse)
 	case c.Outcome == CallOK:
-		s.limit.succeeded(s.share + s.borrowing.borrowed)
+		s.limit.succeeded(s.divided())
 	}
 	if c.Outcome == CallShed {
 		s.borrowing.shed()
 		return
 	}
-	s.borrowing.succeeded(s.ceiling - s.share)
+	s.borrowing.succeeded(s.room())
 }
 
 // observe compares the time of a call with that of comparable calls.
--- a/tier/policy/slots.go
+++ b/tier/policy/slots.go
@@ -24,16 +24,21 @@
 // set applies a new division of the upstream's slots.
 func (s *slots) set(share, ceiling int) {
 	s.share, s.ceiling = share, max(ceiling, share)
-	s.borrowing.bound(s.ceiling - s.share)
+	s.borrowing.bound(s.room())
 }
 
+// room is how many slots the upstream has beyond the share.
+func (s *slots) room() int { return s.ceiling - s.share }
+
+// divided is how many calls the division and borrowing allow.
+func (s *slots) divided() int { return s.share + s.borrowing.borrowed }
+
 // allowed is how many calls this host may have in progress now, but for the slow start.
 func (s *slots) allowed() int {
-	n := s.share + s.borrowing.borrowed
 	if s.limit.known() {
-		n = min(n, s.limit.calls)
+		return min(s.divided(), s.limit.calls)
 	}
-	return n
+	return s.divided()
 }
 
 // ahead is how many calls a new one finds there, for each slot of the share.
