--- a/tier/entry/order.go
+++ b/tier/entry/order.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"time"
@@ -17,9 +16,6 @@
 // methodOrder is the peer method that forwards an order to its ticket's host.
 const methodOrder = "Order"
 
-// mint makes a ticket for one not-repeatable request.
-func (e *engine) mintTicket() (ticket, error) { return e.tickets.mint(e.kernel.Now()) }
-
 // order is one not-repeatable request.
 type order struct {
 	*request
@@ -62,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return e.observe(ctx, observed{span: "order", id: in.Ticket, class: in.Class}, func(ctx context.Context) (*entrygen.Answer, error) {
+	return e.observe(ctx, "order", in.Ticket, in.Class, func(ctx context.Context) (*entrygen.Answer, error) {
 		return e.settle(ctx, o)
 	})
 }
@@ -107,11 +103,10 @@
 
 // await waits for the answer of the try that runs already.
 func (e *engine) await(ctx context.Context, tickets *ticketStore, o *order, c claim) *entrygen.Answer {
-	timer := time.NewTimer(o.deadline - e.kernel.Now())
-	defer timer.Stop()
+	ctx, cancel := context.WithTimeout(ctx, o.deadline-e.kernel.Now())
+	defer cancel()
 	select {
 	case <-c.settled:
-	case <-timer.C:
 	case <-ctx.Done():
 	}
 	if a := tickets.answer(o.ticket.Counter); a != nil {
@@ -153,11 +148,7 @@
 }
 
 // serveOrder serves an order that another host sent with sendOrder.
-func (e *engine) serveOrder(ctx context.Context, params json.RawMessage) (any, error) {
-	var in wire.OrderRequest
-	if err := json.Unmarshal(params, &in); err != nil {
-		return nil, fmt.Errorf("bad order: %w", err)
-	}
+func (e *engine) serveOrder(ctx context.Context, in *wire.OrderRequest) (any, error) {
 	t, err := parseTicket(in.Ticket)
 	if err != nil {
 		return nil, err
--- a/tier/entry/successor.go
+++ b/tier/entry/successor.go
@@ -2,9 +2,7 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
-	"fmt"
 	"slices"
 	"sync"
 	"time"
@@ -76,7 +74,7 @@
 	for _, h := range handed {
 		if len(t.states) < maxTickets && t.states[h.Counter] == nil {
 			t.oldest = min(t.oldest, h.Counter)
-			t.states[h.Counter] = &ticketState{expires: now + min(h.Left, t.life), statement: h.Statement, answer: h.Answer}
+			t.states[h.Counter] = &ticketState{expires: now + min(h.Left, t.Life), statement: h.Statement, answer: h.Answer}
 		}
 	}
 }
@@ -133,11 +131,7 @@
 }
 
 // serveAdopt adopts the tickets that another host sent with hand.
-func (e *engine) serveAdopt(_ context.Context, params json.RawMessage) (any, error) {
-	var in adoptRequest
-	if err := json.Unmarshal(params, &in); err != nil {
-		return nil, fmt.Errorf("bad tickets: %w", err)
-	}
+func (e *engine) serveAdopt(_ context.Context, in *adoptRequest) (any, error) {
 	if e.kernel.Phase() == kernel.PhaseDraining {
 		return nil, errors.New("this host stops too: give the tickets to another")
 	}
@@ -156,14 +150,14 @@
 // ticket is sent once: if a message is lost, its tickets are Unknown.
 func (e *engine) handOver() {
 	for _, t := range append(e.adopted.list(), e.tickets) {
-		process := processOf(t.host, t.incarnation)
+		process := processOf(t.Host, t.Incarnation)
 		ranked := successors(e.kernel.View(), &e.kernel.Settings, process)
 		handed := t.giveAway(e.kernel.Now())
 		if len(handed) == 0 || len(ranked) == 0 {
 			continue
 		}
 		for part := range slices.Chunk(handed, handedAtOnce) {
-			e.hand(ranked[0], &adoptRequest{Host: t.host, Incarnation: t.incarnation, Next: t.next, Tickets: part})
+			e.hand(ranked[0], &adoptRequest{Host: t.Host, Incarnation: t.Incarnation, Next: t.next, Tickets: part})
 		}
 	}
 }
