--- a/loomfake/platform.go
+++ b/loomfake/platform.go
@@ -78,14 +78,13 @@
 	LiveLag config.Duration
 }
 
-// platform publishes documents and a live list.
+// publisher publishes documents and a live list.
 type publisher struct {
 	mu        sync.Mutex
 	documents []string
 	live      map[string]liveLine
 	version   uint64
 	faults    platformFaults
-	reads     int
 	changed   chan struct{}
 }
 
@@ -105,7 +104,6 @@
 	m.HandleFunc("POST /Publish", p.onPublish)
 	m.HandleFunc("POST /Fake", p.onFake)
 	m.HandleFunc("POST /SetLive", p.onSetLive)
-	m.HandleFunc("GET /Reads", p.onReads)
 	return m
 }
 
@@ -130,9 +128,6 @@
 		after, _ := strconv.ParseUint(r.FormValue("After"), 10, 64)
 		wait, _ := strconv.ParseInt(r.FormValue("WaitMillis"), 10, 64)
 		end := time.Now().Add(time.Duration(wait) * time.Millisecond)
-		p.mu.Lock()
-		p.reads++
-		p.mu.Unlock()
 		for {
 			p.mu.Lock()
 			down, changed := p.faults.Down, p.changed
@@ -215,17 +210,6 @@
 	write(w, http.StatusOK, e)
 }
 
-// readCount is the number of reads so far.
-type readCount struct {
-	Reads int
-}
-
-func (p *publisher) onReads(w http.ResponseWriter, _ *http.Request) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	write(w, http.StatusOK, readCount{Reads: p.reads})
-}
-
 func write(w http.ResponseWriter, code int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	text, err := json.Marshal(v)
--- a/loomfake/upserver.go
+++ b/loomfake/upserver.go
@@ -18,8 +18,6 @@
 type faults struct {
 	// Service is the median service time.
 	Service config.Duration
-	// SlowFactor multiplies every service time; 0 stands for 1.
-	SlowFactor float64
 	// StraggleShare of the calls take StraggleFactor times as long.
 	StraggleShare, StraggleFactor float64
 	// DropShare of the calls run, and their connection closes with no reply.
@@ -49,11 +47,14 @@
 type upstreamConfig struct {
 	slots, backlog, connections int
 	keySpace                    uint
-	sigma                       float64
-	seed                        uint64
-	connectCost                 time.Duration
+	// seed draws the service times and faults.
+	seed uint64
 }
 
+// serviceSigma is the spread of the service times, the standard deviation of
+// their logarithm. Not measured.
+const serviceSigma = 0.5
+
 // upstream is one stand-in upstream.
 type upstream struct {
 	config  upstreamConfig
@@ -109,10 +110,7 @@
 func (u *upstream) serviceTime(f *faults) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	factor := math.Exp(u.config.sigma * u.random.NormFloat64())
-	if f.SlowFactor > 0 {
-		factor *= f.SlowFactor
-	}
+	factor := math.Exp(serviceSigma * u.random.NormFloat64())
 	if f.StraggleShare > 0 && u.random.Float64() < f.StraggleShare {
 		factor *= f.StraggleFactor
 	}
--- a/loomfake/upstream.go
+++ b/loomfake/upstream.go
@@ -14,14 +14,21 @@
 
 // upstreamCommand runs stand-ins of upstreams, on consecutive ports.
 type upstreamCommand struct {
-	listen      netip.AddrPort
-	count       int
-	config      upstreamConfig
-	service     time.Duration
-	connectCost time.Duration
-	life        time.Duration
+	listen netip.AddrPort
+	count  int
+	config upstreamConfig
+	life   time.Duration
 }
 
+// Defaults of each upstream. Not measured.
+const (
+	// medianService is the median service time until POST /Fake sets another.
+	medianService = 2 * time.Millisecond
+	// connectCost is the time that a new connection costs; the users' larger
+	// upstreams take about as long.
+	connectCost = time.Millisecond
+)
+
 var _ subcommands.Command = (*upstreamCommand)(nil)
 
 // Name implements subcommands.Command.
@@ -44,10 +51,6 @@
 	f.IntVar(&c.config.backlog, "Backlog", 4, "calls that wait for a slot before it sheds")
 	f.IntVar(&c.config.connections, "Connections", 25, "connections that an upstream takes")
 	f.UintVar(&c.config.keySpace, "KeySpace", 1024, "keys of the data")
-	f.Float64Var(&c.config.sigma, "Sigma", 0.5, "spread of service times, as of a lognormal")
-	f.Uint64Var(&c.config.seed, "Seed", 1, "seed of service times and faults")
-	f.DurationVar(&c.service, "Service", 2*time.Millisecond, "median service time")
-	f.DurationVar(&c.connectCost, "ConnectCost", time.Millisecond, "time that a new connection costs")
 	f.DurationVar(&c.life, "Life", time.Hour, "longest life of the process")
 }
 
@@ -57,7 +60,6 @@
 }
 
 func (c *upstreamCommand) run() error {
-	c.config.connectCost = c.connectCost
 	for i := range c.count {
 		at := netip.AddrPortFrom(c.listen.Addr(), c.listen.Port()+uint16(i))
 		l, err := listen(at)
@@ -65,11 +67,11 @@
 			return err
 		}
 		one := c.config
-		one.seed += uint64(i)
-		u := newUpstream(one, faults{Service: config.Duration(c.service), Oldest: 1, Newest: 1, MapRevision: 1})
+		one.seed = uint64(1 + i)
+		u := newUpstream(one, faults{Service: config.Duration(medianService), Oldest: 1, Newest: 1, MapRevision: 1})
 		s := &http.Server{Handler: u.handler(), ReadHeaderTimeout: time.Minute, IdleTimeout: 2 * time.Minute}
 		go func() {
-			_ = s.Serve(&costlyListener{Listener: l, cost: one.connectCost, limit: int64(one.connections)})
+			_ = s.Serve(&costlyListener{Listener: l, cost: connectCost, limit: int64(one.connections)})
 		}()
 	}
 	waitForStop(c.life)
