--- /dev/null
+++ b/tier/replay/case.go
@@ -0,0 +1,108 @@
+package replay
+
+import (
+	"time"
+
+	"loomgap/tier/config"
+)
+
+// sharing is how the hosts of a hall share the slots of an upstream.
+type sharing string
+
+// The ways to share slots.
+const (
+	// sharingNone lets each host use all slots; the upstream sheds the excess.
+	sharingNone sharing = "None"
+	// sharingShares gives each host its own part of the slots.
+	sharingShares sharing = "Shares"
+	// sharingBorrow gives each host its own part, and lets it use idle slots
+	// beyond it for as long as the upstream does not shed.
+	sharingBorrow sharing = "Borrow"
+	// sharingOwner gives all slots to one host; the others relay through it.
+	sharingOwner sharing = "Owner"
+)
+
+// load is the requests of one class.
+type load struct {
+	class config.Class
+	// rate is requests a second over all hosts, with Poisson arrivals.
+	rate float64
+	// shards is how many shards each request asks: those from a random first one
+	// on.
+	shards int
+}
+
+// capacity is what each upstream can do.
+type capacity struct {
+	// slots is how many calls run at once, backlog how many may wait for a slot.
+	slots, backlog int
+	// service is the median of the lognormal service time, sigma the standard
+	// deviation of its logarithm.
+	service time.Duration
+	sigma   float64
+}
+
+// faults are what goes wrong at upstreams. Where a field says "one in n", 0 is for
+// none.
+type faults struct {
+	// slowEvery makes one upstream in n slower by slowFactor, from slowFrom until
+	// slowUntil; slowUntil 0 is until the end.
+	slowEvery           int
+	slowFactor          float64
+	slowFrom, slowUntil time.Duration
+	// straggleShare of the calls, 0 to 1, take straggleFactor times as long.
+	straggleShare, straggleFactor float64
+	// lostEvery makes one upstream in n stop answering from lostFrom on.
+	lostEvery int
+	lostFrom  time.Duration
+	// shedEvery makes one upstream in n refuse all calls, whatever its health
+	// endpoint says.
+	shedEvery int
+}
+
+// Case describes one replay. Cases returns those that are there.
+type Case struct {
+	// Name is the case's name in the table.
+	Name string
+	// Seed draws arrivals, service times and choices.
+	Seed uint64
+	// length is the virtual time in which requests arrive; those of the first warm
+	// are not counted.
+	length, warm time.Duration
+	hosts        int
+	sharing      sharing
+	// shards and replicas are how many shards there are and upstreams of each.
+	// Requests of a class have as many upstreams as shards: replica r of shard i
+	// is upstream i+r. Routed requests have upstreams of each shard alone.
+	shards, replicas int
+	// hop is the one-way time between host and upstream, relayHop between hosts.
+	hop, relayHop time.Duration
+	capacity      capacity
+	faults        faults
+	// routed makes the requests gathers of a route; nil for those of a class.
+	routed *routed
+	loads  []load
+}
+
+// upstreams is how many upstreams the case has.
+func (c *Case) upstreams() int {
+	if c.routed == nil {
+		return c.shards
+	}
+	return c.shards * c.replicas
+}
+
+// crashing reports whether a request of the case crashes upstreams.
+func (c *Case) crashing() bool { return c.routed != nil && c.routed.crash != nil }
+
+// slotsOf is how many slots of an upstream a host may fill.
+func (c *Case) slotsOf(host, upstream int) int {
+	if c.sharing != sharingShares && c.sharing != sharingBorrow {
+		return c.capacity.slots
+	}
+	n := c.capacity.slots / c.hosts
+	if (host+upstream)%c.hosts < c.capacity.slots%c.hosts {
+		n++
+	}
+	return max(n, 1)
+}
--- a/tier/replay/cases.go
+++ b/tier/replay/cases.go
@@ -7,114 +7,121 @@
 	"loomgap/tier/config"
 )
 
-// Plain turns a class into its baseline: any replica, no hedge, no admission.
-func Plain(c config.Class) config.Class {
+// Cases lists the cases of docs/DECISIONS.md. What each one measures:
+//
+//	healthy        the choice of the replica with the least expected time
+//	stragglers     quantile and budget of hedges
+//	lost replica   ejection after failures
+//	cold start     the mark of slow upstreams, and probes
+//	lying health   the backoff after sheds
+//	overload       admission by worth for cost
+//	small, wide    shares of slots with borrowing, against other ways to share
+func Cases() []Case {
+	lost := healthyCase()
+	lost.faults = faults{lostEvery: 100, lostFrom: 8 * time.Second}
+	cold := healthyCase()
+	cold.faults = faults{slowEvery: 50, slowFactor: 10, slowFrom: 8 * time.Second, slowUntil: 12 * time.Second}
+	lying := healthyCase()
+	lying.faults = faults{shedEvery: 100}
+	var out []Case
+	out = append(out, withBaseline("healthy", healthyCase())...)
+	out = append(out, withBaseline("stragglers", stragglersCase())...)
+	out = append(out, withBaseline("lost replica", lost)...)
+	out = append(out, withBaseline("cold start", cold)...)
+	out = append(out, withBaseline("lying health", lying)...)
+	out = append(out, withBaseline("overload", overloadCase())...)
+	return append(out, sharingCases()...)
+}
+
+// baseline turns a class into its baseline: any replica, no hedge, no admission.
+func baseline(c config.Class) config.Class {
 	c.Choice, c.Hedge, c.Admission = "Random", config.HedgeNone, "None"
 	return c
 }
 
-// class makes a class for a case.
-func class(name string, worth int, deadline time.Duration) config.Class {
+// withBaseline returns a case under the baseline ("plain") and under the defaults
+// ("chosen").
+func withBaseline(name string, c Case) []Case {
+	plain, chosen := c, c
+	plain.Name, chosen.Name = name+", plain", name+", chosen"
+	plain.loads = nil
+	for _, l := range c.loads {
+		l.class = baseline(l.class)
+		plain.loads = append(plain.loads, l)
+	}
+	return []Case{plain, chosen}
+}
+
+// caseClass makes a class for a case.
+func caseClass(name string, worth int, deadline time.Duration) config.Class {
 	c := config.DefaultClass()
 	c.Name, c.Worth, c.Deadline = name, worth, config.Duration(deadline)
 	c.MaxInFlight = 100_000
 	return c
 }
 
-// Healthy is 510 shards over 510 upstreams of 4 slots at a quarter of their
+// healthyCase is 510 shards over 510 upstreams of 4 slots at a quarter of their
 // capacity, as one data hall of the design size sees a query, without faults.
-func Healthy() Case {
-	return Case{
-		Seed: 1, Length: 20 * time.Second, Warm: 4 * time.Second, Hosts: 2, Division: DivideBorrow,
-		Shards: 510, Replicas: 2, Slots: 4, Backlog: 4, Service: 5 * time.Millisecond, Sigma: 0.5,
-		Hop: 250 * time.Microsecond, RelayHop: 500 * time.Microsecond,
-		Loads: []Load{{Class: class("Wide", 1, 390*time.Millisecond), Rate: 200, Shards: 510}},
-	}
-}
-
-// small is one service of 2 upstreams with 2 slots, as the users run 50 of.
-func small(rate float64) Case {
+func healthyCase() Case {
 	return Case{
-		Seed: 1, Length: 120 * time.Second, Warm: 10 * time.Second, Hosts: 2, Division: DivideBorrow,
-		Shards: 2, Replicas: 2, Slots: 2, Backlog: 4, Service: 5 * time.Millisecond, Sigma: 0.5,
-		Hop: 250 * time.Microsecond, RelayHop: 500 * time.Microsecond,
-		Loads: []Load{{Class: class("Counter", 5, 300*time.Millisecond), Rate: rate, Shards: 1}},
+		Seed: 1, length: 20 * time.Second, warm: 4 * time.Second, hosts: 2, sharing: sharingBorrow,
+		shards: 510, replicas: 2,
+		capacity: capacity{slots: 4, backlog: 4, service: 5 * time.Millisecond, sigma: 0.5},
+		hop:      250 * time.Microsecond, relayHop: 500 * time.Microsecond,
+		loads: []load{{class: caseClass("Wide", 1, 390*time.Millisecond), rate: 200, shards: 510}},
 	}
 }
 
-// overloaded is small at twice what its slots can carry, with two classes that
-// differ in worth.
-func overloaded() Case {
-	c := small(0)
-	c.Length = 60 * time.Second
-	// 4 slots of a mean 5.67 ms carry 706 calls a second.
-	c.Loads = []Load{
-		{Class: class("Counter", 5, 300*time.Millisecond), Rate: 470, Shards: 1},
-		{Class: class("Report", 1, 300*time.Millisecond), Rate: 940, Shards: 1},
-	}
+// stragglersCase is the healthy case with one upstream in 50 ten times slower, and
+// one call in 1,000 ten times slower besides.
+func stragglersCase() Case {
+	c := healthyCase()
+	c.faults = faults{slowEvery: 50, slowFactor: 10, straggleShare: 0.001, straggleFactor: 10}
 	return c
 }
 
-// pair returns a case under the baseline and under the defaults.
-func pair(name string, c Case) []Case {
-	plain, chosen := c, c
-	plain.Name, chosen.Name = name+", plain", name+", chosen"
-	plain.Loads = nil
-	for _, l := range c.Loads {
-		l.Class = Plain(l.Class)
-		plain.Loads = append(plain.Loads, l)
+// smallCase is one service of 2 upstreams with 2 slots, as the users run 50 of.
+func smallCase(rate float64) Case {
+	return Case{
+		Seed: 1, length: 120 * time.Second, warm: 10 * time.Second, hosts: 2, sharing: sharingBorrow,
+		shards: 2, replicas: 2,
+		capacity: capacity{slots: 2, backlog: 4, service: 5 * time.Millisecond, sigma: 0.5},
+		hop:      250 * time.Microsecond, relayHop: 500 * time.Microsecond,
+		loads: []load{{class: caseClass("Counter", 5, 300*time.Millisecond), rate: rate, shards: 1}},
 	}
-	return []Case{plain, chosen}
 }
 
-// Stragglers is the healthy case with one upstream in 50 ten times slower, and one
-// call in 1,000 ten times slower besides.
-func Stragglers() Case {
-	c := Healthy()
-	c.SlowEvery, c.SlowFactor = 50, 10
-	c.StraggleShare, c.StraggleFactor = 0.001, 10
-	return c
-}
+// smallCapacity is how many calls a second the 4 slots of a small service can
+// run, at a mean service time of 5.67 ms.
+const smallCapacity = 706
 
-// Cases lists the cases of docs/DECISIONS.md.
-func Cases() []Case {
-	healthy, stragglers := Healthy(), Stragglers()
-	lost := Healthy()
-	lost.LostEvery, lost.LostFrom = 100, 8*time.Second
-	cold := Healthy()
-	cold.SlowEvery, cold.SlowFactor = 50, 10
-	cold.SlowFrom, cold.SlowUntil = 8*time.Second, 12*time.Second
-	lying := Healthy()
-	lying.ShedEvery = 100
-	var out []Case
-	out = append(out, pair("healthy", healthy)...)
-	out = append(out, pair("stragglers", stragglers)...)
-	out = append(out, pair("lost replica", lost)...)
-	out = append(out, pair("cold start", cold)...)
-	out = append(out, pair("lying health", lying)...)
-	out = append(out, pair("overload", overloaded())...)
-	return append(out, divisions()...)
+// overloadCase is smallCase at twice its capacity, with two classes that differ in
+// worth.
+func overloadCase() Case {
+	c := smallCase(0)
+	c.length = 60 * time.Second
+	c.loads = []load{
+		{class: caseClass("Counter", 5, 300*time.Millisecond), rate: 470, shards: 1},
+		{class: caseClass("Report", 1, 300*time.Millisecond), rate: 940, shards: 1},
+	}
+	return c
 }
 
-// smallCapacity is the calls a second that the 4 slots of a small service
-// carry, at a mean service time of 5.67 ms.
-const smallCapacity = 706
-
-// divisions compares how two hosts share slots, with upstreams that queue
+// sharingCases compares how two hosts share slots, with upstreams that queue
 // nothing and with ones that queue four calls.
-func divisions() []Case {
+func sharingCases() []Case {
 	var out []Case
 	for _, backlog := range []int{0, 4} {
-		for _, d := range []Division{DivideNone, DivideShares, DivideBorrow, DivideOwner} {
+		for _, s := range []sharing{sharingNone, sharingShares, sharingBorrow, sharingOwner} {
 			for _, use := range []int{30, 80} {
-				c := small(float64(use) / 100 * smallCapacity)
-				c.Division, c.Backlog = d, backlog
-				c.Name = fmt.Sprintf("small, %d%% use, queue %d, %s", use, backlog, d)
+				c := smallCase(float64(use) / 100 * smallCapacity)
+				c.sharing, c.capacity.backlog = s, backlog
+				c.Name = fmt.Sprintf("small, %d%% use, queue %d, %s", use, backlog, s)
 				out = append(out, c)
 			}
-			c := Stragglers()
-			c.Division, c.Backlog = d, backlog
-			c.Name = fmt.Sprintf("wide stragglers, queue %d, %s", backlog, d)
+			c := stragglersCase()
+			c.sharing, c.capacity.backlog = s, backlog
+			c.Name = fmt.Sprintf("wide stragglers, queue %d, %s", backlog, s)
 			out = append(out, c)
 		}
 	}
--- a/tier/replay/crash.go
+++ b/tier/replay/crash.go
@@ -8,109 +8,117 @@
 	"loomgap/tier/policy"
 )
 
-// Crash has one more request come again and again, which crashes the upstreams that
-// run it. Callers of all requests come back once, at another host, when they are not
-// served.
-type Crash struct {
-	// From and Every are when its caller's first attempt comes, and the time between
-	// two that are no repeats; with 0 for Every it never comes.
-	From, Every time.Duration
-	// After is how long after it began an upstream ends, also if the call is given up
-	// meanwhile; 0 for when it would have answered, unless the call is given up.
-	After time.Duration
-	// Down is how long an upstream is away that has ended.
-	Down time.Duration
-	// StormEvery has all upstreams end for reasons of their own, each once in that
-	// time, within StormSpread of each other; 0 for never.
-	StormEvery, StormSpread time.Duration
-	// Callers is how many addresses the request comes from; 0 for one.
-	Callers int
-	// Popular is how many other requests there are, which come again and again; 0 if
-	// none comes twice but for its caller's repeat.
-	Popular int
-	// Remember has hosts remember the requests that crash upstreams, Tell has them
-	// tell each other.
-	Remember, Tell bool
+// crashSettings describe crashes of upstreams: a request that crashes the upstreams
+// that run it comes again and again, or upstreams crash by themselves. Callers of
+// all requests come back once, at another host, when they are not served.
+type crashSettings struct {
+	// from is when the request first comes, every the time between two that are
+	// no repeats; with 0 for every it never comes.
+	from, every time.Duration
+	// after is how long after it began the upstream crashes, also if the call is
+	// given up meanwhile; 0 for when it would have answered, unless the call is
+	// given up.
+	after time.Duration
+	// down is how long an upstream is away after a crash.
+	down time.Duration
+	// waveEvery has all upstreams crash by themselves, each once in that time,
+	// within waveSpread of each other; 0 for never.
+	waveEvery, waveSpread time.Duration
+	// callers is how many addresses the request comes from; 0 for one.
+	callers int
+	// popular is how many other requests there are, which come again and again; 0
+	// if none comes twice but for its caller's repeat.
+	popular int
+	// remember has hosts remember the requests that crash upstreams, report has
+	// them tell each other.
+	remember, report bool
 }
 
-// CrashTally is what became of the request and of the others.
-type CrashTally struct {
-	// Ended counts the ends of upstreams, Reached the attempts of the request that
-	// reached any, Late those that did so lateAfter the third had ended.
-	Ended, Reached, Late int
-	// Requests counts the other requests, repeats left out; Served those that were
-	// served at the first attempt or the second, Blamed the attempts of them that
+// crashResult is what became of the request and of the others.
+type crashResult struct {
+	// crashed counts the crashes of upstreams.
+	crashed int
+	// reached counts the attempts of the request that reached any upstream, late
+	// those that did so lateAfter the third crash.
+	reached, late int
+	// requests counts the other requests, repeats left out; served those that were
+	// served at the first attempt or the second, blamed the attempts of them that
 	// were refused for crashing upstreams.
-	Requests, Served, Blamed int
+	requests, served, blamed int
 }
 
-// Times of the callers and hosts.
+// Times of callers and hosts. None is measured.
 const (
-	// comeBack is how soon a caller comes back.
-	comeBack = 5 * time.Millisecond
-	// tellGap is the least time between two tellings of a host, tellHosts how many
-	// others it tells.
-	tellGap   = 250 * time.Millisecond
-	tellHosts = 12
-	// lateAfter is how long hosts may take to agree on a request.
+	// repeatAfter is how soon a caller that was not served comes back.
+	repeatAfter = 5 * time.Millisecond
+	// reportGap is the least time between two reports of a host.
+	reportGap = 250 * time.Millisecond
+	// reportHosts is how many other hosts a report goes to.
+	reportHosts = 12
+	// lateAfter is how long hosts may take to agree on a request, from the crash
+	// that settles it.
 	lateAfter = 4 * time.Second
+	// settlingCrash is the number of the crash after which hosts should agree.
+	settlingCrash = 3
 )
 
-// visit is one request of a caller and its repeat.
-type visit struct {
+// callerRequest is one request of a caller and its repeat.
+type callerRequest struct {
 	world       *world
 	load        int
 	fingerprint policy.Fingerprint
 	caller      netip.Addr
-	crashes     bool
-	// again is true for the repeat.
-	again bool
+	// crashes is true if the request crashes the upstreams that run it.
+	crashes bool
+	// repeated is true for the repeat.
+	repeated bool
 }
 
-// startCrash plans the arrivals of the request that crashes upstreams.
-func (w *world) startCrash() {
-	c := w.c.Routed.Crash
+// startCrashes plans the arrivals of the request that crashes upstreams, and the
+// crashes that no request causes.
+func (w *world) startCrashes() {
+	c := w.c.routed.crash
 	var next func()
 	next = func() {
-		if w.now >= w.c.Length {
+		if w.now >= w.c.length {
 			return
 		}
-		w.after(c.Every, next)
-		v := &visit{world: w, fingerprint: "Crash", caller: addressOf(w.random.IntN(max(c.Callers, 1))), crashes: true}
-		v.arrive()
+		w.after(c.every, next)
+		q := &callerRequest{world: w, fingerprint: "Crash", caller: addressOf(w.random.IntN(max(c.callers, 1))), crashes: true}
+		q.arrive()
 	}
-	if c.Every > 0 {
-		w.after(c.From, next)
+	if c.every > 0 {
+		w.after(c.from, next)
 	}
-	if c.StormEvery > 0 {
-		w.storm()
+	if c.waveEvery > 0 {
+		w.crashAll()
 	}
 }
 
-// storm ends all upstreams, again and again.
-func (w *world) storm() {
-	c := w.c.Routed.Crash
-	if w.now >= w.c.Length {
+// crashAll crashes all upstreams, again and again.
+func (w *world) crashAll() {
+	c := w.c.routed.crash
+	if w.now >= w.c.length {
 		return
 	}
-	w.after(c.StormEvery, w.storm)
-	for _, s := range w.upstreams {
-		w.after(time.Duration(w.random.Float64()*float64(c.StormSpread)), func() {
-			if !s.down {
-				s.crash()
+	w.after(c.waveEvery, w.crashAll)
+	for _, u := range w.upstreams {
+		w.after(time.Duration(w.random.Float64()*float64(c.waveSpread)), func() {
+			if !u.down {
+				u.crash()
 			}
 		})
 	}
 }
 
-// newVisit makes a request that crashes nothing.
-func (w *world) newVisit(load int) *visit {
-	w.crash.Requests++
-	name := w.crash.Requests
-	if most := w.c.Routed.Crash.Popular; most > 0 {
-		name = w.random.IntN(most)
+// newCallerRequest makes a request of a load that crashes nothing.
+func (w *world) newCallerRequest(load int) *callerRequest {
+	w.crashes.requests++
+	name := w.crashes.requests
+	if n := w.c.routed.crash.popular; n > 0 {
+		name = w.random.IntN(n)
 	}
-	return &visit{world: w, load: load, fingerprint: policy.Fingerprint(fmt.Sprint("Sound", name)), caller: addressOf(name)}
+	return &callerRequest{world: w, load: load, fingerprint: policy.Fingerprint(fmt.Sprint("Sound", name)), caller: addressOf(name)}
 }
 
 // addressOf returns the address of a caller.
@@ -118,116 +126,117 @@
 	return netip.AddrFrom4([4]byte{10, byte(n >> 16), byte(n >> 8), byte(n)})
 }
 
-func (v *visit) arrive() { v.world.hosts[v.world.random.IntN(len(v.world.hosts))].visited(v) }
+// arrive brings the request to any host.
+func (q *callerRequest) arrive() { q.world.hosts[q.world.random.IntN(len(q.world.hosts))].serve(q) }
 
 // done takes in what became of an attempt.
-func (v *visit) done(served bool) {
+func (q *callerRequest) done(served bool) {
 	switch {
-	case served && !v.crashes:
-		v.world.crash.Served++
-	case !served && !v.again:
-		v.again = true
-		v.world.after(comeBack, v.arrive)
+	case served && !q.crashes:
+		q.world.crashes.served++
+	case !served && !q.repeated:
+		q.repeated = true
+		q.world.after(repeatAfter, q.arrive)
 	}
 }
 
-// subject returns what hosts remember the request by; the zero value where the visit is
-// not known.
-func (v *visit) subject() policy.Subject {
-	if v == nil || !v.world.c.Routed.Crash.Remember {
+// subject returns what hosts remember the request by; the zero value where the
+// request is not known.
+func (q *callerRequest) subject() policy.Subject {
+	if q == nil || !q.world.c.routed.crash.remember {
 		return policy.Subject{}
 	}
-	return policy.Subject{Fingerprint: v.fingerprint, Caller: v.caller}
+	return policy.Subject{Fingerprint: q.fingerprint, Caller: q.caller}
 }
 
-// visited carries out one attempt of a request.
-func (h *host) visited(v *visit) {
-	if verdict, _ := h.fleet.Judge(h.world.now, v.subject()); verdict == policy.VerdictQuarantined {
-		if !v.crashes {
-			h.world.crash.Blamed++
+// serve carries out one attempt of a caller's request.
+func (h *host) serve(q *callerRequest) {
+	if verdict, _ := h.fleet.Judge(h.world.now, q.subject()); verdict == policy.VerdictQuarantined {
+		if !q.crashes {
+			h.world.crashes.blamed++
 		}
-		v.done(false)
+		q.done(false)
 		return
 	}
-	h.gatherFor(v, v.load, h.world.now, 0)
+	h.gather(gather{request: q, load: q.load, began: h.world.now})
 }
 
-// joinCrash has a host tell others of the strikes that it sees.
-func (h *host) joinCrash() {
+// reportStrikes has a host report to others the strikes that it sees.
+func (h *host) reportStrikes() {
 	w := h.world
-	if !w.c.Routed.Crash.Tell {
+	if !w.c.routed.crash.report {
 		return
 	}
-	told, planned := -tellGap, false
-	tell := func() {
-		planned, told = false, w.now
+	last, planned := -reportGap, false
+	report := func() {
+		planned, last = false, w.now
 		reports := h.fleet.FreshReports(w.now)
-		for _, i := range w.random.Perm(len(w.hosts))[:min(tellHosts, len(w.hosts))] {
+		for _, i := range w.random.Perm(len(w.hosts))[:min(reportHosts, len(w.hosts))] {
 			to := w.hosts[i]
-			w.after(w.c.Routed.FarHop, func() { to.fleet.TakeReports(w.now, reports) })
+			w.after(w.c.routed.farHop, func() { to.fleet.TakeReports(w.now, reports) })
 		}
 	}
 	h.fleet.OnStrikes(func(urgent bool) {
 		if urgent {
-			w.after(0, tell)
+			w.after(0, report)
 			return
 		}
 		if planned {
 			return
 		}
 		planned = true
-		w.after(max(told+tellGap-w.now, 0), tell)
+		w.after(max(last+reportGap-w.now, 0), report)
 	})
 }
 
-// ruin has the upstream end that has begun a call which crashes it.
-func (s *server) ruin(k *work) {
-	c := s.world.c.Routed.Crash
-	if c.After == 0 {
-		s.world.after(s.serviceTime(), func() {
+// crashBy crashes the upstream that has begun a call, a while later.
+func (u *upstream) crashBy(k *call) {
+	c := u.world.c.routed.crash
+	if c.after == 0 {
+		u.world.after(u.serviceTime(), func() {
 			if k.working {
-				s.crash()
+				u.crash()
 			}
 		})
 		return
 	}
-	life := s.lives
-	s.world.after(c.After, func() {
-		if life == s.lives {
-			s.crash()
+	before := u.crashes
+	u.world.after(c.after, func() {
+		if u.crashes == before {
+			u.crash()
 		}
 	})
 }
 
 // crash ends the upstream: whatever runs or waits there gets no answer.
-func (s *server) crash() {
-	w := s.world
-	if w.crash.Ended++; w.crash.Ended == 3 {
-		w.thirdEnd = w.now
-	}
-	s.down = true
-	s.lives++
-	for _, k := range append(s.running, s.backlog...) {
+func (u *upstream) crash() {
+	w := u.world
+	if w.crashes.crashed++; w.crashes.crashed == settlingCrash {
+		w.thirdCrash = w.now
+	}
+	u.down = true
+	u.crashes++
+	for _, k := range append(u.running, u.backlog...) {
 		k.working = false
 		k.reply(policy.CallCrashed)
 	}
-	s.running, s.backlog, s.busy = nil, nil, 0
-	w.after(w.c.Routed.Crash.Down, func() { s.down = false })
+	u.running, u.backlog = nil, nil
+	w.after(w.c.routed.crash.down, func() { u.down = false })
 }
 
-// crashes reports whether upstreams end that run calls of the flight; none if it is
-// nil.
-func (f *flight) crashes() bool { return f != nil && f.visit != nil && f.visit.crashes }
+// crashes reports whether calls of the execution crash upstreams; an execution that
+// is nil has none.
+func (e *execution) crashes() bool { return e != nil && e.request != nil && e.request.crashes }
 
 // reached counts an attempt of the request that reaches an upstream, once.
-func (f *flight) reached() {
-	if f.hasReached {
+func (e *execution) reached() {
+	if e.hasReached {
 		return
 	}
-	f.hasReached = true
-	w := f.host.world
-	w.crash.Reached++
-	if w.thirdEnd > 0 && w.now > w.thirdEnd+lateAfter {
-		w.crash.Late++
+	e.hasReached = true
+	w := e.host.world
+	w.crashes.reached++
+	if w.thirdCrash > 0 && w.now > w.thirdCrash+lateAfter {
+		w.crashes.late++
 	}
 }
--- a/tier/replay/crash_test.go
+++ b/tier/replay/crash_test.go
@@ -10,15 +10,15 @@
 
 // crashCase is a site where a request that crashes upstreams comes every second, and
 // its caller once more each time.
-func crashCase(shards, hosts int, remember, tell bool) Case {
+func crashCase(shards, hosts int, remember, report bool) Case {
 	c := routedCase(shards, 2, hosts, 8*time.Millisecond)
-	c.Loads[0].Rate = 60
-	c.SlowEvery = 0
-	c.Routed.Crash = &Crash{
-		From: 2500 * time.Millisecond, Every: time.Second, Down: 3 * time.Second,
-		Remember: remember, Tell: tell,
+	c.loads[0].rate = 60
+	c.faults.slowEvery = 0
+	c.routed.crash = &crashSettings{
+		from: 2500 * time.Millisecond, every: time.Second, down: 3 * time.Second,
+		remember: remember, report: report,
 	}
-	c.Routed.Route.Gather.Coverage = 0.89
+	c.routed.route.Gather.Coverage = 0.89
 	return c
 }
 
@@ -54,27 +54,27 @@
 			crashCase(tt.shards, tt.hosts, true, false),
 			crashCase(tt.shards, tt.hosts, true, true),
 		} {
-			c.Routed.Crash.Callers, c.Routed.Crash.After = tt.callers, tt.after
+			c.routed.crash.callers, c.routed.crash.after = tt.callers, tt.after
 			cases = append(cases, c)
 		}
 		reports := runAll(t, cases...)
 		name := fmt.Sprintf("%d shards, %d hosts, %d callers, %s", tt.shards, tt.hosts, tt.callers, tt.after)
-		for i, way := range []string{"forget", "remember", "tell"} {
-			c := reports[i].Crash
+		for i, way := range []string{"forget", "remember", "report"} {
+			c := reports[i].crashes
 			t.Logf("%s, %s: %d ended, %d attempts reached, %d of %d served, earned %.3f",
-				name, way, c.Ended, c.Reached, c.Served, c.Requests, reports[i].Classes[0].MeanEarned())
+				name, way, c.crashed, c.reached, c.served, c.requests, reports[i].classes[0].meanEarned())
 		}
-		told := reports[2].Crash
-		assert.Check(t, told.Reached <= 4, name)
-		assert.Check(t, told.Ended <= tt.ended, name)
-		assert.Check(t, told.Blamed == 0, name)
-		assert.Check(t, told.served() >= tt.served, name)
-		assert.Check(t, reports[0].Crash.served() <= 0.5, name)
+		told := reports[2].crashes
+		assert.Check(t, told.reached <= 4, name)
+		assert.Check(t, told.crashed <= tt.ended, name)
+		assert.Check(t, told.blamed == 0, name)
+		assert.Check(t, told.servedShare() >= tt.served, name)
+		assert.Check(t, reports[0].crashes.servedShare() <= 0.5, name)
 	}
 }
 
-// served is the part of the other requests that was served.
-func (c *CrashTally) served() float64 { return float64(c.Served) / float64(c.Requests) }
+// servedShare is the part of the other requests that was served.
+func (c *crashResult) servedShare() float64 { return float64(c.served) / float64(c.requests) }
 
 // TestUpstreamsThatEndByThemselves has all upstreams end again and again, no request
 // being the cause, while 20 requests come again and again: hosts that remember serve as
@@ -96,26 +96,26 @@
 				for _, remember := range []bool{false, true} {
 					c := crashCase(20, 7, remember, remember)
 					c.Seed = uint64(seed + 1)
-					c.Routed.Crash = &Crash{
-						Down: time.Second, Remember: remember, Tell: remember, Popular: 20,
-						StormEvery: 3 * time.Second, StormSpread: tt.spread,
+					c.routed.crash = &crashSettings{
+						down: time.Second, remember: remember, report: remember, popular: 20,
+						waveEvery: 3 * time.Second, waveSpread: tt.spread,
 					}
 					cases = append(cases, c)
 				}
 			}
-			var forgot, told CrashTally
+			var forgot, told crashResult
 			for i, r := range runAll(t, cases...) {
 				sum := &forgot
 				if i%2 == 1 {
 					sum = &told
 				}
-				sum.Requests += r.Crash.Requests
-				sum.Served += r.Crash.Served
-				sum.Blamed += r.Crash.Blamed
+				sum.requests += r.crashes.requests
+				sum.served += r.crashes.served
+				sum.blamed += r.crashes.blamed
 			}
-			t.Logf("forget %.3f served, remember %.3f, %d blamed of %d", forgot.served(), told.served(), told.Blamed, told.Requests)
-			assert.Check(t, told.served() >= forgot.served()-0.04)
-			assert.Check(t, float64(told.Blamed) <= 0.10*float64(told.Requests))
+			t.Logf("forget %.3f served, remember %.3f, %d blamed of %d", forgot.servedShare(), told.servedShare(), told.blamed, told.requests)
+			assert.Check(t, told.servedShare() >= forgot.servedShare()-0.04)
+			assert.Check(t, float64(told.blamed) <= 0.10*float64(told.requests))
 		})
 	}
 }
@@ -139,14 +139,14 @@
 			var cases []Case
 			for seed := range seeds {
 				c := crashCase(20, hosts, true, true)
-				c.Seed, c.Length, c.Replicas = uint64(seed+1), 20*time.Second, 1
-				c.Routed.Crash.Every, c.Routed.Crash.Callers = tt.every, tt.callers
-				c.Routed.Crash.After, c.Routed.Crash.Down = 60*time.Millisecond, 4200*time.Millisecond
+				c.Seed, c.length, c.replicas = uint64(seed+1), 20*time.Second, 1
+				c.routed.crash.every, c.routed.crash.callers = tt.every, tt.callers
+				c.routed.crash.after, c.routed.crash.down = 60*time.Millisecond, 4200*time.Millisecond
 				cases = append(cases, c)
 			}
 			worst := 0
 			for _, r := range runAll(t, cases...) {
-				worst = max(worst, r.Crash.Late)
+				worst = max(worst, r.crashes.late)
 			}
 			assert.Check(t, worst <= 3, "%d hosts, every %s, %d callers: %d", hosts, tt.every, tt.callers, worst)
 		}
--- /dev/null
+++ b/tier/replay/execution.go
@@ -0,0 +1,143 @@
+package replay
+
+import (
+	"time"
+
+	"loomgap/tier/policy"
+)
+
+// execution carries out one run of policy in virtual time.
+type execution struct {
+	host *host
+	// load is the index of the load that the request belongs to.
+	load   int
+	run    *policy.Run
+	begun  time.Duration
+	shards int
+	// coverage is the least part of the shards that an answer has, 0 to 1.
+	coverage float64
+	// calls are those made so far, by the run's number of the attempt.
+	calls map[int]*call
+	// wakeAt is when the run is woken next; ended once it is finished.
+	wakeAt time.Duration
+	// result counts the request; nil during the warm-up.
+	result *classResult
+	// back is how long the answer takes to the host that the caller asked.
+	back time.Duration
+	// request is the caller's, in a case with crashes; nil otherwise.
+	request *callerRequest
+	// hasReached is true once a call of it has reached an upstream.
+	hasReached bool
+}
+
+// ended is the wakeAt of an execution that is finished.
+const ended time.Duration = -1
+
+func (h *host) newExecution(load, shards int) *execution {
+	w := h.world
+	e := &execution{host: h, load: load, begun: w.now, calls: map[int]*call{}, shards: shards}
+	if w.now >= w.c.warm {
+		e.result = w.results[load]
+	}
+	return e
+}
+
+// begin starts the run of a request that may be repeated.
+func (e *execution) begin(c policy.RunConfig) {
+	w := e.host.world
+	e.coverage = c.Class.Coverage
+	c.Fleet, c.Repeatable = e.host.fleet, true
+	c.Granted = func(n int) { w.after(0, func() { e.perform(e.run.Granted(w.now, n)) }) }
+	run, err := policy.NewRun(c)
+	if err != nil {
+		panic(err) // the case names a plug-in that is not there
+	}
+	e.run = run
+	actions, err := run.Begin(w.now)
+	if err != nil {
+		e.result.refused()
+		e.done(false)
+		return
+	}
+	e.perform(actions)
+	e.planWake()
+}
+
+// planWake plans the run's next wake.
+func (e *execution) planWake() {
+	w := e.host.world
+	next := e.run.Next()
+	if e.wakeAt == next {
+		return
+	}
+	e.wakeAt = next
+	w.after(max(next-w.now, 0), func() {
+		if e.wakeAt != next {
+			return
+		}
+		e.perform(e.run.Wake(w.now))
+		e.planWake()
+	})
+}
+
+// perform carries out what the run decided.
+func (e *execution) perform(actions []policy.Action) {
+	w := e.host.world
+	for _, a := range actions {
+		switch a.Kind {
+		case policy.ActionSend:
+			e.send(a)
+		case policy.ActionCancel:
+			e.calls[a.Attempt].cancel(a.Outcome)
+		case policy.ActionLinger:
+			e.calls[a.Attempt].linger(a.Outcome, a.For)
+		case policy.ActionFree:
+			policy.Deliver(e.host.fleet.Free(w.now, a.Upstream))
+		case policy.ActionFinish:
+			e.finish()
+		default:
+		}
+	}
+	if e.wakeAt != ended && len(actions) > 0 {
+		e.planWake()
+	}
+}
+
+// finish counts the answer.
+func (e *execution) finish() {
+	r := e.run.Result()
+	e.result.answered(e.host.world.now-e.begun+e.back, &r, e.shards)
+	e.done(float64(r.Included) >= e.coverage*float64(e.shards) && r.Included > 0)
+	e.wakeAt = ended
+}
+
+// done tells the caller's request what became of the attempt.
+func (e *execution) done(served bool) {
+	if e.request != nil {
+		e.request.done(served)
+	}
+}
+
+// send makes a call, directly or through the owner of the upstream.
+func (e *execution) send(a policy.Action) {
+	w := e.host.world
+	index := w.indices[a.Upstream.Name]
+	sent := w.now
+	k := &call{world: w, upstream: w.upstreams[index], hop: e.host.hop(index), execution: e}
+	e.host.fleet.Sent(sent, a.Upstream)
+	k.done = func(o policy.CallOutcome) {
+		e.host.work(func() {
+			policy.Deliver(e.host.fleet.Finish(w.now, policy.Call{
+				Upstream: a.Upstream, Pool: a.Pool, Outcome: o, Took: w.now - sent, Lingering: k.lingering,
+			}))
+			e.perform(e.run.Reply(w.now, a.Attempt, o))
+		})
+	}
+	e.calls[a.Attempt] = k
+	owner := w.hosts[index%len(w.hosts)]
+	if w.c.sharing == sharingOwner && owner != e.host {
+		k.relay(owner, a.Upstream.Name, e.begun+time.Duration(w.c.loads[e.load].class.Deadline))
+		return
+	}
+	k.start()
+}
--- a/tier/replay/golden_test.go
+++ b/tier/replay/golden_test.go
@@ -54,8 +54,8 @@
 	assert.Assert(t, found)
 	var want []string
 	for _, c := range Cases() {
-		for _, l := range c.Loads {
-			want = append(want, "| "+c.Name+" | "+l.Class.Name+" |")
+		for _, l := range c.loads {
+			want = append(want, "| "+c.Name+" | "+l.class.Name+" |")
 		}
 	}
 	lines := strings.Split(strings.TrimSuffix(rows, "\n"), "\n")
--- a/tier/replay/replay_test.go
+++ b/tier/replay/replay_test.go
@@ -27,44 +27,44 @@
 // TestStragglersAreRoutedRound holds the chosen policy to the goals for a wide
 // query with one upstream in 50 and one call in 1,000 ten times slower.
 func TestStragglersAreRoutedRound(t *testing.T) {
-	cases := append(pair("stragglers", Stragglers()), Healthy())
+	cases := append(withBaseline("stragglers", stragglersCase()), healthyCase())
 	r := runAll(t, cases...)
-	plain, chosen, healthy := r[0].Classes[0], r[1].Classes[0], r[2].Classes[0]
-	assert.Assert(t, float64(chosen.Quantile(0.99)) <= 0.25*float64(plain.Quantile(0.99)))
-	assert.Assert(t, float64(chosen.Quantile(0.99)) <= 1.25*float64(healthy.Quantile(0.99)))
-	assert.Assert(t, chosen.Coverage() >= 0.999)
-	assert.Assert(t, chosen.ExtraLoad() <= 0.03)
+	plain, chosen, healthy := r[0].classes[0], r[1].classes[0], r[2].classes[0]
+	assert.Assert(t, float64(chosen.quantile(0.99)) <= 0.25*float64(plain.quantile(0.99)))
+	assert.Assert(t, float64(chosen.quantile(0.99)) <= 1.25*float64(healthy.quantile(0.99)))
+	assert.Assert(t, chosen.coverage() >= 0.999)
+	assert.Assert(t, chosen.extraLoad() <= 0.03)
 }
 
 // TestOverloadShedsTheLeastWorth holds admission to 0.9 of the worth that the
 // slots can carry, at twice the load.
 func TestOverloadShedsTheLeastWorth(t *testing.T) {
-	r := runAll(t, overloaded())[0]
-	counter, report := r.Classes[0], r.Classes[1]
+	r := runAll(t, overloadCase())[0]
+	counter, report := r.classes[0], r.classes[1]
 	best := 470*5.0 + (smallCapacity-470)*1.0
-	assert.Assert(t, r.WorthPerSecond() >= 0.9*best)
-	assert.Assert(t, report.Refused > 20*counter.Refused)
+	assert.Assert(t, r.worthPerSecond() >= 0.9*best)
+	assert.Assert(t, report.refusals > 20*counter.refusals)
 }
 
 func TestSameSeedSameResult(t *testing.T) {
-	c := small(200)
-	c.Length = 20 * time.Second
+	c := smallCase(200)
+	c.length = 20 * time.Second
 	r := runAll(t, c, c)
-	assert.Equal(t, r[0].Classes[0].Attempts, r[1].Classes[0].Attempts)
-	assert.Equal(t, r[0].Classes[0].Quantile(0.99), r[1].Classes[0].Quantile(0.99))
+	assert.Equal(t, r[0].classes[0].attempts, r[1].classes[0].attempts)
+	assert.Equal(t, r[0].classes[0].quantile(0.99), r[1].classes[0].quantile(0.99))
 }
 
 // BenchmarkWideQuery is the processor time that the decisions for one query to
 // 510 upstreams cost, the fakes' own included.
 func BenchmarkWideQuery(b *testing.B) {
-	c := Stragglers()
-	c.Warm = 0
-	c.Length = time.Duration(b.N) * 5 * time.Millisecond
+	c := stragglersCase()
+	c.warm = 0
+	c.length = time.Duration(b.N) * 5 * time.Millisecond
 	b.ReportAllocs()
 	r, err := Run(c)
 	assert.NilError(b, err)
-	t := r.Classes[0]
-	b.ReportMetric(float64(t.Quantile(0.99))/1e6, "p99-ms")
-	b.ReportMetric(100*t.ExtraLoad(), "extra-%")
-	b.ReportMetric(t.Coverage(), "coverage")
+	t := r.classes[0]
+	b.ReportMetric(float64(t.quantile(0.99))/1e6, "p99-ms")
+	b.ReportMetric(100*t.extraLoad(), "extra-%")
+	b.ReportMetric(t.coverage(), "coverage")
 }
--- a/tier/replay/report.go
+++ b/tier/replay/report.go
@@ -7,100 +7,114 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"loomgap/tier/config"
 	"loomgap/tier/policy"
 )
 
-// Tally is what became of the requests of one class.
-type Tally struct {
-	Class    string
-	Worth    int
-	Answered int
-	Refused  int
-	Complete int
-	// Asked and Included count parts, Attempts the calls made for them.
-	Asked, Included, Attempts int
-	latency                   *hdrhistogram.Histogram
-	// Objective is when an answer counts in full, Earned the sum of what answers
-	// within it earn, for routed requests.
-	Objective time.Duration
-	Earned    float64
+// Report is the result of a replay.
+type Report struct {
+	name string
+	// seconds is the virtual time that is counted.
+	seconds float64
+	classes []*classResult
+	// crashes is what became of the requests, in a case with crashes.
+	crashes crashResult
 }
 
-const longestMicros = 60_000_000
-
-func newTally(l *Load) *Tally {
-	return &Tally{Class: l.Class.Name, Worth: l.Class.Worth, latency: hdrhistogram.New(1, longestMicros, 3)}
+func (w *world) report() *Report {
+	return &Report{name: w.c.Name, seconds: (w.c.length - w.c.warm).Seconds(), classes: w.results, crashes: w.crashes}
 }
 
-// refused and finished do nothing on a nil tally, during the warm-up.
-func (t *Tally) refused() {
-	if t != nil {
-		t.Refused++
+// Header is the head of the table that Print writes rows of.
+const Header = "| Case | Class | Answered | Refused | p50 ms | p99 ms | p99.9 ms | Coverage | Complete | Extra | Worth/s |\n" +
+	"| --- | --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |\n"
+
+// Print writes a report as rows of a Markdown table, one for each class. Latencies
+// are in milliseconds.
+func (r *Report) Print(out io.Writer) {
+	for _, c := range r.classes {
+		fmt.Fprintf(out, "| %s | %s | %d | %d | %.1f | %.1f | %.1f | %.5f | %.4f | %.2f%% | %.0f |\n", r.name, c.name, c.answers, c.refusals,
+			millis(c.quantile(0.5)), millis(c.quantile(0.99)), millis(c.quantile(0.999)), c.coverage(),
+			float64(c.complete)/float64(max(c.answers, 1)), 100*c.extraLoad(), r.worthPerSecond())
 	}
 }
 
-func (t *Tally) finished(took time.Duration, r *policy.Result, shards int) {
-	if t == nil {
-		return
-	}
-	t.Answered++
-	t.Asked += shards
-	t.Included += r.Included
-	t.Attempts += r.Attempts
-	if took <= t.Objective {
-		share := float64(r.Included) / float64(shards)
-		t.Earned += share * share
-	}
-	if r.Included == shards {
-		t.Complete++
+func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+
+// worthPerSecond is the worth of the complete answers, for each second.
+func (r *Report) worthPerSecond() float64 {
+	total := 0
+	for _, c := range r.classes {
+		total += c.worth * c.complete
 	}
-	_ = t.latency.RecordValue(took.Microseconds())
+	return float64(total) / r.seconds
 }
 
-// Quantile is a latency quantile of the answers, 0 to 1.
-func (t *Tally) Quantile(q float64) time.Duration {
-	return time.Duration(t.latency.ValueAtQuantile(q*100)) * time.Microsecond
+// classResult is what became of the requests of one class.
+type classResult struct {
+	name  string
+	worth int
+	// answers and refusals count requests, complete those answers that lack
+	// nothing.
+	answers, refusals, complete int
+	// asked and included count parts, attempts the calls made for them.
+	asked, included, attempts int
+	latency                   *hdrhistogram.Histogram
+	// objective is when an answer counts in full, earned the sum of what answers
+	// within it earn, for routed requests.
+	objective time.Duration
+	earned    float64
 }
 
-// Coverage is the share of the parts asked that the answers include.
-func (t *Tally) Coverage() float64 { return float64(t.Included) / float64(max(t.Asked, 1)) }
-
-// ExtraLoad is calls over parts asked, less 1.
-func (t *Tally) ExtraLoad() float64 { return float64(t.Attempts)/float64(max(t.Asked, 1)) - 1 }
+// Bounds of the latencies that a result counts.
+const (
+	// longestMicros is the longest latency counted, a minute in microseconds: more
+	// than any deadline of a case.
+	longestMicros = 60_000_000
+	// latencyDigits is how many significant digits of a latency are kept.
+	latencyDigits = 3
+)
 
-// Report is the result of a replay.
-type Report struct {
-	Case    string
-	Seconds float64
-	Classes []*Tally
-	// Crash is what became of the requests, in a case with Crash.
-	Crash CrashTally
+func newClassResult(c *config.Class) *classResult {
+	return &classResult{name: c.Name, worth: c.Worth, latency: hdrhistogram.New(1, longestMicros, latencyDigits)}
 }
 
-func (w *world) report() *Report {
-	return &Report{Case: w.c.Name, Seconds: (w.c.Length - w.c.Warm).Seconds(), Classes: w.tallies, Crash: w.crash}
+// refused counts a request that was refused. Like answered it does nothing on nil,
+// during the warm-up.
+func (c *classResult) refused() {
+	if c != nil {
+		c.refusals++
+	}
 }
 
-// WorthPerSecond is the worth of the complete answers, for each second.
-func (r *Report) WorthPerSecond() float64 {
-	total := 0
-	for _, t := range r.Classes {
-		total += t.Worth * t.Complete
+// answered counts an answer.
+func (c *classResult) answered(took time.Duration, r *policy.Result, shards int) {
+	if c == nil {
+		return
 	}
-	return float64(total) / r.Seconds
+	c.answers++
+	c.asked += shards
+	c.included += r.Included
+	c.attempts += r.Attempts
+	if took <= c.objective {
+		share := float64(r.Included) / float64(shards)
+		c.earned += share * share
+	}
+	if r.Included == shards {
+		c.complete++
+	}
+	_ = c.latency.RecordValue(took.Microseconds()) // a case's deadline is far below longestMicros
 }
 
-// Print writes a report as rows of a Markdown table.
-func (r *Report) Print(out io.Writer) {
-	for _, t := range r.Classes {
-		fmt.Fprintf(out, "| %s | %s | %d | %d | %.1f | %.1f | %.1f | %.5f | %.4f | %.2f%% | %.0f |\n", r.Case, t.Class, t.Answered, t.Refused,
-			ms(t.Quantile(0.5)), ms(t.Quantile(0.99)), ms(t.Quantile(0.999)), t.Coverage(),
-			float64(t.Complete)/float64(max(t.Answered, 1)), 100*t.ExtraLoad(), r.WorthPerSecond())
-	}
+// quantile is a latency quantile of the answers, 0 to 1.
+func (c *classResult) quantile(q float64) time.Duration {
+	return time.Duration(c.latency.ValueAtQuantile(q*100)) * time.Microsecond
 }
 
-// Header is the head of the table that Print writes rows of.
-const Header = "| Case | Class | Answered | Refused | p50 ms | p99 ms | p99.9 ms | Coverage | Complete | Extra | Worth/s |\n" +
-	"| --- | --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |\n"
+// coverage is the share of the parts asked that the answers include.
+func (c *classResult) coverage() float64 { return float64(c.included) / float64(max(c.asked, 1)) }
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+// extraLoad is calls over parts asked, less 1.
+func (c *classResult) extraLoad() float64 {
+	return float64(c.attempts)/float64(max(c.asked, 1)) - 1
+}
--- a/tier/replay/routed.go
+++ b/tier/replay/routed.go
@@ -8,61 +8,56 @@
 	"loomgap/tier/policy"
 )
 
-// Routed describes gathers of a route: every request asks all shards, each of which
+// routed describes gathers of a route: every request asks all shards, each of which
 // has upstreams of its own, spread over the halls like the hosts.
-type Routed struct {
-	// Route is the route of the requests; its Gather names no groups.
-	Route config.Route
-	// Plain has the baseline decide: any upstream, no hedge.
-	Plain bool
-	// Halls is how many data halls there are; FarHop is the one-way time between
+type routed struct {
+	// route is the route of the requests; its Gather names no groups.
+	route config.Route
+	// plain has the baseline decide: any upstream, no hedge.
+	plain bool
+	// halls is how many data halls there are; farHop is the one-way time between
 	// them.
-	Halls  int
-	FarHop time.Duration
-	// Ratio and Slack bound the retries of all hosts at a shard.
-	Ratio, Slack float64
-	// StrongHosts of the hosts, the first ones, take StrongWork of their own for each
-	// answer of an upstream, one after the other; the others take WeakWork. With 0
-	// no host takes any.
-	StrongHosts          int
-	StrongWork, WeakWork time.Duration
-	// Forward has the others forward their requests to the strong ones.
-	Forward bool
-	// PauseFor is how long each upstream pauses once in PauseEvery; 0 for never.
-	PauseFor, PauseEvery time.Duration
-	// Crash adds a request that crashes upstreams; nil for none.
-	Crash *Crash
+	halls  int
+	farHop time.Duration
+	// ratio and slack bound the retries of all hosts at a shard.
+	ratio, slack float64
+	// ownWork is the work of hosts beside the upstreams' own.
+	ownWork ownWork
+	// forward has weak hosts forward their requests to the strong ones.
+	forward bool
+	// pauseFor is how long each upstream pauses once in pauseEvery; 0 for never.
+	pauseFor, pauseEvery time.Duration
+	// crash adds crashes of upstreams; nil for none.
+	crash *crashSettings
 }
 
-// crashing reports whether a request of the case crashes upstreams.
-func (c *Case) crashing() bool { return c.Routed != nil && c.Routed.Crash != nil }
-
-// upstreams is how many upstreams a case has.
-func (c *Case) upstreams() int {
-	if c.Routed == nil {
-		return c.Shards
-	}
-	return c.Shards * c.Replicas
+// ownWork is the work of a host for each answer of an upstream, one answer after the
+// other.
+type ownWork struct {
+	// strongHosts of the hosts, the first ones, take strong for each answer, the
+	// others weak. With 0 no host takes any.
+	strongHosts  int
+	strong, weak time.Duration
 }
 
 // class returns the settings of the decisions.
-func (r *Routed) class() config.Class {
-	c := r.Route.Class()
-	if r.Plain {
-		return Plain(c)
+func (r *routed) class() config.Class {
+	c := r.route.Class()
+	if r.plain {
+		return baseline(c)
 	}
 	return c
 }
 
-func (r *Routed) hall(index int) string { return fmt.Sprint("Hall", index%r.Halls) }
+func (r *routed) hall(index int) string { return fmt.Sprint("Hall", index%r.halls) }
 
 // hop is the one-way time between a host and an upstream.
 func (h *host) hop(upstream int) time.Duration {
-	r := h.world.c.Routed
+	r := h.world.c.routed
 	if r == nil || r.hall(h.index) == r.hall(upstream) {
-		return h.world.c.Hop
+		return h.world.c.hop
 	}
-	return r.FarHop
+	return r.farHop
 }
 
 // joinRouted sets up a host's view of the upstreams.
@@ -70,36 +65,39 @@
 	c := &h.world.c
 	var shares []policy.Share
 	for i := range c.upstreams() {
-		hall := c.Routed.hall(i)
+		hall := c.routed.hall(i)
 		shares = append(shares, policy.Share{
-			Name: upstreamName(i), Slots: c.Slots + c.Backlog, Listed: true,
-			Hall: hall, Near: hall == c.Routed.hall(h.index),
+			Name: upstreamName(i), Slots: c.capacity.slots + c.capacity.backlog, Listed: true,
+			Hall: hall, Near: hall == c.routed.hall(h.index),
 		})
 	}
-	h.fleet.SetRetryBudget(policy.ShareRetryBudget(c.Routed.Ratio, c.Routed.Slack, float64(c.Hosts)))
+	h.fleet.SetRetryBudget(policy.ShareRetryBudget(c.routed.ratio, c.routed.slack, float64(c.hosts)))
 	h.fleet.Apply(0, shares)
 	if c.crashing() {
-		h.joinCrash()
+		h.reportStrikes()
 	}
 }
 
-// coreWork is the own work for each answer of a host of a core: what a host of
-// another capacity takes compares to it.
+// coreWork is the own work for each answer of a host of one core, against which the
+// capacity of a host is computed. Not measured.
 const coreWork = 50 * time.Microsecond
 
+// coreCapacity is the capacity of a host of one core, in thousandths of a core.
+const coreCapacity = 1000
+
 // isStrong reports whether a host is one of the strong ones.
-func (h *host) isStrong() bool { return h.index < h.world.c.Routed.StrongHosts }
+func (h *host) isStrong() bool { return h.index < h.world.c.routed.ownWork.strongHosts }
 
 // ownWork is what the host takes for each answer.
 func (h *host) ownWork() time.Duration {
-	r := h.world.c.Routed
+	r := h.world.c.routed
 	switch {
-	case r == nil || r.StrongHosts == 0:
+	case r == nil || r.ownWork.strongHosts == 0:
 		return 0
 	case h.isStrong():
-		return r.StrongWork
+		return r.ownWork.strong
 	default:
-		return r.WeakWork
+		return r.ownWork.weak
 	}
 }
 
@@ -117,10 +115,10 @@
 
 // candidate describes the host to those that choose a coordinator.
 func (h *host) candidate() policy.Candidate {
-	r := h.world.c.Routed
+	r := h.world.c.routed
 	work := max(h.ownWork(), 1)
 	return policy.Candidate{
-		Host: fmt.Sprint("H", h.index), Hall: r.hall(h.index), Capacity: int(1000 * coreWork / work), RoundTrip: 2 * r.FarHop,
+		Host: fmt.Sprint("H", h.index), Hall: r.hall(h.index), Capacity: int(coreCapacity * coreWork / work), RoundTrip: 2 * r.farHop,
 	}
 }
 
@@ -128,13 +126,13 @@
 // message takes there; the host itself if none does better.
 func (h *host) coordinator() (*host, time.Duration) {
 	w := h.world
-	r := w.c.Routed
-	if !r.Forward {
+	r := w.c.routed
+	if !r.forward {
 		return h, 0
 	}
 	var all []policy.Candidate
 	byName := map[string]*host{}
-	for _, o := range w.hosts[:r.StrongHosts] {
+	for _, o := range w.hosts[:r.ownWork.strongHosts] {
 		c := o.candidate()
 		all, byName[c.Host] = append(all, c), o
 	}
@@ -144,71 +142,61 @@
 	}
 	to := byName[best[0].Host]
 	if best[0].Hall == r.hall(h.index) {
-		return to, w.c.Hop
+		return to, w.c.hop
 	}
-	return to, r.FarHop
+	return to, r.farHop
 }
 
-// requestRouted carries out one gather, or forwards it.
+// forwardMessages is how many messages pass one after the other before a forwarded
+// request begins: the request, the sign that it came, and the word to begin.
+const forwardMessages = 3
+
+// requestRouted carries out one gather of a load, or forwards it.
 func (h *host) requestRouted(load int) {
-	to, way := h.coordinator()
+	g := gather{load: load, began: h.world.now}
+	to, hop := h.coordinator()
 	if to == h {
-		h.gather(load, h.world.now, 0)
+		h.gather(g)
 		return
 	}
-	began := h.world.now
-	// The request, the sign and the word to begin.
-	h.world.after(3*way, func() { to.gather(load, began, way) })
+	g.back = hop
+	h.world.after(forwardMessages*hop, func() { to.gather(g) })
 }
 
-// gather carries out a request that a host got at some time, to which the answer
-// takes so long.
-func (h *host) gather(load int, began, back time.Duration) { h.gatherFor(nil, load, began, back) }
+// gather is one gather that a host carries out.
+type gather struct {
+	// request is the caller's; nil where it is not known.
+	request *callerRequest
+	// load is the index of its load.
+	load int
+	// began is when a host got the request.
+	began time.Duration
+	// back is how long the answer takes to that host.
+	back time.Duration
+}
 
-// gatherFor does so for a request of a caller; nil where it is not known.
-func (h *host) gatherFor(v *visit, load int, began, back time.Duration) {
+// gather carries out a gather.
+func (h *host) gather(g gather) {
 	w := h.world
-	c := w.c.Routed
+	c := w.c.routed
 	class := c.class()
-	spent := w.now - began + back
+	spent := w.now - g.began + g.back
 	class.Patience = config.Duration(max(time.Duration(class.Patience)-spent, 0))
-	names, groups := make([][]string, w.c.Shards), make([]string, w.c.Shards)
+	names, groups := make([][]string, w.c.shards), make([]string, w.c.shards)
 	for i := range names {
 		groups[i] = fmt.Sprint("G", i)
-		for r := range w.c.Replicas {
-			names[i] = append(names[i], upstreamName(i*w.c.Replicas+r))
+		for r := range w.c.replicas {
+			names[i] = append(names[i], upstreamName(i*w.c.replicas+r))
 		}
 	}
-	near, far := h.fleet.RoutedPools(c.Route.Name)
-	f := h.newFlight(load, w.c.Shards)
-	f.begun, f.back, f.visit = began, back, v
-	f.begin(policy.RunConfig{
-		Pool: near, Class: &class, Replicas: h.fleet.Resolve(names), Subject: v.subject(),
-		Deadline: w.now + time.Duration(c.Route.TimeLimit),
+	near, far := h.fleet.RoutedPools(c.route.Name)
+	e := h.newExecution(g.load, w.c.shards)
+	e.begun, e.back, e.request = g.began, g.back, g.request
+	e.begin(policy.RunConfig{
+		Pool: near, Class: &class, Replicas: h.fleet.Resolve(names), Subject: g.request.subject(),
+		Deadline: w.now + time.Duration(c.route.TimeLimit),
 		Routed: &policy.Routed{
-			Groups: groups, FarPool: far, MaxAttempts: c.Route.MaxAttempts, Objective: max(time.Duration(c.Route.Objective)-spent, 0),
+			Groups: groups, FarPool: far, MaxAttempts: c.route.MaxAttempts, Objective: max(time.Duration(c.route.Objective)-spent, 0),
 		},
 	})
 }
-
-// pausedFor is how much longer an upstream pauses. Each pauses at times of its own.
-func (s *server) pausedFor() time.Duration {
-	r := s.world.c.Routed
-	if r == nil || r.PauseFor == 0 {
-		return 0
-	}
-	// Multiplying by a large odd number spreads the upstreams over the period.
-	const spread = 7_919 * time.Millisecond
-	into := (s.world.now + time.Duration(s.index)*spread) % r.PauseEvery
-	return max(r.PauseFor-into, 0)
-}
-
-// linger gives a call up after a while, unless it has ended.
-func (k *work) linger(o policy.CallOutcome, in time.Duration) {
-	k.lingering = true
-	k.world.after(in, func() { k.cancel(o) })
-}
-
-// MeanEarned is what a request of a class earns on average: the square of the share
-// of shards that an answer in time has.
-func (t *Tally) MeanEarned() float64 { return t.Earned / float64(max(t.Answered+t.Refused, 1)) }
--- a/tier/replay/routed_test.go
+++ b/tier/replay/routed_test.go
@@ -20,21 +20,23 @@
 		busy    = 0.35
 	)
 	return Case{
-		Seed: 1, Length: 12 * time.Second, Warm: 2 * time.Second, Hosts: hosts,
-		Shards: shards, Replicas: replicas, Slots: slots, Backlog: 12, Service: service, Sigma: 0.35,
-		Hop: 250 * time.Microsecond, SlowEvery: 6, SlowFactor: 8, SlowFrom: 4 * time.Second, SlowUntil: 9 * time.Second,
-		Routed: &Routed{
-			Route: config.Route{
+		Seed: 1, length: 12 * time.Second, warm: 2 * time.Second, hosts: hosts,
+		shards: shards, replicas: replicas,
+		capacity: capacity{slots: slots, backlog: 12, service: service, sigma: 0.35},
+		hop:      250 * time.Microsecond,
+		faults:   faults{slowEvery: 6, slowFactor: 8, slowFrom: 4 * time.Second, slowUntil: 9 * time.Second},
+		routed: &routed{
+			route: config.Route{
 				Name: "Sweep", Repeatable: true, MaxAttempts: 2,
 				TimeLimit: config.Duration(2 * time.Second), Objective: config.Duration(200 * time.Millisecond),
 				Gather: &config.Gather{Top: 10, Coverage: 0.5},
 			},
-			Halls: min(3, hosts), FarHop: farHop, Ratio: 0.2, Slack: 56 * float64(max(hosts/8, 1)) / 2,
-			PauseFor: 250 * time.Millisecond, PauseEvery: 6 * time.Second,
+			halls: min(3, hosts), farHop: farHop, ratio: 0.2, slack: 56 * float64(max(hosts/8, 1)) / 2,
+			pauseFor: 250 * time.Millisecond, pauseEvery: 6 * time.Second,
 		},
-		Loads: []Load{{
-			Class: class("Sweep", 1, 2*time.Second), Shards: shards,
-			Rate: busy * slots * float64(replicas) / service.Seconds(),
+		loads: []load{{
+			class: caseClass("Sweep", 1, 2*time.Second), shards: shards,
+			rate: busy * slots * float64(replicas) / service.Seconds(),
 		}},
 	}
 }
@@ -61,18 +63,18 @@
 	for _, tt := range tests {
 		chosen := routedCase(tt.shards, tt.replicas, tt.hosts, tt.farHop)
 		plain := chosen
-		routed := *chosen.Routed
-		routed.Plain = true
-		plain.Routed = &routed
+		route := *chosen.routed
+		route.plain = true
+		plain.routed = &route
 		cases = append(cases, plain, chosen)
 	}
 	reports := runAll(t, cases...)
 	for i, tt := range tests {
-		plain, chosen := reports[2*i].Classes[0], reports[2*i+1].Classes[0]
+		plain, chosen := reports[2*i].classes[0], reports[2*i+1].classes[0]
 		name := fmt.Sprintf("%d shards of %d, %d hosts, %s", tt.shards, tt.replicas, tt.hosts, tt.farHop)
-		t.Logf("%s: plain %.3f, chosen %.3f, extra calls %.1f%%", name, plain.MeanEarned(), chosen.MeanEarned(), 100*chosen.ExtraLoad())
-		assert.Check(t, chosen.MeanEarned() >= plain.MeanEarned()+tt.gain, name)
-		assert.Check(t, chosen.ExtraLoad() <= 0.25, name)
+		t.Logf("%s: plain %.3f, chosen %.3f, extra calls %.1f%%", name, plain.meanEarned(), chosen.meanEarned(), 100*chosen.extraLoad())
+		assert.Check(t, chosen.meanEarned() >= plain.meanEarned()+tt.gain, name)
+		assert.Check(t, chosen.extraLoad() <= 0.25, name)
 	}
 }
 
@@ -84,19 +86,25 @@
 // all calls themselves.
 func TestForwardedGathersMeetTheirObjective(t *testing.T) {
 	alone := routedCase(90, 3, 60, 8*time.Millisecond)
-	alone.Loads[0].Rate /= 4
-	r := *alone.Routed
-	r.Route.Objective = config.Duration(100 * time.Millisecond)
-	r.StrongHosts, r.StrongWork, r.WeakWork = 6, 120*time.Microsecond, 750*time.Microsecond
-	alone.Routed = &r
+	alone.loads[0].rate /= 4
+	r := *alone.routed
+	r.route.Objective = config.Duration(100 * time.Millisecond)
+	r.ownWork = ownWork{strongHosts: 6, strong: 120 * time.Microsecond, weak: 750 * time.Microsecond}
+	alone.routed = &r
 	forwarded := alone
 	f := r
-	f.Forward = true
-	forwarded.Routed = &f
+	f.forward = true
+	forwarded.routed = &f
 	reports := runAll(t, alone, forwarded)
-	without, with := reports[0].Classes[0], reports[1].Classes[0]
-	t.Logf("alone %.3f, forwarded %.3f, extra calls %.1f%% and %.1f%%", without.MeanEarned(), with.MeanEarned(),
-		100*without.ExtraLoad(), 100*with.ExtraLoad())
-	assert.Check(t, with.MeanEarned() >= without.MeanEarned()+0.15)
-	assert.Check(t, with.ExtraLoad() <= 0.25)
+	without, with := reports[0].classes[0], reports[1].classes[0]
+	t.Logf("alone %.3f, forwarded %.3f, extra calls %.1f%% and %.1f%%", without.meanEarned(), with.meanEarned(),
+		100*without.extraLoad(), 100*with.extraLoad())
+	assert.Check(t, with.meanEarned() >= without.meanEarned()+0.15)
+	assert.Check(t, with.extraLoad() <= 0.25)
+}
+
+// meanEarned is what a request of a class earns on average: the square of the share
+// of shards that an answer in time has.
+func (c *classResult) meanEarned() float64 {
+	return c.earned / float64(max(c.answers+c.refusals, 1))
 }
--- /dev/null
+++ b/tier/replay/upstream.go
@@ -0,0 +1,120 @@
+package replay
+
+import (
+	"slices"
+	"time"
+
+	"loomgap/tier/policy"
+)
+
+// upstream is the fake of one upstream: slots, a short backlog, and faults.
+type upstream struct {
+	world *world
+	index int
+	// running are the calls in the slots, backlog those that wait for one.
+	running, backlog []*call
+	// down is true while the upstream is away after a crash.
+	down bool
+	// crashes counts how often the upstream has crashed.
+	crashes int
+}
+
+func newUpstream(w *world, index int) *upstream { return &upstream{world: w, index: index} }
+
+// oneIn reports whether an upstream is the one among n that a fault is for; no
+// upstream is if n is 0.
+func oneIn(n, index int) bool { return n > 0 && index%n == n/2 }
+
+// lost reports whether the upstream has stopped answering.
+func (u *upstream) lost() bool {
+	f := &u.world.c.faults
+	return oneIn(f.lostEvery, u.index) && u.world.now >= f.lostFrom
+}
+
+// slow reports whether the upstream is slow now.
+func (u *upstream) slow() bool {
+	f, now := &u.world.c.faults, u.world.now
+	return oneIn(f.slowEvery, u.index) && now >= f.slowFrom && (f.slowUntil == 0 || now < f.slowUntil)
+}
+
+func (u *upstream) serviceTime() time.Duration {
+	w := u.world
+	f := &w.c.faults
+	d := w.lognormal()
+	if u.slow() {
+		d = time.Duration(float64(d) * f.slowFactor)
+	}
+	if f.straggleShare > 0 && w.random.Float64() < f.straggleShare {
+		d = time.Duration(float64(d) * f.straggleFactor)
+	}
+	return d
+}
+
+// arrive takes a call in, queues it or sheds it.
+func (u *upstream) arrive(k *call) {
+	if !u.down && k.execution.crashes() {
+		k.execution.reached()
+	}
+	c := &u.world.c
+	switch {
+	case u.down:
+		k.reply(policy.CallUnreachable)
+	case u.lost():
+		// It never answers; the caller gives up in the end.
+	case k.cancelled:
+	case u.pausedFor() > 0:
+		u.world.after(u.pausedFor(), func() { u.arrive(k) })
+	case oneIn(c.faults.shedEvery, u.index):
+		k.reply(policy.CallShed)
+	case len(u.running) < c.capacity.slots:
+		u.begin(k)
+	case len(u.backlog) < c.capacity.backlog:
+		u.backlog = append(u.backlog, k)
+	default:
+		k.reply(policy.CallShed)
+	}
+}
+
+// begin gives a slot to a call.
+func (u *upstream) begin(k *call) {
+	k.working = true
+	u.running = append(u.running, k)
+	if k.execution.crashes() {
+		u.crashBy(k)
+		return
+	}
+	u.world.after(u.serviceTime(), func() {
+		if k.working {
+			k.working = false
+			u.release(k)
+			k.reply(policy.CallOK)
+		}
+	})
+}
+
+// release gives the slot of a call that ended to the backlog.
+func (u *upstream) release(done *call) {
+	u.running = slices.DeleteFunc(u.running, func(k *call) bool { return k == done })
+	for len(u.backlog) > 0 && len(u.running) < u.world.c.capacity.slots {
+		k := u.backlog[0]
+		u.backlog = u.backlog[1:]
+		if !k.cancelled {
+			u.begin(k)
+		}
+	}
+}
+
+// pausedFor is how much longer the upstream pauses. Each pauses at times of its
+// own.
+func (u *upstream) pausedFor() time.Duration {
+	r := u.world.c.routed
+	if r == nil || r.pauseFor == 0 {
+		return 0
+	}
+	into := (u.world.now + time.Duration(u.index)*pauseSpread) % r.pauseEvery
+	return max(r.pauseFor-into, 0)
+}
+
+// pauseSpread is the time between the pauses of two neighbouring upstreams, modulo
+// the period: a large odd number spreads them over it. Not measured.
+const pauseSpread = 7_919 * time.Millisecond
--- /dev/null
+++ b/tier/replay/world.go
@@ -0,0 +1,140 @@
+package replay
+
+import (
+	"container/heap"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"time"
+)
+
+// seedStream is the second word of the random source's seed. Any constant does;
+// the golden lines of the replay were made with this one.
+const seedStream = 42
+
+// world is one replay under way. It is single-threaded.
+type world struct {
+	c         Case
+	now       time.Duration
+	queue     events
+	ranks     uint64
+	random    *rand.Rand
+	upstreams []*upstream
+	hosts     []*host
+	// results has one element for each load of the case.
+	results []*classResult
+	// indices finds an upstream by name.
+	indices map[string]int
+	// crashes is what became of the requests, in a case with crashes.
+	crashes crashResult
+	// thirdCrash is when the third upstream crashed; 0 before.
+	thirdCrash time.Duration
+}
+
+// Run replays a case. The error names what is wrong with the case.
+func Run(c Case) (*Report, error) {
+	w := &world{c: c, random: rand.New(rand.NewPCG(c.Seed, seedStream)), indices: map[string]int{}}
+	for i := range c.upstreams() {
+		w.upstreams = append(w.upstreams, newUpstream(w, i))
+		w.indices[upstreamName(i)] = i
+	}
+	for i := range c.hosts {
+		w.hosts = append(w.hosts, newHost(w, i))
+	}
+	for i := range c.loads {
+		w.results = append(w.results, newClassResult(&c.loads[i].class))
+		if c.routed != nil {
+			w.results[i].objective = time.Duration(c.routed.route.Objective)
+		}
+		if err := w.startLoad(i); err != nil {
+			return nil, err
+		}
+	}
+	if c.crashing() {
+		w.startCrashes()
+	}
+	w.run()
+	return w.report(), nil
+}
+
+// run carries out all that is planned.
+func (w *world) run() {
+	for w.queue.Len() > 0 {
+		e := heap.Pop(&w.queue).(event)
+		w.now = e.at
+		e.do()
+	}
+}
+
+// after plans something for a later time; what is planned for one time is done in
+// the order of planning.
+func (w *world) after(d time.Duration, do func()) {
+	w.ranks++
+	heap.Push(&w.queue, event{at: w.now + d, rank: w.ranks, do: do})
+}
+
+// startLoad plans the arrivals of a load, by its index.
+func (w *world) startLoad(index int) error {
+	l := &w.c.loads[index]
+	if l.rate <= 0 || l.shards < 1 || l.shards > w.c.shards {
+		return fmt.Errorf("load %s: rate or shards out of range: use a rate above 0 and 1 to %d shards", l.class.Name, w.c.shards)
+	}
+	gap := func() time.Duration {
+		return time.Duration(w.random.ExpFloat64() / l.rate * float64(time.Second))
+	}
+	var next func()
+	next = func() {
+		if w.now >= w.c.length {
+			return
+		}
+		w.after(gap(), next)
+		if w.c.crashing() {
+			w.newCallerRequest(index).arrive()
+			return
+		}
+		w.hosts[w.random.IntN(len(w.hosts))].request(index)
+	}
+	w.after(gap(), next)
+	return nil
+}
+
+// lognormal draws a service time.
+func (w *world) lognormal() time.Duration {
+	return time.Duration(float64(w.c.capacity.service) * math.Exp(w.c.capacity.sigma*w.random.NormFloat64()))
+}
+
+// event is something planned for a time.
+type event struct {
+	at time.Duration
+	// rank orders events of one time.
+	rank uint64
+	do   func()
+}
+
+// events is a heap of events, the earliest first.
+type events []event
+
+var _ heap.Interface = (*events)(nil)
+
+// Len implements heap.Interface.
+func (e events) Len() int { return len(e) }
+
+// Less implements heap.Interface.
+func (e events) Less(i, j int) bool {
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].rank < e[j].rank
+}
+
+// Swap implements heap.Interface.
+func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+
+// Push implements heap.Interface.
+func (e *events) Push(x any) { *e = append(*e, x.(event)) }
+
+// Pop implements heap.Interface.
+func (e *events) Pop() any {
+	last := len(*e) - 1
+	x := (*e)[last]
+	(*e)[last] = event{}
+	*e = (*e)[:last]
+	return x
+}
