--- a/tier/policy/hedge.go
+++ b/tier/policy/hedge.go
@@ -76,7 +76,7 @@
 // sameAgain returns the upstream of the shard's one live attempt, if it is fit.
 func (r *Run) sameAgain(now time.Duration, i int) *Upstream {
 	u := r.attempts[r.parts[i].live[0]].upstream
-	if !r.rules.hedgesAtSame() || !u.free() || !u.fit(now) {
+	if !r.rules.hedgesAtSame() || !u.free() || !u.eligible(now) {
 		return nil
 	}
 	return u
@@ -100,13 +100,13 @@
 		return out
 	}
 	for _, u := range r.parts[i].replicas {
-		if !u.slow || u.leaving || now < u.nextProbe || now < u.ejectedUntil || !u.free() {
+		if !u.outlier.probeDue(now) || u.leaving || u.ejection.active(now) || !u.free() {
 			continue
 		}
 		if u == r.attempts[r.parts[i].live[0]].upstream || !r.fleet.class(r.request.Class.Name).hedges.take() {
 			continue
 		}
-		u.nextProbe = now + probeEvery
+		u.outlier.probed(now)
 		return r.enter(now, i, u, out)
 	}
 	return out
--- a/tier/policy/retryafter.go
+++ b/tier/policy/retryafter.go
@@ -34,7 +34,7 @@
 		if u.leaving {
 			continue
 		}
-		wait := max(u.backoffUntil-now, u.ejectedUntil-now, 0)
+		wait := max(u.backoff.until-now, u.ejection.until-now, 0)
 		if !found || wait < best {
 			best, found = wait, true
 		}
@@ -45,6 +45,6 @@
 // retryAfter is the excess of expected work, spread at random so that callers
 // do not come back together.
 func (f *Fleet) retryAfter(r *Run, excess time.Duration) time.Duration {
-	base := max(excess, r.request.Pool.Median(), leastRetryAfter)
+	base := max(excess, r.request.Pool.median(), leastRetryAfter)
 	return time.Duration(float64(base) * (1 + f.random.Float64())).Round(time.Millisecond)
 }
--- a/tier/policy/route_test.go
+++ b/tier/policy/route_test.go
@@ -223,7 +223,7 @@
 	_, actions = routedRun(t, f, now, 1, 2, 1, true)
 	assert.Equal(t, sends(actions)[0].Upstream.Name, "F0")
 	far := f.Find("F0")
-	far.latency, far.slowness, far.samples = 40*time.Millisecond, 4, 10
+	far.latency, far.condition.slowness = latency{smoothed: 40 * time.Millisecond, samples: 10}, 4
 	answer(now, r, stuck, 60*time.Millisecond)
 	assert.Assert(t, !f.Stalled(now, stuck.Upstream))
 	_, actions = routedRun(t, f, now+time.Second, 1, 2, 1, true)
@@ -287,8 +287,8 @@
 	assert.Assert(t, !f.Linger(u), "one lingers at a time")
 	f.Lingered(u)
 	assert.Assert(t, f.Linger(u))
-	u.inUse++
-	f.Finish(0, Call{Upstream: u, Pool: NewPool(), Outcome: CallCancelled, Took: time.Millisecond, Lingering: true})
+	u.slots.inUse++
+	f.Finish(0, Call{Upstream: u, Pool: newPool(poolWindow), Outcome: CallCancelled, Took: time.Millisecond, Lingering: true})
 	assert.Assert(t, f.Linger(u))
 }
 
@@ -320,7 +320,7 @@
 		for range 2 * ejectAfter {
 			f.Finish(0, Call{Upstream: u, Pool: near, Outcome: o, Took: time.Millisecond, Elsewhere: true})
 		}
-		assert.Assert(t, u.fit(0) && u.faults == 0, "%s: %+v", o, u)
+		assert.Assert(t, u.eligible(0) && u.condition.faults == 0, "%s: %+v", o, u)
 	}
 }
 
@@ -350,11 +350,11 @@
 func TestLimitIsLearntFromResets(t *testing.T) {
 	f := NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(1, 2))})
 	f.Apply(0, []Share{{Name: "U", Slots: 6, Listed: true, Near: true}})
-	u, p := f.Find("U"), NewPool()
+	u, p := f.Find("U"), newPool(poolWindow)
 	enter := func() int {
 		n := 0
 		for u.free() {
-			u.inUse++
+			u.slots.inUse++
 			n++
 		}
 		return n
@@ -371,14 +371,14 @@
 	assert.Equal(t, enter(), 5)
 	finish(5)
 	for range 5 * limitGrowth {
-		u.inUse++
+		u.slots.inUse++
 		finish(1)
 	}
 	assert.Equal(t, enter(), 6, "the limit has grown")
 	for range 20 {
 		f.Finish(0, Call{Upstream: u, Pool: p, Outcome: CallBroken, Crowded: true})
-		u.inUse++
+		u.slots.inUse++
 	}
-	u.inUse = 0
+	u.slots.inUse = 0
 	assert.Equal(t, enter(), 5)
 }
--- a/tier/policy/snapshot.go
+++ b/tier/policy/snapshot.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// candidateSnapshots bounds how many snapshots are weighed for one request.
+// candidateSnapshots is the number of snapshots, the newest first, that are compared
+// for one request. Not measured.
 const candidateSnapshots = 16
 
 // Plan resolves the replicas of each shard and picks the snapshot that covers
@@ -16,14 +17,16 @@
 	for i, names := range replicas {
 		out[i] = f.resolve(names)
 		for _, u := range out[i] {
-			if u.window.Known && !u.leaving && !slices.Contains(candidates, u.window.Newest) {
-				candidates = append(candidates, u.window.Newest)
+			if u.status.window.Known && !u.leaving && !slices.Contains(candidates, u.status.window.Newest) {
+				candidates = append(candidates, u.status.window.Newest)
 			}
 		}
 	}
 	return out, best(out, candidates)
 }
 
+// best returns the candidate that covers the most parts, the newest of several; 0 if
+// there is none.
 func best(parts [][]*Upstream, candidates []uint64) uint64 {
 	slices.Sort(candidates)
 	slices.Reverse(candidates)
@@ -39,11 +42,12 @@
 	return snapshot
 }
 
+// covered counts the parts of which an upstream that stays holds a snapshot.
 func covered(parts [][]*Upstream, snapshot uint64) int {
 	n := 0
 	for _, replicas := range parts {
 		for _, u := range replicas {
-			if !u.leaving && u.window.Holds(snapshot) {
+			if !u.leaving && u.status.window.holds(snapshot) {
 				n++
 				break
 			}
