--- a/loomctl/main.go
+++ b/loomctl/main.go
@@ -1,25 +1,14 @@
-// Package main is the command line of callers and operators.
+// Package main is the command line of callers and operators. Each command has a
+// file of its name; client.go has what the commands that talk to a host share,
+// exit.go the exit statuses. It owns no state: it relies on the two services of an
+// entry host, and on packages config and query for documents and commands.
 package main
 
-import (
-	"context"
-	"flag"
-	"os"
-
-	"github.com/google/subcommands"
-)
+import "loomgap/tier/prog"
 
 func main() {
-	for _, c := range commands() {
-		subcommands.Register(c, "")
-	}
-	flag.Parse()
-	os.Exit(int(subcommands.Execute(context.Background())))
-}
-
-func commands() []subcommands.Command {
-	return []subcommands.Command{
-		subcommands.HelpCommand(), subcommands.FlagsCommand(),
-		&askCommand{}, &orderCommand{}, &statusCommand{}, &planCommand{}, &checkCommand{}, &drainCommand{}, &versionCommand{},
-	}
+	prog.Main(
+		&askCommand{}, &orderCommand{}, &statusCommand{}, &planCommand{}, &checkCommand{}, &drainCommand{},
+		prog.Version("loomctl"),
+	)
 }
--- a/loomd/main.go
+++ b/loomd/main.go
@@ -1,24 +1,14 @@
-// Package main runs the daemon of an entry host.
+// Package main is the daemon of an entry host. It owns the process: its settings,
+// log, signals and planned stop. What the host does is in the stages of package
+// tier, which register themselves and run on one kernel.
+//
+// Begin with serve.go (start and stop) and pipeline.go (the stages in their
+// order). settings.go has the flags, reload.go what may change while the process
+// runs, log.go and trace.go what it writes.
 package main
 
-import (
-	"context"
-	"flag"
-	"os"
-
-	"github.com/google/subcommands"
-)
+import "loomgap/tier/prog"
 
 func main() {
-	for _, c := range commands() {
-		subcommands.Register(c, "")
-	}
-	flag.Parse()
-	os.Exit(int(subcommands.Execute(context.Background())))
-}
-
-func commands() []subcommands.Command {
-	return []subcommands.Command{
-		subcommands.HelpCommand(), subcommands.FlagsCommand(), &serveCommand{}, &versionCommand{},
-	}
+	prog.Main(&serveCommand{}, prog.Version("loomd"))
 }
--- a/loomd/serve.go
+++ b/loomd/serve.go
@@ -15,6 +15,7 @@
 
 	"loomgap/tier/kernel"
 	"loomgap/tier/policy"
+	"loomgap/tier/prog"
 )
 
 // serveCommand runs the daemon until SIGTERM, SIGINT or a drain command.
@@ -99,7 +100,7 @@
 	}
 	defer cleanUp()
 	defer watchFile(k, o)()
-	log.Info().Str("Version", version).Str("Incarnation", s.Incarnation).Str("Adapter", s.Adapter).
+	log.Info().Str("Version", prog.Release).Str("Incarnation", s.Incarnation).Str("Adapter", s.Adapter).
 		Int("Seeds", len(s.Seeds)).Msg("daemon started")
 	defer log.Info().Msg("daemon stops")
 	select {
--- a/loomfake/golden_test.go
+++ b/loomfake/golden_test.go
@@ -19,6 +19,8 @@
 	"github.com/go-json-experiment/json"
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/golden"
+
+	"loomgap/tier/prog"
 )
 
 // programCommands are the commands of the three programs, by program.
@@ -44,6 +46,16 @@
 	}
 }
 
+// TestVersionNamesTheProgram runs the version command of the programs that have
+// one.
+func TestVersionNamesTheProgram(t *testing.T) {
+	for _, program := range []string{"loomd", "loomctl"} {
+		out, err := exec.Command(filepath.Join(programs, program), "version").Output()
+		assert.NilError(t, err)
+		assert.Equal(t, string(out), program+" "+prog.Release+"\n")
+	}
+}
+
 // metricName is the name of a metric, without its labels.
 var metricName = regexp.MustCompile(`loomgap_[a-z_]+`)
 
--- a/loomfake/main.go
+++ b/loomfake/main.go
@@ -7,25 +7,10 @@
 // Begin with command.go; each command has a file of its name.
 package main
 
-import (
-	"context"
-	"flag"
-	"os"
-
-	"github.com/google/subcommands"
-)
+import "loomgap/tier/prog"
 
 func main() {
-	for _, c := range commands() {
-		subcommands.Register(c, "")
-	}
-	flag.Parse()
-	os.Exit(int(subcommands.Execute(context.Background())))
-}
-
-func commands() []subcommands.Command {
-	return []subcommands.Command{
-		subcommands.HelpCommand(), subcommands.FlagsCommand(),
+	prog.Main(
 		&documentCommand{}, &platformCommand{}, &upstreamCommand{}, &linkCommand{}, &replayCommand{}, &soakCommand{},
-	}
+	)
 }
