--- a/loomfake/soak_test.go
+++ b/loomfake/soak_test.go
@@ -108,7 +108,7 @@
 // soaked is a soak as it is after its run, with one gather of two shards and
 // nothing wrong.
 func soaked() *soak {
-	s := &soak{soakConfig: soakConfig{Shards: 2}, checked: map[string]int{}, injected: map[string]int{}}
+	s := &soak{soakConfig: soakConfig{Shards: 2}, soakRecord: soakRecord{checked: map[string]int{}, injected: map[string]int{}}}
 	s.sets = [][]string{{"set0-a", "set0-b"}, {"set1-a", "set1-b"}}
 	s.versions = []version{{0, 1}, {0, 2}}
 	s.hosts = []*soakHost{{}}
@@ -265,7 +265,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := &soak{hosts: []*soakHost{{}}, versions: make([]version, 2), checked: map[string]int{}}
+			s := &soak{hosts: []*soakHost{{}}, soakRecord: soakRecord{versions: make([]version, 2), checked: map[string]int{}}}
 			s.asked = []asked{
 				{status: http.StatusOK, route: 2, at: tt.served, ended: tt.answered},
 				{status: http.StatusNotFound, route: 2, at: tt.refused, ended: tt.refused + second/2},
--- a/loomfake/soakcheck.go
+++ b/loomfake/soakcheck.go
@@ -3,32 +3,32 @@
 import (
 	"cmp"
 	"fmt"
-	"io"
 	"net/http"
 	"slices"
 	"strconv"
 	"strings"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"loomgap/platform"
 )
 
 // Bounds that the checks judge by. Each is a promise's own, with time for a
-// busy machine; callers and daemons share it.
+// busy machine, which callers and daemons share. Not measured.
 const (
 	// soakApply is when a change must be in force at untouched hosts.
 	soakApply = 5 * time.Second
 	// soakUntouched is how long ago the last thing must have been done to a
 	// host, or to the store, for a promise with a time.
 	soakUntouched = 6 * time.Second
-	soakWindow    = 10 * time.Second
+	// soakWindow is the span within which repeats are counted, the platform's.
+	soakWindow = 10 * time.Second
 	// soakStop is how long a planned stop takes at most, and how long ago
 	// anything else must have been done to a host for what is said of stops.
 	soakStop = 4 * time.Second
 	// soakServed is the part of requests that must be served once all is healed.
 	soakServed = 0.95
+	// soakBrokenMost is how many broken promises a report lists at the most.
+	soakBrokenMost = 50
 )
 
 // check returns the broken promises, each with what showed it.
@@ -65,14 +65,14 @@
 // hold counts a check and notes a failure.
 func (c *checker) hold(promise string, ok bool, format string, args ...any) {
 	c.soak.checked[promise]++
-	if !ok && len(c.broken) < 50 {
+	if !ok && len(c.broken) < soakBrokenMost {
 		c.broken = append(c.broken, promise+": "+fmt.Sprintf(format, args...))
 	}
 }
 
 func (c *checker) request(a *asked) {
 	runs := c.runs[a.id]
-	if a.kind == "unsafe" {
+	if a.kind == kindUnsafe {
 		c.hold("at most once", len(runs) <= 1, "%s ran %d times", a.id, len(runs))
 		if a.status == http.StatusServiceUnavailable || a.status == http.StatusTooManyRequests {
 			c.hold("a refusal is true", len(runs) == 0, "%s was refused and ran", a.id)
@@ -93,7 +93,7 @@
 	}
 	switch {
 	case a.status != http.StatusOK || a.err != nil:
-	case a.kind == "gather":
+	case a.kind == kindGather:
 		c.gathered(a)
 	default:
 		c.single(a)
@@ -133,8 +133,8 @@
 			return
 		}
 		in[u.group] = true
-		for text := u.Body; len(text) >= 16; text = text[16:] {
-			records = append(records, text[:16])
+		for text := u.Body; len(text) >= soakRecordSize; text = text[soakRecordSize:] {
+			records = append(records, text[:soakRecordSize])
 		}
 	}
 	slices.Sort(records)
@@ -270,42 +270,3 @@
 	}
 	c.hold("recovery", float64(served) >= soakServed*float64(all), "%d of %d requests served at the end", served, all)
 }
-
-// report writes what was injected, checked and measured.
-func (s *soak) report(w io.Writer, broken []string) {
-	fmt.Fprintf(w, "# Soak, seed %d\n\n%d hosts, %d callers, %d requests, faults for %s\n\n| Injected | Times |\n| --- | ---: |\n", s.Seed, len(s.hosts), s.Callers, len(s.asked), s.For)
-	s.table(w, s.injected)
-	fmt.Fprintf(w, "\n| Checked | Times |\n| --- | ---: |\n")
-	s.table(w, s.checked)
-	fmt.Fprintf(w, "\n| Kind | Answered | p50 ms | p99 ms | p99.9 ms | not 200 |\n| --- | ---: | ---: | ---: | ---: | ---: |\n")
-	for _, kind := range []string{"gather", "safe", "unsafe"} {
-		h := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2)
-		others := 0
-		for _, a := range s.asked {
-			switch {
-			case a.kind != kind:
-			case a.status == http.StatusOK && a.err == nil:
-				_ = h.RecordValue((a.ended - a.at).Microseconds()) // within bounds by the caller's own
-			default:
-				others++
-			}
-		}
-		ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-		fmt.Fprintf(w, "| %s | %d | %.1f | %.1f | %.1f | %d |\n", kind, h.TotalCount(), ms(50), ms(99), ms(99.9), others)
-	}
-	fmt.Fprintf(w, "\n%d broken\n", len(broken))
-	for _, b := range broken {
-		fmt.Fprintln(w, "- "+b)
-	}
-}
-
-func (s *soak) table(w io.Writer, counts map[string]int) {
-	var names []string
-	for n := range counts {
-		names = append(names, n)
-	}
-	slices.Sort(names)
-	for _, n := range names {
-		fmt.Fprintf(w, "| %s | %d |\n", n, counts[n])
-	}
-}
--- /dev/null
+++ b/loomfake/soakupstream.go
@@ -0,0 +1,119 @@
+package main
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"net/netip"
+	"slices"
+	"sync"
+	"time"
+
+	"loomgap/platform"
+	"loomgap/platform/mock"
+)
+
+// arrival is one request that reached an upstream.
+type arrival struct {
+	at time.Duration
+	id string
+	// ran is false if the upstream turned it away.
+	ran bool
+}
+
+// soakUpstream is an upstream with faults.
+type soakUpstream struct {
+	mock.Upstream
+	group string
+	hall  string
+	link  *link
+	at    netip.AddrPort
+	now   func() time.Duration
+
+	mu     sync.Mutex
+	faults upstreamFaults
+	// arrivals are in order of time.
+	arrivals []arrival
+	// leftAt is when it was listed as leaving; 0 if it was not.
+	leftAt time.Duration
+}
+
+// upstreamFaults are what an upstream may do.
+type upstreamFaults struct {
+	// Shed and Fail are parts of the requests, 0 to 1; Slow is how long each
+	// takes.
+	Shed, Fail float64
+	Slow       time.Duration
+	// Reset is the part of requests that run and whose answer is lost.
+	Reset float64
+}
+
+// ServeHTTP implements http.Handler.
+func (u *soakUpstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	h := platform.Headers
+	u.mu.Lock()
+	f := u.faults
+	shed := rand.Float64() < f.Shed || r.Header.Get(h.Upstream) != u.Name
+	u.arrivals = append(u.arrivals, arrival{at: u.now(), id: r.Header.Get(h.RequestID), ran: !shed})
+	u.mu.Unlock()
+	if shed {
+		w.Header().Set(h.RequestID, r.Header.Get(h.RequestID))
+		w.Header().Set(h.NotRun, "1")
+		w.WriteHeader(http.StatusServiceUnavailable)
+		return
+	}
+	select {
+	case <-time.After(f.Slow):
+	case <-r.Context().Done():
+		return
+	}
+	switch {
+	case rand.Float64() < f.Reset:
+		if c, _, err := http.NewResponseController(w).Hijack(); err == nil {
+			hardClose(c)
+		}
+	case rand.Float64() < f.Fail:
+		w.Header().Set(h.RequestID, r.Header.Get(h.RequestID))
+		w.Header().Set(h.Stamp, u.Stamp(r.Header.Get(h.RequestID)))
+		w.WriteHeader(http.StatusInternalServerError)
+	default:
+		u.Upstream.ServeHTTP(w, r)
+	}
+}
+
+func (u *soakUpstream) set(f upstreamFaults) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.faults = f
+}
+
+// seen copies the arrivals.
+func (u *soakUpstream) seen() []arrival {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return slices.Clone(u.arrivals)
+}
+
+func (s *soak) addUpstream(group, hall, body string) error {
+	s.mu.Lock()
+	n := len(s.upstreams)
+	s.mu.Unlock()
+	u := &soakUpstream{Upstream: mock.Upstream{Name: fmt.Sprintf("u-%d", n), Body: body}, group: group, hall: hall, now: s.now}
+	at, err := s.serve(u)
+	if err != nil {
+		return err
+	}
+	if u.link, u.at, err = s.join(at); err != nil {
+		return err
+	}
+	s.mu.Lock()
+	s.upstreams = append(s.upstreams, u)
+	s.mu.Unlock()
+	return s.list(u, "ready")
+}
+
+func (s *soak) list(u *soakUpstream, state string) error {
+	return s.store.Put(platform.UpstreamPrefix+u.Name, platform.Server{
+		Service: u.group, Address: u.at, Zone: u.hall, Slots: 4, State: state,
+	})
+}
