--- a/loomctl/exit.go
+++ b/loomctl/exit.go
@@ -7,14 +7,22 @@
 	"github.com/google/subcommands"
 )
 
-// Exit statuses. docs/OPERATIONS.md lists them.
+// Exit statuses, for scripts. docs/OPERATIONS.md lists them. The first three are
+// those of package subcommands, the others follow them.
 const (
+	// exitComplete is 0: an answer that lacks nothing, or a command that did what
+	// it was asked for.
 	exitComplete = subcommands.ExitSuccess
-	exitFailure  = subcommands.ExitFailure
-	exitUsage    = subcommands.ExitUsageError
-	exitPartial  = subcommands.ExitStatus(3)
-	exitNotRun   = subcommands.ExitStatus(4)
-	exitUnknown  = subcommands.ExitStatus(5)
+	// exitFailure is 1: no answer, or a wrong file.
+	exitFailure = subcommands.ExitFailure
+	// exitUsage is 2: a wrong command line or environment.
+	exitUsage = subcommands.ExitUsageError
+	// exitPartial is 3: an answer that lacks some shards.
+	exitPartial = subcommands.ExitStatus(3)
+	// exitNotRun is 4: refused, and surely not run.
+	exitNotRun = subcommands.ExitStatus(4)
+	// exitUnknown is 5: it may have run or not; ask again with the same ticket.
+	exitUnknown = subcommands.ExitStatus(5)
 )
 
 // fail prints an error and gives the exit status of a failure.
@@ -29,6 +37,7 @@
 	return exitUsage
 }
 
+// exitOf gives the exit status of an answer's outcome.
 func exitOf(outcome string) subcommands.ExitStatus {
 	switch outcome {
 	case "Complete":
--- a/loomfake/command.go
+++ b/loomfake/command.go
@@ -42,14 +42,28 @@
 	return l, nil
 }
 
+// Bounds of the stand-ins' connections. Not measured: far above what a test needs.
+const (
+	// headerBound is how long the head of a request may take to arrive.
+	headerBound = time.Minute
+	// idleBound is how long a connection may wait for the next request.
+	idleBound = 2 * time.Minute
+)
+
+// newServer makes the server of a stand-in.
+func newServer(h http.Handler) *http.Server {
+	return &http.Server{Handler: h, ReadHeaderTimeout: headerBound, IdleTimeout: idleBound}
+}
+
 // serveUntilStopped serves until a signal or the longest life.
 func serveUntilStopped(l net.Listener, h http.Handler, life time.Duration) error {
-	s := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute, IdleTimeout: 2 * time.Minute}
+	s := newServer(h)
 	go func() { _ = s.Serve(l) }()
 	waitForStop(life)
 	return s.Close()
 }
 
+// waitForStop waits for a signal, or for the longest life.
 func waitForStop(life time.Duration) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
--- a/loomfake/data.go
+++ b/loomfake/data.go
@@ -9,10 +9,12 @@
 )
 
 // Records of the made-up data. At snapshot S the records numbered below
-// baseRecords + S*recordsPerSnapshot are there, so a count over all shards
-// tells from which snapshot it was made.
+// baseRecords + S*recordsPerSnapshot are there, so that a count over all shards
+// shows which snapshot it was made from. Not measured.
 const (
-	baseRecords        = 20_000
+	// baseRecords is the number of records before the first snapshot.
+	baseRecords = 20_000
+	// recordsPerSnapshot is how many records each snapshot adds.
 	recordsPerSnapshot = 1_000
 )
 
--- a/loomfake/link.go
+++ b/loomfake/link.go
@@ -67,18 +67,18 @@
 
 // linkFaults are the faults of a link.
 type linkFaults struct {
-	// Cut has every byte vanish.
+	// Cut drops every byte.
 	Cut bool
-	// CutBack has the bytes of the way back vanish.
+	// CutBack drops the bytes of the way back.
 	CutBack bool
-	// Refuse has new connections end at once, Reset those that are open too.
+	// Refuse ends new connections at once, Reset those that are open too.
 	Refuse bool
 	Reset  bool
 	// Delay is how much later bytes arrive.
 	Delay config.Duration `json:",omitzero"`
 }
 
-// link passes bytes on, or has them vanish.
+// link passes bytes on, or drops them.
 type link struct {
 	to     string
 	mu     sync.Mutex
@@ -86,7 +86,8 @@
 	conns  map[net.Conn]bool
 }
 
-func (k *link) now() linkFaults {
+// current returns the faults in force.
+func (k *link) current() linkFaults {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.faults
@@ -104,7 +105,7 @@
 
 func (k *link) serve(a net.Conn) {
 	k.keep(a)
-	f := k.now()
+	f := k.current()
 	if f.Refuse || f.Reset {
 		hardClose(a)
 		return
@@ -143,7 +144,7 @@
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		f := k.now()
+		f := k.current()
 		if n > 0 && f.Delay > 0 {
 			time.Sleep(time.Duration(f.Delay))
 		}
--- a/loomfake/soak_test.go
+++ b/loomfake/soak_test.go
@@ -222,7 +222,7 @@
 			}
 		}},
 		{"a planned stop cuts nothing", func(s *soak) {
-			s.hosts[0].stops = []time.Duration{9 * second}
+			s.hosts[0].stopTimes = []time.Duration{9 * second}
 			s.arrive("single1", "x", 10*second)
 			s.asked = append(s.asked, asked{id: "x", kind: "safe", err: errors.New("cut"), at: 10 * second, ended: 11 * second})
 		}},
--- a/loomfake/soakcheck.go
+++ b/loomfake/soakcheck.go
@@ -17,13 +17,13 @@
 const (
 	// soakApply is when a change must be in force at untouched hosts.
 	soakApply = 5 * time.Second
-	// soakUntouched is how long ago the last thing must have been done to a
-	// host, or to the store, for a promise with a time.
+	// soakUntouched is how long ago the last fault of a host, or of the store,
+	// must be for a promise with a time to be checked.
 	soakUntouched = 6 * time.Second
 	// soakWindow is the span within which repeats are counted, the platform's.
 	soakWindow = 10 * time.Second
-	// soakStop is how long a planned stop takes at most, and how long ago
-	// anything else must have been done to a host for what is said of stops.
+	// soakStop is how long a planned stop takes at most, and how long ago any
+	// other fault of the host must be for the promise about stops to be checked.
 	soakStop = 4 * time.Second
 	// soakServed is the part of requests that must be served once all is healed.
 	soakServed = 0.95
@@ -35,7 +35,7 @@
 func (s *soak) check() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := &checker{soak: s, runs: map[string][]*soakUpstream{}, byStamp: map[string]*soakUpstream{}}
+	c := &checker{soak: s, runs: map[string][]*soakUpstream{}}
 	for _, u := range s.upstreams {
 		for _, a := range u.seen() {
 			if a.ran {
@@ -54,16 +54,16 @@
 	return c.broken
 }
 
+// checker judges what a soak did and saw.
 type checker struct {
 	soak *soak
 	// runs are the upstreams that ran a request, by its ID.
-	runs    map[string][]*soakUpstream
-	byStamp map[string]*soakUpstream
-	broken  []string
+	runs   map[string][]*soakUpstream
+	broken []string
 }
 
-// hold counts a check and notes a failure.
-func (c *checker) hold(promise string, ok bool, format string, args ...any) {
+// expect counts a check of a promise, and notes it if the promise is broken.
+func (c *checker) expect(promise string, ok bool, format string, args ...any) {
 	c.soak.checked[promise]++
 	if !ok && len(c.broken) < soakBrokenMost {
 		c.broken = append(c.broken, promise+": "+fmt.Sprintf(format, args...))
@@ -73,13 +73,13 @@
 func (c *checker) request(a *asked) {
 	runs := c.runs[a.id]
 	if a.kind == kindUnsafe {
-		c.hold("at most once", len(runs) <= 1, "%s ran %d times", a.id, len(runs))
+		c.expect("at most once", len(runs) <= 1, "%s ran %d times", a.id, len(runs))
 		if a.status == http.StatusServiceUnavailable || a.status == http.StatusTooManyRequests {
-			c.hold("a refusal is true", len(runs) == 0, "%s was refused and ran", a.id)
+			c.expect("a refusal is true", len(runs) == 0, "%s was refused and ran", a.id)
 		}
 	}
 	if a.err != nil && len(runs) > 0 {
-		c.hold("a planned stop cuts nothing", !c.stopped(a), "%s was cut by host %d: %v", a.id, a.host, a.err)
+		c.expect("a planned stop cuts nothing", !c.stopped(a), "%s was cut by host %d: %v", a.id, a.host, a.err)
 	}
 	ran := map[string]map[string]bool{}
 	for _, u := range runs {
@@ -89,7 +89,7 @@
 		ran[u.group][u.Name] = true
 	}
 	for g, us := range ran {
-		c.hold("attempts", len(us) <= 2, "%s ran on %d upstreams of %s", a.id, len(us), g)
+		c.expect("attempts", len(us) <= 2, "%s ran on %d upstreams of %s", a.id, len(us), g)
 	}
 	switch {
 	case a.status != http.StatusOK || a.err != nil:
@@ -101,11 +101,11 @@
 }
 
 // stopped reports whether a request was under way during a planned stop of its
-// host with nothing else done to the host.
+// host, and no other fault of the host.
 func (c *checker) stopped(a *asked) bool {
 	h := c.soak.hosts[a.host]
 	during := func(at time.Duration) bool { return at > a.at-soakStop && at < a.ended }
-	return slices.ContainsFunc(h.stops, during) && !slices.ContainsFunc(h.hurts, during)
+	return slices.ContainsFunc(h.stopTimes, during) && !slices.ContainsFunc(h.faultTimes, during)
 }
 
 // stamped finds the upstream that gave a stamp to a request; nil if none did.
@@ -120,7 +120,7 @@
 
 func (c *checker) single(a *asked) {
 	u := c.stamped(a.header.Get(platform.Headers.Stamp), a.id)
-	c.hold("own whole answer", u != nil && string(a.body) == u.Body, "%s got %q with stamp %q", a.id, a.body, a.header.Get(platform.Headers.Stamp))
+	c.expect("own whole answer", u != nil && string(a.body) == u.Body, "%s got %q with stamp %q", a.id, a.body, a.header.Get(platform.Headers.Stamp))
 }
 
 func (c *checker) gathered(a *asked) {
@@ -129,7 +129,7 @@
 	for _, stamp := range strings.Split(a.header.Get(platform.Headers.Parts), ", ") {
 		u := c.stamped(stamp, a.id)
 		if u == nil || in[u.group] {
-			c.hold("own whole answer", false, "%s has the part %q, which is none of it, or twice", a.id, stamp)
+			c.expect("own whole answer", false, "%s has the part %q, which is none of it, or twice", a.id, stamp)
 			return
 		}
 		in[u.group] = true
@@ -140,7 +140,7 @@
 	slices.Sort(records)
 	slices.Reverse(records)
 	want := strings.Join(records[:min(soakTop, len(records))], "")
-	c.hold("own whole answer", string(a.body) == want, "%s got %q for %q", a.id, a.body, want)
+	c.expect("own whole answer", string(a.body) == want, "%s got %q for %q", a.id, a.body, want)
 	missing, err := strconv.Atoi(a.header.Get(platform.Headers.Missing))
 	set := slices.IndexFunc(c.soak.sets, func(set []string) bool {
 		n := 0
@@ -151,15 +151,15 @@
 		}
 		return n == len(in)
 	})
-	c.hold("one set of shards", set >= 0, "%s mixes sets: %v", a.id, in)
-	c.hold("true coverage", err == nil && len(in)+missing == c.soak.Shards, "%s has %d parts and lacks %d", a.id, len(in), missing)
-	c.hold("least coverage", float64(len(in)) >= soakCoverage*float64(c.soak.Shards), "%s has %d parts", a.id, len(in))
+	c.expect("one set of shards", set >= 0, "%s mixes sets: %v", a.id, in)
+	c.expect("true coverage", err == nil && len(in)+missing == c.soak.Shards, "%s has %d parts and lacks %d", a.id, len(in), missing)
+	c.expect("least coverage", float64(len(in)) >= soakCoverage*float64(c.soak.Shards), "%s has %d parts", a.id, len(in))
 }
 
-// versions looks at how hosts follow the configuration: a process that answered
+// versions checks how hosts follow the configuration: a process that answered
 // for a version's route knows it for all requests that are sent from then on. Two
-// requests that were on their way at the same time say nothing of each other: the
-// one sent first may have been read last.
+// requests that were on their way at the same time are not compared: the one sent
+// first may have been read last.
 func (c *checker) versions() {
 	type process struct{ host, generation int }
 	known := map[process]int{}
@@ -178,15 +178,15 @@
 			served = served[1:]
 		}
 		latest := known[process{a.host, a.generation}]
-		c.hold("no way back", latest < a.route, "host %d knew version %d and does not know %d at %s", a.host, latest, a.route, a.at)
+		c.expect("no way back", latest < a.route, "host %d knew version %d and does not know %d at %s", a.host, latest, a.route, a.at)
 		v := c.soak.versions[a.route-1]
 		h := c.soak.hosts[a.host]
 		settled := a.at-v.at > soakApply && a.at-h.touched > soakUntouched && a.at-c.soak.storeTouched > soakUntouched
-		c.hold("in force everywhere", !settled, "host %d does not know version %d after %s", a.host, a.route, a.at-v.at)
+		c.expect("in force everywhere", !settled, "host %d does not know version %d after %s", a.host, a.route, a.at-v.at)
 	}
 }
 
-// evacuation looks for requests that reached an upstream long after its hall was
+// evacuation checks that no request reached an upstream long after its hall was
 // evacuated.
 func (c *checker) evacuation() {
 	if c.soak.evacuatedAt == 0 {
@@ -198,13 +198,13 @@
 		}
 		for _, a := range u.seen() {
 			late := a.at - c.soak.evacuatedAt
-			c.hold("evacuated halls", late <= soakUntouched, "%s got %s %s after its hall was evacuated", u.Name, a.id, late)
+			c.expect("evacuated halls", late <= soakUntouched, "%s got %s %s after its hall was evacuated", u.Name, a.id, late)
 		}
 	}
 }
 
-// leaving looks for requests that reached an upstream long after it left. A
-// fault of a host or of the store may have kept the news back.
+// leaving checks that no request reached an upstream long after it was listed as
+// leaving. A fault of a host or of the store may have delayed the news.
 func (c *checker) leaving() {
 	for _, u := range c.soak.upstreams {
 		if u.leftAt == 0 {
@@ -212,12 +212,13 @@
 		}
 		for _, a := range u.seen() {
 			late := a.at-u.leftAt > soakApply+soakUntouched
-			c.hold("leaving upstreams", !late, "%s got %s %s after it left", u.Name, a.id, a.at-u.leftAt)
+			c.expect("leaving upstreams", !late, "%s got %s %s after it left", u.Name, a.id, a.at-u.leftAt)
 		}
 	}
 }
 
-// repeats counts the arrivals beyond the first at each group in windows.
+// repeats checks the arrivals beyond the first of a request at each group, within
+// sliding windows.
 func (c *checker) repeats() {
 	perGroup := map[string][]arrival{}
 	for _, u := range c.soak.upstreams {
@@ -239,7 +240,7 @@
 			n := i + 1 - from(repeats, at-soakWindow)
 			most := max(between(requests, at-soakWindow, at), between(requests, at-2*soakWindow, at-soakWindow))
 			allowed := soakRatio*float64(most) + soakSlack
-			c.hold("repeats", float64(n) <= allowed, "%s got %d repeats for %d requests in %s", g, n, most, soakWindow)
+			c.expect("repeats", float64(n) <= allowed, "%s got %d repeats for %d requests in %s", g, n, most, soakWindow)
 		}
 	}
 }
@@ -252,7 +253,7 @@
 
 func between(times []time.Duration, a, b time.Duration) int { return from(times, b) - from(times, a) }
 
-// recovery looks at the last requests, asked when all was healed.
+// recovery checks the last requests, sent when all was healed.
 func (c *checker) recovery() {
 	last := time.Duration(0)
 	for i := range c.soak.asked {
@@ -268,5 +269,5 @@
 			served++
 		}
 	}
-	c.hold("recovery", float64(served) >= soakServed*float64(all), "%d of %d requests served at the end", served, all)
+	c.expect("recovery", float64(served) >= soakServed*float64(all), "%d of %d requests served at the end", served, all)
 }
--- a/loomfake/soakfault.go
+++ b/loomfake/soakfault.go
@@ -23,10 +23,10 @@
 	faultMore = 2500 * time.Millisecond
 )
 
-// fault is one kind of trouble.
-type fault struct {
+// faultKind is one kind of fault.
+type faultKind struct {
 	name string
-	// begin starts it and gives what ends it.
+	// begin starts the fault and returns what ends it; nil if it ends by itself.
 	begin func(ctx context.Context, s *soak) func()
 }
 
@@ -34,7 +34,7 @@
 func (s *soak) inject(ctx context.Context) {
 	var all sync.WaitGroup
 	for {
-		f := troubles[s.random.IntN(len(troubles))]
+		f := faultKinds[s.random.IntN(len(faultKinds))]
 		lasts := faultLeast + time.Duration(s.random.Int64N(int64(faultMore)))
 		pause := time.Duration(s.random.Int64N(int64(soakPause)))
 		s.mu.Lock()
@@ -57,20 +57,22 @@
 	}
 }
 
-// touch notes that something is done to a host.
+// touch notes that a fault of a host begins or ends.
 func (s *soak) touch(h *soakHost) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.touched = s.now()
-	h.hurts = append(h.hurts, h.touched)
+	h.faultTimes = append(h.faultTimes, h.touched)
 }
 
+// anyHost draws the host of a fault.
 func (s *soak) anyHost() *soakHost {
 	h := s.hosts[s.random.IntN(len(s.hosts))]
 	s.touch(h)
 	return h
 }
 
+// anyUpstream draws the upstream of a fault.
 func (s *soak) anyUpstream() *soakUpstream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,8 +86,8 @@
 	s.storeTouched = s.now()
 }
 
-// troubles are the kinds of fault that a soak draws from.
-var troubles = []fault{
+// faultKinds are the kinds of fault that a soak draws from.
+var faultKinds = []faultKind{
 	{"host paused", func(_ context.Context, s *soak) func() {
 		h := s.anyHost()
 		h.signal(syscall.SIGSTOP)
@@ -101,7 +103,7 @@
 		h := s.hosts[s.random.IntN(len(s.hosts))]
 		h.mu.Lock()
 		h.touched = s.now()
-		h.stops = append(h.stops, h.touched)
+		h.stopTimes = append(h.stopTimes, h.touched)
 		h.mu.Unlock()
 		end := s.restarter(h)
 		h.signal(syscall.SIGTERM)
@@ -136,14 +138,14 @@
 		s.store.Forget()
 		return nil
 	}},
-	{"upstream silent", linked(linkFaults{Cut: true})},
-	{"upstream cut one way", linked(linkFaults{CutBack: true})},
-	{"upstream refuses", linked(linkFaults{Reset: true})},
-	{"upstream delayed", linked(linkFaults{Delay: soakDelay(100)})},
-	{"upstream slow", doing(upstreamFaults{Slow: 250 * time.Millisecond})},
-	{"upstream sheds", doing(upstreamFaults{Shed: 0.5})},
-	{"upstream fails", doing(upstreamFaults{Fail: 0.5})},
-	{"upstream loses answers", doing(upstreamFaults{Reset: 0.3})},
+	{"upstream silent", onLink(linkFaults{Cut: true})},
+	{"upstream cut one way", onLink(linkFaults{CutBack: true})},
+	{"upstream refuses", onLink(linkFaults{Reset: true})},
+	{"upstream delayed", onLink(linkFaults{Delay: soakDelay(100)})},
+	{"upstream slow", onUpstream(upstreamFaults{Slow: 250 * time.Millisecond})},
+	{"upstream sheds", onUpstream(upstreamFaults{Shed: 0.5})},
+	{"upstream fails", onUpstream(upstreamFaults{Fail: 0.5})},
+	{"upstream loses answers", onUpstream(upstreamFaults{Reset: 0.3})},
 	{"upstream replaced", func(_ context.Context, s *soak) func() { return s.replace(s.anyUpstream()) }},
 	{"settings changed", func(_ context.Context, s *soak) func() {
 		s.must(s.publish())
@@ -166,8 +168,8 @@
 	return config.Duration(time.Duration(millis) * time.Millisecond)
 }
 
-// linked is a fault of the connections to an upstream.
-func linked(f linkFaults) func(context.Context, *soak) func() {
+// onLink is a fault of the connections to an upstream.
+func onLink(f linkFaults) func(context.Context, *soak) func() {
 	return func(_ context.Context, s *soak) func() {
 		u := s.anyUpstream()
 		u.link.set(f)
@@ -175,8 +177,8 @@
 	}
 }
 
-// doing is a fault of an upstream itself.
-func doing(f upstreamFaults) func(context.Context, *soak) func() {
+// onUpstream is a fault of an upstream itself.
+func onUpstream(f upstreamFaults) func(context.Context, *soak) func() {
 	return func(_ context.Context, s *soak) func() {
 		u := s.anyUpstream()
 		u.set(f)
@@ -204,7 +206,7 @@
 	}
 }
 
-// replace starts a like upstream and has the old one leave.
+// replace starts an upstream like another, which leaves.
 func (s *soak) replace(u *soakUpstream) func() {
 	u.mu.Lock()
 	leaving := u.leftAt > 0
--- a/loomfake/soakhost.go
+++ b/loomfake/soakhost.go
@@ -54,9 +54,9 @@
 	// touched is when something was last done to it; it counts as untouched
 	// soakUntouched later.
 	touched time.Duration
-	// stops are when it was stopped as planned, hurts when any other fault began
+	// stopTimes are when it was stopped as planned, faultTimes when any other fault began
 	// or ended.
-	stops, hurts []time.Duration
+	stopTimes, faultTimes []time.Duration
 }
 
 func (s *soak) addHost(i int, store netip.AddrPort) error {
@@ -64,7 +64,7 @@
 	at := hostAddress(i)
 	h.listen, h.peer, h.operate = netip.AddrPortFrom(at, soakListen), netip.AddrPortFrom(at, soakPeer), netip.AddrPortFrom(at, soakOperate)
 	var err error
-	if h.store, h.storeAt, err = s.join(store); err != nil {
+	if h.store, h.storeAt, err = s.linkTo(store); err != nil {
 		return err
 	}
 	h.settings, h.log = filepath.Join(s.Dir, h.name+".env"), filepath.Join(s.Dir, h.name+".log")
--- a/loomfake/soaksite.go
+++ b/loomfake/soaksite.go
@@ -8,7 +8,6 @@
 	"net/netip"
 	"slices"
 	"strings"
-	"time"
 
 	"github.com/cespare/xxhash/v2"
 
@@ -73,14 +72,14 @@
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
-	server := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute}
+	server := newServer(h)
 	go func() { _ = server.Serve(l) }()
 	s.closers = append(s.closers, func() { _ = server.Close() })
 	return netip.MustParseAddrPort(l.Addr().String()), nil
 }
 
-// join puts a link before an address.
-func (s *soak) join(to netip.AddrPort) (*link, netip.AddrPort, error) {
+// linkTo puts a link before an address.
+func (s *soak) linkTo(to netip.AddrPort) (*link, netip.AddrPort, error) {
 	l, err := listen(netip.MustParseAddrPort("127.0.0.1:0"))
 	if err != nil {
 		return nil, netip.AddrPort{}, err
--- a/loomfake/soakupstream.go
+++ b/loomfake/soakupstream.go
@@ -103,7 +103,7 @@
 	if err != nil {
 		return err
 	}
-	if u.link, u.at, err = s.join(at); err != nil {
+	if u.link, u.at, err = s.linkTo(at); err != nil {
 		return err
 	}
 	s.mu.Lock()
--- a/loomfake/upserver.go
+++ b/loomfake/upserver.go
@@ -36,7 +36,7 @@
 	ShedShare float64
 	// Draining refuses new work and says so in every reply.
 	Draining bool
-	// LieHealth has the status endpoint tell of no leaving and no load.
+	// LieHealth makes the status endpoint report neither leaving nor load.
 	LieHealth bool
 	// Oldest and Newest are the snapshots held.
 	Oldest, Newest uint64
@@ -44,9 +44,13 @@
 	MapRevision uint64
 }
 
+// upstreamConfig configures a stand-in upstream.
 type upstreamConfig struct {
+	// slots is how many calls run at once, backlog how many may wait for a slot,
+	// connections how many connections it accepts.
 	slots, backlog, connections int
-	keySpace                    uint
+	// keySpace is the number of keys of the data.
+	keySpace uint
 	// seed draws the service times and faults.
 	seed uint64
 }
@@ -97,7 +101,8 @@
 	return u.random.Float64() < share
 }
 
-func (u *upstream) set() faults {
+// current returns the faults in force.
+func (u *upstream) current() faults {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.faults
@@ -197,7 +202,7 @@
 
 // serve takes a slot, works, and replies with what fill makes.
 func (u *upstream) serve(w http.ResponseWriter, r *http.Request, j *job, fill func(*faults, *wire.PartReply)) {
-	f := u.set()
+	f := u.current()
 	if !u.begin(w, r, &f, j.identity, time.Now().Add(time.Duration(j.millis)*time.Millisecond)) {
 		return
 	}
@@ -238,7 +243,7 @@
 	}
 }
 
-// reply sends a reply, as the faults would have it.
+// reply sends a reply, right or wrong as the faults demand.
 func (u *upstream) reply(w http.ResponseWriter, r *http.Request, f *faults, out wire.PartReply) {
 	switch {
 	case u.draw(f.DropShare):
@@ -271,7 +276,7 @@
 }
 
 func (u *upstream) onStatus(w http.ResponseWriter, _ *http.Request) {
-	f := u.set()
+	f := u.current()
 	out := wire.StatusReply{Held: f.held(), InUse: len(u.slots), Slots: u.config.slots}
 	if f.LieHealth {
 		out.Leaving, out.InUse = false, 0
--- a/loomfake/upstream.go
+++ b/loomfake/upstream.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"flag"
-	"net/http"
 	"net/netip"
 	"time"
 
@@ -69,7 +68,7 @@
 		one := c.config
 		one.seed = uint64(1 + i)
 		u := newUpstream(one, faults{Service: config.Duration(medianService), Oldest: 1, Newest: 1, MapRevision: 1})
-		s := &http.Server{Handler: u.handler(), ReadHeaderTimeout: time.Minute, IdleTimeout: 2 * time.Minute}
+		s := newServer(u.handler())
 		go func() {
 			_ = s.Serve(&costlyListener{Listener: l, cost: connectCost, limit: int64(one.connections)})
 		}()
