--- a/loomd/serve.go
+++ b/loomd/serve.go
@@ -6,8 +6,6 @@
 	"fmt"
 	"math/rand/v2"
 	"os"
-	"os/signal"
-	"syscall"
 	"time"
 
 	"github.com/google/subcommands"
@@ -83,10 +81,10 @@
 	return fmt.Sprintf("%016x%04x", uint64(now.UnixNano()), rand.Uint32N(1<<16))
 }
 
-// serve runs the pipeline and waits for a planned stop.
+// serve starts the host, serves until a planned stop, and cleans up in the opposite
+// order.
 func serve(ctx context.Context, s kernel.Settings, o origin, log zerolog.Logger, flush func()) error {
-	signals := make(chan os.Signal, 1)
-	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
+	signals := stopSignals()
 	tracer, closeTracer := newTracer(s.TraceRatio, log)
 	defer closeTracer()
 	k, closeKernel := kernel.New(kernel.Config{
@@ -103,13 +101,6 @@
 	log.Info().Str("Version", prog.Release).Str("Incarnation", s.Incarnation).Str("Adapter", s.Adapter).
 		Int("Seeds", len(s.Seeds)).Msg("daemon started")
 	defer log.Info().Msg("daemon stops")
-	select {
-	case <-signals:
-		k.SetPhase(kernel.PhaseDraining)
-		k.Stop()
-	case <-k.Stopping():
-	}
-	log.Info().Dur("Settle", s.Settle).Msg("planned stop begins")
-	k.Settle()
+	awaitStop(k, signals)
 	return nil
 }
--- a/loomd/pipeline.go
+++ b/loomd/start.go
@@ -14,9 +14,9 @@
 	_ "loomgap/tier/peers"
 )
 
-// pipeline lists the stages of the daemon, in order of start; they are
-// cleaned up in the opposite order. With an adapter, Feed and Routes take the
-// places of Platform and Entry.
+// pipeline lists the stages of the daemon, in order of start; they are cleaned up in
+// the opposite order. Each stage decides by the settings whether it has anything to
+// do: with an adapter, Feed and Routes run in place of Platform and Entry.
 var pipeline = []string{"Peers", "Platform", "Feed", "Operators", "Entry", "Routes"}
 
 // runPipeline starts all stages and returns the clean-up of all.
@@ -47,6 +47,7 @@
 	return cleanUp, nil
 }
 
+// run starts a stage and returns its clean-up; nil if it needs none.
 type run func(context.Context, *kernel.Kernel) (func(), error)
 
 // skipped leaves out a stage that has nothing to do.
--- a/loomd/trace.go
+++ b/loomd/trace.go
@@ -15,7 +15,8 @@
 
 var _ sdk.SpanExporter = spanLog{}
 
-// ExportSpans implements sdk.SpanExporter.
+// ExportSpans implements sdk.SpanExporter. It writes a line for each span and cannot
+// fail: lines that nobody reads are lost and counted by the log.
 func (s spanLog) ExportSpans(_ context.Context, spans []sdk.ReadOnlySpan) error {
 	for _, p := range spans {
 		line := s.log.Info().
