--- a/loomctl/client.go
+++ b/loomctl/client.go
@@ -23,19 +23,29 @@
 // LOOMCTL_HOST.
 const envPrefix = "LOOMCTL_"
 
+// Forms of the output, as -Format names them.
+const (
+	formatText = "Text"
+	formatJSON = "JSON"
+)
+
 // connection holds the flags that all commands to a host share.
 type connection struct {
+	// host is the callers' address of an entry host, operate the operators'.
 	host    netip.AddrPort
 	operate netip.AddrPort
+	// timeout bounds the whole command.
 	timeout time.Duration
-	format  string
+	// format is formatText or formatJSON once check has passed.
+	format string
 }
 
+// bind declares the flags.
 func (c *connection) bind(f *flag.FlagSet) {
 	f.TextVar(&c.host, "Host", netip.MustParseAddrPort("127.0.0.1:7400"), "callers' `IP:port` of an entry host")
 	f.TextVar(&c.operate, "Operate", netip.MustParseAddrPort("127.0.0.1:7402"), "operators' `IP:port` of an entry host")
 	f.DurationVar(&c.timeout, "Timeout", 10*time.Second, "longest wait for the host")
-	f.StringVar(&c.format, "Format", "Text", "Text or JSON")
+	f.StringVar(&c.format, "Format", formatText, "Text or JSON")
 }
 
 // check fills in the environment and finds wrong values.
@@ -44,7 +54,7 @@
 	if err := config.FromEnvironment(f, envPrefix, os.LookupEnv); errors.As(err, &bad) {
 		return fmt.Errorf("environment: %w: correct the %s variable", bad.Err, envPrefix)
 	}
-	if c.format != "Text" && c.format != "JSON" {
+	if c.format != formatText && c.format != formatJSON {
 		return fmt.Errorf("-Format %q: use Text or JSON", c.format)
 	}
 	return nil
@@ -68,3 +78,13 @@
 func (c *connection) bounded(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, c.timeout)
 }
+
+// explain returns the kind and message of a typed error of a host, else the error
+// itself.
+func explain(err error) error {
+	var f *entrygen.Fault
+	if errors.As(err, &f) {
+		return fmt.Errorf("%s: %s", f.Kind, f.Message)
+	}
+	return err
+}
--- a/loomctl/order.go
+++ b/loomctl/order.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"flag"
 	"fmt"
 	"os"
@@ -70,12 +69,3 @@
 	}
 	return printAnswer(a, c.format)
 }
-
-// explain returns the message of a typed error.
-func explain(err error) error {
-	var f *entrygen.Fault
-	if errors.As(err, &f) {
-		return fmt.Errorf("%s: %s", f.Kind, f.Message)
-	}
-	return err
-}
--- a/loomctl/print.go
+++ b/loomctl/print.go
@@ -11,6 +11,7 @@
 	entrygen "loomgap/tier/gen/entry"
 )
 
+// printJSON prints a value as indented JSON.
 func printJSON(v any) subcommands.ExitStatus {
 	e := json.NewEncoder(os.Stdout)
 	e.SetIndent("", "  ")
@@ -22,7 +23,7 @@
 
 // printAnswer prints an answer and gives the exit status of its outcome.
 func printAnswer(a *entrygen.Answer, format string) subcommands.ExitStatus {
-	if format == "JSON" {
+	if format == formatJSON {
 		if s := printJSON(a); s != exitComplete {
 			return s
 		}
@@ -48,6 +49,7 @@
 	return exitOf(a.Outcome)
 }
 
+// ranges writes ranges of keys out.
 func ranges(all []*entrygen.KeyRange) string {
 	var out []string
 	for _, r := range all {
@@ -59,6 +61,7 @@
 	return strings.Join(out, ", ")
 }
 
+// row writes a record out: its key and fields.
 func row(r *entrygen.Row) string {
 	out := []string{r.Key}
 	for _, f := range r.Fields {
--- a/loomctl/status.go
+++ b/loomctl/status.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	if c.format == "JSON" {
+	if c.format == formatJSON {
 		return printJSON(s)
 	}
 	printStatus(s)
--- a/loomfake/platform.go
+++ b/loomfake/platform.go
@@ -80,19 +80,34 @@
 
 // publisher publishes documents and a live list.
 type publisher struct {
-	mu        sync.Mutex
+	// mu guards what follows.
+	mu sync.Mutex
+	// documents are those published so far; the index is the revision less 1.
 	documents []string
-	live      map[string]liveLine
-	version   uint64
-	faults    platformFaults
-	changed   chan struct{}
+	// live is the live list by name, version the count of its changes.
+	live    map[string]liveLine
+	version uint64
+	faults  platformFaults
+	// changed is closed, and made anew, whenever anything changes.
+	changed chan struct{}
 }
 
+// liveLine is the state of an upstream, and since when it is in the list.
 type liveLine struct {
 	state wire.LiveState
 	at    time.Time
 }
 
+// Bounds of the stand-in. Not measured.
+const (
+	// lookEvery is the longest time between two looks of a waiting read, so that a
+	// line that LiveLag delays is seen.
+	lookEvery = 200 * time.Millisecond
+	// maxDocument is the size in bytes of the largest document taken; larger ones
+	// than a host accepts may be published, to see them refused.
+	maxDocument = 4 * config.MaxBytes
+)
+
 func newPublisher() *publisher {
 	return &publisher{live: map[string]liveLine{}, changed: make(chan struct{})}
 }
@@ -116,13 +131,14 @@
 	return uint64(len(p.documents))
 }
 
+// wake lets waiting reads look again. It needs mu.
 func (p *publisher) wake() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
 // read serves a long poll: it answers when the number rises above After, or
-// when WaitMillis have passed.
+// when WaitMillis have passed. A number that is missing or wrong counts as 0.
 func (p *publisher) read(get func() (uint64, any)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		after, _ := strconv.ParseUint(r.FormValue("After"), 10, 64)
@@ -143,7 +159,7 @@
 			}
 			select {
 			case <-changed:
-			case <-time.After(min(time.Until(end), 200*time.Millisecond)):
+			case <-time.After(min(time.Until(end), lookEvery)):
 			case <-r.Context().Done():
 				return
 			}
@@ -151,6 +167,7 @@
 	}
 }
 
+// document returns the revision and the document to serve. It needs mu.
 func (p *publisher) document() (uint64, any) {
 	n := uint64(len(p.documents))
 	if p.faults.Serve > 0 && p.faults.Serve < n {
@@ -162,6 +179,7 @@
 	return n, wire.DocumentReply{Revision: n, Text: p.documents[n-1]}
 }
 
+// list returns the version of the live list and the list. It needs mu.
 func (p *publisher) list() (uint64, any) {
 	out := wire.LiveReply{Version: p.version}
 	for n, l := range p.live {
@@ -175,7 +193,7 @@
 }
 
 func (p *publisher) onPublish(w http.ResponseWriter, r *http.Request) {
-	text, err := io.ReadAll(io.LimitReader(r.Body, 4*config.MaxBytes))
+	text, err := io.ReadAll(io.LimitReader(r.Body, maxDocument))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -210,6 +228,7 @@
 	write(w, http.StatusOK, e)
 }
 
+// write answers with a value as JSON.
 func write(w http.ResponseWriter, code int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	text, err := json.Marshal(v)
