--- a/loomfake/soaksite.go
+++ b/loomfake/soaksite.go
@@ -128,11 +128,11 @@
 		groups[u.group] = true
 	}
 	s.mu.Unlock()
-	v := platform.Settings{Limits: platform.Limits{MaxBodyBytes: 1 << 16}, Routes: soakRoutes(set, n)}
+	v := platform.Document{Limits: platform.Limits{BodyBytes: 1 << 16}, Routes: soakRoutes(set, n)}
 	for g := range groups {
-		v.Services = append(v.Services, platform.Service{Name: g, MaxConns: 40})
+		v.Groups = append(v.Groups, platform.Group{Name: g, Connections: 40})
 	}
-	slices.SortFunc(v.Services, func(a, b platform.Service) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(v.Groups, func(a, b platform.Group) int { return strings.Compare(a.Name, b.Name) })
 	if err := s.store.Put(platform.DocumentKey, v); err != nil {
 		return err
 	}
@@ -145,11 +145,11 @@
 // soakRoutes are a gather over a set of shards, the routes of both kinds to single
 // upstreams, and the routes of so many versions.
 func soakRoutes(set []string, versions int) []platform.Route {
-	base := platform.Route{Host: soakHostName, TimeoutMs: 2000, TargetLatencyMs: 200, MaxAttempts: 2}
+	base := platform.Route{HostName: soakHostName, TimeLimitMillis: 2000, ObjectiveMillis: 200, MaxAttempts: 2}
 	gather, safe, unsafe := base, base, base
-	gather.Name, gather.Prefix, gather.Kind, gather.Gather, gather.TopK, gather.MinCoverage = "gather", "/gather/", platform.KindSafe, set, soakTop, soakCoverage
-	safe.Name, safe.Prefix, safe.Kind, safe.Service = "safe", "/safe/", platform.KindSafe, "single"
-	unsafe.Name, unsafe.Prefix, unsafe.Kind, unsafe.Service = "unsafe", "/unsafe/", "unsafe", "single"
+	gather.Name, gather.Prefix, gather.Kind, gather.Gather, gather.Top, gather.Coverage = "gather", "/gather/", platform.KindRepeatable, set, soakTop, soakCoverage
+	safe.Name, safe.Prefix, safe.Kind, safe.Group = "safe", "/safe/", platform.KindRepeatable, "single"
+	unsafe.Name, unsafe.Prefix, unsafe.Kind, unsafe.Group = "unsafe", "/unsafe/", "unsafe", "single"
 	routes := []platform.Route{gather, safe, unsafe}
 	for i := range versions {
 		r := safe
--- a/loomfake/soakupstream.go
+++ b/loomfake/soakupstream.go
@@ -113,7 +113,7 @@
 }
 
 func (s *soak) list(u *soakUpstream, state string) error {
-	return s.store.Put(platform.UpstreamPrefix+u.Name, platform.Server{
-		Service: u.group, Address: u.at, Zone: u.hall, Slots: 4, State: state,
+	return s.store.Put(platform.UpstreamPrefix+u.Name, platform.Upstream{
+		Group: u.group, Address: u.at, Hall: u.hall, Slots: 4, State: state,
 	})
 }
--- /dev/null
+++ b/tier/pass/relay_server.go
@@ -0,0 +1,345 @@
+package pass
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"sync"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+	"go.opentelemetry.io/otel/attribute"
+	"go.opentelemetry.io/otel/trace"
+
+	"loomgap/tier/kernel"
+	"loomgap/tier/peers"
+	"loomgap/tier/policy"
+	"loomgap/tier/runner"
+	"loomgap/tier/wire"
+)
+
+// This file is the relay's end of the exchange: it makes the calls of a batch for a
+// host of another hall. The relay of package entry is another one: there the host that
+// owns an upstream's slots makes a single call for a host of the same hall.
+
+const (
+	// maxBatchCalls bounds the calls of one message. Not measured.
+	maxBatchCalls = 4096
+	// maxBatchTime bounds how long another host may keep calls going. Not measured.
+	maxBatchTime = 10 * time.Minute
+)
+
+// servedBatch is a batch of calls that this host makes for another host. It is safe
+// for concurrent use.
+type servedBatch struct {
+	engine *engine
+	in     *batchRequest
+	// subject identifies the request if it crashes upstreams. Its caller is unknown
+	// here, and its fingerprint is made from the head: to send both would add a tenth
+	// to the bytes between regions.
+	subject policy.Subject
+	// begun is when the calls began, firstDue when the first reply is due, deadline
+	// when the calls end.
+	begun, firstDue, deadline time.Duration
+	// cancel ends all calls.
+	cancel context.CancelFunc
+
+	mu         sync.Mutex
+	unreported unreported
+	leftOut    leftOutRecords
+	// open counts the calls that have not ended.
+	open int
+	// calls are those that may still be cancelled, by index.
+	calls map[int]*servedCall
+	// finished is closed when open is 0.
+	finished chan struct{}
+	// stopped is true once nobody wants the results any more.
+	stopped bool
+	// changed holds one item while a call has ended that await has not seen.
+	changed chan struct{}
+}
+
+// servedCall is one call of a batch under way.
+type servedCall struct {
+	cancel context.CancelFunc
+	// upstream is nil until its slot is held.
+	upstream *policy.Upstream
+	// lingering is true once the call goes on though its answer is not wanted.
+	lingering bool
+}
+
+// servedBatch returns the batch with an ID.
+func (e *engine) servedBatch(id string) (*servedBatch, error) {
+	if b := e.relay.served.find(id); b != nil {
+		return b, nil
+	}
+	return nil, fmt.Errorf("%w: %q ended or was never begun", errNoBatch, id)
+}
+
+// handleRelay registers the methods of both ends of the exchange.
+func (e *engine) handleRelay() {
+	handle(e, methodBatch, "gather", e.onBatch)
+	handle(e, methodBatchProgress, "progress", e.onBatchProgress)
+	handle(e, methodBatchStop, "batch name", e.onBatchStop)
+	handle(e, methodRecords, "request for records", e.onRecords)
+}
+
+// onBatch makes the calls, reports those that ended, and returns when all have.
+func (e *engine) onBatch(ctx context.Context, in *batchRequest) (any, error) {
+	if len(in.Upstreams) == 0 || len(in.Upstreams) > maxBatchCalls || in.Top < 1 {
+		return nil, fmt.Errorf("bad gather: %d upstreams, top %d: send 1 to %d, and a top of 1 or more", len(in.Upstreams), in.Top, maxBatchCalls)
+	}
+	e.kernel.InFlight.Add(1)
+	defer e.kernel.InFlight.Add(-1)
+	metrics.GetOrCreateCounter("loomgap_relayed_calls_total").Add(len(in.Upstreams))
+	b := e.startBatch(in)
+	for sent := 0; ; sent++ {
+		out, last := b.wait()
+		switch {
+		case b.isStopped():
+			// The sender does not wait for it; calls that linger end by themselves.
+			return nil, errBatchStopped
+		case last:
+			out.ProgressSent = sent
+			return out, nil
+		}
+		out.ID = in.ID
+		if err := kernel.Push(ctx, methodBatchProgress, out); err != nil {
+			b.stop(0)
+			return nil, fmt.Errorf("push progress of batch %s: %w", in.ID, err)
+		}
+	}
+}
+
+// onBatchStop ends the calls of a batch.
+func (e *engine) onBatchStop(_ context.Context, in *batchStop) (any, error) {
+	b, err := e.servedBatch(in.ID)
+	if err != nil {
+		return nil, err
+	}
+	linger := policy.LingerFor
+	verdict, _ := e.kernel.Fleet.Judge(e.kernel.Now(), b.subject)
+	if in.CallerGone || verdict != policy.VerdictSound {
+		linger = 0
+	}
+	b.stop(linger)
+	return struct{}{}, nil
+}
+
+func (e *engine) startBatch(in *batchRequest) *servedBatch {
+	left := min(time.Duration(in.DeadlineMillis)*time.Millisecond, maxBatchTime)
+	ctx, cancel := context.WithTimeout(wire.TraceInto(context.Background(), in.Trace), left)
+	now := e.kernel.Now()
+	b := &servedBatch{
+		engine: e, in: in, subject: e.subjectOf(in), cancel: cancel,
+		begun: now, firstDue: now + min(time.Duration(in.FirstMillis)*time.Millisecond, left), deadline: now + left,
+		unreported: unreported{merger: merger{top: in.Top}}, open: len(in.Upstreams), calls: map[int]*servedCall{},
+		finished: make(chan struct{}), changed: make(chan struct{}, 1),
+	}
+	e.relay.served.add(in.ID, b)
+	// The sender may never ask for the records that were left out.
+	time.AfterFunc(left+leftOutGrace, func() { e.relay.served.drop(in.ID) })
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for i, name := range in.Upstreams {
+		ctx, cancel := context.WithCancel(ctx)
+		c := &servedCall{cancel: cancel}
+		b.calls[i] = c
+		go b.call(ctx, i, name, c)
+	}
+	return b
+}
+
+// subjectOf identifies the request of a batch; the zero value while no request is
+// suspected of anything.
+func (e *engine) subjectOf(in *batchRequest) policy.Subject {
+	if !e.kernel.Fleet.HasSuspects() {
+		return policy.Subject{}
+	}
+	content := contentOf([]byte(in.Head), in.Body)
+	return policy.Subject{Fingerprint: content.Fingerprint()}
+}
+
+// call makes one call within this host's slots.
+func (b *servedBatch) call(ctx context.Context, i int, name string, c *servedCall) {
+	defer c.cancel()
+	k := b.engine.kernel
+	started := k.Now()
+	reply := runner.Reply[*answer]{Outcome: policy.CallUnreachable}
+	u, l := k.Fleet.Find(name), b.engine.link(name)
+	switch {
+	case u == nil || l == nil:
+	case k.Fleet.Stalled(started, u):
+		reply.Outcome = policy.CallStalled
+	case !k.Fleet.Acquire(ctx, u, b.deadline, k.Now):
+		reply.Outcome = policy.CallNotSent
+	default:
+		started = k.Now()
+		b.holdSlot(c, u)
+		k.Fleet.Sent(started, u)
+		reply = b.exchange(ctx, l, u)
+		b.freeSlot(i, c, &reply, started)
+	}
+	out := callReport{Index: i, TookMicros: (k.Now() - started).Microseconds()}
+	if reply.Outcome != policy.CallOK {
+		out.Outcome = string(reply.Outcome)
+		b.end(out, nil)
+		return
+	}
+	out.Stamp = reply.Part.header.Get(b.engine.headers.Stamp)
+	b.end(out, reply.Part.body)
+}
+
+// exchange sends a call whose slot is held and returns what became of it.
+func (b *servedBatch) exchange(ctx context.Context, l *link, u *policy.Upstream) runner.Reply[*answer] {
+	k := b.engine.kernel
+	left := b.deadline - k.Now()
+	if left <= 0 || !k.Awake() || ctx.Err() != nil {
+		return runner.Reply[*answer]{Outcome: policy.CallNotSent}
+	}
+	if !b.engine.admits(k.Now(), &admission{route: b.in.Route, request: b.in.RequestID, subject: b.subject}, u) {
+		return runner.Reply[*answer]{Outcome: policy.CallBarred}
+	}
+	ctx, span := k.Tracer.Start(ctx, "upstream", trace.WithSpanKind(trace.SpanKindClient))
+	defer span.End()
+	out := l.call(ctx, &call{
+		headers: &b.engine.headers, method: b.in.Method, head: []byte(b.in.Head), body: b.in.Body,
+		id: b.in.RequestID, upstream: u.Name, left: left, gathered: true,
+	})
+	if out.Outcome == policy.CallBroken && ctx.Err() != nil {
+		out.Outcome = policy.CallCancelled
+	}
+	if span.IsRecording() {
+		span.SetAttributes(attribute.String("Upstream", u.Name), attribute.String("Outcome", string(out.Outcome)))
+	}
+	return out
+}
+
+func (b *servedBatch) holdSlot(c *servedCall, u *policy.Upstream) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	c.upstream = u
+}
+
+// freeSlot gives the slot of a call back that ended.
+func (b *servedBatch) freeSlot(i int, c *servedCall, r *runner.Reply[*answer], started time.Duration) {
+	k := b.engine.kernel
+	now := k.Now()
+	near, _ := k.Fleet.RoutedPools(b.in.Route)
+	policy.Deliver(k.Fleet.Finish(now, policy.Call{
+		Upstream: c.upstream, Pool: near, Outcome: r.Outcome, Took: now - started, Load: r.Load, Crowded: r.Crowded,
+		Lingering: b.release(i, c),
+	}))
+}
+
+// release takes a call out of those that may be cancelled, and reports whether it
+// lingered.
+func (b *servedBatch) release(i int, c *servedCall) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	delete(b.calls, i)
+	return c.lingering
+}
+
+// end notes a call that ended, with its records if it succeeded.
+func (b *servedBatch) end(c callReport, records []byte) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.unreported.add(c, records)
+	delete(b.calls, c.Index)
+	if b.open--; b.open == 0 {
+		close(b.finished)
+		b.cancel()
+		return
+	}
+	select {
+	case b.changed <- struct{}{}:
+	default: // await has not seen the change before this one either
+	}
+}
+
+// stop ends the calls that nobody wants any more. Those that may linger go on for a
+// while, since their answers show when an upstream answers again.
+func (b *servedBatch) stop(linger time.Duration) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.stopped = true
+	b.forget()
+	for _, c := range b.calls {
+		if linger > 0 && c.upstream != nil && b.engine.kernel.Fleet.Linger(c.upstream) {
+			c.lingering = true
+			time.AfterFunc(linger, c.cancel)
+			continue
+		}
+		c.cancel()
+	}
+}
+
+func (b *servedBatch) isStopped() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.stopped
+}
+
+// forget drops a batch that nobody asks for any more; mu is held. One with records
+// that were left out is dropped some time after the deadline.
+func (b *servedBatch) forget() {
+	if len(b.leftOut) == 0 {
+		b.engine.relay.served.drop(b.in.ID)
+	}
+}
+
+// wait returns a reply as soon as one is due; last is true if none follows. What a
+// reply reports is not reported again.
+func (b *servedBatch) wait() (out *batchReply, last bool) {
+	b.await(b.engine.kernel.Now())
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	now := b.engine.kernel.Now()
+	out = &batchReply{Due: now >= b.firstDue, Conditions: b.engine.kernel.Fleet.Conditions(now), HeldMicros: (now - b.begun).Microseconds()}
+	ended, records, succeeded := b.unreported.take()
+	out.Ended = ended
+	out.Records, out.Cut = b.leftOut.cut(records, recordsFor(b.in.Top, succeeded, b.in.Of))
+	last = b.open == 0 || now >= b.deadline
+	if last {
+		b.forget()
+	}
+	return out, last
+}
+
+// await returns when a reply is due: when all calls have ended, when the first reply
+// is due, soon after a call has failed, and, once the first reply was due, soon after
+// any call has ended.
+func (b *servedBatch) await(now time.Duration) {
+	firstWasDue := now >= b.firstDue
+	until := b.firstDue
+	if firstWasDue {
+		until = b.deadline
+	}
+	timer := time.NewTimer(until - now)
+	defer timer.Stop()
+	for {
+		select {
+		case <-b.finished:
+			return
+		case <-timer.C:
+			return
+		case <-b.changed:
+			now = b.engine.kernel.Now()
+			if delay, due := b.replyDelay(firstWasDue); due && now+delay < until {
+				until = now + delay
+				timer.Reset(delay)
+			}
+		}
+	}
+}
+
+func (b *servedBatch) replyDelay(firstWasDue bool) (delay time.Duration, due bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.unreported.replyDelay(firstWasDue)
+}
+
+// neverArrived reports whether an error proves that a message did not reach its host,
+// so that nothing was begun there.
+func neverArrived(err error) bool { return errors.Is(err, peers.ErrNoPeer) }
--- /dev/null
+++ b/tier/peers/members_test.go
@@ -0,0 +1,119 @@
+package peers
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net/netip"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp/cmpopts"
+	"gotest.tools/v3/assert"
+	"pgregory.net/rapid"
+)
+
+func table(host string) *memberTable {
+	return newMemberTable(memberTableConfig{Self: memberEntry{Host: host, Incarnation: "1"}, Interval: time.Second, Random: rand.New(rand.NewPCG(1, 0))})
+}
+
+// addresses has addresses compared by their value.
+var addresses = cmpopts.EquateComparable(netip.AddrPort{})
+
+func TestTableBelievesTheNewest(t *testing.T) {
+	b := table("A")
+	b.merge(0, []memberEntry{{Host: "B", Incarnation: "2", Counter: 5}})
+	b.merge(time.Second, []memberEntry{{Host: "B", Incarnation: "1", Counter: 9}, {Host: "A", Incarnation: "9", Counter: 99}})
+	b.merge(time.Second, []memberEntry{{Host: "B", Incarnation: "2", Counter: 5, Leaving: true}})
+	m := b.members(time.Second)
+	assert.Equal(t, len(m), 1)
+	assert.DeepEqual(t, m[0], knownMember{Entry: memberEntry{Host: "B", Incarnation: "2", Counter: 5}, Live: true}, addresses)
+	assert.Assert(t, !b.members((silentHeartbeats + 1) * time.Second)[0].Live)
+	b.restartSilence((silentHeartbeats + 1) * time.Second)
+	assert.Assert(t, b.members((silentHeartbeats + 1) * time.Second)[0].Live)
+}
+
+// TestTableMergesInAnyOrder holds merging to the same result whatever the order
+// and however often news comes.
+func TestTableMergesInAnyOrder(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		entry := rapid.Custom(func(t *rapid.T) memberEntry {
+			return memberEntry{
+				Host:        rapid.SampledFrom([]string{"B", "C"}).Draw(t, "host"),
+				Incarnation: rapid.SampledFrom([]string{"1", "2"}).Draw(t, "incarnation"),
+				Counter:     uint64(rapid.IntRange(0, 4).Draw(t, "counter")),
+			}
+		})
+		news := rapid.SliceOfN(entry, 1, 12).Draw(t, "news")
+		one, other := table("A"), table("A")
+		one.merge(0, news)
+		for _, e := range rapid.Permutation(append(news, news...)).Draw(t, "order") {
+			other.merge(0, []memberEntry{e})
+		}
+		assert.DeepEqual(t, one.members(0), other.members(0), addresses)
+	})
+}
+
+// TestGossipReachesAHall counts the beats until every host of a hall of the
+// design size knows of every other, and that a dead one is found silent by all.
+func TestGossipReachesAHall(t *testing.T) {
+	const hosts = 117
+	random := rand.New(rand.NewPCG(7, 0))
+	var all []*memberTable
+	for i := range hosts {
+		all = append(all, newMemberTable(memberTableConfig{Self: memberEntry{Host: fmt.Sprintf("H%d", i), Incarnation: "1"}, Interval: time.Second, Random: random}))
+	}
+	now := time.Duration(0)
+	beat := func(dead int) {
+		now += time.Second
+		for i, a := range all {
+			if i == dead {
+				continue
+			}
+			a.tick(now, 1)
+			for range hallPartners {
+				j := random.IntN(hosts)
+				if j == i || j == dead {
+					continue
+				}
+				all[j].merge(now, a.entries(now))
+				a.merge(now, all[j].entries(now))
+			}
+		}
+	}
+	known := func() int {
+		least := hosts
+		for _, a := range all {
+			n := 0
+			for _, m := range a.members(now) {
+				if m.Live {
+					n++
+				}
+			}
+			least = min(least, n)
+		}
+		return least
+	}
+	for range 40 {
+		beat(-1)
+	}
+	assert.Equal(t, known(), hosts-1)
+	steady := 0
+	const watched = 60
+	for range watched {
+		beat(-1)
+		if known() == hosts-1 {
+			steady++
+		}
+	}
+	assert.Equal(t, steady, watched, "a live host was taken for silent")
+	for range 10 * silentHeartbeats {
+		beat(3)
+	}
+	for i, a := range all {
+		for _, m := range a.members(now) {
+			if i != 3 && m.Entry.Host == "H3" {
+				assert.Assert(t, !m.Live)
+			}
+		}
+	}
+}
