--- a/tier/replay/call.go
+++ b/tier/replay/call.go
@@ -72,7 +72,7 @@
 // relay has the owner of the upstream make the call, within its slots.
 func (k *call) relay(owner *host, name string, deadline time.Duration) {
 	w := k.world
-	k.hop = w.c.relayHop
+	k.hop = w.config.relayHop
 	u := owner.fleet.Find(name)
 	w.after(k.hop, func() {
 		waiter := &policy.Waiter{Upstream: u, Deadline: deadline, Granted: func() { w.after(0, func() { k.relayed(owner, u) }) }}
@@ -94,7 +94,7 @@
 		return
 	}
 	sent := w.now
-	k.inner = &call{world: w, upstream: k.upstream, hop: w.c.hop}
+	k.inner = &call{world: w, upstream: k.upstream, hop: w.config.hop}
 	k.inner.done = func(o policy.CallOutcome) {
 		policy.Deliver(owner.fleet.Finish(w.now, policy.Call{Upstream: u, Pool: owner.pool, Outcome: o, Took: w.now - sent}))
 		k.reply(o)
--- a/tier/replay/crash.go
+++ b/tier/replay/crash.go
@@ -77,10 +77,10 @@
 // startCrashes plans the arrivals of the request that crashes upstreams, and the
 // crashes that no request causes.
 func (w *world) startCrashes() {
-	c := w.c.routed.crash
+	c := w.config.routed.crash
 	var next func()
 	next = func() {
-		if w.now >= w.c.length {
+		if w.now >= w.config.length {
 			return
 		}
 		w.after(c.every, next)
@@ -97,8 +97,8 @@
 
 // crashAll crashes all upstreams, again and again.
 func (w *world) crashAll() {
-	c := w.c.routed.crash
-	if w.now >= w.c.length {
+	c := w.config.routed.crash
+	if w.now >= w.config.length {
 		return
 	}
 	w.after(c.waveEvery, w.crashAll)
@@ -115,7 +115,7 @@
 func (w *world) newCallerRequest(load int) *callerRequest {
 	w.crashes.requests++
 	name := w.crashes.requests
-	if n := w.c.routed.crash.popular; n > 0 {
+	if n := w.config.routed.crash.popular; n > 0 {
 		name = w.random.IntN(n)
 	}
 	return &callerRequest{world: w, load: load, fingerprint: policy.Fingerprint(fmt.Sprint("Sound", name)), caller: addressOf(name)}
@@ -143,7 +143,7 @@
 // subject returns what hosts remember the request by; the zero value where the
 // request is not known.
 func (q *callerRequest) subject() policy.Subject {
-	if q == nil || !q.world.c.routed.crash.remember {
+	if q == nil || !q.world.config.routed.crash.remember {
 		return policy.Subject{}
 	}
 	return policy.Subject{Fingerprint: q.fingerprint, Caller: q.caller}
@@ -164,7 +164,7 @@
 // reportStrikes has a host report to others the strikes that it sees.
 func (h *host) reportStrikes() {
 	w := h.world
-	if !w.c.routed.crash.report {
+	if !w.config.routed.crash.report {
 		return
 	}
 	last, planned := -reportGap, false
@@ -173,7 +173,7 @@
 		reports := h.fleet.FreshReports(w.now)
 		for _, i := range w.random.Perm(len(w.hosts))[:min(reportHosts, len(w.hosts))] {
 			to := w.hosts[i]
-			w.after(w.c.routed.farHop, func() { to.fleet.TakeReports(w.now, reports) })
+			w.after(w.config.routed.farHop, func() { to.fleet.TakeReports(w.now, reports) })
 		}
 	}
 	h.fleet.OnStrikes(func(urgent bool) {
@@ -191,7 +191,7 @@
 
 // crashBy crashes the upstream that has begun a call, a while later.
 func (u *upstream) crashBy(k *call) {
-	c := u.world.c.routed.crash
+	c := u.world.config.routed.crash
 	if c.after == 0 {
 		u.world.after(u.serviceTime(), func() {
 			if k.working {
@@ -221,7 +221,7 @@
 		k.reply(policy.CallCrashed)
 	}
 	u.running, u.backlog = nil, nil
-	w.after(w.c.routed.crash.down, func() { u.down = false })
+	w.after(w.config.routed.crash.down, func() { u.down = false })
 }
 
 // crashes reports whether calls of the execution crash upstreams; an execution that
--- a/tier/replay/execution.go
+++ b/tier/replay/execution.go
@@ -36,7 +36,7 @@
 func (h *host) newExecution(load, shards int) *execution {
 	w := h.world
 	e := &execution{host: h, load: load, begun: w.now, calls: map[int]*call{}, shards: shards}
-	if w.now >= w.c.warm {
+	if w.now >= w.config.warm {
 		e.result = w.results[load]
 	}
 	return e
@@ -135,8 +135,8 @@
 	}
 	e.calls[a.Attempt] = k
 	owner := w.hosts[index%len(w.hosts)]
-	if w.c.sharing == sharingOwner && owner != e.host {
-		k.relay(owner, a.Upstream.Name, e.begun+time.Duration(w.c.loads[e.load].class.Deadline))
+	if w.config.sharing == sharingOwner && owner != e.host {
+		k.relay(owner, a.Upstream.Name, e.begun+time.Duration(w.config.loads[e.load].class.Deadline))
 		return
 	}
 	k.start()
--- a/tier/replay/host.go
+++ b/tier/replay/host.go
@@ -22,21 +22,21 @@
 
 func newHost(w *world, index int) *host {
 	h := &host{world: w, index: index, fleet: policy.NewFleet(policy.FleetConfig{Random: w.random})}
-	if w.c.routed != nil {
+	if w.config.routed != nil {
 		h.joinRouted()
 		return h
 	}
 	var shares []policy.Share
-	for i := range w.c.shards {
-		s := policy.Share{Name: upstreamName(i), Slots: w.c.slotsOf(index, i)}
-		if w.c.sharing == sharingBorrow {
-			s.Most = w.c.capacity.slots
+	for i := range w.config.shards {
+		s := policy.Share{Name: upstreamName(i), Slots: w.config.slotsOf(index, i)}
+		if w.config.sharing == sharingBorrow {
+			s.Most = w.config.capacity.slots
 		}
 		shares = append(shares, s)
 	}
 	h.fleet.Apply(0, shares)
 	h.pool = h.fleet.Pool("Data")
-	for i := range w.c.shards {
+	for i := range w.config.shards {
 		h.fleet.Note(0, h.fleet.Find(upstreamName(i)), policy.Window{Oldest: 1, Newest: 1, Known: true}, false)
 	}
 	return h
@@ -45,15 +45,15 @@
 // request begins one request of a load, by the load's index.
 func (h *host) request(index int) {
 	w := h.world
-	l := &w.c.loads[index]
-	first := w.random.IntN(w.c.shards)
+	l := &w.config.loads[index]
+	first := w.random.IntN(w.config.shards)
 	names := make([][]string, l.shards)
 	for i := range names {
-		for r := range w.c.replicas {
-			names[i] = append(names[i], upstreamName((first+i+r)%w.c.shards))
+		for r := range w.config.replicas {
+			names[i] = append(names[i], upstreamName((first+i+r)%w.config.shards))
 		}
 	}
-	if w.c.routed != nil {
+	if w.config.routed != nil {
 		h.requestRouted(index)
 		return
 	}
--- a/tier/replay/report.go
+++ b/tier/replay/report.go
@@ -22,7 +22,7 @@
 }
 
 func (w *world) report() *Report {
-	return &Report{name: w.c.Name, seconds: (w.c.length - w.c.warm).Seconds(), classes: w.results, crashes: w.crashes}
+	return &Report{name: w.config.Name, seconds: (w.config.length - w.config.warm).Seconds(), classes: w.results, crashes: w.crashes}
 }
 
 // Header is the head of the table that Print writes rows of.
--- a/tier/replay/routed.go
+++ b/tier/replay/routed.go
@@ -53,16 +53,16 @@
 
 // hop is the one-way time between a host and an upstream.
 func (h *host) hop(upstream int) time.Duration {
-	r := h.world.c.routed
+	r := h.world.config.routed
 	if r == nil || r.hall(h.index) == r.hall(upstream) {
-		return h.world.c.hop
+		return h.world.config.hop
 	}
 	return r.farHop
 }
 
 // joinRouted sets up a host's view of the upstreams.
 func (h *host) joinRouted() {
-	c := &h.world.c
+	c := &h.world.config
 	var shares []policy.Share
 	for i := range c.upstreams() {
 		hall := c.routed.hall(i)
@@ -86,11 +86,11 @@
 const coreCapacity = 1000
 
 // isStrong reports whether a host is one of the strong ones.
-func (h *host) isStrong() bool { return h.index < h.world.c.routed.ownWork.strongHosts }
+func (h *host) isStrong() bool { return h.index < h.world.config.routed.ownWork.strongHosts }
 
 // ownWork is what the host takes for each answer.
 func (h *host) ownWork() time.Duration {
-	r := h.world.c.routed
+	r := h.world.config.routed
 	switch {
 	case r == nil || r.ownWork.strongHosts == 0:
 		return 0
@@ -115,7 +115,7 @@
 
 // candidate describes the host to those that choose a coordinator.
 func (h *host) candidate() policy.Candidate {
-	r := h.world.c.routed
+	r := h.world.config.routed
 	work := max(h.ownWork(), 1)
 	return policy.Candidate{
 		Host: fmt.Sprint("H", h.index), Hall: r.hall(h.index), Capacity: int(coreCapacity * coreWork / work), RoundTrip: 2 * r.farHop,
@@ -126,7 +126,7 @@
 // message takes there; the host itself if none does better.
 func (h *host) coordinator() (*host, time.Duration) {
 	w := h.world
-	r := w.c.routed
+	r := w.config.routed
 	if !r.forward {
 		return h, 0
 	}
@@ -142,7 +142,7 @@
 	}
 	to := byName[best[0].Host]
 	if best[0].Hall == r.hall(h.index) {
-		return to, w.c.hop
+		return to, w.config.hop
 	}
 	return to, r.farHop
 }
@@ -178,19 +178,19 @@
 // gather carries out a gather.
 func (h *host) gather(g gather) {
 	w := h.world
-	c := w.c.routed
+	c := w.config.routed
 	class := c.class()
 	spent := w.now - g.began + g.back
 	class.Patience = config.Duration(max(time.Duration(class.Patience)-spent, 0))
-	names, groups := make([][]string, w.c.shards), make([]string, w.c.shards)
+	names, groups := make([][]string, w.config.shards), make([]string, w.config.shards)
 	for i := range names {
 		groups[i] = fmt.Sprint("G", i)
-		for r := range w.c.replicas {
-			names[i] = append(names[i], upstreamName(i*w.c.replicas+r))
+		for r := range w.config.replicas {
+			names[i] = append(names[i], upstreamName(i*w.config.replicas+r))
 		}
 	}
 	near, far := h.fleet.RoutedPools(c.route.Name)
-	e := h.newExecution(g.load, w.c.shards)
+	e := h.newExecution(g.load, w.config.shards)
 	e.begun, e.back, e.request = g.began, g.back, g.request
 	e.begin(policy.RunConfig{
 		Pool: near, Class: &class, Replicas: h.fleet.Resolve(names), Subject: g.request.subject(),
--- a/tier/replay/upstream.go
+++ b/tier/replay/upstream.go
@@ -27,19 +27,19 @@
 
 // lost reports whether the upstream has stopped answering.
 func (u *upstream) lost() bool {
-	f := &u.world.c.faults
+	f := &u.world.config.faults
 	return oneIn(f.lostEvery, u.index) && u.world.now >= f.lostFrom
 }
 
 // slow reports whether the upstream is slow now.
 func (u *upstream) slow() bool {
-	f, now := &u.world.c.faults, u.world.now
+	f, now := &u.world.config.faults, u.world.now
 	return oneIn(f.slowEvery, u.index) && now >= f.slowFrom && (f.slowUntil == 0 || now < f.slowUntil)
 }
 
 func (u *upstream) serviceTime() time.Duration {
 	w := u.world
-	f := &w.c.faults
+	f := &w.config.faults
 	d := w.lognormal()
 	if u.slow() {
 		d = time.Duration(float64(d) * f.slowFactor)
@@ -55,7 +55,7 @@
 	if !u.down && k.execution.crashes() {
 		k.execution.reached()
 	}
-	c := &u.world.c
+	c := &u.world.config
 	switch {
 	case u.down:
 		k.reply(policy.CallUnreachable)
@@ -95,7 +95,7 @@
 // release gives the slot of a call that ended to the backlog.
 func (u *upstream) release(done *call) {
 	u.running = slices.DeleteFunc(u.running, func(k *call) bool { return k == done })
-	for len(u.backlog) > 0 && len(u.running) < u.world.c.capacity.slots {
+	for len(u.backlog) > 0 && len(u.running) < u.world.config.capacity.slots {
 		k := u.backlog[0]
 		u.backlog = u.backlog[1:]
 		if !k.cancelled {
@@ -107,7 +107,7 @@
 // pausedFor is how much longer the upstream pauses. Each pauses at times of its
 // own.
 func (u *upstream) pausedFor() time.Duration {
-	r := u.world.c.routed
+	r := u.world.config.routed
 	if r == nil || r.pauseFor == 0 {
 		return 0
 	}
--- a/tier/replay/world.go
+++ b/tier/replay/world.go
@@ -14,7 +14,8 @@
 
 // world is one replay under way. It is single-threaded.
 type world struct {
-	c         Case
+	// config is the case that is played.
+	config    Case
 	now       time.Duration
 	queue     events
 	ranks     uint64
@@ -33,7 +34,7 @@
 
 // Run replays a case. The error names what is wrong with the case.
 func Run(c Case) (*Report, error) {
-	w := &world{c: c, random: rand.New(rand.NewPCG(c.Seed, seedStream)), indices: map[string]int{}}
+	w := &world{config: c, random: rand.New(rand.NewPCG(c.Seed, seedStream)), indices: map[string]int{}}
 	for i := range c.upstreams() {
 		w.upstreams = append(w.upstreams, newUpstream(w, i))
 		w.indices[upstreamName(i)] = i
@@ -75,20 +76,20 @@
 
 // startLoad plans the arrivals of a load, by its index.
 func (w *world) startLoad(index int) error {
-	l := &w.c.loads[index]
-	if l.rate <= 0 || l.shards < 1 || l.shards > w.c.shards {
-		return fmt.Errorf("load %s: rate or shards out of range: use a rate above 0 and 1 to %d shards", l.class.Name, w.c.shards)
+	l := &w.config.loads[index]
+	if l.rate <= 0 || l.shards < 1 || l.shards > w.config.shards {
+		return fmt.Errorf("load %s: rate or shards out of range: use a rate above 0 and 1 to %d shards", l.class.Name, w.config.shards)
 	}
 	gap := func() time.Duration {
 		return time.Duration(w.random.ExpFloat64() / l.rate * float64(time.Second))
 	}
 	var next func()
 	next = func() {
-		if w.now >= w.c.length {
+		if w.now >= w.config.length {
 			return
 		}
 		w.after(gap(), next)
-		if w.c.crashing() {
+		if w.config.crashing() {
 			w.newCallerRequest(index).arrive()
 			return
 		}
@@ -100,7 +101,7 @@
 
 // lognormal draws a service time.
 func (w *world) lognormal() time.Duration {
-	return time.Duration(float64(w.c.capacity.service) * math.Exp(w.c.capacity.sigma*w.random.NormFloat64()))
+	return time.Duration(float64(w.config.capacity.service) * math.Exp(w.config.capacity.sigma*w.random.NormFloat64()))
 }
 
 // event is something planned for a time.
