--- a/loomfake/command.go
+++ b/loomfake/command.go
@@ -17,15 +17,12 @@
 
 var errNotLoopback = errors.New("stand-ins use loopback addresses only: give an address of 127.0.0.0/8 or [::1]")
 
-// newLog makes the log of a stand-in.
-func newLog() zerolog.Logger { return zerolog.New(os.Stderr).With().Timestamp().Logger() }
-
 // status turns an error into an exit status, and logs it.
 func status(err error) subcommands.ExitStatus {
 	if err == nil {
 		return subcommands.ExitSuccess
 	}
-	log := newLog()
+	log := zerolog.New(os.Stderr).With().Timestamp().Logger()
 	log.Error().Err(err).Msg("stand-in not run")
 	return subcommands.ExitFailure
 }
--- a/loomfake/commands_test.go
+++ b/loomfake/commands_test.go
@@ -171,14 +171,14 @@
 		}
 		s := ts.Value(sceneKey{}).(*scene)
 		if err := f(s, ts, args); err != nil {
-			s.tellLogs(ts)
+			s.printLogs(ts)
 			ts.Fatalf("%v", err)
 		}
 	}
 }
 
-// tellLogs prints the last lines of the hosts' logs.
-func (s *scene) tellLogs(ts *testscript.TestScript) {
+// printLogs prints the last lines of the hosts' logs.
+func (s *scene) printLogs(ts *testscript.TestScript) {
 	const last = 15
 	for name := range s.processes {
 		text, _ := os.ReadFile(s.log(name))
--- a/loomfake/history_test.go
+++ b/loomfake/history_test.go
@@ -89,6 +89,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
+// never is a time that no scenario reaches, in nanoseconds since 1970.
 const never = int64(1) << 62
 
 func (h *history) add(client int, in tryInput, begun time.Time, out tryOutput) {
@@ -192,6 +193,7 @@
 	}
 }
 
+// sceneKeys is the number of keys: the default of loomfake document and upstream.
 const sceneKeys = 1024
 
 // counts has clients count all records, and checks each answer: one snapshot,
@@ -224,8 +226,7 @@
 		for k := r.From; k < r.To; k++ {
 			held[k]++
 		}
-		n, _ := answerCount(r.From, r.To, a.Snapshot)
-		expected += n
+		expected += countOf(r.From, r.To, a.Snapshot)
 	}
 	for _, r := range a.Missing {
 		for k := r.From; k < r.To; k++ {
@@ -246,14 +247,15 @@
 	}
 }
 
-func answerCount(from, to uint32, snapshot uint64) (uint64, error) {
+// countOf returns how many records a half-open range of keys has at a snapshot.
+func countOf(from, to uint32, snapshot uint64) uint64 {
 	n := uint64(0)
 	for key := uint64(from); key < uint64(to); key++ {
 		if total := recordCount(snapshot); total > key {
 			n += (total - key + sceneKeys - 1) / sceneKeys
 		}
 	}
-	return n, nil
+	return n
 }
 
 // finish checks the history. Arguments name outcomes that must have been seen,
--- a/loomfake/link.go
+++ b/loomfake/link.go
@@ -71,13 +71,15 @@
 	Cut bool
 	// CutBack drops the bytes of the way back.
 	CutBack bool
-	// Refuse ends new connections at once, Reset those that are open too.
-	Refuse bool
-	Reset  bool
+	// Reset ends all connections at once, those that are open and new ones.
+	Reset bool
 	// Delay is how much later bytes arrive.
 	Delay config.Duration `json:",omitzero"`
 }
 
+// linkBuffer is how many bytes a link passes on at once, at the most. Not measured.
+const linkBuffer = 32 << 10
+
 // link passes bytes on, or drops them.
 type link struct {
 	to     string
@@ -106,7 +108,7 @@
 func (k *link) serve(a net.Conn) {
 	k.keep(a)
 	f := k.current()
-	if f.Refuse || f.Reset {
+	if f.Reset {
 		hardClose(a)
 		return
 	}
@@ -141,7 +143,7 @@
 // pass copies bytes until an end closes; while the link is cut it drops them.
 func (k *link) pass(from, to net.Conn, back bool) {
 	defer k.forget(from)
-	buffer := make([]byte, 32<<10)
+	buffer := make([]byte, linkBuffer)
 	for {
 		n, err := from.Read(buffer)
 		f := k.current()
--- a/loomfake/scenario_test.go
+++ b/loomfake/scenario_test.go
@@ -17,8 +17,12 @@
 // firstPort is the next block of ports; each scenario gets one of its own.
 var firstPort atomic.Int64
 
+// Ports of scenarios. Not measured.
 const (
+	// portBlock is how many ports a scenario has.
 	portBlock = 150
+	// portStart is the port before the first block; below the ports that the system
+	// gives out.
 	portStart = 20_000
 )
 
--- a/loomfake/soakhost.go
+++ b/loomfake/soakhost.go
@@ -30,6 +30,7 @@
 	soakSeeds = 3
 )
 
+// hostAddress returns the address of a host, by its index.
 func hostAddress(i int) netip.Addr {
 	pid := os.Getpid()
 	return netip.AddrFrom4([4]byte{127, byte(soakNet + i), byte(pid >> 8), byte(pid)})
@@ -41,24 +42,28 @@
 	listen     netip.AddrPort
 	operate    netip.AddrPort
 	peer       netip.AddrPort
-	store      *link
-	storeAt    netip.AddrPort
-	settings   string
-	log        string
+	// store is the link to the platform's store, storeAt where the host reaches it.
+	store   *link
+	storeAt netip.AddrPort
+	// settings and log are paths of files.
+	settings, log string
 
 	// mu guards what follows.
-	mu          sync.Mutex
-	process     *exec.Cmd
-	ended       chan struct{}
+	mu sync.Mutex
+	// process is the daemon that was started last; ended is closed when it ends.
+	process *exec.Cmd
+	ended   chan struct{}
+	// generations counts the daemons that were started.
 	generations int
 	// touched is when something was last done to it; it counts as untouched
 	// soakUntouched later.
 	touched time.Duration
-	// stopTimes are when it was stopped as planned, faultTimes when any other fault began
-	// or ended.
+	// stopTimes are when it was stopped as planned, faultTimes when any other fault
+	// began or ended.
 	stopTimes, faultTimes []time.Duration
 }
 
+// addHost starts a host, by its index, behind a link to the store.
 func (s *soak) addHost(i int, store netip.AddrPort) error {
 	h := &soakHost{name: fmt.Sprintf("host-%d", i), hall: halls[i%2]}
 	at := hostAddress(i)
@@ -87,6 +92,7 @@
 	return os.WriteFile(h.settings, []byte(text), 0o600)
 }
 
+// start runs the daemon of the host.
 func (h *soakHost) start(daemon string) error {
 	f, err := os.OpenFile(h.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
--- a/loomfake/upstream.go
+++ b/loomfake/upstream.go
@@ -19,8 +19,10 @@
 	life   time.Duration
 }
 
-// Defaults of each upstream. Not measured.
+// What all upstreams have alike. Not measured.
 const (
+	// backlog is how many calls wait for a slot before an upstream sheds.
+	backlog = 4
 	// medianService is the median service time until POST /Fake sets another.
 	medianService = 2 * time.Millisecond
 	// connectCost is the time that a new connection costs; the users' larger
@@ -47,7 +49,6 @@
 	f.TextVar(&c.listen, "Listen", netip.MustParseAddrPort("127.0.0.1:7500"), "`IP:port` of the first upstream")
 	f.IntVar(&c.count, "Count", 1, "number of upstreams")
 	f.IntVar(&c.config.slots, "Slots", 2, "calls that an upstream works on at once")
-	f.IntVar(&c.config.backlog, "Backlog", 4, "calls that wait for a slot before it sheds")
 	f.IntVar(&c.config.connections, "Connections", 25, "connections that an upstream takes")
 	f.UintVar(&c.config.keySpace, "KeySpace", 1024, "keys of the data")
 	f.DurationVar(&c.life, "Life", time.Hour, "longest life of the process")
--- a/loomfake/upstreamserver.go
+++ b/loomfake/upstreamserver.go
@@ -46,9 +46,9 @@
 
 // upstreamConfig configures a stand-in upstream.
 type upstreamConfig struct {
-	// slots is how many calls run at once, backlog how many may wait for a slot,
-	// connections how many connections it accepts.
-	slots, backlog, connections int
+	// slots is how many calls run at once, connections how many connections it
+	// accepts.
+	slots, connections int
 	// keySpace is the number of keys of the data.
 	keySpace uint
 	// seed draws the service times and faults.
@@ -69,9 +69,8 @@
 	random  *rand.Rand
 	// runs counts how often each order ran; used with mu held.
 	runs map[string]int
-	// calls counts the calls that began to run, and arrived all that came,
-	// refused ones included; used with mu held.
-	calls, arrived int
+	// arrived counts the calls that came, refused ones included; used with mu held.
+	arrived int
 }
 
 func newUpstream(c upstreamConfig, f faults) *upstream {
@@ -143,7 +142,7 @@
 	case u.draw(f.ShedShare):
 		refuse(w, f, id, wire.RefusalShed)
 		return false
-	case u.waiting.Add(1) > int64(u.config.backlog+u.config.slots):
+	case u.waiting.Add(1) > int64(backlog+u.config.slots):
 		u.waiting.Add(-1)
 		refuse(w, f, id, wire.RefusalShed)
 		return false
@@ -214,7 +213,9 @@
 		refuse(w, &f, j.identity, wire.RefusalSnapshotGone)
 		return
 	}
-	u.count(j.order)
+	if j.order != "" {
+		u.count(j.order)
+	}
 	if !work(r, u.serviceTime(&f)) {
 		return
 	}
@@ -223,14 +224,11 @@
 	u.reply(w, r, &f, out)
 }
 
-// count notes that a call runs; an order by its request ID.
+// count notes that an order runs, by its request ID.
 func (u *upstream) count(order string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.calls++
-	if order != "" {
-		u.runs[order]++
-	}
+	u.runs[order]++
 }
 
 // work takes the service time, or ends early when the caller cancels.
@@ -299,8 +297,6 @@
 
 // runsReply is what a stand-in upstream recorded.
 type runsReply struct {
-	// Calls is how many calls began to run, orders included.
-	Calls int
 	// Arrived is how many calls came, refused ones included.
 	Arrived int
 	Runs    []run
@@ -314,7 +310,7 @@
 func (u *upstream) onRuns(w http.ResponseWriter, _ *http.Request) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	out := runsReply{Calls: u.calls, Arrived: u.arrived, Runs: []run{}}
+	out := runsReply{Arrived: u.arrived, Runs: []run{}}
 	for id, n := range u.runs {
 		out.Runs = append(out.Runs, run{RequestID: id, Runs: n})
 	}
