--- a/tier/pass/relay_client.go
+++ b/tier/pass/relay_client.go
@@ -23,8 +23,8 @@
 	// is reported as it ends: upstreams that pause answer within that time.
 	hedgesDue = policy.LingerFor
 	// firstReplyReserve is how much earlier than the hedges of its calls the first
-	// reply to a batch is due. Without the wait for what is reported late, there were
-	// 27% extra calls.
+	// reply to a batch is due: when replies came just after the hedges, there were 27%
+	// extra calls. The time itself is not measured.
 	firstReplyReserve = 4 * time.Millisecond
 	// firstReplyLeast is the least time that the calls have until the first reply. Not
 	// measured.
@@ -35,8 +35,6 @@
 	// progressGrace is how long progress messages that were sent before the last reply
 	// may come after it. Not measured.
 	progressGrace = 20 * time.Millisecond
-	// stopBound is how long telling a host to stop may take. Not measured.
-	stopBound = time.Second
 )
 
 var _ runner.Batcher[*answer] = (*request)(nil)
@@ -73,10 +71,11 @@
 	r.pending[host]--
 }
 
-// Batches implements runner.Batcher: calls to upstreams of one other hall go
-// together through a relay there. Even a single call does: the relay has connections
-// to the upstream, and making one from afar takes longer than the call. Calls to an
-// upstream that warms up go through its owner, whatever the hall.
+// Batches implements runner.Batcher: calls to upstreams of one other hall go together
+// through a relay there. Even a single call does: the relay has connections to the
+// upstream, and making one from afar takes longer than the call. When single
+// calls went through relays too, partial gathers of one site fell from 374 to 248. Calls
+// to a cold upstream go through its owner, whatever the hall.
 func (q *request) Batches(sends []policy.Action) (batches [][]policy.Action, apart []policy.Action) {
 	if q.route.Gather == nil {
 		return nil, sends
@@ -280,9 +279,9 @@
 func (s *sentBatch) fail(ctx context.Context, err error) {
 	q := s.request
 	e := q.engine
-	outcome := policy.CallLost
+	o := policy.CallLost
 	if neverArrived(err) && !s.heard {
-		outcome = policy.CallNotSent
+		o = policy.CallNotSent
 	}
 	if !s.heard {
 		now := e.kernel.Now()
@@ -293,21 +292,19 @@
 		s.stop()
 	} else {
 		e.kernel.Decisions.Info().Str("RequestID", q.in.id).Str("Relay", s.relay).Int("Calls", len(s.calls)).
-			Str("Outcome", string(outcome)).Err(err).Msg("batch not answered")
+			Str("Outcome", string(o)).Err(err).Msg("batch not answered")
 	}
 	for i := range s.calls {
-		s.to.Report(i, runner.Reply[*answer]{Outcome: outcome})
+		s.to.Report(i, runner.Reply[*answer]{Outcome: o})
 	}
 }
 
 // stop tells the relay that the calls are not wanted any more.
 func (s *sentBatch) stop() {
 	q := s.request
-	k := q.engine.kernel
-	ctx, cancel := context.WithTimeout(context.Background(), stopBound)
-	defer cancel()
-	if err := k.Peers.Notify(ctx, s.relay, methodBatchStop, batchStop{ID: s.in.ID, CallerGone: q.callerGone.Load()}); err != nil {
-		k.Decisions.Info().Str("RequestID", q.in.id).Str("Relay", s.relay).Err(err).Msg("batch not stopped")
+	err := q.engine.notifyStop(s.relay, methodBatchStop, batchStop{ID: s.in.ID, CallerGone: q.callerGone.Load()})
+	if err != nil {
+		q.engine.kernel.Decisions.Info().Str("RequestID", q.in.id).Str("Relay", s.relay).Err(err).Msg("batch not stopped")
 	}
 }
 
--- a/tier/peers/announcement_test.go
+++ b/tier/peers/announcement_test.go
@@ -96,10 +96,10 @@
 		return c
 	}
 	teller, _, at := newTestNode(t)
-	serveFetches(teller, nil)
+	serveFetches(teller, nil, nil)
 	teller.Do(func(s *kernel.State) { s.List(listings("U1", "U2", "U3")) })
 	lacking, n, _ := newTestNode(t)
-	server := &announcementServer{kernel: lacking, fetches: serveFetches(lacking, n)}
+	server := &announcementServer{kernel: lacking, fetches: serveFetches(lacking, n, nil)}
 	lacking.Do(func(s *kernel.State) {
 		first := listings("U1")
 		first.Revision = 1
@@ -138,7 +138,7 @@
 		k.Peers = sent
 		time.Sleep(time.Minute)
 		s := &kernel.State{
-			ReadingState: kernel.ReadingState{Reading: true, Announcing: true, SourceAt: k.Now() - 100*time.Millisecond},
+			ReadingState: kernel.ReadingState{Reading: true, Announcing: true, AnnouncedReadAt: k.Now() - 100*time.Millisecond},
 			Members:      map[string]kernel.Member{},
 		}
 		s.Directory, _ = s.Directory.With(&config.DirectoryChange{Revision: 1})
@@ -152,7 +152,7 @@
 		announce()
 		assert.Assert(t, !sent.last["Mate"].Lost)
 		assert.Assert(t, sent.last["Other"].Lost)
-		s.ReadAt = k.Now()
+		s.OwnReadAt = k.Now()
 		announce()
 		assert.Assert(t, !sent.last["Other"].Lost)
 	})
@@ -179,7 +179,7 @@
 		told := func(c *config.DirectoryChange) *config.Directory {
 			time.Sleep(10 * time.Millisecond)
 			s.List(c)
-			s.SourceAt, s.ReadAt = k.Now(), k.Now()
+			s.AnnouncedReadAt, s.OwnReadAt = k.Now(), k.Now()
 			tl.announce(s)
 			synctest.Wait()
 			sent.mu.Lock()
--- a/tier/peers/fetch.go
+++ b/tier/peers/fetch.go
@@ -52,13 +52,13 @@
 	newer func(*kernel.State)
 
 	packing sync.Mutex
-	// packed is the document last given to a peer; used with packing held.
+	// packed is the document last sent to a peer; used with packing locked.
 	packed wire.PackedDocument
 }
 
 // serveFetches serves the methods and returns the fetches of this host.
-func serveFetches(k *kernel.Kernel, n *node) *fetches {
-	f := &fetches{kernel: k, node: n, newer: func(*kernel.State) {}}
+func serveFetches(k *kernel.Kernel, n *node, newer func(*kernel.State)) *fetches {
+	f := &fetches{kernel: k, node: n, newer: newer}
 	k.Handle(methodDocument, f.onDocument)
 	k.Handle(methodDirectory, f.onDirectory)
 	return f
@@ -168,9 +168,9 @@
 
 // onDirectory serves the directory.
 func (f *fetches) onDirectory(context.Context, json.RawMessage) (any, error) {
-	reply := make(chan config.DirectoryChange, 1)
-	f.kernel.Do(func(s *kernel.State) { reply <- s.Directory.Whole() })
-	text, err := json.Marshal(<-reply)
+	var whole config.DirectoryChange
+	f.kernel.DoAndWait(func(s *kernel.State) { whole = s.Directory.Whole() })
+	text, err := json.Marshal(whole)
 	if err != nil {
 		return nil, fmt.Errorf("encode directory: %w", err)
 	}
--- a/tier/peers/heartbeat.go
+++ b/tier/peers/heartbeat.go
@@ -39,13 +39,14 @@
 	// Revision and Digest name the document in force.
 	Revision uint64
 	Digest   string
-	// Published is the newest revision known there; Refused says why the newest
+	// Published is the newest revision known there; Refused is why the newest
 	// refused document was refused.
 	Published uint64
 	Refused   string `json:",omitempty"`
-	// PlatformAge is how long ago the hall of the sender heard the platform.
+	// PlatformAge is how long ago the platform was read, as far as the sender knows.
 	PlatformAge time.Duration
-	Hall        string
+	// Hall is the data hall of the sender.
+	Hall string
 	// Directory is the digest of the listed upstreams, DirectoryRevision the
 	// platform's revision up to which the list is whole.
 	Directory         uint64 `json:",omitempty"`
@@ -74,26 +75,14 @@
 	pauses int
 }
 
-// serveHeartbeats joins the other hosts. The clean-up function ends that.
-func serveHeartbeats(ctx context.Context, k *kernel.Kernel, n *node, f *fetches, random *rand.Rand) func() {
+// newGossip makes what exchanges heartbeats; its fetches are still to be set.
+func newGossip(k *kernel.Kernel, n *node, random *rand.Rand) *gossip {
 	self := memberEntry{Host: k.Settings.Host, Incarnation: k.Settings.Incarnation}
 	if k.Settings.Adapter != "" {
 		self.Hall, self.Peer, self.Capacity = k.Settings.Hall, k.Settings.Peer, k.Settings.Capacity()
 	}
 	table := newMemberTable(memberTableConfig{Self: self, Interval: k.Settings.Beat, Random: random})
-	g := &gossip{kernel: k, node: n, fetches: f, random: random, table: table}
-	f.newer = g.sendAll
-	k.Handle(methodHeartbeat, g.onHeartbeat)
-	ctx, cancel := context.WithCancel(ctx)
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		g.loop(ctx)
-	}()
-	return func() {
-		cancel()
-		<-done
-	}
+	return &gossip{kernel: k, node: n, random: random, table: table}
 }
 
 // loop sends heartbeats at regular times, and at once when a planned stop begins.
@@ -140,7 +129,7 @@
 func (g *gossip) message(s *kernel.State, now time.Duration) heartbeat {
 	h := heartbeat{
 		Members: g.table.entries(now), Revision: s.Revision(), Hall: g.kernel.Settings.Hall,
-		PlatformAge: now - s.PlatformHeard, Published: s.Published, Refused: s.Refused,
+		PlatformAge: now - s.PlatformReadAt, Published: s.Published, Refused: s.Refused,
 	}
 	if s.Directory != nil {
 		h.Directory, h.DirectoryRevision = s.Directory.Digest(), s.Directory.Revision
@@ -198,7 +187,7 @@
 	g.table.merge(now, g.credible(s, h.Members))
 	g.updateMembers(s, now)
 	if h.Hall == g.kernel.Settings.Hall {
-		s.PlatformHeard = max(s.PlatformHeard, now-max(h.PlatformAge, 0))
+		s.PlatformReadAt = max(s.PlatformReadAt, now-max(h.PlatformAge, 0))
 		g.learnLeaving(s, now, h.Leaving)
 	}
 	s.NotePublished(h.Published, h.Refused)
--- a/tier/peers/strikes.go
+++ b/tier/peers/strikes.go
@@ -73,9 +73,9 @@
 	}
 	for i := range m.Reports {
 		r := &m.Reports[i]
-		if r.Fingerprint == "" || len(r.Fingerprint) > maxFingerprint || len(r.Strikes) > maxReportedStrikes {
+		if r.Fingerprint == "" || len(r.Fingerprint) > maxFingerprint || len(r.Crashes) > maxReportedStrikes {
 			return fmt.Errorf("%w: fingerprint of %d bytes with %d strikes: send 1 to %d bytes and %d strikes at most",
-				errBadStrikes, len(r.Fingerprint), len(r.Strikes), maxFingerprint, maxReportedStrikes)
+				errBadStrikes, len(r.Fingerprint), len(r.Crashes), maxFingerprint, maxReportedStrikes)
 		}
 	}
 	return nil
@@ -96,17 +96,11 @@
 	s := &strikeReporter{kernel: k, pending: make(chan struct{}, 1), urgent: make(chan struct{}, 1)}
 	k.Handle(methodStrikes, s.onStrikes)
 	k.Handle(methodKnownStrikes, s.onKnownStrikes)
-	k.Fleet.OnStrikes(s.notify)
-	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		s.loop(ctx)
-	}()
+	k.Fleet.OnCrashReports(s.notify)
+	stop := start(context.Background(), s.loop)
 	return func() {
-		k.Fleet.OnStrikes(nil)
-		cancel()
-		<-done
+		k.Fleet.OnCrashReports(nil)
+		stop()
 	}
 }
 
@@ -139,7 +133,7 @@
 			rounds++
 			switch {
 			case !started:
-				started = s.start(ctx)
+				started = s.exchangeAtStart(ctx)
 			case s.kernel.Fleet.HasSuspects():
 				s.exchangeAll(ctx, s.partners(rounds%exchangeElsewhere == 0, exchangePartners))
 			}
@@ -162,7 +156,7 @@
 // reportNew reports new strikes to other hosts.
 func (s *strikeReporter) reportNew(ctx context.Context) {
 	k := s.kernel
-	reports := k.Fleet.FreshReports(k.Now())
+	reports := k.Fleet.UnsentReports(k.Now())
 	if len(reports) == 0 {
 		return
 	}
@@ -184,7 +178,7 @@
 	verdict := k.Fleet.Worst(k.Now(), r.Fingerprint)
 	metrics.GetOrCreateCounter(`loomgap_suspects_total{Verdict="` + string(verdict) + `"}`).Inc()
 	var upstreams, callers []string
-	for _, strike := range r.Strikes {
+	for _, strike := range r.Crashes {
 		upstreams, callers = append(upstreams, strike.Upstream), append(callers, strike.Caller.String())
 	}
 	line := k.Decisions.Info()
@@ -239,8 +233,8 @@
 	return struct{}{}, s.decode(params)
 }
 
-// start asks some hosts for the strikes that they know; false if there is none yet.
-func (s *strikeReporter) start(ctx context.Context) bool {
+// exchangeAtStart asks some hosts for the strikes that they know; false if there is none yet.
+func (s *strikeReporter) exchangeAtStart(ctx context.Context) bool {
 	hosts := s.partners(false, startExchanges)
 	s.exchangeAll(ctx, hosts)
 	return len(hosts) > 0
--- a/tier/peers/watch.go
+++ b/tier/peers/watch.go
@@ -25,14 +25,14 @@
 	readPause = 500 * time.Millisecond
 	// watchersPerHall is how many hosts of a hall watch the platform. Not measured.
 	watchersPerHall = 2
-	// moreWatchers is how many more hosts of a hall watch at most while it hears
-	// nothing. Not measured.
+	// moreWatchers is how many more hosts of a hall watch at most while the platform does
+	// not answer it. Not measured.
 	moreWatchers = 2
-	// silentTurn is how long beyond WatchWait the hall hears nothing before one more
+	// silentTurn is how long beyond WatchWait the hall reads nothing before one more
 	// host watches, each time again. Not measured.
 	silentTurn = 5 * time.Second
-	// defaultWatchWait is how long a read waits for a change if the settings do not
-	// say. Not measured.
+	// defaultWatchWait is how long a read waits for a change if the settings give
+	// nothing. Not measured.
 	defaultWatchWait = 10 * time.Second
 	// replyFactor is how many times the bytes of the largest document a reply may have:
 	// the document is a string in JSON there, which is longer. Not measured.
@@ -61,28 +61,25 @@
 
 // Run implements kernel.Plugin.
 func (watchPlugin) Run(ctx context.Context, k *kernel.Kernel) (func(), error) {
-	ctx, cancel := context.WithCancel(ctx)
 	transport := &http.Transport{DisableCompression: true}
 	w := &watcher{kernel: k, client: &http.Client{Transport: transport}, listed: map[string]wire.LiveState{}}
-	done := make(chan struct{}, 2)
-	go func() { w.loop(ctx, w.readDocument, true); done <- struct{}{} }()
-	go func() { w.loop(ctx, w.readLive, false); done <- struct{}{} }()
+	stop := start(ctx,
+		func(ctx context.Context) { w.loop(ctx, w.readDocument, true) },
+		func(ctx context.Context) { w.loop(ctx, w.readLive, false) },
+	)
 	return func() {
-		cancel()
-		<-done
-		<-done
+		stop()
 		transport.CloseIdleConnections()
 	}, nil
 }
 
-// watcher reads the document and the live list. Its fields are each used by one of its
-// two loops.
+// watcher reads the document and the live list, each in a loop of its own.
 type watcher struct {
 	kernel *kernel.Kernel
 	client *http.Client
-	// listed is the state of each name as last listed.
+	// listed is the state of each name as last listed; used on the control thread.
 	listed map[string]wire.LiveState
-	// version is the version of the live list last read.
+	// version is the version of the live list last read; used by the loop that reads it.
 	version uint64
 }
 
@@ -102,27 +99,26 @@
 	}
 }
 
-// sleep waits for a time, or until the context ends.
-func sleep(ctx context.Context, d time.Duration) {
-	select {
-	case <-ctx.Done():
-	case <-time.After(d):
-	}
+// watches decides whether a host is among those of its hall that watch the platform: the
+// first watchersPerHall by rendezvous hashing are, and one more for each silent turn, up
+// to moreWatchers. A silent turn is a time of WatchWait and silentTurn in which the hall
+// read nothing.
+func watches(hosts []string, host string, silentTurns int) bool {
+	ranked := Rank(watchKey, hosts)
+	n := min(watchersPerHall+min(silentTurns, moreWatchers), len(ranked))
+	return slices.Contains(ranked[:n], host)
 }
 
-// isWatcher decides whether this host watches the platform now: the first
-// watchersPerHall of its hall by rendezvous hashing do, and one more for each time of
-// WatchWait and silentTurn in which the hall heard nothing, up to moreWatchers. Its
-// inputs are the live hosts of the hall and when the hall last heard the platform.
+// isWatcher reports whether this host watches the platform now; /status shows it as
+// Watching. Its inputs are the live hosts of the hall and when any of them last read the
+// platform.
 func (w *watcher) isWatcher(atStart bool) bool {
 	v := w.kernel.View()
 	if v.Index == nil {
 		return atStart
 	}
-	silentTurns := int((w.kernel.Now() - v.PlatformHeard) / (w.kernel.Settings.WatchWait + silentTurn))
-	ranked := Rank(watchKey, w.hosts(v))
-	n := min(watchersPerHall+min(silentTurns, moreWatchers), len(ranked))
-	watching := slices.Contains(ranked[:n], w.kernel.Settings.Host)
+	silentTurns := int((w.kernel.Now() - v.PlatformReadAt) / (w.kernel.Settings.WatchWait + silentTurn))
+	watching := watches(w.hosts(v), w.kernel.Settings.Host, silentTurns)
 	if watching != v.Reading {
 		w.kernel.Do(func(s *kernel.State) {
 			s.Reading = watching
@@ -132,9 +128,9 @@
 	return watching
 }
 
-// hosts lists the hosts of the hall that may watch. A host that has just started
-// has heard of few, and counts all of the document as live: else each of a hall
-// that comes back would watch.
+// hosts lists the hosts of the hall that may watch. A host that has just started knows
+// few live ones, and counts all of the document as live: else each of a hall that comes
+// back would watch.
 func (w *watcher) hosts(v *kernel.View) []string {
 	if w.kernel.Now() > silentHeartbeats*w.kernel.Settings.Beat {
 		return v.Hall(&w.kernel.Settings)
@@ -177,13 +173,10 @@
 	if err := w.get(ctx, wire.PathDocument, after, &d); err != nil {
 		return err
 	}
-	done := make(chan struct{})
-	w.kernel.Do(func(s *kernel.State) {
-		defer close(done)
-		s.PlatformHeard = w.kernel.Now()
+	w.kernel.DoAndWait(func(s *kernel.State) {
+		s.PlatformReadAt = w.kernel.Now()
 		w.kernel.Accept(s, d.Text, d.Revision)
 	})
-	<-done
 	if d.Revision < after {
 		return fmt.Errorf("platform is stale: it serves revision %d, %d was seen", d.Revision, after)
 	}
--- a/tier/policy/attempt.go
+++ b/tier/policy/attempt.go
@@ -1,55 +1,38 @@
 package policy
 
 import (
-	"math"
 	"slices"
 	"time"
 
-	"loomgap/tier/config"
 	"loomgap/tier/query"
 )
 
-// leaveQueues takes a shard's other attempts out of their queues once one has
+// leaveQueues takes a part's other attempts out of their queues once one has
 // its slot. If another is being granted just now, Granted frees its slot.
 func (r *Run) leaveQueues(i, granted int) {
-	p := &r.parts[i]
-	for _, n := range slices.Clone(p.live) {
-		a := &r.attempts[n]
-		if n == granted || a.phase != phaseQueued {
-			continue
+	for _, n := range slices.Clone(r.parts[i].live) {
+		if a := &r.attempts[n]; n != granted && a.phase == phaseQueued {
+			a.waiter.abandon()
+			r.withdraw(n)
 		}
-		p.remove(n)
-		a.waiter.abandon()
-		a.phase = phaseDone
-		p.tries--
-		p.forget(a.upstream)
 	}
 }
 
-func (r *Run) wakePart(now time.Duration, i int, out []Action) []Action {
-	p := &r.parts[i]
-	if p.retryAt > 0 && now >= p.retryAt {
-		p.retryAt = 0
-		return r.startOrHold(now, i, out)
-	}
-	if p.hedged || len(p.live) == 0 || r.request.Class.Hedge == config.HedgeNone || !r.request.Repeatable {
-		return out
-	}
-	a := &r.attempts[p.live[0]]
-	if a.phase == phaseQueued || now-a.sentAt < a.hedgeAge {
-		return out
-	}
-	if a.alone && now-a.sentAt >= aloneFactor*a.hedgeAge && r.doubted() {
-		return r.leaveAlone(now, i, out)
-	}
-	return r.hedge(now, i, out)
+// withdraw takes back an attempt that was not sent: its upstream counts as not tried.
+func (r *Run) withdraw(n int) {
+	a := &r.attempts[n]
+	a.phase = phaseDone
+	p := &r.parts[a.part]
+	p.remove(n)
+	p.forget(a.upstream)
+	p.tries--
 }
 
-// startAttempt gives a shard its first attempt, or its next after a refusal.
-// Where no slot is free it waits for one at every fit replica, and the first to
+// startAttempt gives a part its first attempt, or its next after a refusal.
+// Where no slot is free it waits for one at every eligible replica, and the first to
 // come is taken: that costs no call.
 func (r *Run) startAttempt(now time.Duration, i int, out []Action) []Action {
-	u := r.pick(now, i, false)
+	u := r.pick(now, i, anyUpstream)
 	if u == nil {
 		r.markMissing(i, r.rules.absence(now, i, &r.parts[i]))
 		return out
@@ -57,7 +40,7 @@
 	out = r.enter(now, i, u, out)
 	p := &r.parts[i]
 	for !p.closed && len(p.live) > 0 && r.attempts[p.live[len(p.live)-1]].phase == phaseQueued {
-		u = r.pick(now, i, true)
+		u = r.pick(now, i, onlyEligible)
 		if u == nil {
 			break
 		}
@@ -66,38 +49,8 @@
 	return out
 }
 
-// pick chooses a replica that is not tried yet; with fit, only one that is
-// fit.
-func (r *Run) pick(now time.Duration, i int, fit bool) *Upstream {
-	p := &r.parts[i]
-	var best *Upstream
-	low := math.Inf(1)
-	for _, u := range p.replicas {
-		if u.leaving || p.hasTried(u) || r.rules.barred(now, u) {
-			continue
-		}
-		if r.request.Snapshot > 0 && u.status.window.Known && !u.status.window.holds(r.request.Snapshot) {
-			continue
-		}
-		if fit && !u.eligible(now) {
-			continue
-		}
-		s := r.score(now, u)
-		if u.cold.bounded(now) {
-			s += coldPenalty
-		}
-		if s < low {
-			best, low = u, s
-		}
-	}
-	return best
-}
-
-// score is how well an upstream suits a call now; the lowest is chosen.
-func (r *Run) score(now time.Duration, u *Upstream) float64 {
-	return r.chooser.Score(now, u, r.rules.poolOf(u), r.fleet.random) * r.rules.hallFactor(u)
-}
-
+// enter asks for a slot at an upstream for a new attempt of a part. It sends the attempt
+// if the slot is granted at once, else the attempt is queued there.
 func (r *Run) enter(now time.Duration, i int, u *Upstream, out []Action) []Action {
 	p := &r.parts[i]
 	n := len(r.attempts)
@@ -121,9 +74,10 @@
 	return out
 }
 
+// send sends an attempt that has its slot.
 func (r *Run) send(now time.Duration, n int, out []Action) []Action {
 	a := &r.attempts[n]
-	a.alone = r.doubted() && !r.sending()
+	a.isolated = r.suspected() && !r.hasCalls()
 	a.phase = phaseSent
 	a.sentAt = now
 	a.hedgeAge = r.rules.hedgeDelay(a.upstream, r.request.Deadline-r.times.begun)
@@ -139,6 +93,7 @@
 	return append(out, send)
 }
 
+// include has a part be in the answer, and gives up its other attempts.
 func (r *Run) include(i int, out []Action) []Action {
 	p := &r.parts[i]
 	p.included, p.closed = true, true
@@ -147,6 +102,7 @@
 	return r.cancel(i, CallCancelled, out)
 }
 
+// markMissing closes a part that will not be in the answer.
 func (r *Run) markMissing(i int, reason query.Reason) {
 	p := &r.parts[i]
 	p.reason, p.closed = reason, true
@@ -156,10 +112,11 @@
 // linger reports whether an attempt that is not wanted any more may go on. One
 // whose caller is gone may not.
 func (r *Run) linger(a *attempt) bool {
-	return r.rules.lingers(a.upstream) && r.request.Repeatable && !r.callerGone && !r.doubted() && a.upstream.linger()
+	return r.rules.lingers(a.upstream) && r.request.Repeatable && !r.callerGone && !r.suspected() && a.upstream.linger()
 }
 
-// cancel gives up all attempts of a shard.
+// cancel gives up all attempts of a part. One whose answer shows when its upstream
+// answers again goes on for LingerFor.
 func (r *Run) cancel(i int, o CallOutcome, out []Action) []Action {
 	p := &r.parts[i]
 	for _, n := range p.live {
--- a/tier/policy/choose.go
+++ b/tier/policy/choose.go
@@ -3,10 +3,10 @@
 import "time"
 
 func init() {
-	RegisterChooser("LeastTime", leastTime{})
-	RegisterChooser("LeastLatency", leastLatency{})
-	RegisterChooser("Random", random{})
-	RegisterChooser("First", first{})
+	registerChooser("LeastTime", leastTime{})
+	registerChooser("LeastLatency", leastLatency{})
+	registerChooser("Random", random{})
+	registerChooser("First", first{})
 }
 
 // Constants of scores, which are expected times in seconds. Penalties put upstreams in
@@ -34,10 +34,10 @@
 // leastTime takes the replica whose own calls suggest the earliest answer.
 type leastTime struct{}
 
-var _ Chooser = leastTime{}
+var _ chooser = leastTime{}
 
-// Score implements Chooser.
-func (leastTime) Score(now time.Duration, u *Upstream, p *Pool, r Random) float64 {
+// score implements chooser.
+func (leastTime) score(now time.Duration, u *Upstream, p *Pool, r Random) float64 {
 	latency := u.latency.or(p.median())
 	score := latency.Seconds() * (1 + u.slots.ahead()) * jitter(r)
 	if u.outlier.marked || u.backoff.active(now) {
@@ -52,18 +52,18 @@
 // random takes any replica: the baseline.
 type random struct{}
 
-var _ Chooser = random{}
+var _ chooser = random{}
 
-// Score implements Chooser.
-func (random) Score(_ time.Duration, _ *Upstream, _ *Pool, r Random) float64 { return r.Float64() }
+// score implements chooser.
+func (random) score(_ time.Duration, _ *Upstream, _ *Pool, r Random) float64 { return r.Float64() }
 
 // first takes the first replica that is not ejected.
 type first struct{}
 
-var _ Chooser = first{}
+var _ chooser = first{}
 
-// Score implements Chooser.
-func (first) Score(now time.Duration, u *Upstream, _ *Pool, _ Random) float64 {
+// score implements chooser.
+func (first) score(now time.Duration, u *Upstream, _ *Pool, _ Random) float64 {
 	if u.ejection.active(now) {
 		return ejectedPenalty
 	}
--- a/tier/replay/crash.go
+++ b/tier/replay/crash.go
@@ -161,8 +161,8 @@
 	h.gather(gather{request: q, load: q.load, began: h.world.now})
 }
 
-// reportStrikes has a host report to others the strikes that it sees.
-func (h *host) reportStrikes() {
+// reportCrashes has a host report to others the crashes that requests caused.
+func (h *host) reportCrashes() {
 	w := h.world
 	if !w.config.routed.crash.report {
 		return
@@ -170,13 +170,13 @@
 	last, planned := -reportGap, false
 	report := func() {
 		planned, last = false, w.now
-		reports := h.fleet.FreshReports(w.now)
+		reports := h.fleet.UnsentReports(w.now)
 		for _, i := range w.random.Perm(len(w.hosts))[:min(reportHosts, len(w.hosts))] {
 			to := w.hosts[i]
 			w.after(w.config.routed.farHop, func() { to.fleet.TakeReports(w.now, reports) })
 		}
 	}
-	h.fleet.OnStrikes(func(urgent bool) {
+	h.fleet.OnCrashReports(func(urgent bool) {
 		if urgent {
 			w.after(0, report)
 			return
--- a/tier/replay/routed.go
+++ b/tier/replay/routed.go
@@ -71,10 +71,11 @@
 			Hall: hall, Near: hall == c.routed.hall(h.index),
 		})
 	}
-	h.fleet.SetRetryBudget(policy.ShareRetryBudget(c.routed.ratio, c.routed.slack, float64(c.hosts)))
+	share := policy.ShareRetryBudget(c.routed.ratio, c.routed.slack, float64(c.hosts))
+	h.fleet.SetRetryBudgets(policy.RetryBudgets{Shards: share, Single: share})
 	h.fleet.Apply(0, shares)
 	if c.crashing() {
-		h.reportStrikes()
+		h.reportCrashes()
 	}
 }
 
