--- a/loomd/serve.go
+++ b/loomd/serve.go
@@ -6,8 +6,6 @@
 	"fmt"
 	"math/rand/v2"
 	"os"
-	"os/signal"
-	"syscall"
 	"time"
 
 	"github.com/google/subcommands"
@@ -15,6 +13,7 @@
 
 	"loomgap/tier/kernel"
 	"loomgap/tier/policy"
+	"loomgap/tier/prog"
 )
 
 // serveCommand runs the daemon until SIGTERM, SIGINT or a drain command.
@@ -82,10 +81,10 @@
 	return fmt.Sprintf("%016x%04x", uint64(now.UnixNano()), rand.Uint32N(1<<16))
 }
 
-// serve runs the pipeline and waits for a planned stop.
+// serve starts the host, serves until a planned stop, and cleans up in the opposite
+// order.
 func serve(ctx context.Context, s kernel.Settings, o origin, log zerolog.Logger, flush func()) error {
-	signals := make(chan os.Signal, 1)
-	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
+	signals := stopSignals()
 	tracer, closeTracer := newTracer(s.TraceRatio, log)
 	defer closeTracer()
 	k, closeKernel := kernel.New(kernel.Config{
@@ -99,16 +98,9 @@
 	}
 	defer cleanUp()
 	defer watchFile(k, o)()
-	log.Info().Str("Version", version).Str("Incarnation", s.Incarnation).Str("Adapter", s.Adapter).
+	log.Info().Str("Version", prog.Release).Str("Incarnation", s.Incarnation).Str("Adapter", s.Adapter).
 		Int("Seeds", len(s.Seeds)).Msg("daemon started")
 	defer log.Info().Msg("daemon stops")
-	select {
-	case <-signals:
-		k.SetPhase(kernel.PhaseDraining)
-		k.Stop()
-	case <-k.Stopping():
-	}
-	log.Info().Dur("Settle", s.Settle).Msg("planned stop begins")
-	k.Settle()
+	awaitStop(k, signals)
 	return nil
 }
