--- a/tier/entry/serve.go
+++ b/tier/entry/serve.go
@@ -58,7 +58,7 @@
 	mux := goahttp.NewMuxer()
 	endpoints := entrygen.NewEndpoints(&service{engine: engine})
 	server.New(endpoints, mux, goahttp.RequestDecoder, goahttp.ResponseEncoder, nil, fault).Mount(mux)
-	stop, err := listen(k.Settings.Listen, "-Listen", closing(k, traced(limited(mux))))
+	stop, err := listen(k.Settings.Listen, "-Listen", forCallers(k, limited(mux)))
 	if err != nil {
 		stopStatus()
 		closeEngine()
@@ -106,19 +106,13 @@
 	})
 }
 
-// traced continues the trace of the caller's header.
-func traced(next http.Handler) http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		next.ServeHTTP(w, r.WithContext(wire.TraceFrom(r.Context(), r.Header)))
-	})
-}
-
-// closing asks callers of a draining host to close their connections.
-func closing(k *kernel.Kernel, next http.Handler) http.Handler {
+// forCallers continues the trace of the caller's header, and asks callers of a draining
+// host to close their connections.
+func forCallers(k *kernel.Kernel, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if k.Phase() == kernel.PhaseDraining {
 			w.Header().Set("Connection", "close")
 		}
-		next.ServeHTTP(w, r)
+		next.ServeHTTP(w, r.WithContext(wire.TraceFrom(r.Context(), r.Header)))
 	})
 }
--- a/tier/entry/ticket.go
+++ b/tier/entry/ticket.go
@@ -38,14 +38,12 @@
 // parseTicket reads a ticket.
 func parseTicket(s string) (ticket, error) {
 	p := strings.Split(s, "/")
-	if len(p) != 3 || p[0] == "" || p[1] == "" {
-		return ticket{}, fmt.Errorf("%w %q: send the ticket as /tickets gave it", errTicket, s)
-	}
-	n, err := strconv.ParseUint(p[2], 10, 64)
-	if err != nil {
-		return ticket{}, fmt.Errorf("%w %q: send the ticket as /tickets gave it", errTicket, s)
+	if len(p) == 3 && p[0] != "" && p[1] != "" {
+		if n, err := strconv.ParseUint(p[2], 10, 64); err == nil {
+			return ticket{Host: p[0], Incarnation: p[1], Counter: n}, nil
+		}
 	}
-	return ticket{Host: p[0], Incarnation: p[1], Counter: n}, nil
+	return ticket{}, fmt.Errorf("%w %q: send the ticket as /tickets gave it", errTicket, s)
 }
 
 // claimKind says what a claim of a ticket found.
--- a/tier/pass/answer.go
+++ b/tier/pass/answer.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"maps"
 	"net/http"
 	"strconv"
 	"strings"
@@ -61,11 +62,8 @@
 func (q *request) write(w http.ResponseWriter, status int, from http.Header, body []byte) {
 	strip(from)
 	h := w.Header()
-	for name, values := range from {
-		if name != "Content-Length" {
-			h[name] = values
-		}
-	}
+	maps.Copy(h, from)
+	h.Del("Content-Length")
 	for _, name := range []string{"Content-Type", "Date"} {
 		if _, ok := h[name]; !ok {
 			h[name] = nil // net/http would add one
--- a/tier/pass/relay_server.go
+++ b/tier/pass/relay_server.go
@@ -94,7 +94,7 @@
 	for sent := 0; ; sent++ {
 		out, last := b.wait()
 		switch {
-		case b.isStopped():
+		case out == nil:
 			// The sender does not wait for it; calls that linger end by themselves.
 			return nil, errBatchStopped
 		case last:
@@ -173,7 +173,9 @@
 		reply.Outcome = policy.CallNotSent
 	default:
 		started = k.Now()
-		b.holdSlot(c, u)
+		b.mu.Lock()
+		c.upstream = u
+		b.mu.Unlock()
 		k.Fleet.Sent(started, u)
 		reply = b.exchange(ctx, l, u)
 		b.freeSlot(i, c, &reply, started)
@@ -201,12 +203,6 @@
 	})
 }
 
-func (b *servedBatch) holdSlot(c *servedCall, u *policy.Upstream) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	c.upstream = u
-}
-
 // freeSlot gives the slot of a call back that ended.
 func (b *servedBatch) freeSlot(i int, c *servedCall, r *runner.Reply[*answer], started time.Duration) {
 	k := b.engine.kernel
@@ -256,12 +252,6 @@
 	}
 }
 
-func (b *servedBatch) isStopped() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.stopped
-}
-
 // forget drops a batch that nobody asks for any more; mu is held. One with records
 // that were left out is dropped some time after the deadline.
 func (b *servedBatch) forget() {
@@ -270,12 +260,15 @@
 	}
 }
 
-// wait returns a reply as soon as one is due; last is true if none follows. What a
-// reply reports is not reported again.
+// wait returns a reply as soon as one is due, nil if the batch was stopped; last is true if
+// none follows. What a reply reports is not reported again.
 func (b *servedBatch) wait() (out *batchReply, last bool) {
 	b.await(b.engine.kernel.Now())
 	b.mu.Lock()
 	defer b.mu.Unlock()
+	if b.stopped {
+		return nil, true
+	}
 	now := b.engine.kernel.Now()
 	out = &batchReply{Due: now >= b.firstDue, Conditions: b.engine.kernel.Fleet.Conditions(now), HeldMicros: (now - b.begun).Microseconds()}
 	ended, records, succeeded := b.unreported.take()
--- a/tier/runner/batch.go
+++ b/tier/runner/batch.go
@@ -55,14 +55,12 @@
 	started   time.Duration
 }
 
-// Report implements Reporter.
 func (r *reporter[R]) Report(i int, reply Reply[R]) {
 	if !r.calls[i].ended {
 		r.execution.ended(r.batch[i], r.calls[i], r.started, reply)
 	}
 }
 
-// Overdue implements Reporter.
 func (r *reporter[R]) Overdue() {
 	r.execution.handle(func(now time.Duration) []policy.Action {
 		var late []int
