--- a/tier/entry/ask.go
+++ b/tier/entry/ask.go
@@ -92,7 +92,8 @@
 	question := ask.Question()
 	merger := query.NewMerger(question)
 	c := &partCaller{
-		engine: e, service: q.service.Name, path: wire.PathPart, snapshot: snapshot, deadline: q.deadline,
+		engine:       e,
+		upstreamCall: upstreamCall{service: q.service.Name, path: wire.PathPart, snapshot: snapshot, deadline: q.deadline},
 		message: func(part, attempt int) (wire.Identity, []byte, error) {
 			s := &shards[part]
 			m := wire.PartRequest{
--- a/tier/entry/call.go
+++ b/tier/entry/call.go
@@ -17,18 +17,13 @@
 	"loomgap/tier/wire"
 )
 
-// message makes the body of an attempt, and the identity that its reply must have.
-type message func(part, attempt int) (wire.Identity, []byte, error)
-
 // partCaller makes the calls of one request of a class.
 type partCaller struct {
-	engine  *engine
-	service string
-	path    string
-	// snapshot is what every part must have; 0 for a write.
-	snapshot uint64
-	deadline time.Duration
-	message  message
+	engine *engine
+	// upstreamCall has what the calls of all parts have alike.
+	upstreamCall
+	// message makes the body of an attempt, and the identity that its reply must have.
+	message func(part, attempt int) (wire.Identity, []byte, error)
 	// take merges a part.
 	take func(p *wire.PartReply)
 }
@@ -42,10 +37,9 @@
 		k.Log.Error().Err(err).Msg("message not encoded")
 		return runner.Reply[*wire.PartReply]{Outcome: policy.CallNotSent}
 	}
-	outcome, part := c.engine.call(ctx, &upstreamCall{
-		upstream: a.Upstream.Name, service: c.service, path: c.path,
-		id: id, body: body, snapshot: c.snapshot, deadline: c.deadline,
-	})
+	x := c.upstreamCall
+	x.upstream, x.id, x.body = a.Upstream.Name, id, body
+	outcome, part := c.engine.call(ctx, &x)
 	if part != nil {
 		k.Fleet.NoteStatus(k.Now(), a.Upstream, policy.Window{Oldest: part.Oldest, Newest: part.Newest, Known: true}, part.Leaving)
 	}
--- a/tier/entry/engine.go
+++ b/tier/entry/engine.go
@@ -52,8 +52,8 @@
 	return e.kernel.Settings.Host + "-" + e.kernel.Settings.Incarnation + "-" + strconv.FormatUint(e.requests.Add(1), 36)
 }
 
-// observe answers a request within a span, whose name is given. The request is counted as in flight
-// until it is answered, and its answer is counted in the metrics.
+// observe answers a request within a span, whose name is given. The request is counted
+// as in flight until it is answered, and its answer is counted in the metrics.
 func (e *engine) observe(ctx context.Context, name, id, class string, answer func(context.Context) (*entrygen.Answer, error)) (*entrygen.Answer, error) {
 	e.kernel.InFlight.Add(1)
 	defer e.kernel.InFlight.Add(-1)
--- a/tier/entry/order.go
+++ b/tier/entry/order.go
@@ -171,8 +171,9 @@
 	replicas, _ := e.kernel.Fleet.Plan([][]string{o.shard.Replicas})
 	var placed wire.PartReply
 	c := &partCaller{
-		engine: e, service: o.service.Name, path: wire.PathPlace, deadline: o.deadline,
-		take: func(p *wire.PartReply) { placed = *p },
+		engine:       e,
+		upstreamCall: upstreamCall{service: o.service.Name, path: wire.PathPlace, deadline: o.deadline},
+		take:         func(p *wire.PartReply) { placed = *p },
 		message: func(_, attempt int) (wire.Identity, []byte, error) {
 			m := wire.PlaceRequest{
 				Identity: wire.Identity{RequestID: o.id, Attempt: attempt, Shard: o.shard.Name, MapRevision: o.service.MapRevision},
