--- a/loomfake/soakcaller.go
+++ b/loomfake/soakcaller.go
@@ -90,12 +90,30 @@
 // caller is one connection to a host. It never repeats a request by itself, as
 // the client of package http does.
 type caller struct {
-	host       int
-	conn       net.Conn
-	reader     *bufio.Reader
+	// host is the index of the host.
+	host int
+	// conn is nil while there is no connection; reader reads from it.
+	conn   net.Conn
+	reader *bufio.Reader
+	// generation is the number of the daemon that the connection was made to.
 	generation int
 }
 
+// connect makes the connection, unless there is one.
+func (c *caller) connect(h *soakHost) error {
+	if c.conn != nil {
+		return nil
+	}
+	c.generation = h.generation()
+	conn, err := net.DialTimeout("tcp", h.listen.String(), soakDialBound)
+	if err != nil {
+		return err
+	}
+	c.conn, c.reader = conn, bufio.NewReader(conn)
+	return nil
+}
+
+// close ends the connection, if there is one.
 func (c *caller) close() {
 	if c.conn != nil {
 		_ = c.conn.Close()
@@ -103,15 +121,10 @@
 	}
 }
 
+// ask sends a request and reads its answer into a.
 func (c *caller) ask(ctx context.Context, s *soak, method, path string, a *asked) error {
-	h := s.hosts[c.host]
-	if c.conn == nil {
-		c.generation = h.generation()
-		conn, err := net.DialTimeout("tcp", h.listen.String(), soakDialBound)
-		if err != nil {
-			return err
-		}
-		c.conn, c.reader = conn, bufio.NewReader(conn)
+	if err := c.connect(s.hosts[c.host]); err != nil {
+		return err
 	}
 	a.generation = c.generation
 	conn := c.conn
