--- a/tier/entry/call.go
+++ b/tier/entry/call.go
@@ -32,7 +32,6 @@
 
 var _ runner.Caller[*wire.PartReply] = (*partCaller)(nil)
 
-// Call implements runner.Caller.
 func (c *partCaller) Call(ctx context.Context, a policy.Action) runner.Reply[*wire.PartReply] {
 	k := c.engine.kernel
 	id, body, err := c.message(a.Part, a.Attempt)
@@ -45,12 +44,11 @@
 		id: id, body: body, snapshot: c.snapshot, deadline: c.deadline,
 	})
 	if part != nil {
-		k.Fleet.Note(k.Now(), a.Upstream, policy.Window{Oldest: part.Oldest, Newest: part.Newest, Known: true}, part.Leaving)
+		k.Fleet.NoteStatus(k.Now(), a.Upstream, policy.Window{Oldest: part.Oldest, Newest: part.Newest, Known: true}, part.Leaving)
 	}
 	return runner.Reply[*wire.PartReply]{Outcome: outcome, Part: part}
 }
 
-// Take implements runner.Caller.
 func (c *partCaller) Take(_ int, p *wire.PartReply) { c.take(p) }
 
 // upstreamCall is one call to an upstream, made here or through the host that
--- a/tier/pass/exchange.go
+++ b/tier/pass/exchange.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
-	"fmt"
 	"math/rand/v2"
 	"strconv"
 	"sync"
@@ -13,18 +11,6 @@
 
 // This file has what the exchanges with relays and coordinators share.
 
-// handle serves a method of the protocol between hosts with a typed handler; what is
-// the name of the message in the error for one that cannot be read.
-func handle[T any](e *engine, method, what string, serve func(ctx context.Context, in *T) (any, error)) {
-	e.kernel.Handle(method, func(ctx context.Context, params json.RawMessage) (any, error) {
-		var in T
-		if err := json.Unmarshal(params, &in); err != nil {
-			return nil, fmt.Errorf("bad %s: %w", what, err)
-		}
-		return serve(ctx, &in)
-	})
-}
-
 // stopBound is how long telling a host to stop may take. Not measured.
 const stopBound = time.Second
 
@@ -88,28 +74,17 @@
 // registry holds what this host does for others, by ID. It is safe for concurrent use; the
 // zero value is ready.
 type registry[T any] struct {
-	mu   sync.Mutex
-	byID map[string]*T
+	// byID holds a *T for each ID under way.
+	byID sync.Map
 }
 
-func (s *registry[T]) add(id string, item *T) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.byID == nil {
-		s.byID = map[string]*T{}
-	}
-	s.byID[id] = item
-}
+func (s *registry[T]) add(id string, item *T) { s.byID.Store(id, item) }
 
 // find returns nil for an ID that ended or was never begun.
 func (s *registry[T]) find(id string) *T {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.byID[id]
+	item, _ := s.byID.Load(id)
+	found, _ := item.(*T)
+	return found
 }
 
-func (s *registry[T]) drop(id string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.byID, id)
-}
+func (s *registry[T]) drop(id string) { s.byID.Delete(id) }
--- a/tier/policy/pick.go
+++ b/tier/policy/pick.go
@@ -24,7 +24,7 @@
 			continue
 		}
 		s := r.score(now, u)
-		if u.cold.bounded(now) {
+		if u.cold.throttled(now) {
 			s += coldPenalty
 		}
 		if s < low {
--- a/tier/replay/host.go
+++ b/tier/replay/host.go
@@ -30,14 +30,14 @@
 	for i := range w.config.shards {
 		s := policy.Share{Name: upstreamName(i), Slots: w.config.slotsOf(index, i)}
 		if w.config.sharing == sharingBorrow {
-			s.Most = w.config.capacity.slots
+			s.MaxSlots = w.config.capacity.slots
 		}
 		shares = append(shares, s)
 	}
 	h.fleet.Apply(0, shares)
 	h.pool = h.fleet.Pool("Data")
 	for i := range w.config.shards {
-		h.fleet.Note(0, h.fleet.Find(upstreamName(i)), policy.Window{Oldest: 1, Newest: 1, Known: true}, false)
+		h.fleet.NoteStatus(0, h.fleet.Find(upstreamName(i)), policy.Window{Oldest: 1, Newest: 1, Known: true}, false)
 	}
 	return h
 }
