--- a/tier/config/check.go
+++ b/tier/config/check.go
@@ -27,71 +27,73 @@
 )
 
 // Check reports whether a document published at a revision is valid. It depends
-// on nothing but its arguments.
+// on nothing but its arguments. Its error is the first fault.
 func Check(d *Document, revision uint64) error {
-	c := checker{doc: d, upstreams: map[string]bool{}}
-	steps := []func() error{
-		func() error { return c.based(revision) },
-		c.classes, c.hosts, c.upstreamList, c.services, c.routes,
-	}
-	for _, step := range steps {
-		if err := step(); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-// fieldPath is the path of a field of an element of a list.
-func fieldPath(list string, i int, field string) string {
-	return fmt.Sprintf("%s/%d/%s", list, i, field)
+	c := checker{
+		upstreams: map[string]bool{}, addresses: map[string]string{}, groups: map[string]bool{}, prefixes: map[string]string{},
+	}
+	return cmp.Or(
+		checkBased(d, revision),
+		names("/Classes", d.Classes),
+		each("/Classes", d.Classes, checkClass),
+		names("/Hosts", d.Hosts),
+		each("/Hosts", d.Hosts, checkHost),
+		names("/Upstreams", d.Upstreams),
+		each("/Upstreams", d.Upstreams, c.upstream),
+		names("/Services", d.Services),
+		each("/Services", d.Services, c.service),
+		names("/Groups", d.Groups),
+		names("/Routes", d.Routes),
+		each("/Groups", d.Groups, c.group),
+		each("/Routes", d.Routes, c.route),
+	)
 }
 
+// checker holds what was found in lists that were checked before.
 type checker struct {
-	doc       *Document
-	upstreams map[string]bool
+	upstreams, groups map[string]bool
+	// addresses and prefixes hold the name of the upstream at each address, and of the
+	// route of each host name and prefix.
+	addresses, prefixes map[string]string
 }
 
 func fault(kind Kind, field, problem, remedy string) error {
 	return &Error{Kind: kind, Field: field, Problem: problem, Remedy: remedy}
 }
 
-func (c *checker) based(revision uint64) error {
-	if c.doc.Based+1 == revision {
+func checkBased(d *Document, revision uint64) error {
+	if d.Based+1 == revision {
 		return nil
 	}
 	return fault(KindStale, "/Based",
-		fmt.Sprintf("composed from revision %d but published at %d", c.doc.Based, revision),
+		fmt.Sprintf("composed from revision %d but published at %d", d.Based, revision),
 		"run `loomctl plan` again on the document in force, and publish its result")
 }
 
-// names checks the form of names and that none stands twice.
-func names(field string, count int, name func(int) string) error {
-	seen := map[string]bool{}
-	for i := range count {
-		n, at := name(i), fmt.Sprintf("%s/%d/Name", field, i)
-		if !ValidName(n) {
-			return fault(KindValue, at, fmt.Sprintf("bad name %q", n), "start with a letter; use letters, digits, '_', '.', '-'; 63 at most")
-		}
-		if seen[n] {
-			return fault(KindDuplicate, at, fmt.Sprintf("name %q stands twice", n), "give each its own name")
+// each checks the elements of a list; the path of the list is at.
+func each[T any](at string, list []T, check func(v *T, at string) error) error {
+	for i := range list {
+		if err := check(&list[i], fmt.Sprintf("%s/%d", at, i)); err != nil {
+			return err
 		}
-		seen[n] = true
 	}
 	return nil
 }
 
-func (c *checker) classes() error {
-	d := c.doc
-	if err := names("/Classes", len(d.Classes), func(i int) string { return d.Classes[i].Name }); err != nil {
-		return err
-	}
-	for i := range d.Classes {
-		if err := checkClass(&d.Classes[i], fmt.Sprintf("/Classes/%d", i)); err != nil {
-			return err
+// names checks the form of the names in a list and that none stands twice.
+func names[T element](at string, list []T) error {
+	seen := map[string]bool{}
+	return each(at, list, func(v *T, at string) error {
+		n := (*v).name()
+		if !ValidName(n) {
+			return fault(KindValue, at+"/Name", fmt.Sprintf("bad name %q", n), "start with a letter; use letters, digits, '_', '.', '-'; 63 at most")
 		}
-	}
-	return nil
+		if seen[n] {
+			return fault(KindDuplicate, at+"/Name", fmt.Sprintf("name %q stands twice", n), "give each its own name")
+		}
+		seen[n] = true
+		return nil
+	})
 }
 
 func checkClass(c *Class, at string) error {
@@ -134,60 +136,28 @@
 	Admissions = []string{"None", "Deadline", "Worth"}
 )
 
-func (c *checker) hosts() error {
-	d := c.doc
-	if err := names("/Hosts", len(d.Hosts), func(i int) string { return d.Hosts[i].Name }); err != nil {
-		return err
-	}
-	for i, h := range d.Hosts {
-		at := fmt.Sprintf("/Hosts/%d", i)
-		if !ValidName(h.Hall) {
-			return fault(KindValue, at+"/Hall", fmt.Sprintf("bad hall %q", h.Hall), "name the data hall of the host")
-		}
-		if !h.Peer.IsValid() || h.Peer.Port() == 0 {
-			return fault(KindValue, at+"/Peer", "no address", "write an IP number and a port")
-		}
-	}
-	return nil
-}
-
-func (c *checker) upstreamList() error {
-	d := c.doc
-	if err := names("/Upstreams", len(d.Upstreams), func(i int) string { return d.Upstreams[i].Name }); err != nil {
-		return err
-	}
-	addresses := map[string]string{}
-	for i, u := range d.Upstreams {
-		at := fmt.Sprintf("/Upstreams/%d", i)
-		switch {
-		case !ValidName(u.Hall):
-			return fault(KindValue, at+"/Hall", fmt.Sprintf("bad hall %q", u.Hall), "name the data hall of the upstream")
-		case !u.Address.IsValid() || u.Address.Port() == 0:
-			return fault(KindValue, at+"/Address", "no address", "write an IP number and a port")
-		case u.Slots < 1 || u.Slots > maxSlots:
-			return fault(KindValue, at+"/Slots", "out of range", "use 1 to 4096")
-		case u.Connections < u.Slots:
-			return fault(KindValue, at+"/Connections", "fewer connections than slots", "use Slots or more")
-		}
-		if other, ok := addresses[u.Address.String()]; ok {
-			return fault(KindDuplicate, at+"/Address", "address of "+other, "give each upstream its own address")
-		}
-		addresses[u.Address.String()] = u.Name
-		c.upstreams[u.Name] = true
-	}
-	return nil
+func checkHost(h *Host, at string) error {
+	return firstBroken(at, []rule{
+		{ValidName(h.Hall), "Hall", fmt.Sprintf("bad hall %q", h.Hall), "name the data hall of the host"},
+		{h.Peer.IsValid() && h.Peer.Port() != 0, "Peer", "no address", "write an IP number and a port"},
+	})
 }
 
-func (c *checker) services() error {
-	d := c.doc
-	if err := names("/Services", len(d.Services), func(i int) string { return d.Services[i].Name }); err != nil {
+func (c *checker) upstream(u *Upstream, at string) error {
+	err := firstBroken(at, []rule{
+		{ValidName(u.Hall), "Hall", fmt.Sprintf("bad hall %q", u.Hall), "name the data hall of the upstream"},
+		{u.Address.IsValid() && u.Address.Port() != 0, "Address", "no address", "write an IP number and a port"},
+		{u.Slots >= 1 && u.Slots <= maxSlots, "Slots", "out of range", "use 1 to 4096"},
+		{u.Connections >= u.Slots, "Connections", "fewer connections than slots", "use Slots or more"},
+	})
+	if err != nil {
 		return err
 	}
-	for i := range d.Services {
-		if err := c.service(&d.Services[i], fmt.Sprintf("/Services/%d", i)); err != nil {
-			return err
-		}
+	if other, ok := c.addresses[u.Address.String()]; ok {
+		return fault(KindDuplicate, at+"/Address", "address of "+other, "give each upstream its own address")
 	}
+	c.addresses[u.Address.String()] = u.Name
+	c.upstreams[u.Name] = true
 	return nil
 }
 
@@ -195,7 +165,7 @@
 	if s.KeySpace == 0 {
 		return fault(KindValue, at+"/KeySpace", "no keys", "use 1 or more")
 	}
-	if err := names(at+"/Shards", len(s.Shards), func(i int) string { return s.Shards[i].Name }); err != nil {
+	if err := names(at+"/Shards", s.Shards); err != nil {
 		return err
 	}
 	if !slices.IsSortedFunc(s.Shards, func(a, b Shard) int { return cmp.Compare(a.From, b.From) }) {
--- a/tier/config/checkroute.go
+++ b/tier/config/checkroute.go
@@ -1,79 +1,32 @@
 package config
 
 import (
-	"fmt"
+	"cmp"
 	"slices"
 	"strings"
 )
 
-func (c *checker) routes() error {
-	d := c.doc
-	if err := names("/Groups", len(d.Groups), func(i int) string { return d.Groups[i].Name }); err != nil {
-		return err
-	}
-	if err := names("/Routes", len(d.Routes), func(i int) string { return d.Routes[i].Name }); err != nil {
-		return err
-	}
-	groups := map[string]bool{}
-	for i := range d.Groups {
-		if d.Groups[i].Connections < 1 {
-			return fault(KindValue, fieldPath("/Groups", i, "Connections"), "out of range", "use 1 or more")
-		}
-		if err := checkWarmup(&d.Groups[i], i); err != nil {
-			return err
-		}
-		groups[d.Groups[i].Name] = true
-	}
-	seen := map[string]string{}
-	for i := range d.Routes {
-		r := &d.Routes[i]
-		if err := checkRoute(r, groups, i); err != nil {
-			return err
-		}
-		key := r.HostName + " " + r.Prefix
-		if other, ok := seen[key]; ok {
-			return fault(KindDuplicate, fieldPath("/Routes", i, "Prefix"), "host name and prefix of "+other, "give each route its own")
-		}
-		seen[key] = r.Name
-	}
-	return nil
-}
-
 // maxColdRate bounds a group's ColdRate, in requests per second; no single upstream
 // takes as many. Not measured.
 const maxColdRate = 1e6
 
-func checkWarmup(g *Group, i int) error {
-	if g.Warmup < 0 || g.Warmup > maxDuration {
-		return fault(KindValue, fieldPath("/Groups", i, "Warmup"), "out of range", "use 0 to 10m")
-	}
-	if g.ColdRate >= 0 && g.ColdRate <= maxColdRate {
-		return nil
-	}
-	return fault(KindValue, fieldPath("/Groups", i, "ColdRate"), "out of range", "use 0 for no bound, or up to 1000000 requests a second")
-}
-
-// checkHomes finds regions that have no proper name or stand twice.
-func checkHomes(r *Route, i int) error {
-	for n, h := range r.Homes {
-		if h == "" {
-			return fault(KindValue, fieldPath("/Routes", i, "Homes"), "a region without a name", "name a region, or leave Homes out for all regions")
-		}
-		if slices.Contains(r.Homes[:n], h) {
-			return fault(KindDuplicate, fieldPath("/Routes", i, "Homes"), "region "+h+" stands twice", "name each region once")
-		}
-	}
-	return nil
+func (c *checker) group(g *Group, at string) error {
+	c.groups[g.Name] = true
+	return firstBroken(at, []rule{
+		{g.Connections >= 1, "Connections", "out of range", "use 1 or more"},
+		{g.Warmup >= 0 && g.Warmup <= maxDuration, "Warmup", "out of range", "use 0 to 10m"},
+		{g.ColdRate >= 0 && g.ColdRate <= maxColdRate, "ColdRate", "out of range", "use 0 for no bound, or up to 1000000 requests a second"},
+	})
 }
 
-func checkRoute(r *Route, groups map[string]bool, i int) error {
+func (c *checker) route(r *Route, at string) error {
 	targets := 0
 	for _, given := range []bool{r.Group != "", len(r.Split) > 0, r.Gather != nil} {
 		if given {
 			targets++
 		}
 	}
-	err := firstBroken(fmt.Sprintf("/Routes/%d", i), []rule{
+	err := firstBroken(at, []rule{
 		{r.HostName != "", "HostName", "missing", "give the host name of the requests"},
 		{strings.HasPrefix(r.Prefix, "/") && strings.HasSuffix(r.Prefix, "/"), "Prefix", "no path prefix", "begin and end it with a slash"},
 		{r.MaxAttempts >= 1, "MaxAttempts", "out of range", "use 1 or more"},
@@ -86,19 +39,42 @@
 		{r.Gather == nil || len(r.Gather.Groups) > 0, "Gather/Groups", "no shards", "name at least one group"},
 		{r.Gather == nil || r.Repeatable, "Repeatable", "a gather that is not repeatable", "make it repeatable: parts may be asked twice"},
 	})
-	if err != nil {
+	if err := cmp.Or(err, c.targets(r, at), checkHomes(r, at)); err != nil {
 		return err
 	}
-	targetsOf := r.Targets()
-	for n, g := range targetsOf {
-		if !groups[g] {
-			return fault(KindReference, fieldPath("/Routes", i, "Group"), "unknown group "+g, "declare the group or correct the name")
+	key := r.HostName + " " + r.Prefix
+	if other, ok := c.prefixes[key]; ok {
+		return fault(KindDuplicate, at+"/Prefix", "host name and prefix of "+other, "give each route its own")
+	}
+	c.prefixes[key] = r.Name
+	return nil
+}
+
+// targets finds groups that are not declared or stand twice.
+func (c *checker) targets(r *Route, at string) error {
+	targets := r.Targets()
+	for n, g := range targets {
+		if !c.groups[g] {
+			return fault(KindReference, at+"/Group", "unknown group "+g, "declare the group or correct the name")
+		}
+		if slices.Contains(targets[:n], g) {
+			return fault(KindDuplicate, at+"/Group", "group "+g+" stands twice", "name each group once")
+		}
+	}
+	return nil
+}
+
+// checkHomes finds regions that have no proper name or stand twice.
+func checkHomes(r *Route, at string) error {
+	for n, h := range r.Homes {
+		if h == "" {
+			return fault(KindValue, at+"/Homes", "a region without a name", "name a region, or leave Homes out for all regions")
 		}
-		if slices.Contains(targetsOf[:n], g) {
-			return fault(KindDuplicate, fieldPath("/Routes", i, "Group"), "group "+g+" stands twice", "name each group once")
+		if slices.Contains(r.Homes[:n], h) {
+			return fault(KindDuplicate, at+"/Homes", "region "+h+" stands twice", "name each region once")
 		}
 	}
-	return checkHomes(r, i)
+	return nil
 }
 
 func weightsOK(split []Weighted) bool {
--- a/tier/config/decode.go
+++ b/tier/config/decode.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"encoding/hex"
 	"errors"
 	"fmt"
 
@@ -57,16 +56,15 @@
 // types and values without a unit are refused.
 func Decode(text []byte) (*Document, error) {
 	if len(text) > MaxBytes {
-		return nil, &Error{
-			Kind: KindTooLarge, Field: "/", Problem: fmt.Sprintf("%d bytes", len(text)),
-			Remedy: fmt.Sprintf("keep the document within %d bytes", MaxBytes),
-		}
+		return nil, fault(KindTooLarge, "/", fmt.Sprintf("%d bytes", len(text)), fmt.Sprintf("keep the document within %d bytes", MaxBytes))
 	}
-	if len(bytes.TrimSpace(text)) == 0 {
-		return nil, &Error{Kind: KindSyntax, Field: "/", Problem: "empty document", Remedy: "write a JSON object with the fields of docs/CONFIG.md"}
+	const remedy = "write a JSON object with the fields of docs/CONFIG.md"
+	trimmed := bytes.TrimSpace(text)
+	if len(trimmed) == 0 {
+		return nil, fault(KindSyntax, "/", "empty document", remedy)
 	}
-	if !bytes.HasPrefix(bytes.TrimSpace(text), []byte("{")) {
-		return nil, &Error{Kind: KindSyntax, Field: "/", Line: 1, Problem: "the document is no JSON object", Remedy: "write a JSON object with the fields of docs/CONFIG.md"}
+	if trimmed[0] != '{' {
+		return nil, &Error{Kind: KindSyntax, Field: "/", Line: 1, Problem: "the document is no JSON object", Remedy: remedy}
 	}
 	var doc Document
 	err := json.Unmarshal(text, &doc, json.RejectUnknownMembers(true), json.WithUnmarshalers(classDefaults))
@@ -118,12 +116,4 @@
 }
 
 // Digest names the exact bytes of a document.
-func Digest(text []byte) string {
-	return hex.EncodeToString(binarySum(text))
-}
-
-func binarySum(text []byte) []byte {
-	h := xxhash.New()
-	_, _ = h.Write(text) // never fails
-	return h.Sum(nil)
-}
+func Digest(text []byte) string { return fmt.Sprintf("%016x", xxhash.Sum64(text)) }
--- /dev/null
+++ b/tier/config/element.go
@@ -0,0 +1,46 @@
+package config
+
+import "slices"
+
+// element is an element of a list of a document, known by its name there.
+type element interface{ name() string }
+
+func (c Class) name() string    { return c.Name }
+func (h Host) name() string     { return h.Name }
+func (u Upstream) name() string { return u.Name }
+func (s Service) name() string  { return s.Name }
+func (s Shard) name() string    { return s.Name }
+func (g Group) name() string    { return g.Name }
+func (r Route) name() string    { return r.Name }
+
+// Find returns the element of a list with a name; nil if there is none.
+func Find[T element](list []T, name string) *T {
+	i := slices.IndexFunc(list, func(v T) bool { return v.name() == name })
+	if i < 0 {
+		return nil
+	}
+	return &list[i]
+}
+
+// Put replaces the element of the same name, or appends.
+func Put[T element](list []T, v T) []T {
+	if same := Find(list, v.name()); same != nil {
+		*same = v
+		return list
+	}
+	return append(list, v)
+}
+
+// Drop takes the elements with a name out of a list.
+func Drop[T element](list []T, name string) []T {
+	return slices.DeleteFunc(list, func(v T) bool { return v.name() == name })
+}
+
+// index makes the elements of a list findable by their names.
+func index[T element](list []T) map[string]*T {
+	out := make(map[string]*T, len(list))
+	for i := range list {
+		out[list[i].name()] = &list[i]
+	}
+	return out
+}
--- a/tier/config/golden_test.go
+++ b/tier/config/golden_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net/netip"
 	"slices"
@@ -134,7 +135,8 @@
 		"{\"Classes\": [\n{\"Deadline\": 5}]}", `{"Classes": [{"Deadline": "5"}]}`, `{"Hosts": 1}`, `{"Based": -1}`, `{} {}`, `{`,
 	} {
 		_, err := Decode([]byte(text))
-		e := err.(*Error)
+		var e *Error
+		assert.Assert(t, errors.As(err, &e))
 		fmt.Fprintln(&out, e.Kind, e.Field, e.Line, e.Remedy)
 	}
 	for _, text := range []string{"", " \n", "[]", strings.Repeat(" ", MaxBytes+1)} {
--- a/tier/config/index.go
+++ b/tier/config/index.go
@@ -38,36 +38,17 @@
 }
 
 func newIndex(d *Document, text []byte, revision uint64) *Index {
-	x := &Index{
+	return &Index{
 		Revision: revision, Digest: Digest(text), Text: text, Document: d,
-		classes:   map[string]*Class{},
-		upstreams: map[string]*Upstream{},
-		services:  map[string]*Service{},
-		hosts:     map[string]*Host{},
-		groups:    map[string]*Group{},
+		classes:   index(d.Classes),
+		upstreams: index(d.Upstreams),
+		services:  index(d.Services),
+		hosts:     index(d.Hosts),
+		groups:    index(d.Groups),
 		routes:    newRouteTable(d),
-		named:     map[string]*Route{},
+		named:     index(d.Routes),
 		shards:    d.shards(),
 	}
-	for i := range d.Classes {
-		x.classes[d.Classes[i].Name] = &d.Classes[i]
-	}
-	for i := range d.Upstreams {
-		x.upstreams[d.Upstreams[i].Name] = &d.Upstreams[i]
-	}
-	for i := range d.Services {
-		x.services[d.Services[i].Name] = &d.Services[i]
-	}
-	for i := range d.Hosts {
-		x.hosts[d.Hosts[i].Name] = &d.Hosts[i]
-	}
-	for i := range d.Groups {
-		x.groups[d.Groups[i].Name] = &d.Groups[i]
-	}
-	for i := range d.Routes {
-		x.named[d.Routes[i].Name] = &d.Routes[i]
-	}
-	return x
 }
 
 // Class finds a class by name; nil if there is none.
