--- a/tier/config/directory.go
+++ b/tier/config/directory.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"maps"
 	"slices"
 )
 
@@ -44,39 +45,36 @@
 // when there are more. Not measured.
 const maxRemoved = 2000
 
+// nothing is what a host knows that has no directory yet. It is not changed.
+var nothing Directory
+
+// orEmpty is the directory, or one that lists nothing where there is none.
+func (d *Directory) orEmpty() *Directory {
+	if d == nil {
+		return &nothing
+	}
+	return d
+}
+
 // Group lists the upstreams of a group, in order of name. The slice is not to
 // be changed.
 func (d *Directory) Group(name string) []Listing {
-	if d == nil {
-		return nil
-	}
-	return d.groups[name]
+	return d.orEmpty().groups[name]
 }
 
 // Find returns the listing of an upstream; false if it is not listed.
 func (d *Directory) Find(name string) (Listing, bool) {
-	if d == nil {
-		return Listing{}, false
-	}
-	l, listed := d.listed[name]
+	l, listed := d.orEmpty().listed[name]
 	return l, listed
 }
 
 // Size is how many upstreams are listed.
-func (d *Directory) Size() int {
-	if d == nil {
-		return 0
-	}
-	return len(d.listed)
-}
+func (d *Directory) Size() int { return len(d.orEmpty().listed) }
 
 // PerHall counts the upstreams of each data hall that is not evacuated.
 func (d *Directory) PerHall() map[string]int {
 	out := map[string]int{}
-	if d == nil {
-		return out
-	}
-	for _, l := range d.listed {
+	for _, l := range d.orEmpty().listed {
 		if !d.Evacuated(l.Hall) {
 			out[l.Hall]++
 		}
@@ -89,10 +87,7 @@
 	if d == nil {
 		return nil
 	}
-	out := make([]Listing, 0, len(d.listed))
-	for _, l := range d.listed {
-		out = append(out, l)
-	}
+	out := slices.AppendSeq(make([]Listing, 0, len(d.listed)), maps.Values(d.listed))
 	slices.SortFunc(out, byName)
 	return out
 }
@@ -113,24 +108,19 @@
 // Digest names what is listed, and the halls that are evacuated. Hosts that know
 // the same of the same upstreams and halls have the same digest.
 func (d *Directory) Digest() uint64 {
-	if d == nil {
-		return 0
-	}
+	d = d.orEmpty()
 	return d.digest + d.evacuations.digest()
 }
 
 // Lacking returns the removals that would make the directory equal to a whole
 // listing, without those that are newer than it.
 func (d *Directory) Lacking(c *DirectoryChange) []Removal {
-	if d == nil {
-		return nil
-	}
 	names := make(map[string]bool, len(c.Listed))
 	for _, l := range c.Listed {
 		names[l.Name] = true
 	}
 	var out []Removal
-	for n, l := range d.listed {
+	for n, l := range d.orEmpty().listed {
 		if !names[n] && l.Revision <= c.Revision {
 			out = append(out, Removal{Name: n, Revision: c.Revision})
 		}
@@ -191,15 +181,7 @@
 	if len(d.removed) <= maxRemoved {
 		return
 	}
-	revisions := make([]uint64, 0, len(d.removed))
-	for _, r := range d.removed {
-		revisions = append(revisions, r)
-	}
-	slices.Sort(revisions)
+	revisions := slices.Sorted(maps.Values(d.removed))
 	oldest := revisions[len(revisions)-maxRemoved/2]
-	for n, r := range d.removed {
-		if r < oldest {
-			delete(d.removed, n)
-		}
-	}
+	maps.DeleteFunc(d.removed, func(_ string, r uint64) bool { return r < oldest })
 }
--- a/tier/config/editor.go
+++ b/tier/config/editor.go
@@ -70,12 +70,12 @@
 
 // finish brings the groups up to date that were touched.
 func (e *editor) finish() *Directory {
-	for g := range e.touched {
-		delete(e.next.groups, g)
-	}
 	if len(e.touched) == 0 {
 		return e.next
 	}
+	for g := range e.touched {
+		delete(e.next.groups, g)
+	}
 	for _, l := range e.next.listed {
 		if e.touched[l.Group] {
 			e.next.groups[l.Group] = append(e.next.groups[l.Group], l)
--- a/tier/config/encode.go
+++ b/tier/config/encode.go
@@ -1,98 +1,82 @@
 package config
 
 import (
-	"bytes"
+	"cmp"
 	"fmt"
+	"strings"
 
 	"github.com/go-json-experiment/json"
 )
 
 // Encode writes a document in its one canonical form: each class, host,
 // upstream and shard on a line of its own, so that the lines that differ tell
-// what differs, and a document of the largest tier stays within MaxBytes.
+// what differs, and a document of the largest tier stays within MaxBytes. A
+// document without routed requests has none of their fields.
 func Encode(d *Document) ([]byte, error) {
 	w := &writer{}
-	w.text("{\n")
-	w.field("  ", "Based", d.Based)
-	lines(w, "  ", "Classes", d.Classes, ",\n")
-	lines(w, "  ", "Hosts", d.Hosts, ",\n")
-	lines(w, "  ", "Upstreams", d.Upstreams, ",\n")
-	w.text("  \"Services\": [")
+	services := make([]string, 0, len(d.Services))
 	for i := range d.Services {
-		w.separate(i, "\n")
-		w.service(&d.Services[i])
+		services = append(services, w.service(&d.Services[i]))
+	}
+	members := []string{
+		member("Based", w.value(d.Based)),
+		member("Classes", lines(w, "    ", d.Classes)),
+		member("Hosts", lines(w, "    ", d.Hosts)),
+		member("Upstreams", lines(w, "    ", d.Upstreams)),
+		member("Services", list("    ", services)),
+	}
+	if len(d.Groups) > 0 {
+		members = append(members, member("Groups", lines(w, "    ", d.Groups)))
+	}
+	if len(d.Routes) > 0 {
+		members = append(members, member("Routes", lines(w, "    ", d.Routes)))
+	}
+	if d.Limits != (Limits{}) {
+		members = append(members, member("Limits", w.value(&d.Limits)))
 	}
-	w.text("]")
-	w.routes(d)
-	w.text("\n}\n")
 	if w.err != nil {
 		return nil, fmt.Errorf("encode document: %w", w.err)
 	}
-	return w.out.Bytes(), nil
-}
-
-// writer keeps the first error.
-type writer struct {
-	out bytes.Buffer
-	err error
+	return []byte(object("", members) + "\n"), nil
 }
 
-func (w *writer) text(s string) { w.out.WriteString(s) }
+// writer writes values and keeps the first error.
+type writer struct{ err error }
 
-func (w *writer) value(v any) {
+func (w *writer) value(v any) string {
 	text, err := json.Marshal(v, json.Deterministic(true))
-	if err != nil && w.err == nil {
-		w.err = err
-	}
-	w.out.Write(text)
+	w.err = cmp.Or(w.err, err)
+	return string(text)
 }
 
-func (w *writer) field(indent, name string, v any) {
-	w.text(indent + `"` + name + `": `)
-	w.value(v)
-	w.text(",\n")
+func (w *writer) service(s *Service) string {
+	return object("    ", []string{
+		member("Name", w.value(s.Name)),
+		member("KeySpace", w.value(s.KeySpace)),
+		member("MapRevision", w.value(s.MapRevision)),
+		member("Shards", lines(w, "        ", s.Shards)),
+	})
 }
 
-// separate divides the elements of a list; each begins on a new line.
-func (w *writer) separate(i int, newline string) {
-	if i > 0 {
-		w.text(",")
+// lines writes a list with one element a line.
+func lines[T any](w *writer, indent string, elements []T) string {
+	texts := make([]string, 0, len(elements))
+	for i := range elements {
+		texts = append(texts, w.value(&elements[i]))
 	}
-	w.text(newline)
+	return list(indent, texts)
 }
 
-func (w *writer) service(s *Service) {
-	w.text("    {\n")
-	w.field("      ", "Name", s.Name)
-	w.field("      ", "KeySpace", s.KeySpace)
-	w.field("      ", "MapRevision", s.MapRevision)
-	lines(w, "      ", "Shards", s.Shards, "\n")
-	w.text("    }")
-}
-
-// routes writes what routed requests need; a document without them has none of
-// these fields.
-func (w *writer) routes(d *Document) {
-	if len(d.Groups) > 0 {
-		w.text(",\n")
-		lines(w, "  ", "Groups", d.Groups, "")
-	}
-	if len(d.Routes) > 0 {
-		w.text(",\n")
-		lines(w, "  ", "Routes", d.Routes, "")
-	}
-	if d.Limits != (Limits{}) {
-		w.text(",\n  \"Limits\": ")
-		w.value(&d.Limits)
+func list(indent string, texts []string) string {
+	if len(texts) == 0 {
+		return "[]"
 	}
+	return "[\n" + indent + strings.Join(texts, ",\n"+indent) + "]"
 }
 
-// lines writes a list with one element a line.
-func lines[T any](w *writer, indent, name string, list []T, end string) {
-	w.text(indent + `"` + name + `": [`)
-	for i := range list {
-		w.separate(i, "\n"+indent+"  ")
-		w.value(&list[i])
-	}
-	w.text("]" + end)
+// object writes an object with one member a line.
+func object(indent string, members []string) string {
+	return "{\n" + indent + "  " + strings.Join(members, ",\n"+indent+"  ") + "\n" + indent + "}"
 }
+
+func member(name, text string) string { return `"` + name + `": ` + text }
--- a/tier/config/evacuation.go
+++ b/tier/config/evacuation.go
@@ -87,26 +87,17 @@
 
 // Evacuated reports whether the upstreams of a hall are to get nothing.
 func (d *Directory) Evacuated(hall string) bool {
-	if d == nil {
-		return false
-	}
-	_, evacuated := d.evacuations.since[hall]
+	_, evacuated := d.orEmpty().evacuations.since[hall]
 	return evacuated
 }
 
 // EvacuatedHalls lists the halls that are evacuated, in order of name.
 func (d *Directory) EvacuatedHalls() []string {
-	if d == nil {
-		return nil
-	}
-	return slices.Sorted(maps.Keys(d.evacuations.since))
+	return slices.Sorted(maps.Keys(d.orEmpty().evacuations.since))
 }
 
 // LackingEvacuations returns the ends of the evacuations that a whole directory
 // does not have.
 func (d *Directory) LackingEvacuations(c *DirectoryChange) []Removal {
-	if d == nil {
-		return nil
-	}
-	return d.evacuations.lacking(c)
+	return d.orEmpty().evacuations.lacking(c)
 }
