--- a/tier/config/check.go
+++ b/tier/config/check.go
@@ -81,7 +81,7 @@
 }
 
 // names checks the form of the names in a list and that none stands twice.
-func names[T element](at string, list []T) error {
+func names[T Element](at string, list []T) error {
 	seen := map[string]bool{}
 	return each(at, list, func(v *T, at string) error {
 		n := (*v).name()
--- a/tier/config/decode.go
+++ b/tier/config/decode.go
@@ -87,20 +87,15 @@
 
 func decodeError(text []byte, err error) error {
 	out := &Error{Kind: KindSyntax, Field: "/", Problem: err.Error(), Remedy: "correct the JSON at this place"}
-	var syntax *jsontext.SyntacticError
-	if errors.As(err, &syntax) {
-		out.Field = string(syntax.JSONPointer)
-		out.Line = lineOf(text, syntax.ByteOffset)
+	if syntax, ok := errors.AsType[*jsontext.SyntacticError](err); ok {
+		out.Field, out.Line = string(syntax.JSONPointer), lineOf(text, syntax.ByteOffset)
 		if errors.Is(err, jsontext.ErrDuplicateName) {
 			out.Kind, out.Remedy = KindDuplicate, "write each field once"
 		}
 	}
-	var semantic *json.SemanticError
-	if errors.As(err, &semantic) {
-		out.Kind = KindValue
-		out.Field = string(semantic.JSONPointer)
-		out.Line = lineOf(text, semantic.ByteOffset)
-		out.Remedy = "use the type and the unit that docs/CONFIG.md gives for this field"
+	if semantic, ok := errors.AsType[*json.SemanticError](err); ok {
+		out.Field, out.Line = string(semantic.JSONPointer), lineOf(text, semantic.ByteOffset)
+		out.Kind, out.Remedy = KindValue, "use the type and the unit that docs/CONFIG.md gives for this field"
 		if errors.Is(err, json.ErrUnknownName) {
 			out.Remedy = "remove the field or correct its name; names are in Pascal case"
 		}
--- a/tier/config/element.go
+++ b/tier/config/element.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// element is an element of a list of a document, known by its name there.
-type element interface{ name() string }
+// Element is an element of a list of a document, known by its name there.
+type Element interface{ name() string }
 
 func (c Class) name() string    { return c.Name }
 func (h Host) name() string     { return h.Name }
@@ -14,7 +14,7 @@
 func (r Route) name() string    { return r.Name }
 
 // Find returns the element of a list with a name; nil if there is none.
-func Find[T element](list []T, name string) *T {
+func Find[T Element](list []T, name string) *T {
 	i := slices.IndexFunc(list, func(v T) bool { return v.name() == name })
 	if i < 0 {
 		return nil
@@ -23,7 +23,7 @@
 }
 
 // Put replaces the element of the same name, or appends.
-func Put[T element](list []T, v T) []T {
+func Put[T Element](list []T, v T) []T {
 	if same := Find(list, v.name()); same != nil {
 		*same = v
 		return list
@@ -32,12 +32,12 @@
 }
 
 // Drop takes the elements with a name out of a list.
-func Drop[T element](list []T, name string) []T {
+func Drop[T Element](list []T, name string) []T {
 	return slices.DeleteFunc(list, func(v T) bool { return v.name() == name })
 }
 
 // index makes the elements of a list findable by their names.
-func index[T element](list []T) map[string]*T {
+func index[T Element](list []T) map[string]*T {
 	out := make(map[string]*T, len(list))
 	for i := range list {
 		out[list[i].name()] = &list[i]
--- a/tier/query/apply.go
+++ b/tier/query/apply.go
@@ -53,7 +53,7 @@
 
 func create(d *config.Document, c *Create, p lexer.Position) error {
 	if c.Class != "" {
-		if find(d.Classes, func(x config.Class) bool { return x.Name == c.Class }) >= 0 {
+		if config.Find(d.Classes, c.Class) != nil {
 			return at(p, fmt.Sprintf("class %q is there already", c.Class), "use set class to change it")
 		}
 		class := config.DefaultClass()
@@ -61,60 +61,53 @@
 		d.Classes = append(d.Classes, class)
 		return nil
 	}
-	if find(d.Services, func(x config.Service) bool { return x.Name == c.Service }) >= 0 {
+	if config.Find(d.Services, c.Service) != nil {
 		return at(p, fmt.Sprintf("service %q is there already", c.Service), "drop it first or use another name")
 	}
 	d.Services = append(d.Services, config.Service{Name: c.Service, KeySpace: c.KeySpace, MapRevision: 1})
 	return nil
 }
 
-func find[T any](list []T, is func(T) bool) int { return slices.IndexFunc(list, is) }
-
-// put replaces the element that is the same, or appends.
-func put[T any](list []T, v T, is func(T) bool) []T {
-	if i := find(list, is); i >= 0 {
-		list[i] = v
-		return list
+// find returns the element of a list with a name.
+func find[T config.Element](list []T, what, name string, p lexer.Position, remedy string) (*T, error) {
+	if v := config.Find(list, name); v != nil {
+		return v, nil
 	}
-	return append(list, v)
+	return nil, at(p, fmt.Sprintf("no %s %q", what, name), remedy)
+}
+
+func service(d *config.Document, name string, p lexer.Position) (*config.Service, error) {
+	return find(d.Services, "service", name, p, "create it first or correct the name")
 }
 
 func declare(d *config.Document, c *Declare, p lexer.Position) error {
 	switch {
 	case c.Upstream != nil:
-		return declareUpstream(d, c.Upstream, p)
+		u := c.Upstream
+		a, err := address(u.Address, p)
+		if err != nil {
+			return err
+		}
+		v := config.Upstream{Name: u.Name, Hall: u.Hall, Address: a, Slots: u.Slots, Connections: u.Connections}
+		d.Upstreams = config.Put(d.Upstreams, v)
+		return nil
 	case c.Host != nil:
-		return declareHost(d, c.Host, p)
+		a, err := address(c.Host.Address, p)
+		if err != nil {
+			return err
+		}
+		d.Hosts = config.Put(d.Hosts, config.Host{Name: c.Host.Name, Hall: c.Host.Hall, Peer: a})
+		return nil
 	}
 	return declareShard(d, c.Shard, p)
 }
 
-func declareUpstream(d *config.Document, u *DeclareUpstream, p lexer.Position) error {
-	a, err := netip.ParseAddrPort(u.Address)
+func address(text string, p lexer.Position) (netip.AddrPort, error) {
+	a, err := netip.ParseAddrPort(text)
 	if err != nil {
-		return at(p, fmt.Sprintf("bad address %q", u.Address), "write an IP number and a port")
+		return a, at(p, fmt.Sprintf("bad address %q", text), "write an IP number and a port")
 	}
-	v := config.Upstream{Name: u.Name, Hall: u.Hall, Address: a, Slots: u.Slots, Connections: u.Connections}
-	d.Upstreams = put(d.Upstreams, v, func(x config.Upstream) bool { return x.Name == u.Name })
-	return nil
-}
-
-func declareHost(d *config.Document, h *DeclareHost, p lexer.Position) error {
-	a, err := netip.ParseAddrPort(h.Address)
-	if err != nil {
-		return at(p, fmt.Sprintf("bad address %q", h.Address), "write an IP number and a port")
-	}
-	v := config.Host{Name: h.Name, Hall: h.Hall, Peer: a}
-	d.Hosts = put(d.Hosts, v, func(x config.Host) bool { return x.Name == h.Name })
-	return nil
-}
-
-func service(d *config.Document, name string, p lexer.Position) (*config.Service, error) {
-	i := find(d.Services, func(x config.Service) bool { return x.Name == name })
-	if i < 0 {
-		return nil, at(p, fmt.Sprintf("no service %q", name), "create it first or correct the name")
-	}
-	return &d.Services[i], nil
+	return a, nil
 }
 
 // declareShard raises the map revision, since the map changes.
@@ -123,68 +116,66 @@
 	if err != nil {
 		return err
 	}
-	v := config.Shard{Name: c.Name, From: c.From, To: c.To, Replicas: c.Replicas}
-	s.Shards = put(s.Shards, v, func(x config.Shard) bool { return x.Name == c.Name })
+	s.Shards = config.Put(s.Shards, config.Shard{Name: c.Name, From: c.From, To: c.To, Replicas: c.Replicas})
 	slices.SortStableFunc(s.Shards, func(a, b config.Shard) int { return cmp.Compare(a.From, b.From) })
 	s.MapRevision++
 	return nil
 }
 
 func mark(d *config.Document, m *Mark, p lexer.Position) error {
-	i := find(d.Upstreams, func(x config.Upstream) bool { return x.Name == m.Upstream })
-	if i < 0 {
-		return at(p, fmt.Sprintf("no upstream %q", m.Upstream), "declare it first or correct the name")
+	u, err := find(d.Upstreams, "upstream", m.Upstream, p, "declare it first or correct the name")
+	if err != nil {
+		return err
 	}
-	d.Upstreams[i].Leaving = m.Verb == "leave"
+	u.Leaving = m.Verb == "leave"
 	return nil
 }
 
 func drop(d *config.Document, c *Drop, p lexer.Position) error {
-	before := size(d)
+	dropped := false
 	switch c.What {
 	case "service":
-		d.Services = slices.DeleteFunc(d.Services, func(x config.Service) bool { return x.Name == c.Name })
+		dropped = dropFrom(&d.Services, c.Name)
 	case "upstream":
-		d.Upstreams = slices.DeleteFunc(d.Upstreams, func(x config.Upstream) bool { return x.Name == c.Name })
+		dropped = dropFrom(&d.Upstreams, c.Name)
 	case "host":
-		d.Hosts = slices.DeleteFunc(d.Hosts, func(x config.Host) bool { return x.Name == c.Name })
+		dropped = dropFrom(&d.Hosts, c.Name)
 	case "class":
-		d.Classes = slices.DeleteFunc(d.Classes, func(x config.Class) bool { return x.Name == c.Name })
+		dropped = dropFrom(&d.Classes, c.Name)
 	case "shard":
 		s, err := service(d, c.Service, p)
 		if err != nil {
 			return err
 		}
-		s.Shards = slices.DeleteFunc(s.Shards, func(x config.Shard) bool { return x.Name == c.Name })
+		dropped = dropFrom(&s.Shards, c.Name)
 		s.MapRevision++
 	}
-	if size(d) == before {
+	if !dropped {
 		return at(p, fmt.Sprintf("no %s %q", c.What, c.Name), "correct the name; `show` lists them")
 	}
 	return nil
 }
 
-func size(d *config.Document) int {
-	n := len(d.Services) + len(d.Upstreams) + len(d.Hosts) + len(d.Classes)
-	for i := range d.Services {
-		n += len(d.Services[i].Shards)
-	}
-	return n
+// dropFrom takes an element out of a list; false if it is not there.
+func dropFrom[T config.Element](list *[]T, name string) bool {
+	before := len(*list)
+	*list = config.Drop(*list, name)
+	return len(*list) < before
 }
 
 func set(d *config.Document, c *Set, p lexer.Position) error {
 	if c.Route != "" {
-		i := find(d.Routes, func(x config.Route) bool { return x.Name == c.Route })
-		if i < 0 {
-			return at(p, fmt.Sprintf("no route %q", c.Route), "correct the name; `show routes` lists them")
+		r, err := find(d.Routes, "route", c.Route, p, "correct the name; `show routes` lists them")
+		if err != nil {
+			return err
 		}
-		return assign(settingsOfRoute(&d.Routes[i]), c.Settings, p)
+		return assign(settingsOfRoute(r), c.Settings, p)
 	}
-	i := find(d.Classes, func(x config.Class) bool { return x.Name == c.Class })
-	if i < 0 {
-		return at(p, fmt.Sprintf("no class %q", c.Class), "create it first or correct the name")
+	class, err := find(d.Classes, "class", c.Class, p, "create it first or correct the name")
+	if err != nil {
+		return err
 	}
-	return assign(settingsOfClass(&d.Classes[i]), c.Settings, p)
+	return assign(settingsOfClass(class), c.Settings, p)
 }
 
 // settable are the settings that a command may change, by name.
