--- a/tier/query/apply.go
+++ b/tier/query/apply.go
@@ -47,10 +47,6 @@
 	return nil, at(s.Pos, "not a command", "questions go to `loomctl ask`, place to `loomctl order`")
 }
 
-func at(p lexer.Position, problem, remedy string) error {
-	return &Error{Line: p.Line, Column: p.Column, Problem: problem, Remedy: remedy}
-}
-
 func create(d *config.Document, c *Create, p lexer.Position) error {
 	if c.Class != "" {
 		if config.Find(d.Classes, c.Class) != nil {
@@ -169,81 +165,56 @@
 		if err != nil {
 			return err
 		}
-		return assign(settingsOfRoute(r), c.Settings, p)
+		return settingsOfRoute(r).assign("route", c.Settings, p)
 	}
 	class, err := find(d.Classes, "class", c.Class, p, "create it first or correct the name")
 	if err != nil {
 		return err
 	}
-	return assign(settingsOfClass(class), c.Settings, p)
+	return settingsOfClass(class).assign("class", c.Settings, p)
 }
 
-// settable are the settings that a command may change, by name.
-type settable struct {
-	// what names the thing that has them.
-	what      string
-	durations map[string]*config.Duration
-	numbers   map[string]*float64
-	counts    map[string]*int
-	texts     map[string]*string
-}
+// settings are the settings that a command may change, each a pointer to its field.
+type settings map[string]any
 
-func settingsOfClass(c *config.Class) settable {
-	return settable{
-		what: "class",
-		durations: map[string]*config.Duration{
-			"deadline": &c.Deadline, "maxdeadline": &c.MaxDeadline, "margin": &c.Margin, "patience": &c.Patience,
-		},
-		numbers: map[string]*float64{
-			"coverage": &c.Coverage, "hedgequantile": &c.HedgeQuantile, "hedgebudget": &c.HedgeBudget,
-		},
-		counts: map[string]*int{"worth": &c.Worth, "maxinflight": &c.MaxInFlight},
-		texts:  map[string]*string{"choice": &c.Choice, "admission": &c.Admission, "hedge": (*string)(&c.Hedge)},
+func settingsOfClass(c *config.Class) settings {
+	return settings{
+		"deadline": &c.Deadline, "maxdeadline": &c.MaxDeadline, "margin": &c.Margin, "patience": &c.Patience,
+		"coverage": &c.Coverage, "hedgequantile": &c.HedgeQuantile, "hedgebudget": &c.HedgeBudget,
+		"worth": &c.Worth, "maxinflight": &c.MaxInFlight,
+		"choice": &c.Choice, "admission": &c.Admission, "hedge": (*string)(&c.Hedge),
 	}
 }
 
-func settingsOfRoute(r *config.Route) settable {
-	s := settable{
-		what:      "route",
-		durations: map[string]*config.Duration{"timelimit": &r.TimeLimit, "objective": &r.Objective},
-		counts:    map[string]*int{"priority": &r.Priority, "maxattempts": &r.MaxAttempts},
+func settingsOfRoute(r *config.Route) settings {
+	s := settings{
+		"timelimit": &r.TimeLimit, "objective": &r.Objective, "priority": &r.Priority, "maxattempts": &r.MaxAttempts,
 	}
 	if r.Gather != nil {
-		s.numbers = map[string]*float64{"coverage": &r.Gather.Coverage}
-		s.counts["top"] = &r.Gather.Top
+		s["coverage"], s["top"] = &r.Gather.Coverage, &r.Gather.Top
 	}
 	return s
 }
 
-func assign(s settable, settings []*Assignment, p lexer.Position) error {
-	for _, a := range settings {
-		if err := s.assign(a, p); err != nil {
-			return err
+// assign changes settings; what names the thing that has them.
+func (s settings) assign(what string, assignments []*Assignment, p lexer.Position) error {
+	for _, a := range assignments {
+		var err error
+		switch field := s[strings.ToLower(a.Field)].(type) {
+		case *config.Duration:
+			err = field.UnmarshalText([]byte(a.Value))
+		case *float64:
+			*field, err = strconv.ParseFloat(a.Value, 64)
+		case *int:
+			*field, err = strconv.Atoi(a.Value)
+		case *string:
+			*field = a.Value
+		default:
+			return at(p, fmt.Sprintf("unknown setting %q", a.Field), "docs/LANGUAGE.md lists the settings of a "+what)
 		}
-	}
-	return nil
-}
-
-func (s *settable) assign(a *Assignment, p lexer.Position) error {
-	name := strings.ToLower(a.Field)
-	var err error
-	switch {
-	case s.durations[name] != nil:
-		var v time.Duration
-		if v, err = time.ParseDuration(a.Value); err == nil {
-			*s.durations[name] = config.Duration(v)
+		if err != nil {
+			return at(p, fmt.Sprintf("bad value %q for %s", a.Value, a.Field), "write durations as 250ms, counts as whole numbers, shares as 0 to 1")
 		}
-	case s.numbers[name] != nil:
-		*s.numbers[name], err = strconv.ParseFloat(a.Value, 64)
-	case s.counts[name] != nil:
-		*s.counts[name], err = strconv.Atoi(a.Value)
-	case s.texts[name] != nil:
-		*s.texts[name] = a.Value
-	default:
-		return at(p, fmt.Sprintf("unknown setting %q", a.Field), "docs/LANGUAGE.md lists the settings of a "+s.what)
-	}
-	if err != nil {
-		return at(p, fmt.Sprintf("bad value %q for %s", a.Value, a.Field), "write durations as 250ms, counts as whole numbers, shares as 0 to 1")
 	}
 	return nil
 }
--- a/tier/query/cover.go
+++ b/tier/query/cover.go
@@ -90,11 +90,11 @@
 	}
 	var out []config.Shard
 	for _, n := range names {
-		i := slices.IndexFunc(s.Shards, func(h config.Shard) bool { return h.Name == n })
-		if i < 0 {
-			return nil, &Error{Line: 1, Column: 1, Problem: fmt.Sprintf("service %s has no shard %q", s.Name, n), Remedy: "`loomctl plan -Command 'show shards of " + s.Name + "'` lists them"}
+		shard := config.Find(s.Shards, n)
+		if shard == nil {
+			return nil, at(start, fmt.Sprintf("service %s has no shard %q", s.Name, n), "`loomctl plan -Command 'show shards of "+s.Name+"'` lists them")
 		}
-		out = append(out, s.Shards[i])
+		out = append(out, *shard)
 	}
 	slices.SortFunc(out, func(a, b config.Shard) int { return cmp.Compare(a.From, b.From) })
 	return slices.CompactFunc(out, func(a, b config.Shard) bool { return a.Name == b.Name }), nil
--- a/tier/query/grammar.go
+++ b/tier/query/grammar.go
@@ -47,6 +47,13 @@
 // Unwrap gives ErrStatement.
 func (e *Error) Unwrap() error { return ErrStatement }
 
+// start is the place of a fault that concerns the whole text.
+var start = lexer.Position{Line: 1, Column: 1}
+
+func at(p lexer.Position, problem, remedy string) error {
+	return &Error{Line: p.Line, Column: p.Column, Problem: problem, Remedy: remedy}
+}
+
 // Script is statements divided by semicolons.
 type Script struct {
 	Statements []*Statement `parser:"( @@ ( ';' @@ )* ';'? )?"`
@@ -187,7 +194,7 @@
 // Parse reads statements.
 func Parse(text string) ([]*Statement, error) {
 	if len(text) > maxStatement {
-		return nil, &Error{Line: 1, Column: 1, Problem: fmt.Sprintf("%d bytes", len(text)), Remedy: fmt.Sprintf("keep it within %d bytes", maxStatement)}
+		return nil, at(start, fmt.Sprintf("%d bytes", len(text)), fmt.Sprintf("keep it within %d bytes", maxStatement))
 	}
 	script, err := parser.ParseString("", text)
 	if err != nil {
@@ -197,12 +204,11 @@
 }
 
 func parseError(err error) error {
-	var at participle.Error
-	if !errors.As(err, &at) {
-		return &Error{Line: 1, Column: 1, Problem: err.Error(), Remedy: "see docs/LANGUAGE.md"}
+	fault, ok := errors.AsType[participle.Error](err)
+	if !ok {
+		return at(start, err.Error(), "see docs/LANGUAGE.md")
 	}
-	p := at.Position()
-	return &Error{Line: p.Line, Column: p.Column, Problem: at.Message(), Remedy: "correct the text at this place; docs/LANGUAGE.md has the grammar"}
+	return at(fault.Position(), fault.Message(), "correct the text at this place; docs/LANGUAGE.md has the grammar")
 }
 
 // ParseAsk reads exactly one find or count statement.
@@ -212,10 +218,10 @@
 		return nil, err
 	}
 	if s.Ask == nil {
-		return nil, &Error{Line: s.Pos.Line, Column: s.Pos.Column, Problem: "not a question", Remedy: "use find or count; commands go to `loomctl plan`, place to `loomctl order`"}
+		return nil, at(s.Pos, "not a question", "use find or count; commands go to `loomctl plan`, place to `loomctl order`")
 	}
-	if err := s.Ask.check(s.Pos); err != nil {
-		return nil, err
+	if limit := s.Ask.Limit; limit != nil && (*limit < 1 || *limit > maxLimit) {
+		return nil, at(s.Pos, fmt.Sprintf("limit %d", *limit), fmt.Sprintf("use 1 to %d", maxLimit))
 	}
 	return s.Ask, nil
 }
@@ -227,7 +233,7 @@
 		return nil, err
 	}
 	if s.Place == nil {
-		return nil, &Error{Line: s.Pos.Line, Column: s.Pos.Column, Problem: "not a place statement", Remedy: "use place; questions go to `loomctl ask`"}
+		return nil, at(s.Pos, "not a place statement", "use place; questions go to `loomctl ask`")
 	}
 	return s.Place, nil
 }
@@ -238,18 +244,11 @@
 		return nil, err
 	}
 	if len(all) != 1 {
-		return nil, &Error{Line: 1, Column: 1, Problem: fmt.Sprintf("%d statements", len(all)), Remedy: "send exactly one"}
+		return nil, at(start, fmt.Sprintf("%d statements", len(all)), "send exactly one")
 	}
 	return all[0], nil
 }
 
-func (a *Ask) check(at lexer.Position) error {
-	if a.Limit != nil && (*a.Limit < 1 || *a.Limit > maxLimit) {
-		return &Error{Line: at.Line, Column: at.Column, Problem: fmt.Sprintf("limit %d", *a.Limit), Remedy: fmt.Sprintf("use 1 to %d", maxLimit)}
-	}
-	return nil
-}
-
 // maxRows is how many rows the answer has at most.
 func (a *Ask) maxRows() int {
 	switch {
--- a/tier/query/merge.go
+++ b/tier/query/merge.go
@@ -115,9 +115,7 @@
 
 func (m *Merger) cut() {
 	slices.SortFunc(m.rows, m.question.Compare)
-	if len(m.rows) > m.question.Limit {
-		m.rows = m.rows[:m.question.Limit]
-	}
+	m.rows = m.rows[:min(len(m.rows), m.question.Limit)]
 }
 
 // Compare orders rows by the question's field, ties by key.
