--- a/tier/peers/node.go
+++ b/tier/peers/node.go
@@ -23,6 +23,9 @@
 	// callBound is how long a heartbeat, a fetch or an exchange of strikes may take. Not
 	// measured.
 	callBound = 2 * time.Second
+	// acceptPause is the pause after a connection could not be accepted: shorter than
+	// silentBound, at which callers replace the connection. Not measured.
+	acceptPause = 100 * time.Millisecond
 	// codeHandlerFailed is the JSON-RPC error code of a handler's own error: the first
 	// of those that JSON-RPC 2.0 leaves to servers.
 	codeHandlerFailed = -32000
@@ -70,12 +73,20 @@
 	}
 }
 
+// accept takes connections of peers until the listener is closed. Any other failure, as
+// having no file descriptor left, passes: without going on, this host would accept no
+// peer until it is restarted.
 func (n *node) accept() {
 	for {
 		c, err := n.listener.Accept()
-		if err != nil {
+		if errors.Is(err, net.ErrClosed) {
 			return
 		}
+		if err != nil {
+			n.kernel.Log.Warn().Err(err).Msg("connection of a peer not accepted")
+			time.Sleep(acceptPause)
+			continue
+		}
 		conn := n.serveOn(&peerConn{Conn: c, now: n.kernel.Now})
 		n.mu.Lock()
 		n.serving[conn] = true
--- a/tier/peers/node_test.go
+++ b/tier/peers/node_test.go
@@ -1,14 +1,19 @@
 package peers
 
 import (
+	"bytes"
 	"context"
 	"encoding/json"
+	"net"
 	"net/netip"
 	"slices"
+	"strings"
+	"syscall"
 	"testing"
 	"time"
 
 	"github.com/rs/zerolog"
+	"github.com/sourcegraph/jsonrpc2"
 	"gotest.tools/v3/assert"
 
 	"loomgap/tier/kernel"
@@ -58,3 +63,54 @@
 	assert.DeepEqual(t, got, []string{"0", "1", "2"})
 	assert.Assert(t, kernel.Push(t.Context(), "Progress", 1) != nil, "a call without a connection has no way back")
 }
+
+// failingListener fails some times before it accepts, as a host does that is out of file
+// descriptors for a while.
+type failingListener struct {
+	net.Listener
+	failures int
+}
+
+// Accept implements net.Listener.
+func (l *failingListener) Accept() (net.Conn, error) {
+	if l.failures > 0 {
+		l.failures--
+		return nil, syscall.EMFILE
+	}
+	return l.Listener.Accept()
+}
+
+// TestAcceptGoesOnAfterAFailure has a host without file descriptors accept peers again
+// once it has some, say why it did not, and end when its listener is closed.
+func TestAcceptGoesOnAfterAFailure(t *testing.T) {
+	const failures = 3
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	assert.NilError(t, err)
+	var log bytes.Buffer
+	served, closeKernel := kernel.New(kernel.Config{
+		Log: zerolog.New(&log), Started: time.Now(), Fleet: policy.NewFleet(policy.FleetConfig{}),
+	})
+	t.Cleanup(closeKernel)
+	n := &node{
+		kernel: served, listener: &failingListener{Listener: l, failures: failures},
+		conns: map[netip.AddrPort]*outgoing{}, serving: map[*jsonrpc2.Conn]bool{},
+	}
+	t.Cleanup(n.close)
+	served.Handle("Work", func(context.Context, json.RawMessage) (any, error) { return 1, nil })
+	ended := make(chan struct{})
+	go func() {
+		n.accept()
+		close(ended)
+	}()
+	_, caller, _ := newTestNode(t)
+	var answer int
+	assert.NilError(t, caller.callWithin(callBound, netip.MustParseAddrPort(l.Addr().String()), "Work", &answer))
+	assert.Equal(t, answer, 1)
+	assert.NilError(t, l.Close())
+	select {
+	case <-ended:
+	case <-time.After(callBound):
+		t.Fatal("accept goes on though its listener is closed")
+	}
+	assert.Equal(t, strings.Count(log.String(), "too many open files"), failures, log.String())
+}
