--- a/tier/peers/announcement.go
+++ b/tier/peers/announcement.go
@@ -76,13 +76,12 @@
 
 // loop announces at regular times, until the context ends.
 func (a *announcer) loop(ctx context.Context) {
-	tick := time.NewTicker(announceEvery)
-	defer tick.Stop()
+	tick := time.Tick(announceEvery)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-tick:
 			a.kernel.Do(a.announce)
 		}
 	}
@@ -170,11 +169,6 @@
 	fetches *fetches
 }
 
-// serveAnnouncements serves the method.
-func serveAnnouncements(k *kernel.Kernel, f *fetches) {
-	k.Handle(methodAnnounce, (&announcementServer{kernel: k, fetches: f}).onAnnouncement)
-}
-
 // onAnnouncement serves an announcement.
 func (a *announcementServer) onAnnouncement(_ context.Context, params json.RawMessage) (any, error) {
 	var m announcement
--- a/tier/peers/members.go
+++ b/tier/peers/members.go
@@ -135,25 +135,20 @@
 // entries returns the entries for one heartbeat: this host, then live members, drawn
 // at random if they are too many, so that no member's entry stays out for long.
 func (t *memberTable) entries(now time.Duration) []memberEntry {
-	live := make([]*memberRecord, 0, len(t.records))
-	for _, r := range t.records {
-		if t.live(now, r) {
-			live = append(live, r)
+	out := []memberEntry{t.Self}
+	for _, m := range t.members(now) {
+		if m.Live {
+			out = append(out, m.Entry)
 		}
 	}
-	slices.SortFunc(live, func(a, b *memberRecord) int { return cmp.Compare(a.Host, b.Host) })
-	if len(live) > heartbeatEntries-1 {
-		for i := range heartbeatEntries - 1 {
-			j := i + t.Random.IntN(len(live)-i)
-			live[i], live[j] = live[j], live[i]
-		}
-		live = live[:heartbeatEntries-1]
+	if len(out) <= heartbeatEntries {
+		return out
 	}
-	out := []memberEntry{t.Self}
-	for _, r := range live {
-		out = append(out, r.memberEntry)
+	for i := 1; i < heartbeatEntries; i++ {
+		j := i + t.Random.IntN(len(out)-i)
+		out[i], out[j] = out[j], out[i]
 	}
-	return out
+	return out[:heartbeatEntries]
 }
 
 // knownMember is one member as the table knows it.
--- a/tier/peers/outgoing.go
+++ b/tier/peers/outgoing.go
@@ -31,22 +31,16 @@
 
 // call makes a call and waits for its answer.
 func (o *outgoing) call(ctx context.Context, method string, params, result any) error {
-	o.enter()
-	defer o.leave()
+	o.addCalls(1)
+	defer o.addCalls(-1)
 	o.raw.callSent()
 	return o.rpc.Call(ctx, method, params, result)
 }
 
-func (o *outgoing) enter() {
+func (o *outgoing) addCalls(n int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.calls++
-}
-
-func (o *outgoing) leave() {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.calls--
+	o.calls += n
 	o.closeIfDone()
 }
 
--- a/tier/peers/plugin.go
+++ b/tier/peers/plugin.go
@@ -41,7 +41,7 @@
 	k.Peers = n
 	g := newGossip(k, n, rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 0)))
 	g.fetches = serveFetches(k, n, g.sendAll)
-	serveAnnouncements(k, g.fetches)
+	k.Handle(methodAnnounce, (&announcementServer{kernel: k, fetches: g.fetches}).onAnnouncement)
 	k.Handle(methodHeartbeat, g.onHeartbeat)
 	stopStrikes := ServeStrikes(k)
 	stopHeartbeats := start(ctx, g.loop)
--- a/tier/peers/strikes.go
+++ b/tier/peers/strikes.go
@@ -5,7 +5,9 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"maps"
 	"math/rand/v2"
+	"slices"
 	"time"
 
 	"github.com/VictoriaMetrics/metrics"
@@ -117,8 +119,7 @@
 }
 
 func (s *strikeReporter) loop(ctx context.Context) {
-	tick := time.NewTicker(exchangeEvery)
-	defer tick.Stop()
+	tick := time.Tick(exchangeEvery)
 	started := false
 	for rounds := 0; ; {
 		select {
@@ -129,7 +130,7 @@
 		case <-s.pending:
 			s.reportNew(ctx)
 			s.waitGap(ctx)
-		case <-tick.C:
+		case <-tick:
 			rounds++
 			switch {
 			case !started:
@@ -143,13 +144,11 @@
 
 // waitGap waits the least time between two reports, but for an urgent one.
 func (s *strikeReporter) waitGap(ctx context.Context) {
-	timer := time.NewTimer(strikesGap)
-	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-s.urgent:
 		s.reportNew(ctx)
-	case <-timer.C:
+	case <-time.After(strikesGap):
 	}
 }
 
@@ -204,10 +203,7 @@
 // one, drawn at random among the live ones.
 func (s *strikeReporter) partners(elsewhere bool, n int) []string {
 	near, far := s.others()
-	var all []string
-	for _, hosts := range far {
-		all = append(all, hosts...)
-	}
+	all := slices.Concat(slices.Collect(maps.Values(far))...)
 	if !elsewhere && len(near) > 0 || len(all) == 0 {
 		all = near
 	}
@@ -283,7 +279,6 @@
 	if err := m.check(); err != nil {
 		return err
 	}
-	k := s.kernel
-	k.Fleet.TakeReports(k.Now(), m.Reports)
+	s.kernel.Fleet.TakeReports(s.kernel.Now(), m.Reports)
 	return nil
 }
