--- a/tier/wire/wire.go
+++ b/tier/wire/wire.go
@@ -7,6 +7,7 @@
 
 import (
 	"bytes"
+	"cmp"
 	"compress/gzip"
 	"errors"
 	"fmt"
@@ -150,10 +151,8 @@
 func Pack(revision uint64, text []byte) (PackedDocument, error) {
 	var out bytes.Buffer
 	z := gzip.NewWriter(&out)
-	if _, err := z.Write(text); err != nil {
-		return PackedDocument{}, fmt.Errorf("pack document: %w", err)
-	}
-	if err := z.Close(); err != nil {
+	_, err := z.Write(text)
+	if err = cmp.Or(err, z.Close()); err != nil {
 		return PackedDocument{}, fmt.Errorf("pack document: %w", err)
 	}
 	return PackedDocument{Revision: revision, Packed: out.Bytes()}, nil
