--- a/tier/peers/codec.go
+++ b/tier/peers/codec.go
@@ -41,7 +41,6 @@
 // inflaters are kept, since making one costs more than a message.
 var inflaters = sync.Pool{New: func() any { return flate.NewReaderDict(bytes.NewReader(nil), dictionary) }}
 
-// WriteObject implements jsonrpc2.ObjectCodec.
 func (frameCodec) WriteObject(stream io.Writer, v any) error {
 	text, err := encode(v)
 	if err != nil {
@@ -60,7 +59,6 @@
 	return err
 }
 
-// ReadObject implements jsonrpc2.ObjectCodec.
 func (frameCodec) ReadObject(stream *bufio.Reader, v any) error {
 	var head [lengthBytes]byte
 	if _, err := io.ReadFull(stream, head[:]); err != nil {
--- a/tier/peers/conn.go
+++ b/tier/peers/conn.go
@@ -32,7 +32,6 @@
 	awaitingSince time.Duration
 }
 
-// Read implements net.Conn.
 func (c *peerConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	bytesIn.Add(n)
@@ -44,7 +43,6 @@
 	return n, err
 }
 
-// Write implements net.Conn.
 func (c *peerConn) Write(b []byte) (int, error) {
 	if err := c.SetWriteDeadline(time.Now().Add(writeBound)); err != nil {
 		return 0, err
--- a/tier/peers/feed.go
+++ b/tier/peers/feed.go
@@ -27,16 +27,12 @@
 
 func init() { kernel.Register(feedPlugin{}) }
 
-// Name implements kernel.Plugin.
 func (feedPlugin) Name() string { return "Feed" }
 
-// Default implements kernel.Plugin.
 func (feedPlugin) Default(s *kernel.Settings) { watchPlugin{}.Default(s) }
 
-// Skip implements kernel.Plugin.
 func (feedPlugin) Skip(s *kernel.Settings) bool { return s.Adapter == "" || !s.Platform.IsValid() }
 
-// Run implements kernel.Plugin.
 func (feedPlugin) Run(ctx context.Context, k *kernel.Kernel) (func(), error) {
 	a, err := kernel.AdapterNamed(k.Settings.Adapter)
 	if err != nil {
--- a/tier/peers/node.go
+++ b/tier/peers/node.go
@@ -123,7 +123,6 @@
 	return out, nil
 }
 
-// Call implements kernel.PeerCaller.
 func (n *node) Call(ctx context.Context, host, method string, params, result any) error {
 	at, err := n.addressOf(host)
 	if err != nil {
@@ -132,7 +131,6 @@
 	return n.callAddress(ctx, at, method, params, result)
 }
 
-// Notify implements kernel.PeerCaller.
 func (n *node) Notify(ctx context.Context, host, method string, params any) error {
 	at, err := n.addressOf(host)
 	if err != nil {
@@ -148,7 +146,6 @@
 	return nil
 }
 
-// Connect implements kernel.PeerCaller.
 func (n *node) Connect(ctx context.Context, host string) error {
 	at, err := n.addressOf(host)
 	if err != nil {
@@ -185,5 +182,4 @@
 
 var _ jsonrpc2.Logger = quiet{}
 
-// Printf implements jsonrpc2.Logger.
 func (quiet) Printf(string, ...any) {}
--- a/tier/peers/plugin.go
+++ b/tier/peers/plugin.go
@@ -19,20 +19,16 @@
 
 func init() { kernel.Register(plugin{}) }
 
-// Name implements kernel.Plugin.
 func (plugin) Name() string { return "Peers" }
 
-// Default implements kernel.Plugin.
 func (plugin) Default(s *kernel.Settings) {
 	if s.Beat == 0 {
 		s.Beat = defaultHeartbeat
 	}
 }
 
-// Skip implements kernel.Plugin.
 func (plugin) Skip(*kernel.Settings) bool { return false }
 
-// Run implements kernel.Plugin.
 func (plugin) Run(ctx context.Context, k *kernel.Kernel) (func(), error) {
 	n, closeNode, err := newNode(k)
 	if err != nil {
--- a/tier/peers/watch.go
+++ b/tier/peers/watch.go
@@ -46,20 +46,16 @@
 
 func init() { kernel.Register(watchPlugin{}) }
 
-// Name implements kernel.Plugin.
 func (watchPlugin) Name() string { return "Platform" }
 
-// Default implements kernel.Plugin.
 func (watchPlugin) Default(s *kernel.Settings) {
 	if s.WatchWait == 0 {
 		s.WatchWait = defaultWatchWait
 	}
 }
 
-// Skip implements kernel.Plugin.
 func (watchPlugin) Skip(s *kernel.Settings) bool { return !s.Platform.IsValid() || s.Adapter != "" }
 
-// Run implements kernel.Plugin.
 func (watchPlugin) Run(ctx context.Context, k *kernel.Kernel) (func(), error) {
 	transport := &http.Transport{DisableCompression: true}
 	w := &watcher{kernel: k, client: &http.Client{Transport: transport}, listed: map[string]wire.LiveState{}}
