--- a/tier/policy/status.go
+++ b/tier/policy/status.go
@@ -2,6 +2,9 @@
 
 import "time"
 
+// never is a time before all others, for what has not happened yet.
+const never = time.Duration(-1 << 62)
+
 // Window is the span of index snapshots that an upstream holds.
 type Window struct {
 	// Oldest and Newest are the first and the last snapshot.
@@ -15,18 +18,18 @@
 	return w.Known && w.Oldest <= snapshot && snapshot <= w.Newest
 }
 
-// status is what an upstream last said of itself, with an answer or when its status
-// was read.
+// status is what an upstream last reported about itself, with an answer or when its
+// status was read.
 type status struct {
 	window Window
-	// heardAt is when it last said something; never before that.
+	// heardAt is when it last reported anything; never before that.
 	heardAt time.Duration
 	// readAt is when its status was last read; never before that.
 	readAt time.Duration
 }
 
-// take takes in what the upstream said. A window older than the one known came late.
-func (s *status) take(now time.Duration, w Window) {
+// update records what the upstream reported. A window older than the one known came late.
+func (s *status) update(now time.Duration, w Window) {
 	s.heardAt = now
 	if w.Known && (!s.window.Known || w.Newest >= s.window.Newest) {
 		s.window = w
--- a/tier/policy/upstream.go
+++ b/tier/policy/upstream.go
@@ -2,12 +2,10 @@
 
 import "time"
 
-// never is a time before all others.
-const never = time.Duration(-1 << 62)
-
-// Upstream is what this host knows of one back end: what its own calls have shown,
-// what the upstream says of itself, and what other hosts report of it. Each matter is
-// a type of its own. Its fields belong to the fleet and are used with the fleet locked.
+// Upstream is what this host knows about one upstream: what its own calls have shown,
+// what the upstream reports about itself, and what other hosts report about it. Each
+// matter is a type of its own. The fields belong to the fleet and are used with the
+// fleet locked.
 type Upstream struct {
 	// Name is the name in the document or in the directory.
 	Name string
@@ -42,8 +40,8 @@
 	status    status
 }
 
-// free reports whether a call may start.
-func (u *Upstream) free() bool {
+// hasSlot reports whether a call may start.
+func (u *Upstream) hasSlot() bool {
 	limit := u.slots.allowed()
 	if u.starting() {
 		limit = min(limit, 1)
@@ -55,11 +53,11 @@
 // time until it has answered some.
 func (u *Upstream) starting() bool { return u.kind.slowStart && u.latency.samples < warmSamples }
 
-// stalled reports whether calls have waited without any answer for much longer
-// than they take.
+// stalled reports whether the upstream is considered unresponsive now.
 func (u *Upstream) stalled(now time.Duration) bool { return u.stall.active(now, u.latency.smoothed) }
 
-// linger reports whether a call may linger, and notes it; one does at a time.
+// linger reports whether a call whose answer is not wanted may go on, and notes that it
+// does; one does at a time, and none where calls queue.
 func (u *Upstream) linger() bool {
 	if !u.kind.lingers || u.stall.lingering || u.load.perSlot > 0 {
 		return false
@@ -69,13 +67,19 @@
 }
 
 // eligible reports whether the upstream is as good as any for a call now. One that is
-// not is called only if its shard has no eligible one.
+// not is called only if its shard has no eligible one, and if it is leaving not at all.
+// An unresponsive upstream is eligible, with a worse score.
 func (u *Upstream) eligible(now time.Duration) bool {
-	return !u.leaving && !u.outlier.marked && !u.ejection.active(now) && !u.backoff.active(now) && !u.cold.bounded(now)
+	switch {
+	case u.leaving, u.outlier.marked, u.ejection.active(now), u.backoff.active(now), u.cold.throttled(now):
+		return false
+	default:
+		return true
+	}
 }
 
-// wait is how long a new call is expected to wait for a slot.
-func (u *Upstream) wait(p *Pool) time.Duration {
+// expectedWait is how long a new call is expected to wait for a slot.
+func (u *Upstream) expectedWait(p *Pool) time.Duration {
 	s := &u.slots
 	if s.share == 0 || s.excess() == 0 {
 		return 0
