--- a/tier/config/evacuation.go
+++ b/tier/config/evacuation.go
@@ -71,20 +71,6 @@
 	return sum
 }
 
-// sinceOlder adds to a change what an older state does not have, in order of hall.
-func (e evacuations) sinceOlder(old evacuations, out *DirectoryChange) {
-	for _, hall := range slices.Sorted(maps.Keys(e.since)) {
-		if r := e.since[hall]; old.since[hall] != r {
-			out.Evacuated = append(out.Evacuated, Evacuation{Hall: hall, Revision: r})
-		}
-	}
-	for _, hall := range slices.Sorted(maps.Keys(e.ended)) {
-		if r := e.ended[hall]; old.ended[hall] != r {
-			out.Resumed = append(out.Resumed, Removal{Name: hall, Revision: r})
-		}
-	}
-}
-
 // Evacuated reports whether the upstreams of a hall are to get nothing.
 func (d *Directory) Evacuated(hall string) bool {
 	_, evacuated := d.orEmpty().evacuations.since[hall]
