--- a/tier/peers/members.go
+++ b/tier/peers/members.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"maps"
 	"net/netip"
 	"slices"
 	"time"
@@ -81,11 +82,7 @@
 func (t *memberTable) tick(now time.Duration, revision uint64) {
 	t.Self.Counter++
 	t.Self.Revision = revision
-	for h, r := range t.records {
-		if now-r.risenAt > forgetHeartbeats*t.Interval {
-			delete(t.records, h)
-		}
-	}
+	maps.DeleteFunc(t.records, func(_ string, r *memberRecord) bool { return now-r.risenAt > forgetHeartbeats*t.Interval })
 }
 
 // leave marks this host as leaving.
@@ -94,29 +91,21 @@
 	t.Self.Counter++
 }
 
-// merge takes in what another host reported.
+// merge takes in what another host reported. A process that is leaving stays so.
 func (t *memberTable) merge(now time.Duration, entries []memberEntry) {
-	for i := range entries {
-		if entries[i].Host != t.Self.Host {
-			t.mergeEntry(now, entries[i])
+	for _, e := range entries {
+		r := t.records[e.Host]
+		switch {
+		case e.Host == t.Self.Host:
+		case r == nil:
+			t.records[e.Host] = &memberRecord{memberEntry: e, risenAt: now}
+		case e.newerThan(&r.memberEntry):
+			e.Leaving = e.Leaving || r.Leaving && e.Incarnation == r.Incarnation
+			r.memberEntry, r.risenAt = e, now
 		}
 	}
 }
 
-func (t *memberTable) mergeEntry(now time.Duration, e memberEntry) {
-	r := t.records[e.Host]
-	if r == nil {
-		t.records[e.Host] = &memberRecord{memberEntry: e, risenAt: now}
-		return
-	}
-	if !e.newerThan(&r.memberEntry) {
-		return
-	}
-	e.Leaving = e.Leaving || r.Leaving && e.Incarnation == r.Incarnation
-	r.memberEntry = e
-	r.risenAt = now
-}
-
 // live decides whether a member counts as live: its newest entry came no longer ago
 // than silentHeartbeats intervals, in a large fleet more.
 func (t *memberTable) live(now time.Duration, r *memberRecord) bool {
