--- a/tier/config/directory.go
+++ b/tier/config/directory.go
@@ -222,9 +222,9 @@
 	e.next.listed[l.Name] = l
 	delete(e.next.removed, l.Name)
 	if known {
-		e.note(&old, -1)
+		e.note(old.Group, -old.hash())
 	}
-	e.note(&l, 1)
+	e.note(l.Group, l.hash())
 	rewarmed := old.warmupSteps() != l.warmupSteps()
 	old.Revision, old.Warmup = l.Revision, l.Warmup
 	e.changed = e.changed || rewarmed || old != l
@@ -243,18 +243,14 @@
 		return
 	}
 	delete(e.next.listed, r.Name)
-	e.note(&old, -1)
+	e.note(old.Group, -old.hash())
 	e.changed = true
 }
 
-// note adds a listing to the digest, or takes it away, and marks its group.
-func (e *editor) note(l *Listing, sign int) {
-	e.touched[l.Group] = true
-	if sign > 0 {
-		e.next.digest += l.hash()
-	} else {
-		e.next.digest -= l.hash()
-	}
+// note adds the hash of a listing to the digest, or takes it away, and marks the group.
+func (e *editor) note(group string, hash uint64) {
+	e.touched[group] = true
+	e.next.digest += hash
 }
 
 // finish brings the groups up to date that were touched.
--- a/tier/peers/conn.go
+++ b/tier/peers/conn.go
@@ -2,7 +2,7 @@
 
 import (
 	"net"
-	"sync"
+	"sync/atomic"
 	"time"
 
 	"github.com/VictoriaMetrics/metrics"
@@ -25,20 +25,16 @@
 	net.Conn
 	now func() time.Duration
 
-	mu sync.Mutex
-	// awaiting is true if a call was sent since bytes last came; awaitingSince is when
-	// the first of these calls was sent. Both are used with mu locked.
-	awaiting      bool
-	awaitingSince time.Duration
+	// awaitingSince is when the first call was sent since bytes last came, in nanoseconds
+	// of now; 0 if none was.
+	awaitingSince atomic.Int64
 }
 
 func (c *peerConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	bytesIn.Add(n)
 	if n > 0 {
-		c.mu.Lock()
-		c.awaiting = false
-		c.mu.Unlock()
+		c.awaitingSince.Store(0)
 	}
 	return n, err
 }
@@ -54,20 +50,15 @@
 
 // callSent notes that a call is sent, which the peer answers.
 func (c *peerConn) callSent() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !c.awaiting {
-		c.awaiting, c.awaitingSince = true, c.now()
-	}
+	c.awaitingSince.CompareAndSwap(0, max(int64(c.now()), 1)) // 0 is none
 }
 
 // silentFor returns for how long nothing has come since the first unanswered
 // call; 0 if no call is unanswered.
 func (c *peerConn) silentFor() time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !c.awaiting {
+	since := c.awaitingSince.Load()
+	if since == 0 {
 		return 0
 	}
-	return c.now() - c.awaitingSince
+	return c.now() - time.Duration(since)
 }
