--- a/tier/entry/serve.go
+++ b/tier/entry/serve.go
@@ -36,10 +36,8 @@
 
 func init() { kernel.Register(plugin{}) }
 
-// Name implements kernel.Plugin.
 func (plugin) Name() string { return "Entry" }
 
-// Default implements kernel.Plugin.
 func (plugin) Default(s *kernel.Settings) {
 	if s.TicketLife == 0 {
 		s.TicketLife = time.Minute
@@ -52,35 +50,28 @@
 	}
 }
 
-// Skip implements kernel.Plugin.
 func (plugin) Skip(s *kernel.Settings) bool { return s.Adapter != "" }
 
-// Run implements kernel.Plugin.
 func (plugin) Run(ctx context.Context, k *kernel.Kernel) (func(), error) {
 	engine, closeEngine := newEngine(k)
-	ctx, cancel := context.WithCancel(ctx)
 	r := &statusReader{kernel: k, engine: engine}
-	statusDone := make(chan struct{})
-	go func() {
-		defer close(statusDone)
-		r.loop(ctx)
-	}()
+	stopStatus := kernel.RunLoops(ctx, r.loop)
 	mux := goahttp.NewMuxer()
 	endpoints := entrygen.NewEndpoints(&service{engine: engine})
 	server.New(endpoints, mux, goahttp.RequestDecoder, goahttp.ResponseEncoder, nil, fault).Mount(mux)
 	stop, err := listen(k.Settings.Listen, "-Listen", closing(k, traced(limited(mux))))
 	if err != nil {
-		cancel()
-		<-statusDone
+		stopStatus()
 		closeEngine()
 		return nil, err
 	}
 	return func() {
 		stop(k.Settings.StopBound)
-		engine.drain(k.Settings.StopBound)
+		ctx, cancel := context.WithTimeout(context.Background(), k.Settings.StopBound)
+		defer cancel()
+		k.AwaitIdle(ctx)
 		engine.handOver()
-		cancel()
-		<-statusDone
+		stopStatus()
 		closeEngine()
 	}, nil
 }
@@ -132,10 +123,3 @@
 		next.ServeHTTP(w, r)
 	})
 }
-
-// drain waits until nothing is in flight, or for a bound.
-func (e *engine) drain(bound time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
-	defer cancel()
-	e.kernel.AwaitIdle(ctx)
-}
--- a/tier/pass/coordinate_server.go
+++ b/tier/pass/coordinate_server.go
@@ -32,13 +32,11 @@
 
 // await waits until the request may begin, and reports whether it may.
 func (r *servedRequest) await(ctx context.Context) bool {
-	timer := time.NewTimer(beginBound)
-	defer timer.Stop()
+	ctx, cancel := context.WithTimeout(ctx, beginBound)
+	defer cancel()
 	select {
 	case <-r.begin:
 		return true
-	case <-timer.C:
-		return false
 	case <-ctx.Done():
 		return false
 	}
@@ -47,10 +45,10 @@
 // handleCoordinate registers the methods of both ends of the exchange.
 func (e *engine) handleCoordinate() {
 	const name = "name of a forwarded request"
-	handle(e, methodCoordinate, "forwarded request", e.onCoordinate)
-	handle(e, methodCoordinateSign, name, e.onCoordinateSign)
-	handle(e, methodCoordinateBegin, name, e.onCoordinateBegin)
-	handle(e, methodCoordinateStop, name, e.onCoordinateStop)
+	kernel.HandleMessage(e.kernel, methodCoordinate, "forwarded request", e.onCoordinate)
+	kernel.HandleMessage(e.kernel, methodCoordinateSign, name, e.onCoordinateSign)
+	kernel.HandleMessage(e.kernel, methodCoordinateBegin, name, e.onCoordinateBegin)
+	kernel.HandleMessage(e.kernel, methodCoordinateStop, name, e.onCoordinateStop)
 }
 
 // onCoordinate carries a request out for another host.
@@ -147,13 +145,10 @@
 
 var _ http.ResponseWriter = (*recorder)(nil)
 
-// Header implements http.ResponseWriter.
 func (r *recorder) Header() http.Header { return r.header }
 
-// Write implements http.ResponseWriter.
 func (r *recorder) Write(b []byte) (int, error) { return r.body.Write(b) }
 
-// WriteHeader implements http.ResponseWriter.
 func (r *recorder) WriteHeader(status int) { r.status = status }
 
 // reply describes the answer for the host that sent the request.
--- a/tier/peers/plugin.go
+++ b/tier/peers/plugin.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"math/rand/v2"
-	"sync"
 	"time"
 
 	"loomgap/tier/kernel"
@@ -38,10 +37,11 @@
 	k.Peers = n
 	g := newGossip(k, n, rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 0)))
 	g.fetches = serveFetches(k, n, g.sendAll)
-	k.Handle(methodAnnounce, (&announcementServer{kernel: k, fetches: g.fetches}).onAnnouncement)
-	k.Handle(methodHeartbeat, g.onHeartbeat)
+	server := &announcementServer{kernel: k, fetches: g.fetches}
+	kernel.HandleMessage(k, methodAnnounce, "announcement", server.onAnnouncement)
+	kernel.HandleMessage(k, methodHeartbeat, "heartbeat", g.onHeartbeat)
 	stopStrikes := ServeStrikes(k)
-	stopHeartbeats := start(ctx, g.loop)
+	stopHeartbeats := kernel.RunLoops(ctx, g.loop)
 	return func() {
 		stopStrikes()
 		stopHeartbeats()
@@ -49,20 +49,6 @@
 	}, nil
 }
 
-// start runs loops, each in a goroutine of its own. The clean-up function ends their
-// context and waits until they have returned.
-func start(ctx context.Context, loops ...func(context.Context)) func() {
-	ctx, cancel := context.WithCancel(ctx)
-	var running sync.WaitGroup
-	for _, loop := range loops {
-		running.Go(func() { loop(ctx) })
-	}
-	return func() {
-		cancel()
-		running.Wait()
-	}
-}
-
 // sleep waits for a time, or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
