--- a/tier/config/decode.go
+++ b/tier/config/decode.go
@@ -110,5 +110,5 @@
 	return 1 + bytes.Count(text[:offset], []byte{'\n'})
 }
 
-// Digest names the exact bytes of a document.
-func Digest(text []byte) string { return fmt.Sprintf("%016x", xxhash.Sum64(text)) }
+// digest names the exact bytes of a document.
+func digest(text []byte) string { return fmt.Sprintf("%016x", xxhash.Sum64(text)) }
--- a/tier/config/golden_test.go
+++ b/tier/config/golden_test.go
@@ -143,7 +143,7 @@
 		_, err := Decode([]byte(text))
 		fmt.Fprintln(&out, err)
 	}
-	fmt.Fprintln(&out, Digest(nil), Digest([]byte("text")))
+	fmt.Fprintln(&out, digest(nil), digest([]byte("text")))
 	golden.Assert(t, out.String(), "syntax.golden")
 }
 
--- a/tier/config/index.go
+++ b/tier/config/index.go
@@ -42,7 +42,7 @@
 
 func newIndex(d *Document, text []byte, revision uint64) *Index {
 	return &Index{
-		Revision: revision, Digest: Digest(text), Text: text, Document: d,
+		Revision: revision, Digest: digest(text), Text: text, Document: d,
 		classes:   index(d.Classes),
 		upstreams: index(d.Upstreams),
 		services:  index(d.Services),
