--- a/tier/peers/node.go
+++ b/tier/peers/node.go
@@ -4,6 +4,8 @@
 	"context"
 	"errors"
 	"fmt"
+	"io"
+	"log"
 	"net"
 	"net/netip"
 	"sync"
@@ -104,7 +106,9 @@
 func (n *node) serveOn(c *peerConn) *jsonrpc2.Conn {
 	stream := jsonrpc2.NewBufferedStream(c, frameCodec{})
 	handler := jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(n.serve))
-	return jsonrpc2.NewConn(context.Background(), stream, handler, jsonrpc2.SetLogger(quiet{}))
+	// The library's own log lines are dropped: errors come back from calls.
+	quiet := jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
+	return jsonrpc2.NewConn(context.Background(), stream, handler, quiet)
 }
 
 // serve carries out a call of another host.
@@ -176,10 +180,3 @@
 	}
 	return nil
 }
-
-// quiet drops the library's own log lines; errors come back from calls.
-type quiet struct{}
-
-var _ jsonrpc2.Logger = quiet{}
-
-func (quiet) Printf(string, ...any) {}
