--- a/tier/config/check.go
+++ b/tier/config/check.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"regexp"
 	"slices"
+	"strings"
 	"time"
 )
 
@@ -24,74 +25,79 @@
 	maxHedgeBudget = 0.2
 	// maxSlots bounds the calls that an upstream works on at once.
 	maxSlots = 4096
+	// maxColdRate bounds a group's ColdRate, in requests per second; no single upstream
+	// takes as many.
+	maxColdRate = 1e6
 )
 
 // Check reports whether a document published at a revision is valid. It depends
-// on nothing but its arguments.
+// on nothing but its arguments. Its error is the first fault.
 func Check(d *Document, revision uint64) error {
-	c := checker{doc: d, upstreams: map[string]bool{}}
-	steps := []func() error{
-		func() error { return c.based(revision) },
-		c.classes, c.hosts, c.upstreamList, c.services, c.routes,
+	c := checker{
+		upstreams: map[string]bool{}, addresses: map[string]string{}, groups: map[string]bool{}, prefixes: map[string]string{},
 	}
-	for _, step := range steps {
-		if err := step(); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
-// fieldPath is the path of a field of an element of a list.
-func fieldPath(list string, i int, field string) string {
-	return fmt.Sprintf("%s/%d/%s", list, i, field)
+	return cmp.Or(
+		checkBased(d, revision),
+		names("/Classes", d.Classes),
+		each("/Classes", d.Classes, checkClass),
+		names("/Hosts", d.Hosts),
+		each("/Hosts", d.Hosts, checkHost),
+		names("/Upstreams", d.Upstreams),
+		each("/Upstreams", d.Upstreams, c.upstream),
+		names("/Services", d.Services),
+		each("/Services", d.Services, c.service),
+		names("/Groups", d.Groups),
+		names("/Routes", d.Routes),
+		each("/Groups", d.Groups, c.group),
+		each("/Routes", d.Routes, c.route),
+	)
 }
 
+// checker holds what was found in lists that were checked before.
 type checker struct {
-	doc       *Document
-	upstreams map[string]bool
+	upstreams, groups map[string]bool
+	// addresses and prefixes hold the name of the upstream at each address, and of the
+	// route of each host name and prefix.
+	addresses, prefixes map[string]string
 }
 
 func fault(kind Kind, field, problem, remedy string) error {
 	return &Error{Kind: kind, Field: field, Problem: problem, Remedy: remedy}
 }
 
-func (c *checker) based(revision uint64) error {
-	if c.doc.Based+1 == revision {
+func checkBased(d *Document, revision uint64) error {
+	if d.Based+1 == revision {
 		return nil
 	}
 	return fault(KindStale, "/Based",
-		fmt.Sprintf("composed from revision %d but published at %d", c.doc.Based, revision),
+		fmt.Sprintf("composed from revision %d but published at %d", d.Based, revision),
 		"run `loomctl plan` again on the document in force, and publish its result")
 }
 
-// names checks the form of names and that none stands twice.
-func names(field string, count int, name func(int) string) error {
-	seen := map[string]bool{}
-	for i := range count {
-		n, at := name(i), fmt.Sprintf("%s/%d/Name", field, i)
-		if !ValidName(n) {
-			return fault(KindValue, at, fmt.Sprintf("bad name %q", n), "start with a letter; use letters, digits, '_', '.', '-'; 63 at most")
-		}
-		if seen[n] {
-			return fault(KindDuplicate, at, fmt.Sprintf("name %q stands twice", n), "give each its own name")
+// each checks the elements of a list; the path of the list is at.
+func each[T any](at string, list []T, check func(v *T, at string) error) error {
+	for i := range list {
+		if err := check(&list[i], fmt.Sprintf("%s/%d", at, i)); err != nil {
+			return err
 		}
-		seen[n] = true
 	}
 	return nil
 }
 
-func (c *checker) classes() error {
-	d := c.doc
-	if err := names("/Classes", len(d.Classes), func(i int) string { return d.Classes[i].Name }); err != nil {
-		return err
-	}
-	for i := range d.Classes {
-		if err := checkClass(&d.Classes[i], fmt.Sprintf("/Classes/%d", i)); err != nil {
-			return err
+// names checks the form of the names in a list and that none stands twice.
+func names[T Element](at string, list []T) error {
+	seen := map[string]bool{}
+	return each(at, list, func(v *T, at string) error {
+		n := (*v).name()
+		if !ValidName(n) {
+			return fault(KindValue, at+"/Name", fmt.Sprintf("bad name %q", n), "start with a letter; use letters, digits, '_', '.', '-'; 63 at most")
 		}
-	}
-	return nil
+		if seen[n] {
+			return fault(KindDuplicate, at+"/Name", fmt.Sprintf("name %q stands twice", n), "give each its own name")
+		}
+		seen[n] = true
+		return nil
+	})
 }
 
 func checkClass(c *Class, at string) error {
@@ -134,60 +140,28 @@
 	Admissions = []string{"None", "Deadline", "Worth"}
 )
 
-func (c *checker) hosts() error {
-	d := c.doc
-	if err := names("/Hosts", len(d.Hosts), func(i int) string { return d.Hosts[i].Name }); err != nil {
-		return err
-	}
-	for i, h := range d.Hosts {
-		at := fmt.Sprintf("/Hosts/%d", i)
-		if !ValidName(h.Hall) {
-			return fault(KindValue, at+"/Hall", fmt.Sprintf("bad hall %q", h.Hall), "name the data hall of the host")
-		}
-		if !h.Peer.IsValid() || h.Peer.Port() == 0 {
-			return fault(KindValue, at+"/Peer", "no address", "write an IP number and a port")
-		}
-	}
-	return nil
-}
-
-func (c *checker) upstreamList() error {
-	d := c.doc
-	if err := names("/Upstreams", len(d.Upstreams), func(i int) string { return d.Upstreams[i].Name }); err != nil {
-		return err
-	}
-	addresses := map[string]string{}
-	for i, u := range d.Upstreams {
-		at := fmt.Sprintf("/Upstreams/%d", i)
-		switch {
-		case !ValidName(u.Hall):
-			return fault(KindValue, at+"/Hall", fmt.Sprintf("bad hall %q", u.Hall), "name the data hall of the upstream")
-		case !u.Address.IsValid() || u.Address.Port() == 0:
-			return fault(KindValue, at+"/Address", "no address", "write an IP number and a port")
-		case u.Slots < 1 || u.Slots > maxSlots:
-			return fault(KindValue, at+"/Slots", "out of range", "use 1 to 4096")
-		case u.Connections < u.Slots:
-			return fault(KindValue, at+"/Connections", "fewer connections than slots", "use Slots or more")
-		}
-		if other, ok := addresses[u.Address.String()]; ok {
-			return fault(KindDuplicate, at+"/Address", "address of "+other, "give each upstream its own address")
-		}
-		addresses[u.Address.String()] = u.Name
-		c.upstreams[u.Name] = true
-	}
-	return nil
+func checkHost(h *Host, at string) error {
+	return firstBroken(at, []rule{
+		{ValidName(h.Hall), "Hall", fmt.Sprintf("bad hall %q", h.Hall), "name the data hall of the host"},
+		{h.Peer.IsValid() && h.Peer.Port() != 0, "Peer", "no address", "write an IP number and a port"},
+	})
 }
 
-func (c *checker) services() error {
-	d := c.doc
-	if err := names("/Services", len(d.Services), func(i int) string { return d.Services[i].Name }); err != nil {
+func (c *checker) upstream(u *Upstream, at string) error {
+	err := firstBroken(at, []rule{
+		{ValidName(u.Hall), "Hall", fmt.Sprintf("bad hall %q", u.Hall), "name the data hall of the upstream"},
+		{u.Address.IsValid() && u.Address.Port() != 0, "Address", "no address", "write an IP number and a port"},
+		{u.Slots >= 1 && u.Slots <= maxSlots, "Slots", "out of range", "use 1 to 4096"},
+		{u.Connections >= u.Slots, "Connections", "fewer connections than slots", "use Slots or more"},
+	})
+	if err != nil {
 		return err
 	}
-	for i := range d.Services {
-		if err := c.service(&d.Services[i], fmt.Sprintf("/Services/%d", i)); err != nil {
-			return err
-		}
+	if other, ok := c.addresses[u.Address.String()]; ok {
+		return fault(KindDuplicate, at+"/Address", "address of "+other, "give each upstream its own address")
 	}
+	c.addresses[u.Address.String()] = u.Name
+	c.upstreams[u.Name] = true
 	return nil
 }
 
@@ -195,7 +169,7 @@
 	if s.KeySpace == 0 {
 		return fault(KindValue, at+"/KeySpace", "no keys", "use 1 or more")
 	}
-	if err := names(at+"/Shards", len(s.Shards), func(i int) string { return s.Shards[i].Name }); err != nil {
+	if err := names(at+"/Shards", s.Shards); err != nil {
 		return err
 	}
 	if !slices.IsSortedFunc(s.Shards, func(a, b Shard) int { return cmp.Compare(a.From, b.From) }) {
@@ -237,3 +211,81 @@
 	}
 	return nil
 }
+
+func (c *checker) group(g *Group, at string) error {
+	c.groups[g.Name] = true
+	return firstBroken(at, []rule{
+		{g.Connections >= 1, "Connections", "out of range", "use 1 or more"},
+		{g.Warmup >= 0 && g.Warmup <= maxDuration, "Warmup", "out of range", "use 0 to 10m"},
+		{g.ColdRate >= 0 && g.ColdRate <= maxColdRate, "ColdRate", "out of range", "use 0 for no bound, or up to 1000000 requests a second"},
+	})
+}
+
+func (c *checker) route(r *Route, at string) error {
+	targets := 0
+	for _, given := range []bool{r.Group != "", len(r.Split) > 0, r.Gather != nil} {
+		if given {
+			targets++
+		}
+	}
+	err := firstBroken(at, []rule{
+		{r.HostName != "", "HostName", "missing", "give the host name of the requests"},
+		{strings.HasPrefix(r.Prefix, "/") && strings.HasSuffix(r.Prefix, "/"), "Prefix", "no path prefix", "begin and end it with a slash"},
+		{r.MaxAttempts >= 1, "MaxAttempts", "out of range", "use 1 or more"},
+		{r.TimeLimit > 0 && r.TimeLimit <= maxDuration, "TimeLimit", "out of range", "use above 0 and at most 10m"},
+		{r.Objective > 0 && r.Objective <= maxDuration, "Objective", "out of range", "use above 0 and at most 10m"},
+		{targets == 1, "Group", "not exactly one target", "give one of Group, Split and Gather"},
+		{weightsOK(r.Split), "Split", "bad weights", "use weights of 0 or more, one of them above 0"},
+		{r.Gather == nil || r.Gather.Top >= 1, "Gather/Top", "out of range", "use 1 or more"},
+		{r.Gather == nil || r.Gather.Coverage >= 0 && r.Gather.Coverage <= 1, "Gather/Coverage", "out of range", "use 0 to 1"},
+		{r.Gather == nil || len(r.Gather.Groups) > 0, "Gather/Groups", "no shards", "name at least one group"},
+		{r.Gather == nil || r.Repeatable, "Repeatable", "a gather that is not repeatable", "make it repeatable: parts may be asked twice"},
+	})
+	if err := cmp.Or(err, c.targets(r, at), checkHomes(r, at)); err != nil {
+		return err
+	}
+	key := r.HostName + " " + r.Prefix
+	if other, ok := c.prefixes[key]; ok {
+		return fault(KindDuplicate, at+"/Prefix", "host name and prefix of "+other, "give each route its own")
+	}
+	c.prefixes[key] = r.Name
+	return nil
+}
+
+// targets finds groups that are not declared or stand twice.
+func (c *checker) targets(r *Route, at string) error {
+	targets := r.Targets()
+	for n, g := range targets {
+		if !c.groups[g] {
+			return fault(KindReference, at+"/Group", "unknown group "+g, "declare the group or correct the name")
+		}
+		if slices.Contains(targets[:n], g) {
+			return fault(KindDuplicate, at+"/Group", "group "+g+" stands twice", "name each group once")
+		}
+	}
+	return nil
+}
+
+// checkHomes finds regions that have no proper name or stand twice.
+func checkHomes(r *Route, at string) error {
+	for n, h := range r.Homes {
+		if h == "" {
+			return fault(KindValue, at+"/Homes", "a region without a name", "name a region, or leave Homes out for all regions")
+		}
+		if slices.Contains(r.Homes[:n], h) {
+			return fault(KindDuplicate, at+"/Homes", "region "+h+" stands twice", "name each region once")
+		}
+	}
+	return nil
+}
+
+func weightsOK(split []Weighted) bool {
+	sum := 0.0
+	for _, w := range split {
+		if w.Weight < 0 {
+			return false
+		}
+		sum += w.Weight
+	}
+	return len(split) == 0 || sum > 0
+}
--- a/tier/peers/node.go
+++ b/tier/peers/node.go
@@ -4,6 +4,8 @@
 	"context"
 	"errors"
 	"fmt"
+	"io"
+	"log"
 	"net"
 	"net/netip"
 	"sync"
@@ -23,6 +25,9 @@
 	// callBound is how long a heartbeat, a fetch or an exchange of strikes may take. Not
 	// measured.
 	callBound = 2 * time.Second
+	// acceptPause is the pause after a connection could not be accepted: shorter than
+	// silentBound, at which callers replace the connection. Not measured.
+	acceptPause = 100 * time.Millisecond
 	// codeHandlerFailed is the JSON-RPC error code of a handler's own error: the first
 	// of those that JSON-RPC 2.0 leaves to servers.
 	codeHandlerFailed = -32000
@@ -70,12 +75,20 @@
 	}
 }
 
+// accept takes connections of peers until the listener is closed. Any other failure, as
+// having no file descriptor left, passes: without going on, this host would accept no
+// peer until it is restarted.
 func (n *node) accept() {
 	for {
 		c, err := n.listener.Accept()
-		if err != nil {
+		if errors.Is(err, net.ErrClosed) {
 			return
 		}
+		if err != nil {
+			n.kernel.Log.Warn().Err(err).Msg("connection of a peer not accepted")
+			time.Sleep(acceptPause)
+			continue
+		}
 		conn := n.serveOn(&peerConn{Conn: c, now: n.kernel.Now})
 		n.mu.Lock()
 		n.serving[conn] = true
@@ -93,7 +106,9 @@
 func (n *node) serveOn(c *peerConn) *jsonrpc2.Conn {
 	stream := jsonrpc2.NewBufferedStream(c, frameCodec{})
 	handler := jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(n.serve))
-	return jsonrpc2.NewConn(context.Background(), stream, handler, jsonrpc2.SetLogger(quiet{}))
+	// The library's own log lines are dropped: errors come back from calls.
+	quiet := jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
+	return jsonrpc2.NewConn(context.Background(), stream, handler, quiet)
 }
 
 // serve carries out a call of another host.
@@ -112,7 +127,6 @@
 	return out, nil
 }
 
-// Call implements kernel.PeerCaller.
 func (n *node) Call(ctx context.Context, host, method string, params, result any) error {
 	at, err := n.addressOf(host)
 	if err != nil {
@@ -121,7 +135,6 @@
 	return n.callAddress(ctx, at, method, params, result)
 }
 
-// Notify implements kernel.PeerCaller.
 func (n *node) Notify(ctx context.Context, host, method string, params any) error {
 	at, err := n.addressOf(host)
 	if err != nil {
@@ -137,7 +150,6 @@
 	return nil
 }
 
-// Connect implements kernel.PeerCaller.
 func (n *node) Connect(ctx context.Context, host string) error {
 	at, err := n.addressOf(host)
 	if err != nil {
@@ -168,11 +180,3 @@
 	}
 	return nil
 }
-
-// quiet drops the library's own log lines; errors come back from calls.
-type quiet struct{}
-
-var _ jsonrpc2.Logger = quiet{}
-
-// Printf implements jsonrpc2.Logger.
-func (quiet) Printf(string, ...any) {}
--- a/tier/peers/plugin.go
+++ b/tier/peers/plugin.go
@@ -19,20 +19,16 @@
 
 func init() { kernel.Register(plugin{}) }
 
-// Name implements kernel.Plugin.
 func (plugin) Name() string { return "Peers" }
 
-// Default implements kernel.Plugin.
 func (plugin) Default(s *kernel.Settings) {
 	if s.Beat == 0 {
 		s.Beat = defaultHeartbeat
 	}
 }
 
-// Skip implements kernel.Plugin.
 func (plugin) Skip(*kernel.Settings) bool { return false }
 
-// Run implements kernel.Plugin.
 func (plugin) Run(ctx context.Context, k *kernel.Kernel) (func(), error) {
 	n, closeNode, err := newNode(k)
 	if err != nil {
@@ -41,7 +37,8 @@
 	k.Peers = n
 	g := newGossip(k, n, rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 0)))
 	g.fetches = serveFetches(k, n, g.sendAll)
-	serveAnnouncements(k, g.fetches)
+	server := &announcementServer{kernel: k, fetches: g.fetches}
+	kernel.HandleMessage(k, methodAnnounce, "announcement", server.onAnnouncement)
 	kernel.HandleMessage(k, methodHeartbeat, "heartbeat", g.onHeartbeat)
 	stopStrikes := ServeStrikes(k)
 	stopHeartbeats := kernel.RunLoops(ctx, g.loop)
@@ -51,3 +48,11 @@
 		closeNode()
 	}, nil
 }
+
+// sleep waits for a time, or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
+	select {
+	case <-ctx.Done():
+	case <-time.After(d):
+	}
+}
