--- a/tier/config/directory.go
+++ b/tier/config/directory.go
@@ -1,6 +1,8 @@
 package config
 
 import (
+	"cmp"
+	"maps"
 	"slices"
 )
 
@@ -44,39 +46,36 @@
 // when there are more. Not measured.
 const maxRemoved = 2000
 
+// nothing is what a host knows that has no directory yet. It is not changed.
+var nothing Directory
+
+// orEmpty is the directory, or one that lists nothing where there is none.
+func (d *Directory) orEmpty() *Directory {
+	if d == nil {
+		return &nothing
+	}
+	return d
+}
+
 // Group lists the upstreams of a group, in order of name. The slice is not to
 // be changed.
 func (d *Directory) Group(name string) []Listing {
-	if d == nil {
-		return nil
-	}
-	return d.groups[name]
+	return d.orEmpty().groups[name]
 }
 
 // Find returns the listing of an upstream; false if it is not listed.
 func (d *Directory) Find(name string) (Listing, bool) {
-	if d == nil {
-		return Listing{}, false
-	}
-	l, listed := d.listed[name]
+	l, listed := d.orEmpty().listed[name]
 	return l, listed
 }
 
 // Size is how many upstreams are listed.
-func (d *Directory) Size() int {
-	if d == nil {
-		return 0
-	}
-	return len(d.listed)
-}
+func (d *Directory) Size() int { return len(d.orEmpty().listed) }
 
 // PerHall counts the upstreams of each data hall that is not evacuated.
 func (d *Directory) PerHall() map[string]int {
 	out := map[string]int{}
-	if d == nil {
-		return out
-	}
-	for _, l := range d.listed {
+	for _, l := range d.orEmpty().listed {
 		if !d.Evacuated(l.Hall) {
 			out[l.Hall]++
 		}
@@ -89,10 +88,7 @@
 	if d == nil {
 		return nil
 	}
-	out := make([]Listing, 0, len(d.listed))
-	for _, l := range d.listed {
-		out = append(out, l)
-	}
+	out := slices.AppendSeq(make([]Listing, 0, len(d.listed)), maps.Values(d.listed))
 	slices.SortFunc(out, byName)
 	return out
 }
@@ -102,35 +98,27 @@
 	if d == nil {
 		return DirectoryChange{}
 	}
-	out := DirectoryChange{Revision: d.Revision, Whole: true, Listed: d.All()}
-	for n, r := range d.removed {
-		out.Removed = append(out.Removed, Removal{Name: n, Revision: r})
-	}
-	d.evacuations.sinceOlder(evacuations{}, &out)
+	out := d.Since(&nothing)
+	out.Whole, out.Listed = true, d.All()
 	return out
 }
 
 // Digest names what is listed, and the halls that are evacuated. Hosts that know
 // the same of the same upstreams and halls have the same digest.
 func (d *Directory) Digest() uint64 {
-	if d == nil {
-		return 0
-	}
+	d = d.orEmpty()
 	return d.digest + d.evacuations.digest()
 }
 
 // Lacking returns the removals that would make the directory equal to a whole
 // listing, without those that are newer than it.
 func (d *Directory) Lacking(c *DirectoryChange) []Removal {
-	if d == nil {
-		return nil
-	}
 	names := make(map[string]bool, len(c.Listed))
 	for _, l := range c.Listed {
 		names[l.Name] = true
 	}
 	var out []Removal
-	for n, l := range d.listed {
+	for n, l := range d.orEmpty().listed {
 		if !names[n] && l.Revision <= c.Revision {
 			out = append(out, Removal{Name: n, Revision: c.Revision})
 		}
@@ -149,12 +137,23 @@
 			out.Listed = append(out.Listed, l)
 		}
 	}
-	for n, r := range d.removed {
-		if old.removed[n] != r {
-			out.Removed = append(out.Removed, Removal{Name: n, Revision: r})
+	for _, r := range newer(d.evacuations.since, old.evacuations.since) {
+		out.Evacuated = append(out.Evacuated, Evacuation{Hall: r.Name, Revision: r.Revision})
+	}
+	out.Resumed = newer(d.evacuations.ended, old.evacuations.ended)
+	out.Removed = newer(d.removed, old.removed)
+	return out
+}
+
+// newer lists the names whose revision is not an older one's, in order of name.
+func newer(revisions, older map[string]uint64) []Removal {
+	var out []Removal
+	for n, r := range revisions {
+		if older[n] != r {
+			out = append(out, Removal{Name: n, Revision: r})
 		}
 	}
-	d.evacuations.sinceOlder(old.evacuations, &out)
+	slices.SortFunc(out, func(a, b Removal) int { return cmp.Compare(a.Name, b.Name) })
 	return out
 }
 
@@ -191,15 +190,86 @@
 	if len(d.removed) <= maxRemoved {
 		return
 	}
-	revisions := make([]uint64, 0, len(d.removed))
-	for _, r := range d.removed {
-		revisions = append(revisions, r)
-	}
-	slices.Sort(revisions)
+	revisions := slices.Sorted(maps.Values(d.removed))
 	oldest := revisions[len(revisions)-maxRemoved/2]
-	for n, r := range d.removed {
-		if r < oldest {
-			delete(d.removed, n)
+	maps.DeleteFunc(d.removed, func(_ string, r uint64) bool { return r < oldest })
+}
+
+// editor makes the next directory from one.
+type editor struct {
+	next *Directory
+	// touched are the groups of which a member changed.
+	touched map[string]bool
+	changed bool
+}
+
+func newEditor(d *Directory) *editor {
+	next := &Directory{
+		listed: map[string]Listing{}, removed: map[string]uint64{}, groups: map[string][]Listing{}, digest: emptyDigest,
+	}
+	if d != nil {
+		next.Revision, next.digest, next.evacuations = d.Revision, d.digest, d.evacuations
+		next.listed, next.removed, next.groups = maps.Clone(d.listed), maps.Clone(d.removed), maps.Clone(d.groups)
+	}
+	return &editor{next: next, touched: map[string]bool{}}
+}
+
+func (e *editor) list(l Listing) {
+	old, known := e.next.listed[l.Name]
+	if known && old.Revision >= l.Revision || e.next.removed[l.Name] >= l.Revision {
+		return
+	}
+	e.next.listed[l.Name] = l
+	delete(e.next.removed, l.Name)
+	if known {
+		e.note(old.Group, -old.hash())
+	}
+	e.note(l.Group, l.hash())
+	rewarmed := old.warmupSteps() != l.warmupSteps()
+	old.Revision, old.Warmup = l.Revision, l.Warmup
+	e.changed = e.changed || rewarmed || old != l
+}
+
+func (e *editor) remove(r Removal) {
+	if e.next.removed[r.Name] >= r.Revision {
+		return
+	}
+	old, known := e.next.listed[r.Name]
+	if known && old.Revision > r.Revision {
+		return
+	}
+	e.next.removed[r.Name] = r.Revision
+	if !known {
+		return
+	}
+	delete(e.next.listed, r.Name)
+	e.note(old.Group, -old.hash())
+	e.changed = true
+}
+
+// note adds the hash of a listing to the digest, or takes it away, and marks the group.
+func (e *editor) note(group string, hash uint64) {
+	e.touched[group] = true
+	e.next.digest += hash
+}
+
+// finish brings the groups up to date that were touched.
+func (e *editor) finish() *Directory {
+	if len(e.touched) == 0 {
+		return e.next
+	}
+	for g := range e.touched {
+		delete(e.next.groups, g)
+	}
+	for _, l := range e.next.listed {
+		if e.touched[l.Group] {
+			e.next.groups[l.Group] = append(e.next.groups[l.Group], l)
 		}
 	}
+	for g := range e.touched {
+		slices.SortFunc(e.next.groups[g], byName)
+	}
+	return e.next
 }
+
+func byName(a, b Listing) int { return cmp.Compare(a.Name, b.Name) }
--- a/tier/peers/members.go
+++ b/tier/peers/members.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"maps"
 	"net/netip"
 	"slices"
 	"time"
@@ -81,11 +82,7 @@
 func (t *memberTable) tick(now time.Duration, revision uint64) {
 	t.Self.Counter++
 	t.Self.Revision = revision
-	for h, r := range t.records {
-		if now-r.risenAt > forgetHeartbeats*t.Interval {
-			delete(t.records, h)
-		}
-	}
+	maps.DeleteFunc(t.records, func(_ string, r *memberRecord) bool { return now-r.risenAt > forgetHeartbeats*t.Interval })
 }
 
 // leave marks this host as leaving.
@@ -94,29 +91,21 @@
 	t.Self.Counter++
 }
 
-// merge takes in what another host reported.
+// merge takes in what another host reported. A process that is leaving stays so.
 func (t *memberTable) merge(now time.Duration, entries []memberEntry) {
-	for i := range entries {
-		if entries[i].Host != t.Self.Host {
-			t.mergeEntry(now, entries[i])
+	for _, e := range entries {
+		r := t.records[e.Host]
+		switch {
+		case e.Host == t.Self.Host:
+		case r == nil:
+			t.records[e.Host] = &memberRecord{memberEntry: e, risenAt: now}
+		case e.newerThan(&r.memberEntry):
+			e.Leaving = e.Leaving || r.Leaving && e.Incarnation == r.Incarnation
+			r.memberEntry, r.risenAt = e, now
 		}
 	}
 }
 
-func (t *memberTable) mergeEntry(now time.Duration, e memberEntry) {
-	r := t.records[e.Host]
-	if r == nil {
-		t.records[e.Host] = &memberRecord{memberEntry: e, risenAt: now}
-		return
-	}
-	if !e.newerThan(&r.memberEntry) {
-		return
-	}
-	e.Leaving = e.Leaving || r.Leaving && e.Incarnation == r.Incarnation
-	r.memberEntry = e
-	r.risenAt = now
-}
-
 // live decides whether a member counts as live: its newest entry came no longer ago
 // than silentHeartbeats intervals, in a large fleet more.
 func (t *memberTable) live(now time.Duration, r *memberRecord) bool {
@@ -135,25 +124,20 @@
 // entries returns the entries for one heartbeat: this host, then live members, drawn
 // at random if they are too many, so that no member's entry stays out for long.
 func (t *memberTable) entries(now time.Duration) []memberEntry {
-	live := make([]*memberRecord, 0, len(t.records))
-	for _, r := range t.records {
-		if t.live(now, r) {
-			live = append(live, r)
+	out := []memberEntry{t.Self}
+	for _, m := range t.members(now) {
+		if m.Live {
+			out = append(out, m.Entry)
 		}
 	}
-	slices.SortFunc(live, func(a, b *memberRecord) int { return cmp.Compare(a.Host, b.Host) })
-	if len(live) > heartbeatEntries-1 {
-		for i := range heartbeatEntries - 1 {
-			j := i + t.Random.IntN(len(live)-i)
-			live[i], live[j] = live[j], live[i]
-		}
-		live = live[:heartbeatEntries-1]
+	if len(out) <= heartbeatEntries {
+		return out
 	}
-	out := []memberEntry{t.Self}
-	for _, r := range live {
-		out = append(out, r.memberEntry)
+	for i := 1; i < heartbeatEntries; i++ {
+		j := i + t.Random.IntN(len(out)-i)
+		out[i], out[j] = out[j], out[i]
 	}
-	return out
+	return out[:heartbeatEntries]
 }
 
 // knownMember is one member as the table knows it.
