--- a/tier/pass/admit.go
+++ b/tier/pass/admit.go
@@ -9,19 +9,12 @@
 	"loomgap/tier/query"
 )
 
-// admission names what a call belongs to.
-type admission struct {
-	route, request string
-	// subject is the zero value if the host that planned the call did not send it.
-	subject policy.Subject
-}
-
 // admits reports whether a call may be sent to an upstream now. Every call is checked
 // here just before it is sent, whichever host planned it and whenever.
-func (e *engine) admits(now time.Duration, a *admission, u *policy.Upstream) bool {
-	reason := e.barrier(a.route, u.Name)
+func (e *engine) admits(now time.Duration, c *call, u *policy.Upstream) bool {
+	reason := e.barrier(c.route, u.Name)
 	// The request may have been quarantined since the call was planned.
-	if verdict, _ := e.kernel.Fleet.Judge(now, a.subject); verdict == policy.VerdictQuarantined {
+	if verdict, _ := e.kernel.Fleet.Judge(now, c.subject); verdict == policy.VerdictQuarantined {
 		reason = query.ReasonQuarantined
 	}
 	if reason == "" && !e.kernel.Fleet.AdmitCold(now, u) {
@@ -31,7 +24,7 @@
 		return true
 	}
 	metrics.GetOrCreateCounter(`loomgap_calls_barred_total{Reason="` + string(reason) + `"}`).Inc()
-	e.kernel.Decisions.Info().Str("RequestID", a.request).Str("Upstream", u.Name).
+	e.kernel.Decisions.Info().Str("RequestID", c.id).Str("Upstream", u.Name).
 		Str("Reason", string(reason)).Msg("call barred")
 	return false
 }
--- a/tier/pass/call.go
+++ b/tier/pass/call.go
@@ -55,7 +55,11 @@
 	// head is the request up to the headers that differ between upstreams.
 	head []byte
 	body []byte
-	id   string
+	// route and id name the request that the call belongs to.
+	route, id string
+	// subject identifies the request if it crashes upstreams; the zero value if the host
+	// that planned the call did not send it.
+	subject policy.Subject
 	// upstream is the name that the upstream must have to run the request.
 	upstream string
 	// left is the time until the deadline.
@@ -70,15 +74,15 @@
 	batched bool
 }
 
-// callUpstream makes a call that belongs to a request, within a span of its own, unless
-// the upstream may get none of it now.
-func (e *engine) callUpstream(ctx context.Context, l *link, u *policy.Upstream, a *admission, c *call) runner.Reply[*answer] {
-	if !e.admits(e.kernel.Now(), a, u) {
+// callUpstream makes a call within a span of its own, unless the upstream may not get it
+// now.
+func (e *engine) callUpstream(ctx context.Context, l *link, u *policy.Upstream, c *call) runner.Reply[*answer] {
+	if !e.admits(e.kernel.Now(), c, u) {
 		return runner.Reply[*answer]{Outcome: policy.CallBarred}
 	}
 	ctx, span := e.kernel.Tracer.Start(ctx, "upstream", trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
-	c.headers, c.id, c.upstream = &e.headers, a.request, u.Name
+	c.headers, c.upstream = &e.headers, u.Name
 	out := l.call(ctx, c)
 	if span.IsRecording() {
 		span.SetAttributes(attribute.String("Upstream", u.Name), attribute.String("Outcome", string(out.Outcome)))
--- a/tier/pass/coordinate_client.go
+++ b/tier/pass/coordinate_client.go
@@ -105,8 +105,6 @@
 	if span.IsRecording() {
 		span.SetAttributes(attribute.String("Coordinator", s.to.Host))
 	}
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
 	s.started = e.kernel.Now()
 	in := q.coordinateRequest(ctx)
 	first := e.hosts.roundTrip(s.to.Host) + e.coordinate.times.first
@@ -209,14 +207,11 @@
 	if !callerGone {
 		s.log().Bool("Begun", s.begun).Msg("coordinator is silent")
 	}
-	go s.stop(id)
-}
-
-// stop tells the coordinator that the answer is not wanted any more.
-func (s *sentRequest) stop(id string) {
-	if err := s.request.engine.notifyStop(s.to.Host, methodCoordinateStop, coordinateID{ID: id}); err != nil {
-		s.log().Err(err).Msg("forwarded request not stopped")
-	}
+	go func() {
+		if err := e.notifyStop(s.to.Host, methodCoordinateStop, coordinateID{ID: id}); err != nil {
+			s.log().Err(err).Msg("forwarded request not stopped")
+		}
+	}()
 }
 
 // log begins a line about the request at its coordinator.
--- a/tier/pass/golden_test.go
+++ b/tier/pass/golden_test.go
@@ -172,7 +172,7 @@
 	o.answer("too large", h.ask(http.MethodPost, "/place/", "large", 2000, strings.Repeat("b", 1001)))
 	h.evacuate("A")
 	up := h.kernel.Fleet.Find("U1")
-	assert.Assert(t, !h.engine.admits(h.kernel.Now(), &admission{route: "Read", request: "barred"}, up))
+	assert.Assert(t, !h.engine.admits(h.kernel.Now(), &call{route: "Read", id: "barred"}, up))
 	o.take(t, &log)
 }
 
--- a/tier/pass/relay_client.go
+++ b/tier/pass/relay_client.go
@@ -100,7 +100,7 @@
 	}
 }
 
-func (q *request) CallBatch(ctx context.Context, b runner.Batch, to runner.Reporter[*answer]) {
+func (q *request) CallBatch(ctx context.Context, b runner.Batch, to *runner.Reporter[*answer]) {
 	e := q.engine
 	ctx, span := e.kernel.Tracer.Start(ctx, "relay", trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
@@ -164,7 +164,7 @@
 	// roundTrip is how long the message and its reply take: the least known for the
 	// relay, and once there was a sign what that took.
 	roundTrip time.Duration
-	to        runner.Reporter[*answer]
+	to        *runner.Reporter[*answer]
 	// progressTaken counts the progress messages taken in.
 	progressTaken int
 	// heard is true once there was a sign of the relay.
--- a/tier/pass/relay_server.go
+++ b/tier/pass/relay_server.go
@@ -197,8 +197,8 @@
 	if left <= 0 || !k.Awake() || ctx.Err() != nil {
 		return runner.Reply[*answer]{Outcome: policy.CallNotSent}
 	}
-	admission := &admission{route: b.in.Route, request: b.in.RequestID, subject: b.subject}
-	return b.engine.callUpstream(ctx, l, u, admission, &call{
+	return b.engine.callUpstream(ctx, l, u, &call{
+		route: b.in.Route, id: b.in.RequestID, subject: b.subject,
 		method: b.in.Method, head: []byte(b.in.Head), body: b.in.Body, left: left, gathered: true, batched: true,
 	})
 }
--- a/tier/pass/run.go
+++ b/tier/pass/run.go
@@ -50,8 +50,8 @@
 	if l == nil {
 		return runner.Reply[*answer]{Outcome: policy.CallUnreachable}
 	}
-	admission := &admission{route: q.route.Name, request: q.in.id, subject: q.in.subject}
-	return e.callUpstream(ctx, l, a.Upstream, admission, &call{
+	return e.callUpstream(ctx, l, a.Upstream, &call{
+		route: q.route.Name, id: q.in.id, subject: q.in.subject,
 		method: q.in.method, head: q.in.head, body: q.in.body, left: q.times.deadline - e.kernel.Now(),
 		unrepeatable: !q.route.Repeatable, gathered: q.route.Gather != nil,
 	})
--- a/tier/runner/batch.go
+++ b/tier/runner/batch.go
@@ -36,7 +36,7 @@
 // callBatch makes the calls of a batch, and reports those that were not reported by its
 // end.
 func (e *execution[R]) callBatch(ctx context.Context, b Batch, calls []*call) {
-	r := &reporter[R]{execution: e, batch: b.Calls, calls: calls, started: e.kernel.Now()}
+	r := &Reporter[R]{execution: e, batch: b.Calls, calls: calls, started: e.kernel.Now()}
 	unreported := Reply[R]{Outcome: policy.CallNotSent}
 	if e.kernel.Awake() && r.started < e.deadline {
 		e.batcher.CallBatch(ctx, b, r)
@@ -47,21 +47,24 @@
 	}
 }
 
-// reporter reports the calls of one batch.
-type reporter[R any] struct {
+// Reporter takes in what becomes of the calls of a batch. It is used by one goroutine.
+type Reporter[R any] struct {
 	execution *execution[R]
 	batch     []policy.Action
 	calls     []*call
 	started   time.Duration
 }
 
-func (r *reporter[R]) Report(i int, reply Reply[R]) {
+// Report passes on the outcome of one call.
+func (r *Reporter[R]) Report(i int, reply Reply[R]) {
 	if !r.calls[i].ended {
 		r.execution.ended(r.batch[i], r.calls[i], r.started, reply)
 	}
 }
 
-func (r *reporter[R]) Overdue() {
+// Overdue has the calls that were not reported hedged now, since they are known to be
+// slow. Until then they wait a while longer than other calls.
+func (r *Reporter[R]) Overdue() {
 	r.execution.handle(func(now time.Duration) []policy.Action {
 		var late []int
 		for i, a := range r.batch {
--- a/tier/runner/caller.go
+++ b/tier/runner/caller.go
@@ -52,15 +52,5 @@
 	// CallBatch makes the calls of a batch and reports what became of each, as
 	// soon as it is known. What it has not reported when it returns counts as
 	// lost. It ends soon after its context does.
-	CallBatch(ctx context.Context, b Batch, to Reporter[R])
-}
-
-// Reporter takes in what becomes of the calls of a batch. It is used by one
-// goroutine.
-type Reporter[R any] interface {
-	// Report passes on the outcome of one call.
-	Report(i int, r Reply[R])
-	// Overdue has the calls that were not reported hedged now, since they are
-	// known to be slow. Until then they wait a while longer than other calls.
-	Overdue()
+	CallBatch(ctx context.Context, b Batch, to *Reporter[R])
 }
