--- a/tier/entry/status.go
+++ b/tier/entry/status.go
@@ -51,10 +51,7 @@
 		if r.kernel.Phase() == kernel.PhaseStarting {
 			pause = startInterval
 		}
-		select {
-		case <-ctx.Done():
-		case <-time.After(pause):
-		}
+		kernel.Sleep(ctx, pause)
 	}
 }
 
--- a/tier/kernel/control.go
+++ b/tier/kernel/control.go
@@ -46,6 +46,14 @@
 	}
 }
 
+// Sleep waits for a time, or until the context ends.
+func Sleep(ctx context.Context, d time.Duration) {
+	select {
+	case <-ctx.Done():
+	case <-time.After(d):
+	}
+}
+
 // control is the control thread.
 func (k *Kernel) control(ctx context.Context, s *State) {
 	defer k.reportPanic(s)
--- a/tier/kernel/lifecycle.go
+++ b/tier/kernel/lifecycle.go
@@ -80,14 +80,11 @@
 // out for other hosts; false if the context ended before. Without it a planned stop
 // would cut requests whose callers are at another host.
 func (l *lifecycle) AwaitIdle(ctx context.Context) bool {
-	tick := time.NewTicker(inFlightLook)
-	defer tick.Stop()
 	for l.InFlight.Load() > 0 {
-		select {
-		case <-ctx.Done():
+		if ctx.Err() != nil {
 			return false
-		case <-tick.C:
 		}
+		Sleep(ctx, inFlightLook)
 	}
 	return true
 }
--- a/tier/pass/engine.go
+++ b/tier/pass/engine.go
@@ -79,17 +79,11 @@
 
 // sweep closes connections that were idle for too long, until the context ends.
 func (e *engine) sweep(ctx context.Context) {
-	tick := time.NewTicker(sweepEvery)
-	defer tick.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-tick.C:
-			for _, l := range *e.links.Load() {
-				l.sweep()
-			}
+	for ctx.Err() == nil {
+		for _, l := range *e.links.Load() {
+			l.sweep()
 		}
+		kernel.Sleep(ctx, sweepEvery)
 	}
 }
 
--- a/tier/peers/feed.go
+++ b/tier/peers/feed.go
@@ -70,7 +70,7 @@
 func (f *feed) loop(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !f.isReader() {
-			sleep(ctx, rolePause)
+			kernel.Sleep(ctx, rolePause)
 			continue
 		}
 		metrics.GetOrCreateCounter("loomgap_platform_reads_total").Inc()
@@ -88,7 +88,7 @@
 			continue // the host is not ready before a watch has confirmed the read
 		}
 		if len(published.Directory.Listed)+len(published.Directory.Removed) > 0 || published.Document != nil {
-			sleep(ctx, changePause)
+			kernel.Sleep(ctx, changePause)
 		}
 	}
 }
@@ -130,7 +130,7 @@
 	if f.outage.isAway(now, staleAfter(&f.kernel.Settings)) {
 		f.kernel.Do(func(s *kernel.State) { markFeedDown(f.kernel, s, err) })
 	}
-	sleep(ctx, f.outage.nextPause())
+	kernel.Sleep(ctx, f.outage.nextPause())
 }
 
 // markFeedDown notes that this host has to learn from peers what is published; it runs
--- a/tier/peers/plugin.go
+++ b/tier/peers/plugin.go
@@ -48,11 +48,3 @@
 		closeNode()
 	}, nil
 }
-
-// sleep waits for a time, or until the context ends.
-func sleep(ctx context.Context, d time.Duration) {
-	select {
-	case <-ctx.Done():
-	case <-time.After(d):
-	}
-}
--- a/tier/peers/watch.go
+++ b/tier/peers/watch.go
@@ -84,13 +84,13 @@
 func (w *watcher) loop(ctx context.Context, read func(context.Context) error, atStart bool) {
 	for ctx.Err() == nil {
 		if !w.isWatcher(atStart) {
-			sleep(ctx, readPause)
+			kernel.Sleep(ctx, readPause)
 			continue
 		}
 		metrics.GetOrCreateCounter("loomgap_platform_reads_total").Inc()
 		if err := read(ctx); err != nil {
 			w.kernel.Log.Debug().Err(err).Msg("platform not read")
-			sleep(ctx, readPause+rand.N(readPause))
+			kernel.Sleep(ctx, readPause+rand.N(readPause))
 		}
 	}
 }
@@ -185,7 +185,7 @@
 		return err
 	}
 	if l.Version == w.version {
-		sleep(ctx, readPause)
+		kernel.Sleep(ctx, readPause)
 	}
 	w.version = l.Version
 	w.kernel.Do(func(s *kernel.State) { w.learnLive(s, l.Entries) })
