--- a/tier/entry/client.go
+++ b/tier/entry/client.go
@@ -33,12 +33,11 @@
 type client struct {
 	address   netip.AddrPort
 	transport *http.Transport
-	urls      map[string]*url.URL
 }
 
 func newClient(u *config.Upstream, connections int) *client {
 	dialer := &net.Dialer{Timeout: upstreamDialTimeout}
-	c := &client{
+	return &client{
 		address: u.Address,
 		transport: &http.Transport{
 			DialContext:         dialer.DialContext,
@@ -47,12 +46,7 @@
 			MaxIdleConnsPerHost: connections,
 			IdleConnTimeout:     upstreamIdleTimeout,
 		},
-		urls: map[string]*url.URL{},
 	}
-	for _, p := range []string{wire.PathPart, wire.PathPlace, wire.PathStatus} {
-		c.urls[p] = &url.URL{Scheme: "http", Host: c.address.String(), Path: p}
-	}
-	return c
 }
 
 func (c *client) close() { c.transport.CloseIdleConnections() }
@@ -72,8 +66,7 @@
 	var out reply
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { out.reached = true }}
 	r := (&http.Request{
-		Method: http.MethodPost, URL: c.urls[path], Host: c.urls[path].Host,
-		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
+		Method: http.MethodPost, URL: &url.URL{Scheme: "http", Host: c.address.String(), Path: path},
 		Header: header, ContentLength: int64(len(body)),
 		Body: io.NopCloser(bytes.NewReader(body)),
 	}).WithContext(httptrace.WithClientTrace(ctx, trace))
