--- a/tier/config/element.go
+++ b/tier/config/element.go
@@ -31,9 +31,11 @@
 	return append(list, v)
 }
 
-// Drop takes the elements with a name out of a list.
-func Drop[T Element](list []T, name string) []T {
-	return slices.DeleteFunc(list, func(v T) bool { return v.name() == name })
+// Drop takes the elements with a name out of a list; false if there is none.
+func Drop[T Element](list *[]T, name string) bool {
+	before := len(*list)
+	*list = slices.DeleteFunc(*list, func(v T) bool { return v.name() == name })
+	return len(*list) < before
 }
 
 // index makes the elements of a list findable by their names.
--- a/tier/query/apply.go
+++ b/tier/query/apply.go
@@ -131,19 +131,19 @@
 	dropped := false
 	switch c.What {
 	case "service":
-		dropped = dropFrom(&d.Services, c.Name)
+		dropped = config.Drop(&d.Services, c.Name)
 	case "upstream":
-		dropped = dropFrom(&d.Upstreams, c.Name)
+		dropped = config.Drop(&d.Upstreams, c.Name)
 	case "host":
-		dropped = dropFrom(&d.Hosts, c.Name)
+		dropped = config.Drop(&d.Hosts, c.Name)
 	case "class":
-		dropped = dropFrom(&d.Classes, c.Name)
+		dropped = config.Drop(&d.Classes, c.Name)
 	case "shard":
 		s, err := service(d, c.Service, p)
 		if err != nil {
 			return err
 		}
-		dropped = dropFrom(&s.Shards, c.Name)
+		dropped = config.Drop(&s.Shards, c.Name)
 		s.MapRevision++
 	}
 	if !dropped {
@@ -152,13 +152,6 @@
 	return nil
 }
 
-// dropFrom takes an element out of a list; false if it is not there.
-func dropFrom[T config.Element](list *[]T, name string) bool {
-	before := len(*list)
-	*list = config.Drop(*list, name)
-	return len(*list) < before
-}
-
 func set(d *config.Document, c *Set, p lexer.Position) error {
 	if c.Route != "" {
 		r, err := find(d.Routes, "route", c.Route, p, "correct the name; `show routes` lists them")
