--- a/tier/config/route.go
+++ b/tier/config/route.go
@@ -71,13 +71,14 @@
 	ColdRate float64 `json:",omitempty"`
 }
 
-// Limits bound what a caller of routes may send.
+// Limits bound what a caller of routes may send. Only Body is applied; the others are
+// kept since documents have them, and the built-in bounds apply in their place.
 type Limits struct {
 	// Header and Body are in bytes; 0 for the built-in bounds.
 	Header int64 `json:",omitempty"`
 	Body   int64 `json:",omitempty"`
 	// HeaderTime is the longest time for a request's header, Idle for a pause
-	// between requests; 0 for the built-in bounds.
+	// between requests.
 	HeaderTime Duration `json:",omitempty"`
 	Idle       Duration `json:",omitempty"`
 }
