--- a/tier/policy/coldowner.go
+++ b/tier/policy/coldowner.go
@@ -1,6 +1,10 @@
 package policy
 
-import "time"
+import (
+	"cmp"
+	"slices"
+	"time"
+)
 
 // A cold upstream can handle few calls a second from all hosts together, and hosts
 // share no state. While it is throttled one host of its hall, the owner, makes all calls
@@ -12,20 +16,13 @@
 // strong hosts of its hall, the same for all that know the same hosts; empty if
 // the hall has none.
 func ColdOwner(upstream string, hall []Candidate) string {
-	strongest := 0
-	for _, c := range hall {
-		strongest = max(strongest, c.Capacity)
+	hosts := strongHosts(hall, greatestCapacity(hall, 0))
+	if len(hosts) == 0 {
+		return ""
 	}
-	owner, least := "", uint64(0)
-	for _, c := range hall {
-		if !IsCoordinator(c.Capacity, strongest) {
-			continue
-		}
-		if a := affinity(upstream, c.Host); owner == "" || a < least {
-			owner, least = c.Host, a
-		}
-	}
-	return owner
+	return slices.MinFunc(hosts, func(a, b Candidate) int {
+		return cmp.Compare(affinity(upstream, a.Host), affinity(upstream, b.Host))
+	}).Host
 }
 
 // SetColdOwners sets for each throttled upstream which host makes its calls. Self is
@@ -43,15 +40,11 @@
 func (f *Fleet) ThrottledCold(now time.Duration) map[string]string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var out map[string]string
+	out := map[string]string{}
 	for name, u := range f.upstreams {
-		if !u.cold.throttled(now) {
-			continue
-		}
-		if out == nil {
-			out = map[string]string{}
+		if u.cold.throttled(now) {
+			out[name] = u.hall
 		}
-		out[name] = u.hall
 	}
 	return out
 }
--- a/tier/policy/coordinator.go
+++ b/tier/policy/coordinator.go
@@ -61,14 +61,11 @@
 // upstreams do, where a host alone in hundreds calls nearly all of them for the
 // first time.
 func Coordinators(self Candidate, all []Candidate) []Candidate {
-	strongest := self.Capacity
-	for _, c := range all {
-		strongest = max(strongest, c.Capacity)
-	}
+	strongest := greatestCapacity(all, self.Capacity)
 	if IsCoordinator(self.Capacity, strongest) {
 		return nil
 	}
-	out := slices.DeleteFunc(slices.Clone(all), func(c Candidate) bool { return !IsCoordinator(c.Capacity, strongest) })
+	out := strongHosts(all, strongest)
 	slices.SortFunc(out, func(a, b Candidate) int {
 		return cmp.Or(
 			cmp.Compare(distance(&self, &a), distance(&self, &b)),
@@ -79,6 +76,19 @@
 	return out
 }
 
+// greatestCapacity is the greatest of some hosts, and of one that is not among them.
+func greatestCapacity(hosts []Candidate, other int) int {
+	for _, c := range hosts {
+		other = max(other, c.Capacity)
+	}
+	return other
+}
+
+// strongHosts are the coordinators among some hosts.
+func strongHosts(hosts []Candidate, strongest int) []Candidate {
+	return slices.DeleteFunc(slices.Clone(hosts), func(c Candidate) bool { return !IsCoordinator(c.Capacity, strongest) })
+}
+
 // distance is the round trip to a candidate; hosts of one hall are nearest, and
 // those whose round trip is not known are farthest.
 func distance(self, c *Candidate) time.Duration {
@@ -99,18 +109,14 @@
 // one host is to count them: all hosts where they are alike; else the coordinators
 // divide coordinatorSlack of it, and the others the rest. It is above 0.
 func RetryShares(own int, capacities []int) float64 {
-	strongest := own
-	for _, c := range capacities {
-		strongest = max(strongest, c)
-	}
-	coordinators, others := 0, 0
-	for _, c := range append(capacities, own) {
+	all := append(capacities, own)
+	strongest, coordinators := slices.Max(all), 0
+	for _, c := range all {
 		if IsCoordinator(c, strongest) {
 			coordinators++
-		} else {
-			others++
 		}
 	}
+	others := len(all) - coordinators
 	switch {
 	case others == 0:
 		return float64(coordinators)
--- a/tier/policy/hedge.go
+++ b/tier/policy/hedge.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"slices"
 	"time"
 
 	"loomgap/tier/config"
@@ -94,12 +95,7 @@
 
 // hedgeInProgress reports whether any part has a hedge in progress.
 func (r *Run) hedgeInProgress() bool {
-	for i := range r.parts {
-		if p := &r.parts[i]; p.hedged && len(p.live) > 0 {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(r.parts, func(p part) bool { return p.hedged && len(p.live) > 0 })
 }
 
 // hedges reports whether calls of the request may be hedged at all.
--- a/tier/policy/isolation.go
+++ b/tier/policy/isolation.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"slices"
 	"time"
 
 	"loomgap/tier/query"
@@ -138,20 +139,10 @@
 
 // hasAttempts reports whether a call of the run is in progress or waits for its slot.
 func (r *Run) hasAttempts() bool {
-	for i := range r.parts {
-		if len(r.parts[i].live) > 0 {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(r.parts, func(p part) bool { return len(p.live) > 0 })
 }
 
 // hasCalls reports whether a call of the run is in progress.
 func (r *Run) hasCalls() bool {
-	for i := range r.parts {
-		if r.hasCall(&r.parts[i]) {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(r.parts, func(p part) bool { return r.hasCall(&p) })
 }
--- a/tier/policy/part.go
+++ b/tier/policy/part.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"slices"
 	"time"
 
 	"loomgap/tier/query"
@@ -72,37 +73,18 @@
 
 // hasCall reports whether a call of a part is in progress.
 func (r *Run) hasCall(p *part) bool {
-	for _, n := range p.live {
-		if r.attempts[n].phase == phaseSent {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(p.live, func(n int) bool { return r.attempts[n].phase == phaseSent })
 }
 
-func (p *part) remove(n int) {
-	for i, m := range p.live {
-		if m == n {
-			p.live = append(p.live[:i], p.live[i+1:]...)
-			return
-		}
-	}
-}
+func (p *part) remove(n int) { p.live = removeFirst(p.live, n) }
 
-func (p *part) forget(u *Upstream) {
-	for i, t := range p.tried {
-		if t == u {
-			p.tried = append(p.tried[:i], p.tried[i+1:]...)
-			return
-		}
-	}
-}
+func (p *part) forget(u *Upstream) { p.tried = removeFirst(p.tried, u) }
 
-func (p *part) hasTried(u *Upstream) bool {
-	for _, t := range p.tried {
-		if t == u {
-			return true
-		}
+// removeFirst removes the first of some items that equals another: an upstream is tried
+// twice if it gets the hedge of its own call.
+func removeFirst[T comparable](items []T, item T) []T {
+	if i := slices.Index(items, item); i >= 0 {
+		return slices.Delete(items, i, i+1)
 	}
-	return false
+	return items
 }
--- a/tier/policy/pick.go
+++ b/tier/policy/pick.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"slices"
 	"time"
 )
 
@@ -37,7 +38,7 @@
 // askable reports whether an upstream may be asked for a part at all: it does not leave,
 // was not tried, may get calls of the run, and holds the snapshot as far as is known.
 func (r *Run) askable(now time.Duration, p *part, u *Upstream) bool {
-	if u.leaving || p.hasTried(u) || r.rules.barred(now, u) {
+	if u.leaving || slices.Contains(p.tried, u) || r.rules.barred(now, u) {
 		return false
 	}
 	lacks := u.status.window.Known && !u.status.window.holds(r.request.Snapshot)
--- a/tier/policy/placement.go
+++ b/tier/policy/placement.go
@@ -1,6 +1,8 @@
 package policy
 
 import (
+	"slices"
+
 	"loomgap/tier/config"
 	"loomgap/tier/query"
 )
@@ -59,11 +61,5 @@
 	if len(homes) == 0 {
 		return all
 	}
-	var out []Candidate
-	for _, c := range all {
-		if p.Regions.IsHome(c.Hall, homes) {
-			out = append(out, c)
-		}
-	}
-	return out
+	return slices.DeleteFunc(slices.Clone(all), func(c Candidate) bool { return !p.Regions.IsHome(c.Hall, homes) })
 }
--- a/tier/policy/snapshot.go
+++ b/tier/policy/snapshot.go
@@ -30,11 +30,8 @@
 func best(parts [][]*Upstream, candidates []uint64) uint64 {
 	slices.Sort(candidates)
 	slices.Reverse(candidates)
-	if len(candidates) > candidateSnapshots {
-		candidates = candidates[:candidateSnapshots]
-	}
 	snapshot, most := uint64(0), -1
-	for _, s := range candidates {
+	for _, s := range candidates[:min(len(candidates), candidateSnapshots)] {
 		if n := covered(parts, s); n > most {
 			snapshot, most = s, n
 		}
@@ -46,11 +43,8 @@
 func covered(parts [][]*Upstream, snapshot uint64) int {
 	n := 0
 	for _, replicas := range parts {
-		for _, u := range replicas {
-			if !u.leaving && u.status.window.holds(snapshot) {
-				n++
-				break
-			}
+		if slices.ContainsFunc(replicas, func(u *Upstream) bool { return !u.leaving && u.status.window.holds(snapshot) }) {
+			n++
 		}
 	}
 	return n
