--- a/tier/pass/relay_client.go
+++ b/tier/pass/relay_client.go
@@ -224,7 +224,10 @@
 }
 
 // hall is where the calls of the batch are made.
-func (s *sentBatch) hall() string { return s.request.engine.kernel.Fleet.HallOf(s.calls[0].Upstream) }
+func (s *sentBatch) hall() string {
+	k := s.request.engine.kernel
+	return k.Fleet.DestinationOf(k.Now(), s.calls[0].Upstream).Hall
+}
 
 // takeProgress reports the calls of a progress message. Those that are not in when the
 // first reply was due are hedged.
--- a/tier/policy/action.go
+++ b/tier/policy/action.go
@@ -12,7 +12,7 @@
 	ActionSend ActionKind = "Send"
 	// ActionCancel asks for a sent attempt to be given up.
 	ActionCancel ActionKind = "Cancel"
-	// ActionLinger asks for a sent attempt to be given up in a while: its answer
+	// ActionLinger asks for a sent attempt to be given up after LingerFor: its answer
 	// is not wanted, but shows when the upstream answers again.
 	ActionLinger ActionKind = "Linger"
 	// ActionTake asks for the attempt's part to be merged into the answer.
@@ -37,6 +37,4 @@
 	HedgeIn time.Duration
 	// Outcome is what a cancelled attempt is to be reported as.
 	Outcome CallOutcome
-	// For is how long an attempt lingers.
-	For time.Duration
 }
--- a/tier/policy/attempt.go
+++ b/tier/policy/attempt.go
@@ -84,7 +84,6 @@
 	r.parts[a.part].ran++
 	r.parts[a.part].sends++
 	r.parts[a.part].arrivals++
-	r.calls++
 	r.wakeBy(r.hedgeTime(now, a))
 	send := Action{Kind: ActionSend, Attempt: n, Part: a.part, Upstream: a.upstream, Pool: r.rules.poolOf(a.upstream)}
 	if !r.parts[a.part].hedged {
@@ -96,7 +95,7 @@
 // include has a part be in the answer, and gives up its other attempts.
 func (r *Run) include(i int, out []Action) []Action {
 	p := &r.parts[i]
-	p.included, p.closed = true, true
+	p.closed = true
 	r.progress.included++
 	r.progress.open--
 	return r.cancel(i, CallCancelled, out)
@@ -109,10 +108,10 @@
 	r.progress.open--
 }
 
-// linger reports whether an attempt that is not wanted any more may go on. One
-// whose caller is gone may not.
+// linger reports whether an attempt that is not wanted any more may go on: one at a near
+// upstream, whose caller is not gone.
 func (r *Run) linger(a *attempt) bool {
-	return r.rules.lingers(a.upstream) && r.request.Repeatable && !r.callerGone && !r.suspected() && a.upstream.linger()
+	return a.upstream.near && r.request.Repeatable && !r.callerGone && !r.suspected() && a.upstream.linger()
 }
 
 // cancel gives up all attempts of a part. One whose answer shows when its upstream
@@ -127,7 +126,7 @@
 			a.phase = phaseDone
 		case phaseSent:
 			if r.linger(a) {
-				out = append(out, Action{Kind: ActionLinger, Attempt: n, Part: i, Upstream: a.upstream, Outcome: o, For: LingerFor})
+				out = append(out, Action{Kind: ActionLinger, Attempt: n, Part: i, Upstream: a.upstream, Outcome: o})
 				continue
 			}
 			out = append(out, Action{Kind: ActionCancel, Attempt: n, Part: i, Upstream: a.upstream, Outcome: o})
--- a/tier/policy/class.go
+++ b/tier/policy/class.go
@@ -61,8 +61,6 @@
 
 func (c *classRules) probes() bool { return true }
 
-func (c *classRules) lingers(*Upstream) bool { return false }
-
 func (c *classRules) barred(time.Duration, *Upstream) bool { return false }
 
 func (c *classRules) hallFactor(*Upstream) float64 { return 1 }
--- a/tier/policy/fleet.go
+++ b/tier/policy/fleet.go
@@ -100,32 +100,23 @@
 	return f.upstreams[name]
 }
 
-// resolve returns the upstreams of names; unknown ones are left out. The fleet is
-// locked.
-func (f *Fleet) resolve(names []string) []*Upstream {
-	out := make([]*Upstream, 0, len(names))
-	for _, n := range names {
-		if u := f.upstreams[n]; u != nil {
-			out = append(out, u)
-		}
-	}
-	return out
-}
-
-// HallOf returns the data hall of a listed upstream.
-func (f *Fleet) HallOf(u *Upstream) string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return u.hall
-}
-
 // Resolve returns the upstreams of each list of names; unknown ones are left out.
 func (f *Fleet) Resolve(names [][]string) [][]*Upstream {
 	f.mu.Lock()
 	defer f.mu.Unlock()
+	return f.resolve(names)
+}
+
+// resolve is Resolve with the fleet locked.
+func (f *Fleet) resolve(names [][]string) [][]*Upstream {
 	out := make([][]*Upstream, len(names))
 	for i := range names {
-		out[i] = f.resolve(names[i])
+		out[i] = make([]*Upstream, 0, len(names[i]))
+		for _, n := range names[i] {
+			if u := f.upstreams[n]; u != nil {
+				out[i] = append(out[i], u)
+			}
+		}
 	}
 	return out
 }
--- a/tier/policy/part.go
+++ b/tier/policy/part.go
@@ -12,9 +12,8 @@
 	// replicas are the upstreams that can answer it.
 	replicas []*Upstream
 	// reason is why it is missing; empty while it is open or included.
-	reason   query.Reason
-	included bool
-	closed   bool
+	reason query.Reason
+	closed bool
 	// deferred is true while it waits for the answer of an isolated call. retryDue is
 	// true if it pays for a retry then, since a call of it was given up.
 	deferred, retryDue bool
--- a/tier/policy/result.go
+++ b/tier/policy/result.go
@@ -15,19 +15,6 @@
 	Unhedged HedgeObstacle
 }
 
-// missing lists the parts that a finished run has no answer for.
-func (r *Run) missing() []Missing {
-	var out []Missing
-	for i := range r.parts {
-		p := &r.parts[i]
-		if p.included {
-			continue
-		}
-		out = append(out, Missing{Part: i, Reason: p.reason, Sends: p.sends, Unhedged: p.unhedged})
-	}
-	return out
-}
-
 // Result describes a finished run.
 type Result struct {
 	// Reasons holds for each part why it is missing, empty if it is included.
@@ -46,10 +33,15 @@
 
 // Result returns the account of the run after ActionFinish.
 func (r *Run) Result() Result {
-	out := Result{Included: r.progress.included, Attempts: r.calls, Unknown: r.unknown, Missing: r.missing()}
+	out := Result{Included: r.progress.included, Unknown: r.unknown}
 	for i := range r.parts {
-		out.Reasons = append(out.Reasons, r.parts[i].reason)
-		out.Ran += r.parts[i].ran
+		p := &r.parts[i]
+		out.Attempts += p.sends
+		out.Ran += p.ran
+		out.Reasons = append(out.Reasons, p.reason)
+		if p.reason != "" {
+			out.Missing = append(out.Missing, Missing{Part: i, Reason: p.reason, Sends: p.sends, Unhedged: p.unhedged})
+		}
 	}
 	return out
 }
--- a/tier/policy/routed.go
+++ b/tier/policy/routed.go
@@ -108,9 +108,6 @@
 // probes is false: each call beyond the first counts against what the group allows.
 func (r *routedRules) probes() bool { return false }
 
-// lingers is true for near upstreams: the call shows when one answers again.
-func (r *routedRules) lingers(u *Upstream) bool { return u.near }
-
 // barred bars a cold upstream if it has had as many calls as it can handle, or if this host
 // is not the one that makes its calls and no other host makes calls for the run.
 func (r *routedRules) barred(now time.Duration, u *Upstream) bool {
--- a/tier/policy/rules.go
+++ b/tier/policy/rules.go
@@ -29,9 +29,6 @@
 	hedgesAtSame() bool
 	// probes reports whether slow upstreams are asked besides the chosen ones.
 	probes() bool
-	// lingers reports whether a call to an upstream may go on when its answer is not
-	// wanted any more.
-	lingers(u *Upstream) bool
 
 	// barred reports whether an upstream may get no call of the run at the moment.
 	barred(now time.Duration, u *Upstream) bool
--- a/tier/policy/run.go
+++ b/tier/policy/run.go
@@ -45,8 +45,6 @@
 	attempts []attempt
 	progress progress
 	times    times
-	// calls counts the attempts that were sent.
-	calls int
 	// finished is true once ActionFinish was given, or the request refused.
 	finished bool
 	// callerGone is true once the caller is gone.
--- a/tier/policy/run_test.go
+++ b/tier/policy/run_test.go
@@ -62,7 +62,7 @@
 		shares = append(shares, Share{Name: n, Slots: slots, MaxSlots: slots + 1, Leaving: n == "C" && rapid.Bool().Draw(t, "leaving")})
 	}
 	m.fleet.Apply(0, shares)
-	m.upstreams = m.fleet.resolve(names)
+	m.upstreams = m.fleet.resolve([][]string{names})[0]
 	if rapid.Bool().Draw(t, "warm") {
 		for _, u := range m.upstreams {
 			u.latency.samples = warmSamples
@@ -294,7 +294,7 @@
 func TestLoserIsNotMerged(t *testing.T) {
 	f := NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(1, 0))})
 	f.Apply(0, []Share{{Name: "A", Slots: 4}, {Name: "B", Slots: 4}})
-	upstreams := f.resolve([]string{"A", "B"})
+	upstreams := f.resolve([][]string{{"A", "B"}})[0]
 	for _, u := range upstreams {
 		u.latency.samples = warmSamples
 	}
--- a/tier/policy/snapshot.go
+++ b/tier/policy/snapshot.go
@@ -12,11 +12,10 @@
 func (f *Fleet) Plan(replicas [][]string) ([][]*Upstream, uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := make([][]*Upstream, len(replicas))
+	out := f.resolve(replicas)
 	var candidates []uint64
-	for i, names := range replicas {
-		out[i] = f.resolve(names)
-		for _, u := range out[i] {
+	for _, upstreams := range out {
+		for _, u := range upstreams {
 			if u.status.window.Known && !u.leaving && !slices.Contains(candidates, u.status.window.Newest) {
 				candidates = append(candidates, u.status.window.Newest)
 			}
--- a/tier/replay/replay.go
+++ b/tier/replay/replay.go
@@ -335,7 +335,7 @@
 		case policy.ActionCancel:
 			f.calls[a.Attempt].cancel(a.Outcome)
 		case policy.ActionLinger:
-			f.calls[a.Attempt].linger(a.Outcome, a.For)
+			f.calls[a.Attempt].linger(a.Outcome, policy.LingerFor)
 		case policy.ActionFree:
 			policy.Deliver(f.host.fleet.Free(w.now, a.Upstream))
 		case policy.ActionFinish:
--- a/tier/runner/call.go
+++ b/tier/runner/call.go
@@ -96,7 +96,7 @@
 		return
 	}
 	c.outcome, c.lingering = a.Outcome, true
-	time.AfterFunc(a.For, func() { e.cancelLingering(c) })
+	time.AfterFunc(policy.LingerFor, func() { e.cancelLingering(c) })
 }
 
 // cancelLingering ends a call that lingered.
