--- a/tier/policy/admission.go
+++ b/tier/policy/admission.go
@@ -3,9 +3,9 @@
 import "time"
 
 func init() {
-	registerAdmission("None", admitAll{})
-	registerAdmission("Deadline", admitDeadline{})
-	registerAdmission("Worth", admitWorth{})
+	admissions["None"] = admitAll{}
+	admissions["Deadline"] = admitDeadline{}
+	admissions["Worth"] = admitWorth{}
 }
 
 // Shares of the slack that expected work may fill.
@@ -22,26 +22,17 @@
 // admitAll refuses nothing: the baseline.
 type admitAll struct{}
 
-var _ admission = admitAll{}
-
-// allow implements admission.
 func (admitAll) allow(time.Duration, float64, float64) time.Duration { return 1<<63 - 1 }
 
 // admitDeadline refuses what cannot be done in time.
 type admitDeadline struct{}
 
-var _ admission = admitDeadline{}
-
-// allow implements admission.
 func (admitDeadline) allow(slack time.Duration, _, _ float64) time.Duration { return slack }
 
 // admitWorth lets requests of more worth per cost count on more of their
 // slack, so that under overload the least worth per cost is refused first.
 type admitWorth struct{}
 
-var _ admission = admitWorth{}
-
-// allow implements admission.
 func (admitWorth) allow(slack time.Duration, density, top float64) time.Duration {
 	rank := 1.0
 	if top > 0 {
--- a/tier/policy/choose.go
+++ b/tier/policy/choose.go
@@ -3,10 +3,10 @@
 import "time"
 
 func init() {
-	registerChooser("LeastTime", leastTime{})
-	registerChooser("LeastLatency", leastLatency{})
-	registerChooser("Random", random{})
-	registerChooser("First", first{})
+	choosers["LeastTime"] = leastTime{}
+	choosers["LeastLatency"] = leastLatency{}
+	choosers["Random"] = random{}
+	choosers["First"] = first{}
 }
 
 // Constants of scores, which are expected times in seconds. Penalties put upstreams in
@@ -33,9 +33,6 @@
 // leastTime takes the replica whose own calls suggest the earliest answer.
 type leastTime struct{}
 
-var _ chooser = leastTime{}
-
-// score implements chooser.
 func (leastTime) score(now time.Duration, u *Upstream, p *Pool, r Random) float64 {
 	latency := u.latency.or(p.median())
 	score := latency.Seconds() * (1 + u.slots.ahead()) * jitter(r)
@@ -51,17 +48,11 @@
 // random takes any replica: the baseline.
 type random struct{}
 
-var _ chooser = random{}
-
-// score implements chooser.
 func (random) score(_ time.Duration, _ *Upstream, _ *Pool, r Random) float64 { return r.Float64() }
 
 // first takes the first replica that is not ejected.
 type first struct{}
 
-var _ chooser = first{}
-
-// score implements chooser.
 func (first) score(now time.Duration, u *Upstream, _ *Pool, _ Random) float64 {
 	if u.ejection.active(now) {
 		return ejectedPenalty
--- a/tier/policy/leastlatency.go
+++ b/tier/policy/leastlatency.go
@@ -18,9 +18,6 @@
 // compares with others, the calls ahead of a new one, and its faults.
 type leastLatency struct{}
 
-var _ chooser = leastLatency{}
-
-// score implements chooser.
 func (leastLatency) score(now time.Duration, u *Upstream, p *Pool, r Random) float64 {
 	slowness, faults := u.condition.expected(now, u.Name)
 	latency := p.median().Seconds() * slowness
--- a/tier/policy/plugin.go
+++ b/tier/policy/plugin.go
@@ -31,31 +31,17 @@
 	allow(slack time.Duration, density, top float64) time.Duration
 }
 
+// Plug-ins by name; each file that has some adds them in its init function.
 var (
 	choosers   = map[string]chooser{}
 	admissions = map[string]admission{}
 )
 
-// registerChooser makes a chooser known; it is called from init functions.
-func registerChooser(name string, c chooser) { choosers[name] = c }
-
-// registerAdmission makes a rule known; it is called from init functions.
-func registerAdmission(name string, a admission) { admissions[name] = a }
-
-// chooserNamed finds a registered chooser.
-func chooserNamed(name string) (chooser, error) {
-	c, ok := choosers[name]
-	if !ok {
-		return nil, fmt.Errorf("chooser %q: %w", name, errUnknown)
-	}
-	return c, nil
-}
-
-// admissionNamed finds a registered rule.
-func admissionNamed(name string) (admission, error) {
-	a, ok := admissions[name]
+// named finds a registered plug-in of a kind.
+func named[T any](kind string, registered map[string]T, name string) (T, error) {
+	p, ok := registered[name]
 	if !ok {
-		return nil, fmt.Errorf("admission %q: %w", name, errUnknown)
+		return p, fmt.Errorf("%s %q: %w", kind, name, errUnknown)
 	}
-	return a, nil
+	return p, nil
 }
--- a/tier/policy/run.go
+++ b/tier/policy/run.go
@@ -71,11 +71,11 @@
 
 // NewRun prepares a request.
 func NewRun(c RunConfig) (*Run, error) {
-	chooser, err := chooserNamed(c.Class.Choice)
+	chooser, err := named("chooser", choosers, c.Class.Choice)
 	if err != nil {
 		return nil, err
 	}
-	admission, err := admissionNamed(c.Class.Admission)
+	admission, err := named("admission", admissions, c.Class.Admission)
 	if err != nil {
 		return nil, err
 	}
--- a/tier/policy/run_test.go
+++ b/tier/policy/run_test.go
@@ -278,14 +278,14 @@
 
 func TestEveryChoiceOfTheDocumentIsRegistered(t *testing.T) {
 	for _, n := range config.Choices {
-		_, err := chooserNamed(n)
+		_, err := named("chooser", choosers, n)
 		assert.NilError(t, err)
 	}
 	for _, n := range config.Admissions {
-		_, err := admissionNamed(n)
+		_, err := named("admission", admissions, n)
 		assert.NilError(t, err)
 	}
-	_, err := chooserNamed("Best")
+	_, err := named("chooser", choosers, "Best")
 	assert.ErrorIs(t, err, errUnknown)
 }
 
