--- a/tier/policy/admit.go
+++ b/tier/policy/admit.go
@@ -57,7 +57,10 @@
 func (q *RunConfig) expected(allowed time.Duration) (inTime int, shortest time.Duration) {
 	shortest = math.MaxInt64
 	for _, upstreams := range q.Replicas {
-		if best := q.bestTime(upstreams); best <= allowed || len(upstreams) == 0 {
+		best := shortestTime(upstreams, func(u *Upstream) time.Duration {
+			return u.expectedWait(q.Pool) + u.latency.or(q.Pool.median())
+		})
+		if best <= allowed || len(upstreams) == 0 {
 			inTime++
 		} else {
 			shortest = min(shortest, best)
@@ -69,18 +72,6 @@
 	return inTime, shortest
 }
 
-// bestTime is the shortest time within which any of some upstreams is expected to answer;
-// the longest time there is if all leave.
-func (q *RunConfig) bestTime(upstreams []*Upstream) time.Duration {
-	best := time.Duration(math.MaxInt64)
-	for _, u := range upstreams {
-		if !u.leaving {
-			best = min(best, u.expectedWait(q.Pool)+u.latency.or(q.Pool.median()))
-		}
-	}
-	return best
-}
-
 func init() {
 	admissions["None"] = admitAll{}
 	admissions["Deadline"] = admitDeadline{}
--- a/tier/policy/backoff.go
+++ b/tier/policy/backoff.go
@@ -1,6 +1,9 @@
 package policy
 
-import "time"
+import (
+	"math"
+	"time"
+)
 
 // Constants of the backoff after sheds. Measured as a whole (replayed, upstreams whose
 // health reports are wrong): extra load 1.80%, without it 2.73. No figure was varied by
@@ -10,9 +13,6 @@
 	backoffFirst = 5 * time.Millisecond
 	// backoffLongest is the longest backoff. Not measured by itself.
 	backoffLongest = time.Second
-	// backoffDoublings bounds the doublings of backoffFirst, so that the shift
-	// cannot overflow; backoffLongest applies after eight.
-	backoffDoublings = 10
 )
 
 // backoff passes over an upstream that sheds calls, for twice as long at each
@@ -29,9 +29,14 @@
 
 // shed notes a call that the upstream refused to run.
 func (b *backoff) shed(now time.Duration) {
-	b.until = now + min(backoffFirst<<min(b.sheds, backoffDoublings), backoffLongest)
+	b.until = now + exponential(backoffFirst, 2, b.sheds, backoffLongest)
 	b.sheds++
 }
 
+// exponential is a time that was multiplied by a factor some times, at most the longest.
+func exponential(first time.Duration, factor float64, times int, longest time.Duration) time.Duration {
+	return time.Duration(min(float64(first)*math.Pow(factor, float64(times)), float64(longest)))
+}
+
 // active reports whether the upstream is passed over now.
 func (b *backoff) active(now time.Duration) bool { return now < b.until }
--- a/tier/policy/borrowing.go
+++ b/tier/policy/borrowing.go
@@ -32,9 +32,6 @@
 	needed int
 }
 
-// bound gives back what exceeds the slots beyond the share.
-func (b *borrowing) bound(room int) { b.borrowed = min(b.borrowed, room) }
-
 // shed gives all borrowed slots back.
 func (b *borrowing) shed() {
 	if b.borrowed > 0 {
--- a/tier/policy/ejection.go
+++ b/tier/policy/ejection.go
@@ -13,9 +13,6 @@
 	ejectFirst = time.Second
 	// ejectLongest is the longest that an ejection lasts. Not measured by itself.
 	ejectLongest = 30 * time.Second
-	// ejectDoublings bounds the doublings of ejectFirst, so that the shift cannot
-	// overflow; ejectLongest applies after five.
-	ejectDoublings = 10
 )
 
 // ejection takes an upstream out of rotation after consecutive failures, for twice
@@ -37,8 +34,7 @@
 	if e.failures < ejectAfter {
 		return
 	}
-	doublings := min(e.failures-ejectAfter, ejectDoublings)
-	e.until = now + min(ejectFirst<<doublings, ejectLongest)
+	e.until = now + exponential(ejectFirst, 2, e.failures-ejectAfter, ejectLongest)
 }
 
 // active reports whether the upstream is ejected now.
--- a/tier/policy/quarantine.go
+++ b/tier/policy/quarantine.go
@@ -86,11 +86,7 @@
 	if crashes == 0 {
 		return 0
 	}
-	out := quarantineFirst
-	for range crashes - 1 {
-		out = min(out*quarantineGrowth, crashReportLife)
-	}
-	return out
+	return exponential(quarantineFirst, quarantineGrowth, crashes-1, crashReportLife)
 }
 
 // worst is the verdict for the caller that fares worst.
@@ -108,28 +104,16 @@
 	return worst
 }
 
-// judge returns the verdict on a request, and for how long it is refused.
-func (q *quarantine) judge(now time.Duration, of Subject) (Verdict, time.Duration) {
-	s := q.suspects[of.Fingerprint]
-	if s == nil {
-		return VerdictSound, 0
-	}
-	return s.judge(now, of.Caller)
-}
-
 // Judge returns what is to be done with a request, and for how long it is refused.
 func (f *Fleet) Judge(now time.Duration, of Subject) (Verdict, time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.quarantine.judge(now, of)
+	return f.quarantine.suspect(of.Fingerprint).judge(now, of.Caller)
 }
 
 // Worst returns the verdict on a request for the caller that fares worst.
 func (f *Fleet) Worst(now time.Duration, of Fingerprint) Verdict {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if s := f.quarantine.suspects[of]; s != nil {
-		return s.worst(now)
-	}
-	return VerdictSound
+	return f.quarantine.suspect(of).worst(now)
 }
--- a/tier/policy/retryafter.go
+++ b/tier/policy/retryafter.go
@@ -23,7 +23,8 @@
 	defer f.mu.Unlock()
 	var waits []time.Duration
 	for _, us := range replicas {
-		if wait, ok := soonestEligible(now, us); ok {
+		wait := shortestTime(us, func(u *Upstream) time.Duration { return max(u.backoff.until-now, u.ejection.until-now, 0) })
+		if wait != math.MaxInt64 {
 			waits = append(waits, wait)
 		}
 	}
@@ -35,20 +36,16 @@
 	return waits[need-1]
 }
 
-// soonestEligible returns in what time the first of some upstreams may be asked again;
-// false if none can be.
-func soonestEligible(now time.Duration, us []*Upstream) (time.Duration, bool) {
-	best, found := time.Duration(0), false
+// shortestTime is the shortest of some times of upstreams, those that leave left out; the
+// longest time there is if all leave.
+func shortestTime(us []*Upstream, of func(*Upstream) time.Duration) time.Duration {
+	shortest := time.Duration(math.MaxInt64)
 	for _, u := range us {
-		if u.leaving {
-			continue
-		}
-		wait := max(u.backoff.until-now, u.ejection.until-now, 0)
-		if !found || wait < best {
-			best, found = wait, true
+		if !u.leaving {
+			shortest = min(shortest, of(u))
 		}
 	}
-	return best, found
+	return shortest
 }
 
 // retryAfter is when the caller of a refused request of a class is to come back: after
--- a/tier/policy/run.go
+++ b/tier/policy/run.go
@@ -97,7 +97,8 @@
 func (r *Run) Begin(now time.Duration) ([]Action, error) {
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
-	verdict, left := r.fleet.quarantine.judge(now, r.suspicion.subject)
+	subject := r.suspicion.subject
+	verdict, left := r.fleet.quarantine.suspect(subject.Fingerprint).judge(now, subject.Caller)
 	if verdict == VerdictQuarantined {
 		r.finished = true
 		return nil, &Refusal{Reason: ReasonQuarantined, RetryAfter: left}
--- a/tier/policy/slots.go
+++ b/tier/policy/slots.go
@@ -24,7 +24,7 @@
 // set applies a new division of the upstream's slots.
 func (s *slots) set(share, ceiling int) {
 	s.share, s.ceiling = share, max(ceiling, share)
-	s.borrowing.bound(s.room())
+	s.borrowing.borrowed = min(s.borrowing.borrowed, s.room())
 }
 
 // room is how many slots the upstream has beyond the share.
--- a/tier/policy/suspects.go
+++ b/tier/policy/suspects.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 	"time"
 )
@@ -37,6 +38,14 @@
 	notify func(urgent bool)
 }
 
+// suspect is what is remembered of a request; without crash reports if it is not known.
+func (q *quarantine) suspect(f Fingerprint) *suspect {
+	if s := q.suspects[f]; s != nil {
+		return s
+	}
+	return &suspect{}
+}
+
 // report takes in a crash that this host saw.
 func (q *quarantine) report(now time.Duration, of Subject, c CrashReport) {
 	c.Left, c.Caller = crashReportLife, of.Caller
@@ -46,10 +55,7 @@
 // clear notes that an upstream has answered the request: what crashed others was
 // something else, or depends on the caller.
 func (q *quarantine) clear(of Subject) {
-	s := q.suspects[of.Fingerprint]
-	if s == nil {
-		return
-	}
+	s := q.suspect(of.Fingerprint)
 	for i := range s.crashes {
 		c := &s.crashes[i]
 		same := c.Caller == of.Caller
@@ -60,10 +66,7 @@
 
 // merge takes crash reports in.
 func (q *quarantine) merge(now time.Duration, r *SuspectReport) {
-	s, known := q.suspects[r.Fingerprint]
-	if !known {
-		s = &suspect{}
-	}
+	s := q.suspect(r.Fingerprint)
 	before, changed := s.worst(now), false
 	for i := range r.Crashes {
 		changed = s.add(now, &r.Crashes[i]) || changed
@@ -71,7 +74,7 @@
 	if !changed {
 		return
 	}
-	if !known {
+	if q.suspects[r.Fingerprint] == nil {
 		q.makeRoom(now)
 		q.suspects[r.Fingerprint] = s
 	}
@@ -98,23 +101,18 @@
 	}
 	s.crashes = slices.DeleteFunc(s.crashes, func(o crash) bool { return now >= o.until })
 	if len(s.crashes) >= crashReportsMost {
-		i = s.least(now)
-		s.crashes = slices.Delete(s.crashes, i, i+1)
+		least := s.least(now)
+		s.crashes = slices.DeleteFunc(s.crashes, func(o crash) bool { return o.ID == least.ID })
 	}
 	s.crashes = append(s.crashes, crash{CrashReport: *c, until: now + left})
 	return true
 }
 
-// least is the index of the crash report that matters least, and of such the oldest.
-func (s *suspect) least(now time.Duration) int {
-	best := 0
-	for i := range s.crashes {
-		a, b := &s.crashes[i], &s.crashes[best]
-		if cmp.Or(cmp.Compare(a.weight(now), b.weight(now)), cmp.Compare(a.until, b.until)) < 0 {
-			best = i
-		}
-	}
-	return best
+// least is the crash report that matters least, and of such the oldest.
+func (s *suspect) least(now time.Duration) crash {
+	return slices.MinFunc(s.crashes, func(a, b crash) int {
+		return cmp.Or(cmp.Compare(a.weight(now), b.weight(now)), cmp.Compare(a.until, b.until))
+	})
 }
 
 // weight is how much a request matters: as much as the report that matters most.
@@ -154,13 +152,8 @@
 	if len(q.suspects) < suspectsMost {
 		return
 	}
-	var least Fingerprint
-	for f := range q.suspects {
-		if least == "" || q.compare(now, f, least) < 0 {
-			least = f
-		}
-	}
-	delete(q.suspects, least)
+	known := slices.Collect(maps.Keys(q.suspects))
+	delete(q.suspects, slices.MinFunc(known, func(a, b Fingerprint) int { return q.compare(now, a, b) }))
 }
 
 // compare orders requests by how much they matter, the least first.
