--- a/tier/policy/action.go
+++ b/tier/policy/action.go
@@ -5,7 +5,6 @@
 // ActionKind says what a run wants done.
 type ActionKind string
 
-// The kinds of action.
 const (
 	// ActionSend asks for the attempt to be sent to its upstream. Its slot is
 	// held; Fleet.Finish gives it back.
--- a/tier/policy/attempt.go
+++ b/tier/policy/attempt.go
@@ -125,11 +125,11 @@
 			a.waiter.abandon()
 			a.phase = phaseDone
 		case phaseSent:
+			kind := ActionCancel
 			if r.linger(a) {
-				out = append(out, Action{Kind: ActionLinger, Attempt: n, Part: i, Upstream: a.upstream, Outcome: o})
-				continue
+				kind = ActionLinger
 			}
-			out = append(out, Action{Kind: ActionCancel, Attempt: n, Part: i, Upstream: a.upstream, Outcome: o})
+			out = append(out, Action{Kind: kind, Attempt: n, Part: i, Upstream: a.upstream, Outcome: o})
 		default:
 		}
 	}
--- a/tier/policy/budget.go
+++ b/tier/policy/budget.go
@@ -105,12 +105,9 @@
 
 // retriesOf returns the tokens of a group; the fleet is locked.
 func (f *Fleet) retriesOf(group string) *budget {
-	b := f.retries[group]
-	if b == nil {
-		b = &budget{f.retryBudgets.of(group).Depth * retriesAtStart}
-		f.retries[group] = b
-	}
-	return b
+	return findOrMake(f.retries, group, func() *budget {
+		return &budget{f.retryBudgets.of(group).Depth * retriesAtStart}
+	})
 }
 
 // takeRetry takes a retry at a group; the fleet is locked. Where there are so
--- a/tier/policy/choose.go
+++ b/tier/policy/choose.go
@@ -60,7 +60,6 @@
 	return 0
 }
 
-// Constants of leastLatency.
 const (
 	// farFactor multiplies the score of an upstream of another data hall than this
 	// host's: bytes between halls are expensive, and distance does not pass. Measured:
--- a/tier/policy/class.go
+++ b/tier/policy/class.go
@@ -59,8 +59,6 @@
 // same upstream. Measured: 46.8 ms in place of 74.9 ms at the 99th percentile.
 func (c *classRules) hedgesAtSame() bool { return true }
 
-func (c *classRules) probes() bool { return true }
-
 func (c *classRules) barred(time.Duration, *Upstream) bool { return false }
 
 func (c *classRules) hallFactor(*Upstream) float64 { return 1 }
--- a/tier/policy/classstate.go
+++ b/tier/policy/classstate.go
@@ -14,12 +14,9 @@
 
 // class finds or makes the state of a class; the fleet is locked.
 func (f *Fleet) class(name string) *classState {
-	c := f.classes[name]
-	if c == nil {
-		c = &classState{hedges: budget{budgetStart}, retries: budget{budgetStart}}
-		f.classes[name] = c
-	}
-	return c
+	return findOrMake(f.classes, name, func() *classState {
+		return &classState{hedges: budget{budgetStart}, retries: budget{budgetStart}}
+	})
 }
 
 // density is the worth of a request for each upstream call that it takes.
--- a/tier/policy/cold.go
+++ b/tier/policy/cold.go
@@ -6,7 +6,6 @@
 	"time"
 )
 
-// Constants of cold upstreams.
 const (
 	// coldOwners is how many hosts may believe at a time that they are the owner: one
 	// that was frozen or cut off from its hall does not know of the next. Not measured.
--- a/tier/policy/condition.go
+++ b/tier/policy/condition.go
@@ -2,7 +2,6 @@
 
 import "time"
 
-// Constants of conditions.
 const (
 	// reportSlow is how many times slower than comparable upstreams one must be to
 	// be reported. Measured with reportFaults: from 1.6 and 0.15 on, reports were two in
@@ -47,19 +46,6 @@
 	at time.Duration
 }
 
-// conditions holds the last reports by hall.
-type conditions map[string]*hallConditions
-
-// of returns the report about a hall, which is made at first use and stays the same.
-func (c conditions) of(hall string) *hallConditions {
-	h := c[hall]
-	if h == nil {
-		h = &hallConditions{at: never}
-		c[hall] = h
-	}
-	return h
-}
-
 // condition is how slow and how faulty an upstream is, by this host's own calls and
 // by the reports of its hall.
 type condition struct {
--- a/tier/policy/conditions.go
+++ b/tier/policy/conditions.go
@@ -22,12 +22,18 @@
 	return out
 }
 
+// hallConditions returns the report about a hall, which stays the same; the fleet is
+// locked.
+func (f *Fleet) hallConditions(hall string) *hallConditions {
+	return findOrMake(f.conditions, hall, func() *hallConditions { return &hallConditions{at: never} })
+}
+
 // TakeConditions stores a host's report about the upstreams of its hall: those
 // that it does not mention do well.
 func (f *Fleet) TakeConditions(now time.Duration, hall string, reported []Condition) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	h := f.conditions.of(hall)
+	h := f.hallConditions(hall)
 	h.reported, h.at = make(map[string]Condition, len(reported)), now
 	for _, c := range reported {
 		h.reported[c.Upstream] = c
--- a/tier/policy/coordinator.go
+++ b/tier/policy/coordinator.go
@@ -9,7 +9,6 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Constants of capacity and of coordinators.
 const (
 	// coreCapacity is the capacity of one core with an unlimited link.
 	coreCapacity = 1000
--- a/tier/policy/fingerprint.go
+++ b/tier/policy/fingerprint.go
@@ -7,7 +7,6 @@
 	"hash"
 )
 
-// Bounds of fingerprints.
 const (
 	// fingerprintBytes is the length of a fingerprint before it is written in
 	// hexadecimal: of 1,000 suspected requests two share one once in 3.7e13 times.
--- a/tier/policy/fleet.go
+++ b/tier/policy/fleet.go
@@ -15,13 +15,13 @@
 	self string
 	// upstreams holds those of the last Apply, by name.
 	upstreams map[string]*Upstream
-	pools     pools
+	pools     map[string]*Pool
 	classes   map[string]*classState
 	// retries holds the tokens of each group of a routed request.
 	retries      map[string]*budget
 	retryBudgets RetryBudgets
-	// conditions holds the reports about the upstreams of other halls.
-	conditions conditions
+	// conditions holds the last report about the upstreams of each hall.
+	conditions map[string]*hallConditions
 	// quarantine remembers the requests that crash upstreams.
 	quarantine quarantine
 }
@@ -37,10 +37,10 @@
 	return &Fleet{
 		random:     c.Random,
 		upstreams:  map[string]*Upstream{},
-		pools:      pools{},
+		pools:      map[string]*Pool{},
 		classes:    map[string]*classState{},
 		retries:    map[string]*budget{},
-		conditions: conditions{},
+		conditions: map[string]*hallConditions{},
 		quarantine: quarantine{suspects: map[Fingerprint]*suspect{}},
 	}
 }
@@ -83,7 +83,7 @@
 		u.leaving = s.Leaving || u.gone
 		u.kind, u.near, u.hall = kindOf(s.Listed), s.Near, s.Hall
 		if u.kind.inHall {
-			u.condition.hall = f.conditions.of(s.Hall)
+			u.condition.hall = f.hallConditions(s.Hall)
 			u.cold.update(now, s.Cold)
 		}
 		next[s.Name] = u
@@ -125,7 +125,7 @@
 func (f *Fleet) Pool(service string) *Pool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.pools.of(service, poolWindow)
+	return f.pool(service, poolWindow)
 }
 
 // RoutedPools give the latencies of a route's calls within this host's hall and
@@ -134,7 +134,20 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	// A route may have the name of a service.
-	return f.pools.of("near "+route, routedWindow), f.pools.of("far "+route, routedWindow)
+	return f.pool("near "+route, routedWindow), f.pool("far "+route, routedWindow)
+}
+
+// pool returns the pool of a name; the fleet is locked.
+func (f *Fleet) pool(name string, window int64) *Pool {
+	return findOrMake(f.pools, name, func() *Pool { return newPool(window) })
+}
+
+// findOrMake returns the value of a key, which is made at first use.
+func findOrMake[V any](m map[string]*V, key string, create func() *V) *V {
+	if m[key] == nil {
+		m[key] = create()
+	}
+	return m[key]
 }
 
 // UpstreamState is a copy of what is known of an upstream, for operators.
--- a/tier/policy/hedge.go
+++ b/tier/policy/hedge.go
@@ -25,7 +25,6 @@
 // HedgeObstacle says what kept a call from being hedged.
 type HedgeObstacle string
 
-// The obstacles to a hedge.
 const (
 	// HedgeNoUpstream means that no other upstream of the part may be asked.
 	HedgeNoUpstream HedgeObstacle = "NoUpstream"
@@ -127,7 +126,7 @@
 // probe asks a slow replica besides the chosen one, so that its recovery is
 // seen without anybody waiting for it.
 func (r *Run) probe(now time.Duration, i int, out []Action) []Action {
-	if !r.hedges() || !r.rules.probes() || len(r.parts[i].live) == 0 {
+	if !r.hedges() || len(r.parts[i].live) == 0 {
 		return out
 	}
 	for _, u := range r.parts[i].replicas {
--- a/tier/policy/kind.go
+++ b/tier/policy/kind.go
@@ -8,7 +8,8 @@
 	// slowStart gives a new upstream one call at a time until it has answered some.
 	slowStart bool
 	// comparesLatency marks an upstream as an outlier whose calls take much longer than
-	// those of its pool.
+	// those of its pool, and has it probed. Listed ones are not: each call beyond the
+	// first counts against what their group allows.
 	comparesLatency bool
 	// poolsCancelled counts calls that were cancelled in the pool, with the time that
 	// they took until then.
@@ -33,7 +34,6 @@
 	return &declaredKind
 }
 
-// Constants of the latency of declared upstreams.
 const (
 	// declaredWeight is how much a new latency counts in the smoothed one, 0 to 1.
 	// Measured: with a fifth one straggler made an upstream slow for seconds (99th
--- a/tier/policy/limit.go
+++ b/tier/policy/limit.go
@@ -1,6 +1,5 @@
 package policy
 
-// Constants of the learnt limit of calls.
 const (
 	// limitLeast is the least limit, in calls. Not measured by itself.
 	limitLeast = 2
--- a/tier/policy/outcome.go
+++ b/tier/policy/outcome.go
@@ -5,7 +5,6 @@
 // CallOutcome is what became of one upstream call.
 type CallOutcome string
 
-// The outcomes of a call.
 const (
 	// CallOK is a whole reply that belongs to the call.
 	CallOK CallOutcome = "OK"
--- a/tier/policy/outlier.go
+++ b/tier/policy/outlier.go
@@ -2,7 +2,6 @@
 
 import "time"
 
-// Constants of outliers and of the calls that probe them.
 const (
 	// outlierFrom is how many medians of its service the latency of an upstream must
 	// exceed to make it an outlier. Measured with outlierUntil and declaredLeap: the
--- a/tier/policy/pool.go
+++ b/tier/policy/pool.go
@@ -6,7 +6,6 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Constants of a pool.
 const (
 	// poolLowest is the least latency that is told from others, in microseconds. Not
 	// measured.
@@ -109,16 +108,3 @@
 	p.quantiles[q] = d
 	return d
 }
-
-// pools holds pools by name.
-type pools map[string]*Pool
-
-// of returns a pool, made with a window at first use.
-func (p pools) of(name string, window int64) *Pool {
-	q := p[name]
-	if q == nil {
-		q = newPool(window)
-		p[name] = q
-	}
-	return q
-}
--- a/tier/policy/quarantine.go
+++ b/tier/policy/quarantine.go
@@ -28,7 +28,6 @@
 // Verdict is what is to be done with a request.
 type Verdict string
 
-// The verdicts.
 const (
 	// VerdictSound has the request run as any other.
 	VerdictSound Verdict = "Sound"
--- a/tier/policy/queue.go
+++ b/tier/policy/queue.go
@@ -78,26 +78,21 @@
 
 var _ heap.Interface = (*waiters)(nil)
 
-// Len implements heap.Interface.
 func (q waiters) Len() int { return len(q) }
 
-// Less implements heap.Interface.
 func (q waiters) Less(i, j int) bool { return q[i].Deadline < q[j].Deadline }
 
-// Swap implements heap.Interface.
 func (q waiters) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
 	q[i].place, q[j].place = i, j
 }
 
-// Push implements heap.Interface.
 func (q *waiters) Push(x any) {
 	w := x.(*Waiter)
 	w.place = len(*q)
 	*q = append(*q, w)
 }
 
-// Pop implements heap.Interface.
 func (q *waiters) Pop() any {
 	last := len(*q) - 1
 	w := (*q)[last]
--- a/tier/policy/routed.go
+++ b/tier/policy/routed.go
@@ -105,9 +105,6 @@
 
 func (r *routedRules) hedgesAtSame() bool { return false }
 
-// probes is false: each call beyond the first counts against what the group allows.
-func (r *routedRules) probes() bool { return false }
-
 // barred bars a cold upstream if it has had as many calls as it can handle, or if this host
 // is not the one that makes its calls and no other host makes calls for the run.
 func (r *routedRules) barred(now time.Duration, u *Upstream) bool {
--- a/tier/policy/rules.go
+++ b/tier/policy/rules.go
@@ -27,8 +27,6 @@
 	hedgeDelay(u *Upstream, limit time.Duration) time.Duration
 	// hedgesAtSame reports whether the upstream of a slow call may get its hedge too.
 	hedgesAtSame() bool
-	// probes reports whether slow upstreams are asked besides the chosen ones.
-	probes() bool
 
 	// barred reports whether an upstream may get no call of the run at the moment.
 	barred(now time.Duration, u *Upstream) bool
--- a/tier/policy/suspicion.go
+++ b/tier/policy/suspicion.go
@@ -29,10 +29,8 @@
 	isolatedTimeouts int
 	// cleared is true once an upstream has answered.
 	cleared bool
-	// hasReported is true once the run has made a crash report; attemptID is what all
-	// its reports have in common.
-	hasReported bool
-	attemptID   uint64
+	// attemptID is what all crash reports of the run have in common; 0 before the first.
+	attemptID uint64
 	// deferred counts the parts that wait for the answer of an isolated call.
 	deferred int
 }
@@ -88,7 +86,7 @@
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
 	s.count(a.upstream)
-	if !s.hasReported {
+	if s.attemptID == 0 {
 		r.reportCrash(now, false)
 	}
 }
@@ -97,7 +95,7 @@
 // that an upstream crashed, and no call is in progress that might have shown more.
 func (r *Run) reportAtEnd(now time.Duration) {
 	s := &r.suspicion
-	if s.open() && !s.hasReported && s.crashes > 0 && !r.hasCalls() {
+	if s.open() && s.attemptID == 0 && s.crashes > 0 && !r.hasCalls() {
 		r.reportCrash(now, false)
 	}
 }
@@ -105,13 +103,13 @@
 // reportCrash makes a report of the last crash.
 func (r *Run) reportCrash(now time.Duration, isolated bool) {
 	s := &r.suspicion
-	if !s.hasReported {
-		s.hasReported, s.attemptID = true, r.fleet.uniqueID()
+	if s.attemptID == 0 {
+		s.attemptID = r.fleet.uniqueID()
 	}
 	r.fleet.quarantine.report(now, s.subject, CrashReport{
 		ID: r.fleet.uniqueID(), Attempt: s.attemptID, Isolated: isolated, Upstream: s.lastCrashed,
 	})
 }
 
-// uniqueID draws a number that no other host draws.
-func (f *Fleet) uniqueID() uint64 { return uint64(f.random.IntN(math.MaxInt)) }
+// uniqueID draws a number above 0 that no other host draws.
+func (f *Fleet) uniqueID() uint64 { return 1 + uint64(f.random.IntN(math.MaxInt)) }
