--- a/loomd/main.go
+++ b/loomd/main.go
@@ -1,24 +1,15 @@
-// Package main runs the daemon of an entry host.
+// Package main is the daemon of an entry host. It owns the process: its settings,
+// log, signals and planned stop. What the host does is in the stages of package
+// tier, which register themselves and run on one kernel.
+//
+// Begin with serve.go, the life of the process from start to end. start.go starts
+// the stages in their order, reload.go takes in settings that change while the
+// process runs, and stop.go waits for a planned stop. settings.go has the flags and
+// their checks, log.go and trace.go what the process writes.
 package main
 
-import (
-	"context"
-	"flag"
-	"os"
-
-	"github.com/google/subcommands"
-)
+import "loomgap/tier/prog"
 
 func main() {
-	for _, c := range commands() {
-		subcommands.Register(c, "")
-	}
-	flag.Parse()
-	os.Exit(int(subcommands.Execute(context.Background())))
-}
-
-func commands() []subcommands.Command {
-	return []subcommands.Command{
-		subcommands.HelpCommand(), subcommands.FlagsCommand(), &serveCommand{}, &versionCommand{},
-	}
+	prog.Main(&serveCommand{}, prog.Version("loomd"))
 }
