--- a/tier/policy/cold.go
+++ b/tier/policy/cold.go
@@ -1,10 +1,6 @@
 package policy
 
-import (
-	"math"
-	"slices"
-	"time"
-)
+import "time"
 
 const (
 	// coldOwners is how many hosts may believe at a time that they are the owner: one
@@ -41,7 +37,7 @@
 	if rate <= 0 {
 		return 0
 	}
-	return max(int(math.Floor(rate*factor+slack)), 1)
+	return max(int(rate*factor+slack), 1)
 }
 
 // cold is whether an upstream is cold, and which host may call it meanwhile. It is
@@ -101,7 +97,5 @@
 // sent counts a call that is sent now.
 func (c *cold) sent(now time.Duration) {
 	c.sentAt = append(c.sentAt, now)
-	if extra := len(c.sentAt) - c.limit(); extra > 0 {
-		c.sentAt = slices.Delete(c.sentAt, 0, extra)
-	}
+	c.sentAt = c.sentAt[max(len(c.sentAt)-c.limit(), 0):]
 }
--- a/tier/policy/fingerprint.go
+++ b/tier/policy/fingerprint.go
@@ -41,8 +41,6 @@
 // writeField writes a field, or the start of it, behind its whole length, so that no two
 // lists of fields give the same bytes.
 func writeField(h hash.Hash, length int, field []byte) {
-	var prefix [8]byte
-	binary.BigEndian.PutUint64(prefix[:], uint64(length))
-	_, _ = h.Write(prefix[:]) // a hash takes all
+	_, _ = h.Write(binary.BigEndian.AppendUint64(nil, uint64(length))) // a hash takes all
 	_, _ = h.Write(field)
 }
--- a/tier/policy/isolation.go
+++ b/tier/policy/isolation.go
@@ -128,9 +128,6 @@
 // postpone gives up the calls of a part, which is asked for once more later.
 func (r *Run) postpone(i int, o CallOutcome, out []Action) []Action {
 	p := &r.parts[i]
-	for _, n := range p.live {
-		r.attempts[n].abandoned = r.attempts[n].phase == phaseSent
-	}
 	out = r.cancel(i, o, out)
 	p.retryDue = true
 	r.deferPart(i)
--- a/tier/policy/latency.go
+++ b/tier/policy/latency.go
@@ -1,6 +1,9 @@
 package policy
 
-import "time"
+import (
+	"cmp"
+	"time"
+)
 
 // smoothing says how fast a smoothed latency follows new ones.
 type smoothing struct {
@@ -34,8 +37,5 @@
 
 // or is the smoothed latency, or another while none is known.
 func (l *latency) or(other time.Duration) time.Duration {
-	if l.smoothed == 0 {
-		return other
-	}
-	return l.smoothed
+	return cmp.Or(l.smoothed, other)
 }
--- a/tier/policy/part.go
+++ b/tier/policy/part.go
@@ -26,7 +26,8 @@
 	hedged bool
 	// unhedged is why no second replica was asked when it was last considered.
 	unhedged HedgeObstacle
-	// live are its attempts that are queued or sent, the oldest first.
+	// live are its attempts that are queued or sent and were not given up, the oldest
+	// first.
 	live []int
 	// tried are the upstreams that it does not go to again.
 	tried []*Upstream
@@ -56,8 +57,6 @@
 	// isolated is true if the request was suspected, and no other call of it in
 	// progress, when it was sent.
 	isolated bool
-	// abandoned is true once it was given up though its part is open.
-	abandoned bool
 }
 
 // account takes an outcome out of what may have run and arrived.
--- a/tier/policy/run.go
+++ b/tier/policy/run.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"slices"
 	"time"
 
 	"loomgap/tier/config"
@@ -157,9 +158,10 @@
 	}
 	a.phase = phaseDone
 	p := &r.parts[a.part]
+	wanted := slices.Contains(p.live, n) && !p.closed && !r.finished
 	p.remove(n)
 	p.account(o)
-	if r.finished || p.closed || a.abandoned {
+	if !wanted {
 		if o == CallCrashed {
 			r.noteLateCrash(now, a)
 		}
--- a/tier/policy/statuses.go
+++ b/tier/policy/statuses.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 	"time"
 )
@@ -19,12 +20,8 @@
 func (f *Fleet) SilentSince(since time.Duration, limit int) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var all []*Upstream
-	for _, u := range f.upstreams {
-		if u.status.heardAt <= since {
-			all = append(all, u)
-		}
-	}
+	all := slices.Collect(maps.Values(f.upstreams))
+	all = slices.DeleteFunc(all, func(u *Upstream) bool { return u.status.heardAt > since })
 	slices.SortFunc(all, func(a, b *Upstream) int {
 		return cmp.Or(cmp.Compare(a.status.readAt, b.status.readAt), cmp.Compare(a.Name, b.Name))
 	})
--- a/tier/policy/upstream.go
+++ b/tier/policy/upstream.go
@@ -43,16 +43,12 @@
 // hasSlot reports whether a call may start.
 func (u *Upstream) hasSlot() bool {
 	limit := u.slots.allowed()
-	if u.starting() {
+	if u.kind.slowStart && u.latency.samples < warmSamples {
 		limit = min(limit, 1)
 	}
 	return u.slots.inUse < limit
 }
 
-// starting reports whether the upstream is in its slow start: it gets one call at a
-// time until it has answered some.
-func (u *Upstream) starting() bool { return u.kind.slowStart && u.latency.samples < warmSamples }
-
 // stalled reports whether the upstream is considered unresponsive now.
 func (u *Upstream) stalled(now time.Duration) bool { return u.stall.active(now, u.latency.smoothed) }
 
