--- a/tier/policy/pool.go
+++ b/tier/policy/pool.go
@@ -46,10 +46,8 @@
 	window int64
 	// fresh counts latencies since the cached quantiles were made.
 	fresh int
-	// quantiles caches what was read from the histogram; middle is that of 0.5, which
-	// each score reads, 0 if it was not read.
+	// quantiles caches what was read from the histogram.
 	quantiles map[float64]time.Duration
-	middle    time.Duration
 }
 
 // newPool makes an empty pool with a window of so many latencies.
@@ -72,7 +70,7 @@
 		p.current.Reset()
 	}
 	if p.fresh >= poolRefresh {
-		p.fresh, p.middle = 0, 0
+		p.fresh = 0
 		clear(p.quantiles)
 	}
 }
@@ -88,10 +86,7 @@
 	if !p.known() {
 		return poolFallback
 	}
-	if p.middle == 0 {
-		p.middle = p.quantile(0.5)
-	}
-	return p.middle
+	return p.quantile(0.5)
 }
 
 // quantile is a latency quantile of the recent calls, 0 to 1. It is read from the
