--- a/tier/config/decode.go
+++ b/tier/config/decode.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"encoding/hex"
 	"errors"
 	"fmt"
 
@@ -57,16 +56,15 @@
 // types and values without a unit are refused.
 func Decode(text []byte) (*Document, error) {
 	if len(text) > MaxBytes {
-		return nil, &Error{
-			Kind: KindTooLarge, Field: "/", Problem: fmt.Sprintf("%d bytes", len(text)),
-			Remedy: fmt.Sprintf("keep the document within %d bytes", MaxBytes),
-		}
+		return nil, fault(KindTooLarge, "/", fmt.Sprintf("%d bytes", len(text)), fmt.Sprintf("keep the document within %d bytes", MaxBytes))
 	}
-	if len(bytes.TrimSpace(text)) == 0 {
-		return nil, &Error{Kind: KindSyntax, Field: "/", Problem: "empty document", Remedy: "write a JSON object with the fields of docs/CONFIG.md"}
+	const remedy = "write a JSON object with the fields of docs/CONFIG.md"
+	trimmed := bytes.TrimSpace(text)
+	if len(trimmed) == 0 {
+		return nil, fault(KindSyntax, "/", "empty document", remedy)
 	}
-	if !bytes.HasPrefix(bytes.TrimSpace(text), []byte("{")) {
-		return nil, &Error{Kind: KindSyntax, Field: "/", Line: 1, Problem: "the document is no JSON object", Remedy: "write a JSON object with the fields of docs/CONFIG.md"}
+	if trimmed[0] != '{' {
+		return nil, &Error{Kind: KindSyntax, Field: "/", Line: 1, Problem: "the document is no JSON object", Remedy: remedy}
 	}
 	var doc Document
 	err := json.Unmarshal(text, &doc, json.RejectUnknownMembers(true), json.WithUnmarshalers(classDefaults))
@@ -89,20 +87,15 @@
 
 func decodeError(text []byte, err error) error {
 	out := &Error{Kind: KindSyntax, Field: "/", Problem: err.Error(), Remedy: "correct the JSON at this place"}
-	var syntax *jsontext.SyntacticError
-	if errors.As(err, &syntax) {
-		out.Field = string(syntax.JSONPointer)
-		out.Line = lineOf(text, syntax.ByteOffset)
+	if syntax, ok := errors.AsType[*jsontext.SyntacticError](err); ok {
+		out.Field, out.Line = string(syntax.JSONPointer), lineOf(text, syntax.ByteOffset)
 		if errors.Is(err, jsontext.ErrDuplicateName) {
 			out.Kind, out.Remedy = KindDuplicate, "write each field once"
 		}
 	}
-	var semantic *json.SemanticError
-	if errors.As(err, &semantic) {
-		out.Kind = KindValue
-		out.Field = string(semantic.JSONPointer)
-		out.Line = lineOf(text, semantic.ByteOffset)
-		out.Remedy = "use the type and the unit that docs/CONFIG.md gives for this field"
+	if semantic, ok := errors.AsType[*json.SemanticError](err); ok {
+		out.Field, out.Line = string(semantic.JSONPointer), lineOf(text, semantic.ByteOffset)
+		out.Kind, out.Remedy = KindValue, "use the type and the unit that docs/CONFIG.md gives for this field"
 		if errors.Is(err, json.ErrUnknownName) {
 			out.Remedy = "remove the field or correct its name; names are in Pascal case"
 		}
@@ -117,13 +110,5 @@
 	return 1 + bytes.Count(text[:offset], []byte{'\n'})
 }
 
-// Digest names the exact bytes of a document.
-func Digest(text []byte) string {
-	return hex.EncodeToString(binarySum(text))
-}
-
-func binarySum(text []byte) []byte {
-	h := xxhash.New()
-	_, _ = h.Write(text) // never fails
-	return h.Sum(nil)
-}
+// digest names the exact bytes of a document.
+func digest(text []byte) string { return fmt.Sprintf("%016x", xxhash.Sum64(text)) }
--- a/tier/pass/relay_server.go
+++ b/tier/pass/relay_server.go
@@ -289,8 +289,9 @@
 }
 
 // await returns when a reply is due: when all calls have ended, when the first reply
-// is due, soon after a call has failed, and, once the first reply was due, soon after
-// any call has ended.
+// is due, soon after a call has failed, so that another upstream can be asked, and, once
+// the first reply was due, soon after any call has ended, so that one call that hangs
+// does not hold back the others.
 func (b *servedBatch) await(now time.Duration) {
 	firstWasDue := now >= b.firstDue
 	until := b.firstDue
@@ -307,7 +308,10 @@
 			return
 		case <-b.changed:
 			now = b.engine.kernel.Now()
-			if delay, due := b.replyDelay(firstWasDue); due && now+delay < until {
+			b.mu.Lock()
+			delay, due := b.unreported.replyDelay(firstWasDue)
+			b.mu.Unlock()
+			if due && now+delay < until {
 				until = now + delay
 				timer.Reset(delay)
 			}
@@ -315,12 +319,6 @@
 	}
 }
 
-func (b *servedBatch) replyDelay(firstWasDue bool) (delay time.Duration, due bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.unreported.replyDelay(firstWasDue)
-}
-
 // neverArrived reports whether an error proves that a message did not reach its host,
 // so that nothing was begun there.
 func neverArrived(err error) bool { return errors.Is(err, peers.ErrNoPeer) }
--- a/tier/runner/runner.go
+++ b/tier/runner/runner.go
@@ -99,18 +99,12 @@
 	e.mu.Lock()
 	now := e.kernel.Now()
 	granted := e.perform(event(now))
-	e.schedule(now)
-	e.mu.Unlock()
-	policy.Deliver(granted)
-}
-
-// schedule brings the timer forward if the run wants to be woken earlier.
-func (e *execution[R]) schedule(now time.Duration) {
-	next := e.run.Next()
-	if e.timer != nil && next < e.wakeAt {
+	if next := e.run.Next(); e.timer != nil && next < e.wakeAt {
 		e.wakeAt = next
 		e.timer.Reset(max(next-now, 0))
 	}
+	e.mu.Unlock()
+	policy.Deliver(granted)
 }
 
 // granted passes on that a queued attempt has its slot.
@@ -159,7 +153,7 @@
 // launch starts calls; the execution is locked. It returns the waiters that got a slot,
 // for policy.Deliver after unlocking.
 func (e *execution[R]) launch(sends []policy.Action) (granted []*policy.Waiter) {
-	var batches [][]policy.Action
+	var batches []Batch
 	if e.batcher != nil && len(sends) > 0 {
 		batches, sends = e.batcher.Batches(sends)
 	}
--- a/tier/wire/wire.go
+++ b/tier/wire/wire.go
@@ -7,10 +7,12 @@
 
 import (
 	"bytes"
+	"cmp"
 	"compress/gzip"
 	"errors"
 	"fmt"
 	"io"
+	"net/http"
 
 	"github.com/go-json-experiment/json"
 
@@ -150,10 +152,8 @@
 func Pack(revision uint64, text []byte) (PackedDocument, error) {
 	var out bytes.Buffer
 	z := gzip.NewWriter(&out)
-	if _, err := z.Write(text); err != nil {
-		return PackedDocument{}, fmt.Errorf("pack document: %w", err)
-	}
-	if err := z.Close(); err != nil {
+	_, err := z.Write(text)
+	if err = cmp.Or(err, z.Close()); err != nil {
 		return PackedDocument{}, fmt.Errorf("pack document: %w", err)
 	}
 	return PackedDocument{Revision: revision, Packed: out.Bytes()}, nil
@@ -232,6 +232,25 @@
 	Part    PartReply
 }
 
+// ReadBody reads the body of an answer, which has at most so many bytes.
+func ReadBody(r *http.Response, most int64) ([]byte, error) {
+	switch {
+	case r.ContentLength > most:
+		return nil, ErrTooLarge
+	case r.Body == http.NoBody:
+		return []byte{}, nil
+	case r.ContentLength >= 0:
+		body := make([]byte, r.ContentLength)
+		_, err := io.ReadFull(r.Body, body)
+		return body, err
+	}
+	body, err := io.ReadAll(io.LimitReader(r.Body, most+1))
+	if err == nil && int64(len(body)) > most {
+		err = ErrTooLarge
+	}
+	return body, err
+}
+
 // Decode reads one JSON value of at most limit bytes.
 func Decode(r io.Reader, limit int64, v any) error {
 	text, err := io.ReadAll(io.LimitReader(r, limit+1))
