--- a/tier/policy/admit.go
+++ b/tier/policy/admit.go
@@ -92,7 +92,7 @@
 // admitAll refuses nothing: the baseline.
 type admitAll struct{}
 
-func (admitAll) allow(time.Duration, float64, float64) time.Duration { return 1<<63 - 1 }
+func (admitAll) allow(time.Duration, float64, float64) time.Duration { return math.MaxInt64 }
 
 // admitDeadline refuses what cannot be done in time.
 type admitDeadline struct{}
--- a/tier/policy/attempt.go
+++ b/tier/policy/attempt.go
@@ -23,8 +23,8 @@
 	a := &r.attempts[n]
 	a.phase = phaseDone
 	p := &r.parts[a.part]
-	p.remove(n)
-	p.forget(a.upstream)
+	p.live = removeFirst(p.live, n)
+	p.tried = removeFirst(p.tried, a.upstream)
 	p.tries--
 }
 
--- a/tier/policy/fleet.go
+++ b/tier/policy/fleet.go
@@ -81,8 +81,9 @@
 		}
 		u.slots.set(s.Slots, s.MaxSlots)
 		u.leaving = s.Leaving || u.gone
-		u.kind, u.near, u.hall = kindOf(s.Listed), s.Near, s.Hall
-		if u.kind.inHall {
+		u.kind, u.near, u.hall = &declaredKind, s.Near, s.Hall
+		if s.Listed {
+			u.kind = &listedKind
 			u.condition.hall = f.hallConditions(s.Hall)
 			u.cold.update(now, s.Cold)
 		}
--- a/tier/policy/isolation.go
+++ b/tier/policy/isolation.go
@@ -97,7 +97,7 @@
 			continue
 		}
 		for _, n := range p.live {
-			p.forget(r.attempts[n].upstream)
+			p.tried = removeFirst(p.tried, r.attempts[n].upstream)
 		}
 		out = r.postpone(i, CallCancelled, out)
 	}
--- a/tier/policy/kind.go
+++ b/tier/policy/kind.go
@@ -26,14 +26,6 @@
 	inHall bool
 }
 
-// kindOf returns the kind of an upstream.
-func kindOf(listed bool) *kind {
-	if listed {
-		return &listedKind
-	}
-	return &declaredKind
-}
-
 const (
 	// declaredWeight is how much a new latency counts in the smoothed one, 0 to 1.
 	// Measured: with a fifth one straggler made an upstream slow for seconds (99th
--- a/tier/policy/part.go
+++ b/tier/policy/part.go
@@ -74,10 +74,6 @@
 	return slices.ContainsFunc(p.live, func(n int) bool { return r.attempts[n].phase == phaseSent })
 }
 
-func (p *part) remove(n int) { p.live = removeFirst(p.live, n) }
-
-func (p *part) forget(u *Upstream) { p.tried = removeFirst(p.tried, u) }
-
 // removeFirst removes the first of some items that equals another: an upstream is tried
 // twice if it gets the hedge of its own call.
 func removeFirst[T comparable](items []T, item T) []T {
--- a/tier/policy/retry_test.go
+++ b/tier/policy/retry_test.go
@@ -43,7 +43,7 @@
 				}
 			}
 			r.attempts[sent.Attempt].phase = phaseDone
-			r.parts[0].remove(sent.Attempt)
+			r.parts[0].live = removeFirst(r.parts[0].live, sent.Attempt)
 			r.parts[0].account(tt.outcome)
 			assert.Equal(t, r.decideRetry(time.Millisecond, 0, tt.outcome), tt.want)
 		})
--- a/tier/policy/routed.go
+++ b/tier/policy/routed.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"slices"
 	"time"
 
 	"loomgap/tier/query"
@@ -134,10 +135,8 @@
 }
 
 func (r *routedRules) absence(now time.Duration, i int, p *part) query.Reason {
-	for _, u := range p.replicas {
-		if r.barred(now, u) {
-			return query.ReasonCold
-		}
+	if slices.ContainsFunc(p.replicas, func(u *Upstream) bool { return r.barred(now, u) }) {
+		return query.ReasonCold
 	}
 	if len(r.routed.Absent) > i && r.routed.Absent[i] != "" {
 		return r.routed.Absent[i]
--- a/tier/policy/run.go
+++ b/tier/policy/run.go
@@ -133,7 +133,8 @@
 	if a.upstream.leaving {
 		// It began to leave while the attempt waited: nothing new goes there.
 		a.phase = phaseDone
-		r.parts[a.part].remove(n)
+		p := &r.parts[a.part]
+		p.live = removeFirst(p.live, n)
 		return r.finishIfDone(now, append(r.freeSlot(n), r.failed(now, a.part, CallLeaving)...))
 	}
 	if r.deferGranted(n) {
@@ -159,7 +160,7 @@
 	a.phase = phaseDone
 	p := &r.parts[a.part]
 	wanted := slices.Contains(p.live, n) && !p.closed && !r.finished
-	p.remove(n)
+	p.live = removeFirst(p.live, n)
 	p.account(o)
 	if !wanted {
 		if o == CallCrashed {
