--- a/tier/policy/hedge.go
+++ b/tier/policy/hedge.go
@@ -123,8 +123,8 @@
 	return now + max(a.hedgeAge/hedgeRecheckDivisor, hedgeLeast)
 }
 
-// probe asks a slow replica besides the chosen one, so that its recovery is
-// seen without anybody waiting for it.
+// probe asks an outlier besides the chosen replica, so that its recovery is seen without
+// anybody waiting for it. Only declared upstreams are outliers: the class pays.
 func (r *Run) probe(now time.Duration, i int, out []Action) []Action {
 	if !r.hedges() || len(r.parts[i].live) == 0 {
 		return out
