--- a/tier/policy/cold.go
+++ b/tier/policy/cold.go
@@ -1,12 +1,7 @@
 package policy
 
-import (
-	"math"
-	"slices"
-	"time"
-)
+import "time"
 
-// Constants of cold upstreams.
 const (
 	// coldOwners is how many hosts may believe at a time that they are the owner: one
 	// that was frozen or cut off from its hall does not know of the next. Not measured.
@@ -42,7 +37,7 @@
 	if rate <= 0 {
 		return 0
 	}
-	return max(int(math.Floor(rate*factor+slack)), 1)
+	return max(int(rate*factor+slack), 1)
 }
 
 // cold is whether an upstream is cold, and which host may call it meanwhile. It is
@@ -102,7 +97,5 @@
 // sent counts a call that is sent now.
 func (c *cold) sent(now time.Duration) {
 	c.sentAt = append(c.sentAt, now)
-	if extra := len(c.sentAt) - c.limit(); extra > 0 {
-		c.sentAt = slices.Delete(c.sentAt, 0, extra)
-	}
+	c.sentAt = c.sentAt[max(len(c.sentAt)-c.limit(), 0):]
 }
--- a/tier/policy/isolation.go
+++ b/tier/policy/isolation.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"slices"
 	"time"
 
 	"loomgap/tier/query"
@@ -96,7 +97,7 @@
 			continue
 		}
 		for _, n := range p.live {
-			p.forget(r.attempts[n].upstream)
+			p.tried = removeFirst(p.tried, r.attempts[n].upstream)
 		}
 		out = r.postpone(i, CallCancelled, out)
 	}
@@ -127,9 +128,6 @@
 // postpone gives up the calls of a part, which is asked for once more later.
 func (r *Run) postpone(i int, o CallOutcome, out []Action) []Action {
 	p := &r.parts[i]
-	for _, n := range p.live {
-		r.attempts[n].abandoned = r.attempts[n].phase == phaseSent
-	}
 	out = r.cancel(i, o, out)
 	p.retryDue = true
 	r.deferPart(i)
@@ -138,20 +136,10 @@
 
 // hasAttempts reports whether a call of the run is in progress or waits for its slot.
 func (r *Run) hasAttempts() bool {
-	for i := range r.parts {
-		if len(r.parts[i].live) > 0 {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(r.parts, func(p part) bool { return len(p.live) > 0 })
 }
 
 // hasCalls reports whether a call of the run is in progress.
 func (r *Run) hasCalls() bool {
-	for i := range r.parts {
-		if r.hasCall(&r.parts[i]) {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(r.parts, func(p part) bool { return r.hasCall(&p) })
 }
--- a/tier/policy/part.go
+++ b/tier/policy/part.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"slices"
 	"time"
 
 	"loomgap/tier/query"
@@ -11,9 +12,8 @@
 	// replicas are the upstreams that can answer it.
 	replicas []*Upstream
 	// reason is why it is missing; empty while it is open or included.
-	reason   query.Reason
-	included bool
-	closed   bool
+	reason query.Reason
+	closed bool
 	// deferred is true while it waits for the answer of an isolated call. retryDue is
 	// true if it pays for a retry then, since a call of it was given up.
 	deferred, retryDue bool
@@ -26,7 +26,8 @@
 	hedged bool
 	// unhedged is why no second replica was asked when it was last considered.
 	unhedged HedgeObstacle
-	// live are its attempts that are queued or sent, the oldest first.
+	// live are its attempts that are queued or sent and were not given up, the oldest
+	// first.
 	live []int
 	// tried are the upstreams that it does not go to again.
 	tried []*Upstream
@@ -56,8 +57,6 @@
 	// isolated is true if the request was suspected, and no other call of it in
 	// progress, when it was sent.
 	isolated bool
-	// abandoned is true once it was given up though its part is open.
-	abandoned bool
 }
 
 // account takes an outcome out of what may have run and arrived.
@@ -72,37 +71,14 @@
 
 // hasCall reports whether a call of a part is in progress.
 func (r *Run) hasCall(p *part) bool {
-	for _, n := range p.live {
-		if r.attempts[n].phase == phaseSent {
-			return true
-		}
-	}
-	return false
-}
-
-func (p *part) remove(n int) {
-	for i, m := range p.live {
-		if m == n {
-			p.live = append(p.live[:i], p.live[i+1:]...)
-			return
-		}
-	}
-}
-
-func (p *part) forget(u *Upstream) {
-	for i, t := range p.tried {
-		if t == u {
-			p.tried = append(p.tried[:i], p.tried[i+1:]...)
-			return
-		}
-	}
+	return slices.ContainsFunc(p.live, func(n int) bool { return r.attempts[n].phase == phaseSent })
 }
 
-func (p *part) hasTried(u *Upstream) bool {
-	for _, t := range p.tried {
-		if t == u {
-			return true
-		}
+// removeFirst removes the first of some items that equals another: an upstream is tried
+// twice if it gets the hedge of its own call.
+func removeFirst[T comparable](items []T, item T) []T {
+	if i := slices.Index(items, item); i >= 0 {
+		return slices.Delete(items, i, i+1)
 	}
-	return false
+	return items
 }
--- a/tier/runner/call.go
+++ b/tier/runner/call.go
@@ -96,7 +96,7 @@
 		return
 	}
 	c.outcome, c.lingering = a.Outcome, true
-	time.AfterFunc(a.For, func() {
+	time.AfterFunc(policy.LingerFor, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		c.cancel()
