--- a/loomctl/check.go
+++ b/loomctl/check.go
@@ -10,6 +10,7 @@
 	"github.com/google/subcommands"
 
 	"loomgap/tier/config"
+	"loomgap/tier/prog"
 )
 
 // checkCommand checks a document.
@@ -17,24 +18,20 @@
 	revision uint64
 }
 
-var _ subcommands.Command = (*checkCommand)(nil)
-
-// Name implements subcommands.Command.
-func (*checkCommand) Name() string { return "check" }
-
-// Synopsis implements subcommands.Command.
-func (*checkCommand) Synopsis() string { return "check a configuration document" }
-
-// Usage implements subcommands.Command.
-func (*checkCommand) Usage() string { return "loomctl check [-Revision N] FILE\n" }
+func newCheckCommand() prog.Command {
+	c := &checkCommand{}
+	return prog.Command{
+		Name: "check", Synopsis: "check a configuration document",
+		Usage: "loomctl check [-Revision N] FILE\n",
+		Flags: c.flags, Run: c.run,
+	}
+}
 
-// SetFlags implements subcommands.Command.
-func (c *checkCommand) SetFlags(f *flag.FlagSet) {
+func (c *checkCommand) flags(f *flag.FlagSet) {
 	f.Uint64Var(&c.revision, "Revision", 0, "`revision` that the document is to be published at; 0 for Based+1")
 }
 
-// Execute implements subcommands.Command.
-func (c *checkCommand) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+func (c *checkCommand) run(_ context.Context, f *flag.FlagSet) subcommands.ExitStatus {
 	if f.NArg() != 1 {
 		return usage("give one file")
 	}
--- a/loomctl/client.go
+++ b/loomctl/client.go
@@ -10,6 +10,7 @@
 	"os"
 	"time"
 
+	"github.com/google/subcommands"
 	goahttp "goa.design/goa/v3/http"
 
 	"loomgap/tier/config"
@@ -17,6 +18,7 @@
 	entryclient "loomgap/tier/gen/http/entry/client"
 	opsclient "loomgap/tier/gen/http/ops/client"
 	opsgen "loomgap/tier/gen/ops"
+	"loomgap/tier/prog"
 )
 
 // envPrefix begins the environment variable of each flag: -Host is
@@ -48,6 +50,27 @@
 	f.StringVar(&c.format, "Format", formatText, "Text or JSON")
 }
 
+// hostCommand adds the flags of the connection to a command. What it runs has the time
+// limit in its context.
+func (c *connection) hostCommand(d prog.Command) prog.Command {
+	flags, run := d.Flags, d.Run
+	d.Flags = func(f *flag.FlagSet) {
+		c.bind(f)
+		if flags != nil {
+			flags(f)
+		}
+	}
+	d.Run = func(ctx context.Context, f *flag.FlagSet) subcommands.ExitStatus {
+		if err := c.check(f); err != nil {
+			return usage(err.Error())
+		}
+		ctx, cancel := context.WithTimeout(ctx, c.timeout)
+		defer cancel()
+		return run(ctx, f)
+	}
+	return d
+}
+
 // check fills in the environment and finds wrong values.
 func (c *connection) check(f *flag.FlagSet) error {
 	var bad *config.VariableError
@@ -74,11 +97,6 @@
 	return opsgen.NewClient(h.Status(), h.Document(), h.Ready(), h.Drain())
 }
 
-// bounded returns a context that ends with the timeout.
-func (c *connection) bounded(ctx context.Context) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, c.timeout)
-}
-
 // explain returns the kind and message of a typed error of a host, else the error
 // itself.
 func explain(err error) error {
--- a/loomctl/drain.go
+++ b/loomctl/drain.go
@@ -6,6 +6,8 @@
 	"fmt"
 
 	"github.com/google/subcommands"
+
+	"loomgap/tier/prog"
 )
 
 // drainCommand begins a planned stop.
@@ -13,27 +15,16 @@
 	connection
 }
 
-var _ subcommands.Command = (*drainCommand)(nil)
-
-// Name implements subcommands.Command.
-func (*drainCommand) Name() string { return "drain" }
-
-// Synopsis implements subcommands.Command.
-func (*drainCommand) Synopsis() string { return "begin a planned stop of a host" }
-
-// Usage implements subcommands.Command.
-func (*drainCommand) Usage() string { return "loomctl drain [-Operate IP:PORT]\n" }
-
-// SetFlags implements subcommands.Command.
-func (c *drainCommand) SetFlags(f *flag.FlagSet) { c.bind(f) }
+func newDrainCommand() prog.Command {
+	c := &drainCommand{}
+	return c.hostCommand(prog.Command{
+		Name: "drain", Synopsis: "begin a planned stop of a host",
+		Usage: "loomctl drain [-Operate IP:PORT]\n",
+		Run:   c.run,
+	})
+}
 
-// Execute implements subcommands.Command.
-func (c *drainCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if err := c.check(f); err != nil {
-		return usage(err.Error())
-	}
-	ctx, cancel := c.bounded(ctx)
-	defer cancel()
+func (c *drainCommand) run(ctx context.Context, _ *flag.FlagSet) subcommands.ExitStatus {
 	if err := c.ops().Drain(ctx); err != nil {
 		return fail(err)
 	}
--- a/loomctl/main.go
+++ b/loomctl/main.go
@@ -8,7 +8,7 @@
 
 func main() {
 	prog.Main(
-		&askCommand{}, &orderCommand{}, &statusCommand{}, &planCommand{}, &checkCommand{}, &drainCommand{},
+		newAskCommand(), newOrderCommand(), newStatusCommand(), newPlanCommand(), newCheckCommand(), newDrainCommand(),
 		prog.Version("loomctl"),
 	)
 }
--- a/loomctl/order.go
+++ b/loomctl/order.go
@@ -10,6 +10,7 @@
 	"github.com/google/subcommands"
 
 	entrygen "loomgap/tier/gen/entry"
+	"loomgap/tier/prog"
 )
 
 // orderCommand runs a not-repeatable request at most once.
@@ -20,37 +21,25 @@
 	deadline int64
 }
 
-var _ subcommands.Command = (*orderCommand)(nil)
-
-// Name implements subcommands.Command.
-func (*orderCommand) Name() string { return "order" }
-
-// Synopsis implements subcommands.Command.
-func (*orderCommand) Synopsis() string { return "place a not-repeatable order, at most once" }
-
-// Usage implements subcommands.Command.
-func (*orderCommand) Usage() string {
-	return "loomctl order [-Class NAME] [-Ticket TICKET] 'place Orders key 7 set Shop = Sur'\n"
+func newOrderCommand() prog.Command {
+	c := &orderCommand{}
+	return c.hostCommand(prog.Command{
+		Name: "order", Synopsis: "place a not-repeatable order, at most once",
+		Usage: "loomctl order [-Class NAME] [-Ticket TICKET] 'place Orders key 7 set Shop = Sur'\n",
+		Flags: c.flags, Run: c.run,
+	})
 }
 
-// SetFlags implements subcommands.Command.
-func (c *orderCommand) SetFlags(f *flag.FlagSet) {
-	c.bind(f)
+func (c *orderCommand) flags(f *flag.FlagSet) {
 	f.StringVar(&c.class, "Class", "Order", "`class` of the request")
 	f.StringVar(&c.ticket, "Ticket", "", "`ticket` of an earlier try; a new one is got if empty")
 	f.Int64Var(&c.deadline, "DeadlineMillis", 0, "time for the answer; 0 for the class's own")
 }
 
-// Execute implements subcommands.Command.
-func (c *orderCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if err := c.check(f); err != nil {
-		return usage(err.Error())
-	}
+func (c *orderCommand) run(ctx context.Context, f *flag.FlagSet) subcommands.ExitStatus {
 	if f.NArg() == 0 {
 		return usage("no statement: write one, as in loomctl order 'place Orders key 7 set Shop = Sur'")
 	}
-	ctx, cancel := c.bounded(ctx)
-	defer cancel()
 	client := c.entry()
 	if c.ticket == "" {
 		t, err := client.Ticket(ctx)
--- a/loomctl/plan.go
+++ b/loomctl/plan.go
@@ -11,6 +11,7 @@
 	"github.com/sergi/go-diff/diffmatchpatch"
 
 	"loomgap/tier/config"
+	"loomgap/tier/prog"
 	"loomgap/tier/query"
 )
 
@@ -24,24 +25,17 @@
 	out      string
 }
 
-var _ subcommands.Command = (*planCommand)(nil)
-
-// Name implements subcommands.Command.
-func (*planCommand) Name() string { return "plan" }
-
-// Synopsis implements subcommands.Command.
-func (*planCommand) Synopsis() string {
-	return "apply commands to the configuration in force and print the next document"
+func newPlanCommand() prog.Command {
+	c := &planCommand{}
+	return c.hostCommand(prog.Command{
+		Name: "plan", Synopsis: "apply commands to the configuration in force and print the next document",
+		Usage: "loomctl plan -Command 'set class Search deadline=250ms' [-Out FILE] [-From FILE -Revision N]\n" +
+			"Nothing is published: publish the document with the platform's own means.\n",
+		Flags: c.flags, Run: c.run,
+	})
 }
 
-// Usage implements subcommands.Command.
-func (*planCommand) Usage() string {
-	return "loomctl plan -Command 'set class Search deadline=250ms' [-Out FILE] [-From FILE -Revision N]\nNothing is published: publish the document with the platform's own means.\n"
-}
-
-// SetFlags implements subcommands.Command.
-func (c *planCommand) SetFlags(f *flag.FlagSet) {
-	c.bind(f)
+func (c *planCommand) flags(f *flag.FlagSet) {
 	f.StringVar(&c.command, "Command", "", "`commands`, divided by semicolons")
 	f.StringVar(&c.file, "File", "", "`file` of commands")
 	f.StringVar(&c.from, "From", "", "`file` of a document to start from, in place of the one in force")
@@ -49,11 +43,7 @@
 	f.StringVar(&c.out, "Out", "", "`file` for the next document; standard output if empty")
 }
 
-// Execute implements subcommands.Command.
-func (c *planCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if err := c.check(f); err != nil {
-		return usage(err.Error())
-	}
+func (c *planCommand) run(ctx context.Context, _ *flag.FlagSet) subcommands.ExitStatus {
 	if err := c.plan(ctx); err != nil {
 		return fail(err)
 	}
@@ -132,8 +122,6 @@
 		d, err := readDocument(c.from)
 		return d, c.revision, err
 	}
-	ctx, cancel := c.bounded(ctx)
-	defer cancel()
 	r, err := c.ops().Document(ctx)
 	if err != nil {
 		return nil, 0, fmt.Errorf("document in force: %w: give -Operate of a host, or -From", err)
--- a/loomctl/status.go
+++ b/loomctl/status.go
@@ -8,6 +8,7 @@
 	"github.com/google/subcommands"
 
 	opsgen "loomgap/tier/gen/ops"
+	"loomgap/tier/prog"
 )
 
 // statusCommand describes a host.
@@ -15,27 +16,16 @@
 	connection
 }
 
-var _ subcommands.Command = (*statusCommand)(nil)
-
-// Name implements subcommands.Command.
-func (*statusCommand) Name() string { return "status" }
-
-// Synopsis implements subcommands.Command.
-func (*statusCommand) Synopsis() string { return "describe a host and what it believes" }
-
-// Usage implements subcommands.Command.
-func (*statusCommand) Usage() string { return "loomctl status [-Operate IP:PORT]\n" }
-
-// SetFlags implements subcommands.Command.
-func (c *statusCommand) SetFlags(f *flag.FlagSet) { c.bind(f) }
+func newStatusCommand() prog.Command {
+	c := &statusCommand{}
+	return c.hostCommand(prog.Command{
+		Name: "status", Synopsis: "describe a host and what it believes",
+		Usage: "loomctl status [-Operate IP:PORT]\n",
+		Run:   c.run,
+	})
+}
 
-// Execute implements subcommands.Command.
-func (c *statusCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if err := c.check(f); err != nil {
-		return usage(err.Error())
-	}
-	ctx, cancel := c.bounded(ctx)
-	defer cancel()
+func (c *statusCommand) run(ctx context.Context, _ *flag.FlagSet) subcommands.ExitStatus {
 	s, err := c.ops().Status(ctx)
 	if err != nil {
 		return fail(err)
--- a/loomd/environment_test.go
+++ b/loomd/environment_test.go
@@ -17,7 +17,7 @@
 func TestEnvironmentNamesStayAsTheyAre(t *testing.T) {
 	var c serveCommand
 	f := flag.NewFlagSet("serve", flag.ContinueOnError)
-	c.SetFlags(f)
+	c.flags(f)
 	var names []string
 	assert.NilError(t, config.FromEnvironment(f, envPrefix, func(name string) (string, bool) {
 		names = append(names, name)
--- a/loomd/main.go
+++ b/loomd/main.go
@@ -11,5 +11,5 @@
 import "loomgap/tier/prog"
 
 func main() {
-	prog.Main(&serveCommand{}, prog.Version("loomd"))
+	prog.Main(newServeCommand(), prog.Version("loomd"))
 }
--- a/loomd/reload.go
+++ b/loomd/reload.go
@@ -82,7 +82,7 @@
 	var c serveCommand
 	f := flag.NewFlagSet("settings", flag.ContinueOnError)
 	f.SetOutput(io.Discard)
-	c.SetFlags(f)
+	c.flags(f)
 	for name, value := range o.flags {
 		if err := f.Set(name, value); err != nil {
 			return nil, &settingError{Flag: name, Problem: err.Error(), Remedy: "correct the flag"}
--- a/loomd/reload_test.go
+++ b/loomd/reload_test.go
@@ -67,7 +67,7 @@
 	assert.NilError(t, os.WriteFile(path, []byte(fileText), 0o600))
 	var c serveCommand
 	f := flag.NewFlagSet("serve", flag.ContinueOnError)
-	c.SetFlags(f)
+	c.flags(f)
 	assert.NilError(t, f.Parse([]string{"-Settings", path, "-Host", "H9"}))
 	o := originOf(f, c.file)
 	assert.NilError(t, fromEnvironment(f, c.file))
--- a/loomd/serve.go
+++ b/loomd/serve.go
@@ -24,29 +24,23 @@
 	file string
 }
 
-var _ subcommands.Command = (*serveCommand)(nil)
-
-// Name implements subcommands.Command.
-func (*serveCommand) Name() string { return "serve" }
-
-// Synopsis implements subcommands.Command.
-func (*serveCommand) Synopsis() string { return "run the daemon of an entry host" }
-
-// Usage implements subcommands.Command.
-func (*serveCommand) Usage() string {
-	return "loomd serve -Host NAME -Hall NAME -Listen IP:PORT -Operate IP:PORT -Peer IP:PORT -Platform IP:PORT\n" +
-		"Each flag may stand in the environment too: -StopBound is LOOMD_STOPBOUND.\n"
+func newServeCommand() prog.Command {
+	c := &serveCommand{}
+	return prog.Command{
+		Name: "serve", Synopsis: "run the daemon of an entry host",
+		Usage: "loomd serve -Host NAME -Hall NAME -Listen IP:PORT -Operate IP:PORT -Peer IP:PORT -Platform IP:PORT\n" +
+			"Each flag may stand in the environment too: -StopBound is LOOMD_STOPBOUND.\n",
+		Flags: c.flags, Run: c.execute,
+	}
 }
 
-// SetFlags implements subcommands.Command.
-func (c *serveCommand) SetFlags(f *flag.FlagSet) {
+func (c *serveCommand) flags(f *flag.FlagSet) {
 	bind(f, &c.settings)
 	f.StringVar(&c.file, "Settings", "", "`file` of settings, read again when it changes or at SIGHUP")
 	f.StringVar(&c.level, "Level", "info", "least `level` of log lines: debug, info, warn, error")
 }
 
-// Execute implements subcommands.Command.
-func (c *serveCommand) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+func (c *serveCommand) execute(ctx context.Context, f *flag.FlagSet) subcommands.ExitStatus {
 	log, flush := newLog(os.Stdout)
 	defer flush()
 	if err := c.run(ctx, f, log, flush); err != nil {
--- a/loomfake/command.go
+++ b/loomfake/command.go
@@ -1,7 +1,9 @@
 package main
 
 import (
+	"context"
 	"errors"
+	"flag"
 	"fmt"
 	"net"
 	"net/http"
@@ -17,14 +19,18 @@
 
 var errNotLoopback = errors.New("stand-ins use loopback addresses only: give an address of 127.0.0.0/8 or [::1]")
 
-// status turns an error into an exit status, and logs it.
-func status(err error) subcommands.ExitStatus {
-	if err == nil {
-		return subcommands.ExitSuccess
+// logged makes a command of a function: it logs the error and turns it into an exit
+// status.
+func logged(run func(context.Context) error) func(context.Context, *flag.FlagSet) subcommands.ExitStatus {
+	return func(ctx context.Context, _ *flag.FlagSet) subcommands.ExitStatus {
+		err := run(ctx)
+		if err == nil {
+			return subcommands.ExitSuccess
+		}
+		log := zerolog.New(os.Stderr).With().Timestamp().Logger()
+		log.Error().Err(err).Msg("stand-in not run")
+		return subcommands.ExitFailure
 	}
-	log := zerolog.New(os.Stderr).With().Timestamp().Logger()
-	log.Error().Err(err).Msg("stand-in not run")
-	return subcommands.ExitFailure
 }
 
 // listen opens a loopback address.
--- a/loomfake/document.go
+++ b/loomfake/document.go
@@ -8,9 +8,8 @@
 	"os"
 	"time"
 
-	"github.com/google/subcommands"
-
 	"loomgap/tier/config"
+	"loomgap/tier/prog"
 )
 
 // documentCommand prints a document for a shape of tier.
@@ -45,22 +44,17 @@
 	portsPerHost = 10
 )
 
-var _ subcommands.Command = (*documentCommand)(nil)
-
-// Name implements subcommands.Command.
-func (*documentCommand) Name() string { return "document" }
-
-// Synopsis implements subcommands.Command.
-func (*documentCommand) Synopsis() string { return "print a document modelled on the users' tiers" }
-
-// Usage implements subcommands.Command.
-func (*documentCommand) Usage() string {
-	return "loomfake document [-Hosts N] [-Shards N]\n" +
-		"Service Orders has the shards; the document has one upstream for each.\n"
+func newDocumentCommand() prog.Command {
+	c := &documentCommand{}
+	return prog.Command{
+		Name: "document", Synopsis: "print a document modelled on the users' tiers",
+		Usage: "loomfake document [-Hosts N] [-Shards N]\n" +
+			"Service Orders has the shards; the document has one upstream for each.\n",
+		Flags: c.flags, Run: logged(c.run),
+	}
 }
 
-// SetFlags implements subcommands.Command.
-func (c *documentCommand) SetFlags(f *flag.FlagSet) {
+func (c *documentCommand) flags(f *flag.FlagSet) {
 	s := &c.shape
 	f.IntVar(&s.hosts, "Hosts", 2, "entry hosts H1, H2 and so on")
 	f.IntVar(&s.peerPort, "PeerPort", 7401, "peer port of the first host; the next is 10 higher")
@@ -73,14 +67,13 @@
 	f.DurationVar(&s.patience, "Patience", 100*time.Millisecond, "patience of class Search")
 }
 
-// Execute implements subcommands.Command.
-func (c *documentCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
+func (c *documentCommand) run(context.Context) error {
 	text, err := config.Encode(c.shape.document())
 	if err != nil {
-		return status(err)
+		return err
 	}
 	_, err = os.Stdout.Write(text)
-	return status(err)
+	return err
 }
 
 const hall = "Quito1"
--- a/loomfake/link.go
+++ b/loomfake/link.go
@@ -10,9 +10,8 @@
 	"sync"
 	"time"
 
-	"github.com/google/subcommands"
-
 	"loomgap/tier/config"
+	"loomgap/tier/prog"
 	"loomgap/tier/wire"
 )
 
@@ -22,34 +21,24 @@
 	life              time.Duration
 }
 
-var _ subcommands.Command = (*linkCommand)(nil)
-
-// Name implements subcommands.Command.
-func (*linkCommand) Name() string { return "link" }
-
-// Synopsis implements subcommands.Command.
-func (*linkCommand) Synopsis() string { return "run a link between processes that can be cut" }
-
-// Usage implements subcommands.Command.
-func (*linkCommand) Usage() string {
-	return "loomfake link -Listen IP:PORT -To IP:PORT -Admin IP:PORT\n" +
-		"POST /Fake {\"Cut\":true} at the admin address has bytes vanish without a sign.\n"
+func newLinkCommand() prog.Command {
+	c := &linkCommand{}
+	return prog.Command{
+		Name: "link", Synopsis: "run a link between processes that can be cut",
+		Usage: "loomfake link -Listen IP:PORT -To IP:PORT -Admin IP:PORT\n" +
+			"POST /Fake {\"Cut\":true} at the admin address has bytes vanish without a sign.\n",
+		Flags: c.flags, Run: logged(c.run),
+	}
 }
 
-// SetFlags implements subcommands.Command.
-func (c *linkCommand) SetFlags(f *flag.FlagSet) {
+func (c *linkCommand) flags(f *flag.FlagSet) {
 	f.TextVar(&c.listen, "Listen", netip.MustParseAddrPort("127.0.0.1:7600"), "`IP:port` to take connections at")
 	f.TextVar(&c.to, "To", netip.MustParseAddrPort("127.0.0.1:7401"), "`IP:port` to pass them on to")
 	f.TextVar(&c.admin, "Admin", netip.MustParseAddrPort("127.0.0.1:7601"), "`IP:port` of the fault switch")
 	f.DurationVar(&c.life, "Life", time.Hour, "longest life of the process")
 }
 
-// Execute implements subcommands.Command.
-func (c *linkCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
-	return status(c.run())
-}
-
-func (c *linkCommand) run() error {
+func (c *linkCommand) run(context.Context) error {
 	l, err := listen(c.listen)
 	if err != nil {
 		return err
--- a/loomfake/main.go
+++ b/loomfake/main.go
@@ -11,6 +11,6 @@
 
 func main() {
 	prog.Main(
-		&documentCommand{}, &platformCommand{}, &upstreamCommand{}, &linkCommand{}, &replayCommand{}, &soakCommand{},
+		newDocumentCommand(), newPlatformCommand(), newUpstreamCommand(), newLinkCommand(), newReplayCommand(), newSoakCommand(),
 	)
 }
--- a/loomfake/platform.go
+++ b/loomfake/platform.go
@@ -13,9 +13,9 @@
 	"time"
 
 	"github.com/go-json-experiment/json"
-	"github.com/google/subcommands"
 
 	"loomgap/tier/config"
+	"loomgap/tier/prog"
 	"loomgap/tier/wire"
 )
 
@@ -26,33 +26,23 @@
 	life   time.Duration
 }
 
-var _ subcommands.Command = (*platformCommand)(nil)
-
-// Name implements subcommands.Command.
-func (*platformCommand) Name() string { return "platform" }
-
-// Synopsis implements subcommands.Command.
-func (*platformCommand) Synopsis() string { return "run a stand-in of the platform's service" }
-
-// Usage implements subcommands.Command.
-func (*platformCommand) Usage() string {
-	return "loomfake platform -Listen IP:PORT [-File DOCUMENT]\n" +
-		"POST /Publish publishes a document, POST /Fake sets faults, POST /SetLive a line of the live list.\n"
+func newPlatformCommand() prog.Command {
+	c := &platformCommand{}
+	return prog.Command{
+		Name: "platform", Synopsis: "run a stand-in of the platform's service",
+		Usage: "loomfake platform -Listen IP:PORT [-File DOCUMENT]\n" +
+			"POST /Publish publishes a document, POST /Fake sets faults, POST /SetLive a line of the live list.\n",
+		Flags: c.flags, Run: logged(c.run),
+	}
 }
 
-// SetFlags implements subcommands.Command.
-func (c *platformCommand) SetFlags(f *flag.FlagSet) {
+func (c *platformCommand) flags(f *flag.FlagSet) {
 	f.TextVar(&c.listen, "Listen", netip.MustParseAddrPort("127.0.0.1:7300"), "`IP:port` to serve at")
 	f.StringVar(&c.file, "File", "", "`file` of the first document")
 	f.DurationVar(&c.life, "Life", time.Hour, "longest life of the process")
 }
 
-// Execute implements subcommands.Command.
-func (c *platformCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
-	return status(c.run())
-}
-
-func (c *platformCommand) run() error {
+func (c *platformCommand) run(context.Context) error {
 	p := newPublisher()
 	if c.file != "" {
 		text, err := os.ReadFile(c.file)
--- a/loomfake/replay.go
+++ b/loomfake/replay.go
@@ -7,8 +7,7 @@
 	"os"
 	"strings"
 
-	"github.com/google/subcommands"
-
+	"loomgap/tier/prog"
 	"loomgap/tier/replay"
 )
 
@@ -18,27 +17,21 @@
 	seed uint64
 }
 
-var _ subcommands.Command = (*replayCommand)(nil)
-
-// Name implements subcommands.Command.
-func (*replayCommand) Name() string { return "replay" }
-
-// Synopsis implements subcommands.Command.
-func (*replayCommand) Synopsis() string {
-	return "replay the decisions in virtual time and print a table"
+func newReplayCommand() prog.Command {
+	c := &replayCommand{}
+	return prog.Command{
+		Name: "replay", Synopsis: "replay the decisions in virtual time and print a table",
+		Usage: "loomfake replay [-Only TEXT] [-Seed N]\n",
+		Flags: c.flags, Run: logged(c.run),
+	}
 }
 
-// Usage implements subcommands.Command.
-func (*replayCommand) Usage() string { return "loomfake replay [-Only TEXT] [-Seed N]\n" }
-
-// SetFlags implements subcommands.Command.
-func (c *replayCommand) SetFlags(f *flag.FlagSet) {
+func (c *replayCommand) flags(f *flag.FlagSet) {
 	f.StringVar(&c.only, "Only", "", "replay only cases whose name has this `text`")
 	f.Uint64Var(&c.seed, "Seed", 1, "seed")
 }
 
-// Execute implements subcommands.Command.
-func (c *replayCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
+func (c *replayCommand) run(context.Context) error {
 	fmt.Print(replay.Header)
 	for _, k := range replay.Cases() {
 		if !strings.Contains(k.Name, c.only) {
@@ -47,9 +40,9 @@
 		k.Seed = c.seed
 		r, err := replay.Run(k)
 		if err != nil {
-			return status(err)
+			return err
 		}
 		r.Print(os.Stdout)
 	}
-	return subcommands.ExitSuccess
+	return nil
 }
--- a/loomfake/soak.go
+++ b/loomfake/soak.go
@@ -8,7 +8,7 @@
 	"os"
 	"time"
 
-	"github.com/google/subcommands"
+	"loomgap/tier/prog"
 )
 
 // errPromise is wrapped by the error of a soak that saw a promise broken.
@@ -40,24 +40,17 @@
 	soakConfig
 }
 
-var _ subcommands.Command = (*soakCommand)(nil)
-
-// Name implements subcommands.Command.
-func (*soakCommand) Name() string { return "soak" }
-
-// Synopsis implements subcommands.Command.
-func (*soakCommand) Synopsis() string {
-	return "run daemons under random faults and check their promises"
-}
-
-// Usage implements subcommands.Command.
-func (*soakCommand) Usage() string {
-	return "loomfake soak -Daemon FILE [-Seed N] [-For TIME]\n" +
-		"Prints a report; exits with 1 if a promise was broken. docs/SOAK.md has the promises.\n"
+func newSoakCommand() prog.Command {
+	c := &soakCommand{}
+	return prog.Command{
+		Name: "soak", Synopsis: "run daemons under random faults and check their promises",
+		Usage: "loomfake soak -Daemon FILE [-Seed N] [-For TIME]\n" +
+			"Prints a report; exits with 1 if a promise was broken. docs/SOAK.md has the promises.\n",
+		Flags: c.flags, Run: logged(c.run),
+	}
 }
 
-// SetFlags implements subcommands.Command.
-func (c *soakCommand) SetFlags(f *flag.FlagSet) {
+func (c *soakCommand) flags(f *flag.FlagSet) {
 	f.Uint64Var(&c.Seed, "Seed", 1, "`number` that draws the faults")
 	f.DurationVar(&c.For, "For", 20*time.Second, "how long faults come")
 	f.StringVar(&c.Daemon, "Daemon", "bin/loomd", "`file` of the daemon")
@@ -68,11 +61,6 @@
 	f.StringVar(&c.Dir, "Dir", "", "`directory` for the daemons' logs; empty for a new one that is removed if all is well")
 }
 
-// Execute implements subcommands.Command.
-func (c *soakCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	return status(c.run(ctx))
-}
-
 func (c *soakCommand) run(ctx context.Context) error {
 	temporary := c.Dir == ""
 	if temporary {
--- a/loomfake/upstream.go
+++ b/loomfake/upstream.go
@@ -6,9 +6,8 @@
 	"net/netip"
 	"time"
 
-	"github.com/google/subcommands"
-
 	"loomgap/tier/config"
+	"loomgap/tier/prog"
 )
 
 // upstreamCommand runs stand-ins of upstreams, on consecutive ports.
@@ -30,22 +29,17 @@
 	connectCost = time.Millisecond
 )
 
-var _ subcommands.Command = (*upstreamCommand)(nil)
-
-// Name implements subcommands.Command.
-func (*upstreamCommand) Name() string { return "upstream" }
-
-// Synopsis implements subcommands.Command.
-func (*upstreamCommand) Synopsis() string { return "run stand-ins of upstreams" }
-
-// Usage implements subcommands.Command.
-func (*upstreamCommand) Usage() string {
-	return "loomfake upstream -Listen IP:PORT [-Count N]\n" +
-		"Upstream i listens at PORT+i. POST /Fake sets faults, GET /Runs tells which orders ran.\n"
+func newUpstreamCommand() prog.Command {
+	c := &upstreamCommand{}
+	return prog.Command{
+		Name: "upstream", Synopsis: "run stand-ins of upstreams",
+		Usage: "loomfake upstream -Listen IP:PORT [-Count N]\n" +
+			"Upstream i listens at PORT+i. POST /Fake sets faults, GET /Runs tells which orders ran.\n",
+		Flags: c.flags, Run: logged(c.run),
+	}
 }
 
-// SetFlags implements subcommands.Command.
-func (c *upstreamCommand) SetFlags(f *flag.FlagSet) {
+func (c *upstreamCommand) flags(f *flag.FlagSet) {
 	f.TextVar(&c.listen, "Listen", netip.MustParseAddrPort("127.0.0.1:7500"), "`IP:port` of the first upstream")
 	f.IntVar(&c.count, "Count", 1, "number of upstreams")
 	f.IntVar(&c.config.slots, "Slots", 2, "calls that an upstream works on at once")
@@ -54,12 +48,7 @@
 	f.DurationVar(&c.life, "Life", time.Hour, "longest life of the process")
 }
 
-// Execute implements subcommands.Command.
-func (c *upstreamCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
-	return status(c.run())
-}
-
-func (c *upstreamCommand) run() error {
+func (c *upstreamCommand) run(context.Context) error {
 	for i := range c.count {
 		at := netip.AddrPortFrom(c.listen.Addr(), c.listen.Port()+uint16(i))
 		l, err := listen(at)
--- a/tier/prog/prog.go
+++ b/tier/prog/prog.go
@@ -1,6 +1,6 @@
-// Package prog is what the programs of loomgap share: the commands that each has,
+// Package prog is what the programs of loomgap share: the form of their commands,
 // and the version of the release. It owns the command line of the process, which
-// it hands to package subcommands; the commands themselves are each program's own.
+// it hands to package subcommands; what the commands do is each program's own.
 package prog
 
 import (
@@ -15,41 +15,55 @@
 // Release is the version of the release; the release build sets it.
 var Release = "0.1.0"
 
+// Command is one command of a program.
+type Command struct {
+	Name, Synopsis, Usage string
+	// Flags declares the flags; nil if the command has none.
+	Flags func(*flag.FlagSet)
+	// Run carries the command out, once its flags are set.
+	Run func(context.Context, *flag.FlagSet) subcommands.ExitStatus
+}
+
 // Main runs the command that the command line names, and ends the process with its
 // exit status. Commands for help are added. It is called once, from main.
-func Main(commands ...subcommands.Command) {
-	commands = append(commands, subcommands.HelpCommand(), subcommands.FlagsCommand())
+func Main(commands ...Command) {
 	for _, c := range commands {
-		subcommands.Register(c, "")
+		subcommands.Register(registered{c}, "")
 	}
+	subcommands.Register(subcommands.HelpCommand(), "")
+	subcommands.Register(subcommands.FlagsCommand(), "")
 	flag.Parse()
 	os.Exit(int(subcommands.Execute(context.Background())))
 }
 
-// versionCommand prints the version of a program.
-type versionCommand struct {
-	program string
-}
-
-var _ subcommands.Command = (*versionCommand)(nil)
-
 // Version returns the command that prints the version of a program.
-func Version(program string) subcommands.Command { return &versionCommand{program: program} }
+func Version(program string) Command {
+	return Command{
+		Name: "version", Synopsis: "print the version", Usage: program + " version\n",
+		Run: func(context.Context, *flag.FlagSet) subcommands.ExitStatus {
+			fmt.Println(program + " " + Release)
+			return subcommands.ExitSuccess
+		},
+	}
+}
 
-// Name implements subcommands.Command.
-func (*versionCommand) Name() string { return "version" }
+// registered is a command as package subcommands takes it.
+type registered struct {
+	command Command
+}
 
-// Synopsis implements subcommands.Command.
-func (*versionCommand) Synopsis() string { return "print the version" }
+var _ subcommands.Command = registered{}
 
-// Usage implements subcommands.Command.
-func (c *versionCommand) Usage() string { return c.program + " version\n" }
+func (r registered) Name() string     { return r.command.Name }
+func (r registered) Synopsis() string { return r.command.Synopsis }
+func (r registered) Usage() string    { return r.command.Usage }
 
-// SetFlags implements subcommands.Command.
-func (*versionCommand) SetFlags(*flag.FlagSet) {}
+func (r registered) SetFlags(f *flag.FlagSet) {
+	if r.command.Flags != nil {
+		r.command.Flags(f)
+	}
+}
 
-// Execute implements subcommands.Command.
-func (c *versionCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
-	fmt.Println(c.program + " " + Release)
-	return subcommands.ExitSuccess
+func (r registered) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+	return r.command.Run(ctx, f)
 }
