--- a/tier/replay/case.go
+++ b/tier/replay/case.go
@@ -73,28 +73,15 @@
 	sharing      sharing
 	// shards and replicas are how many shards there are and upstreams of each.
 	// Requests of a class have as many upstreams as shards: replica r of shard i
-	// is upstream i+r. Routed requests have upstreams of each shard alone.
+	// is upstream i+r.
 	shards, replicas int
 	// hop is the one-way time between host and upstream, relayHop between hosts.
 	hop, relayHop time.Duration
 	capacity      capacity
 	faults        faults
-	// routed makes the requests gathers of a route; nil for those of a class.
-	routed *routed
-	loads  []load
+	loads         []load
 }
 
-// upstreams is how many upstreams the case has.
-func (c *Case) upstreams() int {
-	if c.routed == nil {
-		return c.shards
-	}
-	return c.shards * c.replicas
-}
-
-// crashing reports whether a request of the case crashes upstreams.
-func (c *Case) crashing() bool { return c.routed != nil && c.routed.crash != nil }
-
 // slotsOf is how many slots of an upstream a host may fill.
 func (c *Case) slotsOf(host, upstream int) int {
 	if c.sharing != sharingShares && c.sharing != sharingBorrow {
--- a/tier/replay/crash.go
+++ b/tier/replay/crash_site_test.go
@@ -62,9 +62,22 @@
 	settlingCrash = 3
 )
 
+// upstreamState is whether an upstream is away after a crash, and how often it has
+// crashed.
+type upstreamState struct {
+	down    bool
+	crashes int
+}
+
+// attempt is an attempt of a caller's request.
+type attempt struct {
+	request *callerRequest
+	// hasReached is true once a call of it has reached an upstream.
+	hasReached bool
+}
+
 // callerRequest is one request of a caller and its repeat.
 type callerRequest struct {
-	world       *world
 	load        int
 	fingerprint policy.Fingerprint
 	caller      netip.Addr
@@ -76,49 +89,48 @@
 
 // startCrashes plans the arrivals of the request that crashes upstreams, and the
 // crashes that no request causes.
-func (w *world) startCrashes() {
-	c := w.config.routed.crash
+func (s *routedSite) startCrashes() {
+	w, c := s.world, s.routed.crash
 	var next func()
 	next = func() {
 		if w.now >= w.config.length {
 			return
 		}
 		w.after(c.every, next)
-		q := &callerRequest{world: w, fingerprint: "Crash", caller: addressOf(w.random.IntN(max(c.callers, 1))), crashes: true}
-		q.arrive()
+		s.arrive(&callerRequest{fingerprint: "Crash", caller: addressOf(w.random.IntN(max(c.callers, 1))), crashes: true})
 	}
 	if c.every > 0 {
 		w.after(c.from, next)
 	}
 	if c.waveEvery > 0 {
-		w.crashAll()
+		s.crashAll()
 	}
 }
 
 // crashAll crashes all upstreams, again and again.
-func (w *world) crashAll() {
-	c := w.config.routed.crash
+func (s *routedSite) crashAll() {
+	w, c := s.world, s.routed.crash
 	if w.now >= w.config.length {
 		return
 	}
-	w.after(c.waveEvery, w.crashAll)
+	w.after(c.waveEvery, s.crashAll)
 	for _, u := range w.upstreams {
 		w.after(time.Duration(w.random.Float64()*float64(c.waveSpread)), func() {
-			if !u.down {
-				u.crash()
+			if !s.states[u.index].down {
+				s.crash(u)
 			}
 		})
 	}
 }
 
 // newCallerRequest makes a request of a load that crashes nothing.
-func (w *world) newCallerRequest(load int) *callerRequest {
-	w.crashes.requests++
-	name := w.crashes.requests
-	if n := w.config.routed.crash.popular; n > 0 {
-		name = w.random.IntN(n)
+func (s *routedSite) newCallerRequest(load int) *callerRequest {
+	s.crashes.requests++
+	name := s.crashes.requests
+	if n := s.routed.crash.popular; n > 0 {
+		name = s.world.random.IntN(n)
 	}
-	return &callerRequest{world: w, load: load, fingerprint: policy.Fingerprint(fmt.Sprint("Sound", name)), caller: addressOf(name)}
+	return &callerRequest{load: load, fingerprint: policy.Fingerprint(fmt.Sprint("Sound", name)), caller: addressOf(name)}
 }
 
 // addressOf returns the address of a caller.
@@ -126,45 +138,48 @@
 	return netip.AddrFrom4([4]byte{10, byte(n >> 16), byte(n >> 8), byte(n)})
 }
 
-// arrive brings the request to any host.
-func (q *callerRequest) arrive() { q.world.hosts[q.world.random.IntN(len(q.world.hosts))].serve(q) }
+// arrive brings a request to any host.
+func (s *routedSite) arrive(q *callerRequest) {
+	w := s.world
+	s.serve(w.hosts[w.random.IntN(len(w.hosts))], q)
+}
 
-// done takes in what became of an attempt.
-func (q *callerRequest) done(served bool) {
+// done takes in what became of an attempt of a request.
+func (s *routedSite) done(q *callerRequest, served bool) {
 	switch {
 	case served && !q.crashes:
-		q.world.crashes.served++
+		s.crashes.served++
 	case !served && !q.repeated:
 		q.repeated = true
-		q.world.after(repeatAfter, q.arrive)
+		s.world.after(repeatAfter, func() { s.arrive(q) })
 	}
 }
 
-// subject returns what hosts remember the request by; the zero value where the
-// request is not known.
-func (q *callerRequest) subject() policy.Subject {
-	if q == nil || !q.world.config.routed.crash.remember {
+// subject returns what hosts remember a request by; the zero value where the request
+// is not known.
+func (s *routedSite) subject(q *callerRequest) policy.Subject {
+	if q == nil || !s.routed.crash.remember {
 		return policy.Subject{}
 	}
 	return policy.Subject{Fingerprint: q.fingerprint, Caller: q.caller}
 }
 
-// serve carries out one attempt of a caller's request.
-func (h *host) serve(q *callerRequest) {
-	if verdict, _ := h.fleet.Judge(h.world.now, q.subject()); verdict == policy.VerdictQuarantined {
+// serve has a host carry out one attempt of a caller's request.
+func (s *routedSite) serve(h *host, q *callerRequest) {
+	if verdict, _ := h.fleet.Judge(s.world.now, s.subject(q)); verdict == policy.VerdictQuarantined {
 		if !q.crashes {
-			h.world.crashes.blamed++
+			s.crashes.blamed++
 		}
-		q.done(false)
+		s.done(q, false)
 		return
 	}
-	h.gather(gather{request: q, load: q.load, began: h.world.now})
+	s.gather(h, gather{request: q, load: q.load, began: s.world.now})
 }
 
 // reportCrashes has a host report to others the crashes that requests caused.
-func (h *host) reportCrashes() {
-	w := h.world
-	if !w.config.routed.crash.report {
+func (s *routedSite) reportCrashes(h *host) {
+	w := s.world
+	if !s.routed.crash.report {
 		return
 	}
 	last, planned := -reportGap, false
@@ -173,7 +188,7 @@
 		reports := h.fleet.UnsentReports(w.now)
 		for _, i := range w.random.Perm(len(w.hosts))[:min(reportHosts, len(w.hosts))] {
 			to := w.hosts[i]
-			w.after(w.config.routed.farHop, func() { to.fleet.TakeReports(w.now, reports) })
+			w.after(s.routed.farHop, func() { to.fleet.TakeReports(w.now, reports) })
 		}
 	}
 	h.fleet.OnCrashReports(func(urgent bool) {
@@ -189,54 +204,61 @@
 	})
 }
 
-// crashBy crashes the upstream that has begun a call, a while later.
-func (u *upstream) crashBy(k *call) {
-	c := u.world.config.routed.crash
+// begin has the upstream crash a while after it began a call of a request that crashes
+// upstreams.
+func (s *routedSite) begin(u *upstream, k *call) bool {
+	if !s.crashesBy(k) {
+		return true
+	}
+	w, c := s.world, s.routed.crash
 	if c.after == 0 {
-		u.world.after(u.serviceTime(), func() {
+		w.after(u.serviceTime(), func() {
 			if k.working {
-				u.crash()
+				s.crash(u)
 			}
 		})
-		return
+		return false
 	}
-	before := u.crashes
-	u.world.after(c.after, func() {
-		if u.crashes == before {
-			u.crash()
+	before := s.states[u.index].crashes
+	w.after(c.after, func() {
+		if s.states[u.index].crashes == before {
+			s.crash(u)
 		}
 	})
+	return false
 }
 
-// crash ends the upstream: whatever runs or waits there gets no answer.
-func (u *upstream) crash() {
-	w := u.world
-	if w.crashes.crashed++; w.crashes.crashed == settlingCrash {
-		w.thirdCrash = w.now
+// crash ends an upstream: whatever runs or waits there gets no answer.
+func (s *routedSite) crash(u *upstream) {
+	w := s.world
+	if s.crashes.crashed++; s.crashes.crashed == settlingCrash {
+		s.thirdCrash = w.now
 	}
-	u.down = true
-	u.crashes++
+	state := &s.states[u.index]
+	state.down = true
+	state.crashes++
 	for _, k := range append(u.running, u.backlog...) {
 		k.working = false
 		k.reply(policy.CallCrashed)
 	}
 	u.running, u.backlog = nil, nil
-	w.after(w.config.routed.crash.down, func() { u.down = false })
+	w.after(s.routed.crash.down, func() { state.down = false })
 }
 
-// crashes reports whether calls of the execution crash upstreams; an execution that
-// is nil has none.
-func (e *execution) crashes() bool { return e != nil && e.request != nil && e.request.crashes }
+// crashesBy reports whether a call crashes the upstream that runs it.
+func (s *routedSite) crashesBy(k *call) bool {
+	a := s.attempts[k.execution]
+	return a != nil && a.request.crashes
+}
 
 // reached counts an attempt of the request that reaches an upstream, once.
-func (e *execution) reached() {
-	if e.hasReached {
+func (s *routedSite) reached(a *attempt) {
+	if a.hasReached {
 		return
 	}
-	e.hasReached = true
-	w := e.host.world
-	w.crashes.reached++
-	if w.thirdCrash > 0 && w.now > w.thirdCrash+lateAfter {
-		w.crashes.late++
+	a.hasReached = true
+	s.crashes.reached++
+	if s.thirdCrash > 0 && s.world.now > s.thirdCrash+lateAfter {
+		s.crashes.late++
 	}
 }
--- a/tier/replay/crash_test.go
+++ b/tier/replay/crash_test.go
@@ -10,7 +10,7 @@
 
 // crashCase is a site where a request that crashes upstreams comes every second, and
 // its caller once more each time.
-func crashCase(shards, hosts int, remember, report bool) Case {
+func crashCase(shards, hosts int, remember, report bool) routedSetup {
 	c := routedCase(shards, 2, hosts, 8*time.Millisecond)
 	c.loads[0].rate = 60
 	c.faults.slowEvery = 0
@@ -48,8 +48,8 @@
 		{100, 300, 1, 60 * time.Millisecond, 105, 0.98},
 	}
 	for _, tt := range tests {
-		var cases []Case
-		for _, c := range []Case{
+		var cases []routedSetup
+		for _, c := range []routedSetup{
 			crashCase(tt.shards, tt.hosts, false, false),
 			crashCase(tt.shards, tt.hosts, true, false),
 			crashCase(tt.shards, tt.hosts, true, true),
@@ -57,12 +57,12 @@
 			c.routed.crash.callers, c.routed.crash.after = tt.callers, tt.after
 			cases = append(cases, c)
 		}
-		reports := runAll(t, cases...)
+		reports := runRouted(t, cases...)
 		name := fmt.Sprintf("%d shards, %d hosts, %d callers, %s", tt.shards, tt.hosts, tt.callers, tt.after)
 		for i, way := range []string{"forget", "remember", "report"} {
 			c := reports[i].crashes
 			t.Logf("%s, %s: %d ended, %d attempts reached, %d of %d served, earned %.3f",
-				name, way, c.crashed, c.reached, c.served, c.requests, reports[i].classes[0].meanEarned())
+				name, way, c.crashed, c.reached, c.served, c.requests, reports[i].meanEarned())
 		}
 		told := reports[2].crashes
 		assert.Check(t, told.reached <= 4, name)
@@ -91,7 +91,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var cases []Case
+			var cases []routedSetup
 			for seed := range seeds {
 				for _, remember := range []bool{false, true} {
 					c := crashCase(20, 7, remember, remember)
@@ -104,7 +104,7 @@
 				}
 			}
 			var forgot, told crashResult
-			for i, r := range runAll(t, cases...) {
+			for i, r := range runRouted(t, cases...) {
 				sum := &forgot
 				if i%2 == 1 {
 					sum = &told
@@ -136,7 +136,7 @@
 	}
 	for _, tt := range tests {
 		for _, hosts := range []int{7, 60} {
-			var cases []Case
+			var cases []routedSetup
 			for seed := range seeds {
 				c := crashCase(20, hosts, true, true)
 				c.Seed, c.length, c.replicas = uint64(seed+1), 20*time.Second, 1
@@ -145,7 +145,7 @@
 				cases = append(cases, c)
 			}
 			worst := 0
-			for _, r := range runAll(t, cases...) {
+			for _, r := range runRouted(t, cases...) {
 				worst = max(worst, r.crashes.late)
 			}
 			assert.Check(t, worst <= 3, "%d hosts, every %s, %d callers: %d", hosts, tt.every, tt.callers, worst)
--- a/tier/replay/doc.go
+++ b/tier/replay/doc.go
@@ -10,7 +10,8 @@
 // measures. case.go describes a case; world.go has the clock; host.go,
 // execution.go and call.go show how the decisions are carried out, and can serve
 // as an example of how to embed package policy; upstream.go is the fake upstream.
-// routed.go and crash.go add routed requests and requests that crash upstreams.
+// site.go joins them for requests of a class. Tests replay routed requests, and ones
+// that crash upstreams, at sites of their own.
 //
 // A replay runs in the goroutine that calls Run. Replays share nothing, so that
 // several may run at once.
--- a/tier/replay/execution.go
+++ b/tier/replay/execution.go
@@ -14,20 +14,15 @@
 	run    *policy.Run
 	begun  time.Duration
 	shards int
-	// coverage is the least part of the shards that an answer has, 0 to 1.
-	coverage float64
 	// calls are those made so far, by the run's number of the attempt.
 	calls map[int]*call
 	// wakeAt is when the run is woken next; ended once it is finished.
 	wakeAt time.Duration
 	// result counts the request; nil during the warm-up.
 	result *classResult
-	// back is how long the answer takes to the host that the caller asked.
-	back time.Duration
-	// request is the caller's, in a case with crashes; nil otherwise.
-	request *callerRequest
-	// hasReached is true once a call of it has reached an upstream.
-	hasReached bool
+	// onEnd is told the answer and how long it took; nil if nobody asks. The answer
+	// is nil if the request was refused.
+	onEnd func(answer *policy.Result, took time.Duration)
 }
 
 // ended is the wakeAt of an execution that is finished.
@@ -45,7 +40,6 @@
 // begin starts the run of a request that may be repeated.
 func (e *execution) begin(c policy.RunConfig) {
 	w := e.host.world
-	e.coverage = c.Class.Coverage
 	c.Fleet, c.Repeatable = e.host.fleet, true
 	c.Granted = func(n int) { w.after(0, func() { e.perform(e.run.Granted(w.now, n)) }) }
 	run, err := policy.NewRun(c)
@@ -56,7 +50,7 @@
 	actions, err := run.Begin(w.now)
 	if err != nil {
 		e.result.refused()
-		e.done(false)
+		e.tell(nil, 0)
 		return
 	}
 	e.perform(actions)
@@ -106,15 +100,16 @@
 // finish counts the answer.
 func (e *execution) finish() {
 	r := e.run.Result()
-	e.result.answered(e.host.world.now-e.begun+e.back, &r, e.shards)
-	e.done(float64(r.Included) >= e.coverage*float64(e.shards) && r.Included > 0)
+	took := e.host.world.now - e.begun
+	e.result.answered(took, &r, e.shards)
+	e.tell(&r, took)
 	e.wakeAt = ended
 }
 
-// done tells the caller's request what became of the attempt.
-func (e *execution) done(served bool) {
-	if e.request != nil {
-		e.request.done(served)
+// tell passes the end on to whoever asks.
+func (e *execution) tell(answer *policy.Result, took time.Duration) {
+	if e.onEnd != nil {
+		e.onEnd(answer, took)
 	}
 }
 
@@ -123,10 +118,10 @@
 	w := e.host.world
 	index := w.indices[a.Upstream.Name]
 	sent := w.now
-	k := &call{world: w, upstream: w.upstreams[index], hop: e.host.hop(index), execution: e}
+	k := &call{world: w, upstream: w.upstreams[index], hop: w.site.hop(e.host, index), execution: e}
 	e.host.fleet.Sent(sent, a.Upstream)
 	k.done = func(o policy.CallOutcome) {
-		e.host.work(func() {
+		w.site.work(e.host, func() {
 			policy.Deliver(e.host.fleet.Finish(w.now, policy.Call{
 				Upstream: a.Upstream, Pool: a.Pool, Outcome: o, Took: w.now - sent, Lingering: k.lingering,
 			}))
--- a/tier/replay/report.go
+++ b/tier/replay/report.go
@@ -17,12 +17,10 @@
 	// seconds is the virtual time that is counted.
 	seconds float64
 	classes []*classResult
-	// crashes is what became of the requests, in a case with crashes.
-	crashes crashResult
 }
 
 func (w *world) report() *Report {
-	return &Report{name: w.config.Name, seconds: (w.config.length - w.config.warm).Seconds(), classes: w.results, crashes: w.crashes}
+	return &Report{name: w.config.Name, seconds: (w.config.length - w.config.warm).Seconds(), classes: w.results}
 }
 
 // Header is the head of the table that Print writes rows of.
@@ -60,10 +58,6 @@
 	// asked and included count parts, attempts the calls made for them.
 	asked, included, attempts int
 	latency                   *hdrhistogram.Histogram
-	// objective is when an answer counts in full, earned the sum of what answers
-	// within it earn, for routed requests.
-	objective time.Duration
-	earned    float64
 }
 
 // Bounds of the latencies that a result counts.
@@ -96,10 +90,6 @@
 	c.asked += shards
 	c.included += r.Included
 	c.attempts += r.Attempts
-	if took <= c.objective {
-		share := float64(r.Included) / float64(shards)
-		c.earned += share * share
-	}
 	if r.Included == shards {
 		c.complete++
 	}
--- a/tier/replay/routed_test.go
+++ b/tier/replay/routed_test.go
@@ -13,32 +13,32 @@
 // routedCase is a site of so many shards, upstreams of each and hosts: upstreams
 // are busy for a third of the time, pause, and one in six is eight times slower for
 // a while.
-func routedCase(shards, replicas, hosts int, farHop time.Duration) Case {
+func routedCase(shards, replicas, hosts int, farHop time.Duration) routedSetup {
 	const (
 		service = 20 * time.Millisecond
 		slots   = 2
 		busy    = 0.35
 	)
-	return Case{
+	c := Case{
 		Seed: 1, length: 12 * time.Second, warm: 2 * time.Second, hosts: hosts,
 		shards: shards, replicas: replicas,
 		capacity: capacity{slots: slots, backlog: 12, service: service, sigma: 0.35},
 		hop:      250 * time.Microsecond,
 		faults:   faults{slowEvery: 6, slowFactor: 8, slowFrom: 4 * time.Second, slowUntil: 9 * time.Second},
-		routed: &routed{
-			route: config.Route{
-				Name: "Sweep", Repeatable: true, MaxAttempts: 2,
-				TimeLimit: config.Duration(2 * time.Second), Objective: config.Duration(200 * time.Millisecond),
-				Gather: &config.Gather{Top: 10, Coverage: 0.5},
-			},
-			halls: min(3, hosts), farHop: farHop, ratio: 0.2, slack: 56 * float64(max(hosts/8, 1)) / 2,
-			pauseFor: 250 * time.Millisecond, pauseEvery: 6 * time.Second,
-		},
 		loads: []load{{
 			class: caseClass("Sweep", 1, 2*time.Second), shards: shards,
 			rate: busy * slots * float64(replicas) / service.Seconds(),
 		}},
 	}
+	return routedSetup{Case: c, routed: routed{
+		route: config.Route{
+			Name: "Sweep", Repeatable: true, MaxAttempts: 2,
+			TimeLimit: config.Duration(2 * time.Second), Objective: config.Duration(200 * time.Millisecond),
+			Gather: &config.Gather{Top: 10, Coverage: 0.5},
+		},
+		halls: min(3, hosts), farHop: farHop, ratio: 0.2, slack: 56 * float64(max(hosts/8, 1)) / 2,
+		pauseFor: 250 * time.Millisecond, pauseEvery: 6 * time.Second,
+	}}
 }
 
 // TestRoutedPolicyIsAheadAtAnySize plays sites of 2 to 200 shards, 1 to 4 upstreams
@@ -59,22 +59,20 @@
 		{90, 3, 60, 8 * time.Millisecond, 0.08},
 		{200, 2, 300, 8 * time.Millisecond, 0.08},
 	}
-	var cases []Case
+	var cases []routedSetup
 	for _, tt := range tests {
 		chosen := routedCase(tt.shards, tt.replicas, tt.hosts, tt.farHop)
 		plain := chosen
-		route := *chosen.routed
-		route.plain = true
-		plain.routed = &route
+		plain.routed.plain = true
 		cases = append(cases, plain, chosen)
 	}
-	reports := runAll(t, cases...)
+	reports := runRouted(t, cases...)
 	for i, tt := range tests {
-		plain, chosen := reports[2*i].classes[0], reports[2*i+1].classes[0]
+		plain, chosen := reports[2*i], reports[2*i+1]
 		name := fmt.Sprintf("%d shards of %d, %d hosts, %s", tt.shards, tt.replicas, tt.hosts, tt.farHop)
-		t.Logf("%s: plain %.3f, chosen %.3f, extra calls %.1f%%", name, plain.meanEarned(), chosen.meanEarned(), 100*chosen.extraLoad())
+		t.Logf("%s: plain %.3f, chosen %.3f, extra calls %.1f%%", name, plain.meanEarned(), chosen.meanEarned(), 100*chosen.classes[0].extraLoad())
 		assert.Check(t, chosen.meanEarned() >= plain.meanEarned()+tt.gain, name)
-		assert.Check(t, chosen.extraLoad() <= 0.25, name)
+		assert.Check(t, chosen.classes[0].extraLoad() <= 0.25, name)
 	}
 }
 
@@ -87,24 +85,15 @@
 func TestForwardedGathersMeetTheirObjective(t *testing.T) {
 	alone := routedCase(90, 3, 60, 8*time.Millisecond)
 	alone.loads[0].rate /= 4
-	r := *alone.routed
+	r := &alone.routed
 	r.route.Objective = config.Duration(100 * time.Millisecond)
 	r.ownWork = ownWork{strongHosts: 6, strong: 120 * time.Microsecond, weak: 750 * time.Microsecond}
-	alone.routed = &r
 	forwarded := alone
-	f := r
-	f.forward = true
-	forwarded.routed = &f
-	reports := runAll(t, alone, forwarded)
-	without, with := reports[0].classes[0], reports[1].classes[0]
+	forwarded.routed.forward = true
+	reports := runRouted(t, alone, forwarded)
+	without, with := reports[0], reports[1]
 	t.Logf("alone %.3f, forwarded %.3f, extra calls %.1f%% and %.1f%%", without.meanEarned(), with.meanEarned(),
-		100*without.extraLoad(), 100*with.extraLoad())
+		100*without.classes[0].extraLoad(), 100*with.classes[0].extraLoad())
 	assert.Check(t, with.meanEarned() >= without.meanEarned()+0.15)
-	assert.Check(t, with.extraLoad() <= 0.25)
-}
-
-// meanEarned is what a request of a class earns on average: the square of the share
-// of shards that an answer in time has.
-func (c *classResult) meanEarned() float64 {
-	return c.earned / float64(max(c.answers+c.refusals, 1))
+	assert.Check(t, with.classes[0].extraLoad() <= 0.25)
 }
--- a/tier/replay/upstream.go
+++ b/tier/replay/upstream.go
@@ -13,10 +13,6 @@
 	index int
 	// running are the calls in the slots, backlog those that wait for one.
 	running, backlog []*call
-	// down is true while the upstream is away after a crash.
-	down bool
-	// crashes counts how often the upstream has crashed.
-	crashes int
 }
 
 func newUpstream(w *world, index int) *upstream { return &upstream{world: w, index: index} }
@@ -52,18 +48,13 @@
 
 // arrive takes a call in, queues it or sheds it.
 func (u *upstream) arrive(k *call) {
-	if !u.down && k.execution.crashes() {
-		k.execution.reached()
-	}
 	c := &u.world.config
 	switch {
-	case u.down:
-		k.reply(policy.CallUnreachable)
+	case !u.world.site.accept(u, k):
+		// The site does what is to be done.
 	case u.lost():
 		// It never answers; the caller gives up in the end.
 	case k.cancelled:
-	case u.pausedFor() > 0:
-		u.world.after(u.pausedFor(), func() { u.arrive(k) })
 	case oneIn(c.faults.shedEvery, u.index):
 		k.reply(policy.CallShed)
 	case len(u.running) < c.capacity.slots:
@@ -79,8 +70,7 @@
 func (u *upstream) begin(k *call) {
 	k.working = true
 	u.running = append(u.running, k)
-	if k.execution.crashes() {
-		u.crashBy(k)
+	if !u.world.site.begin(u, k) {
 		return
 	}
 	u.world.after(u.serviceTime(), func() {
@@ -103,18 +93,3 @@
 		}
 	}
 }
-
-// pausedFor is how much longer the upstream pauses. Each pauses at times of its
-// own.
-func (u *upstream) pausedFor() time.Duration {
-	r := u.world.config.routed
-	if r == nil || r.pauseFor == 0 {
-		return 0
-	}
-	into := (u.world.now + time.Duration(u.index)*pauseSpread) % r.pauseEvery
-	return max(r.pauseFor-into, 0)
-}
-
-// pauseSpread is the time between the pauses of two neighbouring upstreams, modulo
-// the period: a large odd number spreads them over it. Not measured.
-const pauseSpread = 7_919 * time.Millisecond
--- a/tier/replay/world.go
+++ b/tier/replay/world.go
@@ -20,22 +20,30 @@
 	queue     events
 	ranks     uint64
 	random    *rand.Rand
+	site      site
 	upstreams []*upstream
 	hosts     []*host
 	// results has one element for each load of the case.
 	results []*classResult
 	// indices finds an upstream by name.
 	indices map[string]int
-	// crashes is what became of the requests, in a case with crashes.
-	crashes crashResult
-	// thirdCrash is when the third upstream crashed; 0 before.
-	thirdCrash time.Duration
 }
 
 // Run replays a case. The error names what is wrong with the case.
 func Run(c Case) (*Report, error) {
+	w, err := newWorld(c, func(w *world) site { return classSite{w} })
+	if err != nil {
+		return nil, err
+	}
+	w.run()
+	return w.report(), nil
+}
+
+// newWorld prepares the replay of a case at a site.
+func newWorld(c Case, newSite func(*world) site) (*world, error) {
 	w := &world{config: c, random: rand.New(rand.NewPCG(c.Seed, seedStream)), indices: map[string]int{}}
-	for i := range c.upstreams() {
+	w.site = newSite(w)
+	for i := range w.site.upstreams() {
 		w.upstreams = append(w.upstreams, newUpstream(w, i))
 		w.indices[upstreamName(i)] = i
 	}
@@ -44,18 +52,11 @@
 	}
 	for i := range c.loads {
 		w.results = append(w.results, newClassResult(&c.loads[i].class))
-		if c.routed != nil {
-			w.results[i].objective = time.Duration(c.routed.route.Objective)
-		}
 		if err := w.startLoad(i); err != nil {
 			return nil, err
 		}
 	}
-	if c.crashing() {
-		w.startCrashes()
-	}
-	w.run()
-	return w.report(), nil
+	return w, nil
 }
 
 // run carries out all that is planned.
@@ -89,11 +90,7 @@
 			return
 		}
 		w.after(gap(), next)
-		if w.config.crashing() {
-			w.newCallerRequest(index).arrive()
-			return
-		}
-		w.hosts[w.random.IntN(len(w.hosts))].request(index)
+		w.site.request(index)
 	}
 	w.after(gap(), next)
 	return nil
