--- a/tier/pass/coordinate_client.go
+++ b/tier/pass/coordinate_client.go
@@ -79,7 +79,7 @@
 	held := time.Duration(a.HeldMicros) * time.Microsecond
 	q.log(a.Outcome, a.Status).Str("Coordinator", coordinator).Int64("HeldMillis", held.Milliseconds()).Msg("request answered by a coordinator")
 	q.write(w, a.Status, http.Header{}, a.Body)
-	q.engine.overhead.handOver.observe(q.engine.kernel.Now() - q.times.begun - held)
+	q.engine.overhead.handOver.Observe(q.engine.kernel.Now() - q.times.begun - held)
 }
 
 // sentRequest is a request that a coordinator carries out. It is used by one
@@ -140,7 +140,7 @@
 func (q *request) coordinateRequest(ctx context.Context) *coordinateRequest {
 	e := q.engine
 	now := e.kernel.Now()
-	spent := max(now-q.times.begun, e.overhead.handOver.estimate())
+	spent := max(now-q.times.begun, e.overhead.handOver.Estimate())
 	return &coordinateRequest{
 		ID: e.ids.next(), RequestID: q.in.id, HostName: q.in.hostName, Path: q.in.path, Route: q.route.Digest(),
 		Method: q.in.method, Head: string(q.in.head), Body: q.in.body, Caller: q.in.subject.Caller,
--- a/tier/pass/overhead.go
+++ b/tier/pass/overhead.go
@@ -1,7 +1,6 @@
 package pass
 
 import (
-	"sync"
 	"time"
 
 	"loomgap/tier/config"
@@ -14,34 +13,16 @@
 
 // overhead is the time that this host observes itself to add to the calls of a request.
 // Without it, the answers of a weak host come late by that time when the objective is
-// nearly spent.
+// nearly spent. It is safe for concurrent use.
 type overhead struct {
 	// handOver is the time of a request beyond its coordinator's part.
-	handOver sharedMargin
+	handOver policy.Margin
 	// answer is the time from the decision on an answer until it is written.
-	answer sharedMargin
+	answer policy.Margin
 }
 
 // beyondReserve is how much longer this host takes to make and write an answer than
 // the time that every route keeps back, config.ResponseReserve.
 func (o *overhead) beyondReserve() time.Duration {
-	return max(o.answer.estimate()+linkReserve-time.Duration(config.ResponseReserve), 0)
-}
-
-// sharedMargin is a policy.Margin that is safe for concurrent use.
-type sharedMargin struct {
-	mu     sync.Mutex
-	margin policy.Margin
-}
-
-func (m *sharedMargin) observe(took time.Duration) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.margin.Observe(took)
-}
-
-func (m *sharedMargin) estimate() time.Duration {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.margin.Estimate()
+	return max(o.answer.Estimate()+linkReserve-time.Duration(config.ResponseReserve), 0)
 }
--- a/tier/pass/serve.go
+++ b/tier/pass/serve.go
@@ -99,7 +99,7 @@
 	if !q.handOver(ctx, w) {
 		q.serve(ctx, w)
 		if q.times.decidedAt > 0 {
-			e.overhead.answer.observe(e.kernel.Now() - q.times.decidedAt)
+			e.overhead.answer.Observe(e.kernel.Now() - q.times.decidedAt)
 		}
 	}
 	if r.Context().Err() != nil {
--- a/tier/policy/margin.go
+++ b/tier/policy/margin.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"sync"
 	"time"
 )
 
@@ -21,8 +22,9 @@
 )
 
 // Margin estimates how long something takes that must fit in before a deadline,
-// by its mean and mean deviation so far. It is not safe for concurrent use.
+// by its mean and mean deviation so far. It is safe for concurrent use.
 type Margin struct {
+	mu sync.Mutex
 	// mean and deviation are in nanoseconds; 0 until known.
 	mean, deviation float64
 	// known is true once a time was observed.
@@ -31,6 +33,8 @@
 
 // Observe records how long it took once.
 func (m *Margin) Observe(took time.Duration) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	x := float64(took)
 	if !m.known {
 		m.mean, m.deviation, m.known = x, x*marginFirstDeviation, true
@@ -42,5 +46,7 @@
 
 // Estimate is the time to keep back; 0 while nothing was observed.
 func (m *Margin) Estimate() time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	return time.Duration(m.mean + marginDeviations*m.deviation)
 }
