--- a/loomd/start.go
+++ b/loomd/start.go
@@ -26,7 +26,9 @@
 		return nil, err
 	}
 	for _, p := range stages {
-		p.Default(&k.Settings)
+		if p.Default != nil {
+			p.Default(&k.Settings)
+		}
 	}
 	var cleanUps []func()
 	cleanUp := func() {
@@ -53,8 +55,8 @@
 // skipped leaves out a stage that has nothing to do.
 func skipped(next run, p kernel.Plugin) run {
 	return func(ctx context.Context, k *kernel.Kernel) (func(), error) {
-		if p.Skip(&k.Settings) {
-			k.Log.Info().Str("Stage", p.Name()).Msg("stage skipped")
+		if p.Skip != nil && p.Skip(&k.Settings) {
+			k.Log.Info().Str("Stage", p.Name).Msg("stage skipped")
 			return nil, nil
 		}
 		return next(ctx, k)
@@ -67,9 +69,9 @@
 		started := time.Now()
 		c, err := next(ctx, k)
 		if err != nil {
-			return nil, fmt.Errorf("stage %s: %w", p.Name(), err)
+			return nil, fmt.Errorf("stage %s: %w", p.Name, err)
 		}
-		k.Log.Info().Str("Stage", p.Name()).Dur("Took", time.Since(started)).Msg("stage started")
+		k.Log.Info().Str("Stage", p.Name).Dur("Took", time.Since(started)).Msg("stage started")
 		return c, nil
 	}
 }
--- a/tier/entry/serve.go
+++ b/tier/entry/serve.go
@@ -29,16 +29,13 @@
 	callerHeaderBytes = 16 << 10
 )
 
-// plugin serves callers.
-type plugin struct{}
-
-var _ kernel.Plugin = plugin{}
-
-func init() { kernel.Register(plugin{}) }
-
-func (plugin) Name() string { return "Entry" }
+func init() {
+	skip := func(s *kernel.Settings) bool { return s.Adapter != "" }
+	kernel.Register(kernel.Plugin{Name: "Entry", Default: fillTimes, Skip: skip, Run: serveCallers})
+}
 
-func (plugin) Default(s *kernel.Settings) {
+// fillTimes fills in the times that the settings leave out.
+func fillTimes(s *kernel.Settings) {
 	if s.TicketLife == 0 {
 		s.TicketLife = time.Minute
 	}
@@ -50,9 +47,8 @@
 	}
 }
 
-func (plugin) Skip(s *kernel.Settings) bool { return s.Adapter != "" }
-
-func (plugin) Run(ctx context.Context, k *kernel.Kernel) (func(), error) {
+// serveCallers serves callers.
+func serveCallers(ctx context.Context, k *kernel.Kernel) (func(), error) {
 	engine, closeEngine := newEngine(k)
 	stopStatus := kernel.RunLoops(ctx, (&statusReader{engine}).loop)
 	mux := goahttp.NewMuxer()
--- a/tier/peers/watch.go
+++ b/tier/peers/watch.go
@@ -39,24 +39,19 @@
 	replyFactor = 2
 )
 
-// watchPlugin reads what the platform publishes by loomgap's own protocol.
-type watchPlugin struct{}
-
-var _ kernel.Plugin = watchPlugin{}
-
-func init() { kernel.Register(watchPlugin{}) }
-
-func (watchPlugin) Name() string { return "Platform" }
+func init() {
+	skip := func(s *kernel.Settings) bool { return !s.Platform.IsValid() || s.Adapter != "" }
+	kernel.Register(kernel.Plugin{Name: "Platform", Default: fillWatchWait, Skip: skip, Run: watchPlatform})
+}
 
-func (watchPlugin) Default(s *kernel.Settings) {
+func fillWatchWait(s *kernel.Settings) {
 	if s.WatchWait == 0 {
 		s.WatchWait = defaultWatchWait
 	}
 }
 
-func (watchPlugin) Skip(s *kernel.Settings) bool { return !s.Platform.IsValid() || s.Adapter != "" }
-
-func (watchPlugin) Run(ctx context.Context, k *kernel.Kernel) (func(), error) {
+// watchPlatform reads what the platform publishes by loomgap's own protocol.
+func watchPlatform(ctx context.Context, k *kernel.Kernel) (func(), error) {
 	transport := &http.Transport{DisableCompression: true}
 	w := &watcher{kernel: k, client: &http.Client{Transport: transport}, listed: map[string]wire.LiveState{}}
 	stop := kernel.RunLoops(ctx,
