--- a/tier/pass/coordinate_server.go
+++ b/tier/pass/coordinate_server.go
@@ -5,7 +5,6 @@
 	"context"
 	"fmt"
 	"net/http"
-	"sync"
 	"time"
 
 	"github.com/VictoriaMetrics/metrics"
@@ -24,22 +23,9 @@
 
 // servedRequest is one request that this host carries out for another.
 type servedRequest struct {
-	// begin is closed, once, when the request may begin.
-	begin     chan struct{}
-	beginOnce sync.Once
-	cancel    context.CancelFunc
-}
-
-// await waits until the request may begin, and reports whether it may.
-func (r *servedRequest) await(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, beginBound)
-	defer cancel()
-	select {
-	case <-r.begin:
-		return true
-	case <-ctx.Done():
-		return false
-	}
+	// begin opens when the request may begin.
+	begin  startGate
+	cancel context.CancelFunc
 }
 
 // handleCoordinate registers the methods of both ends of the exchange.
@@ -65,12 +51,12 @@
 	metrics.GetOrCreateCounter("loomgap_carried_requests_total").Inc()
 	run, cancel := context.WithCancel(wire.TraceInto(context.Background(), in.Trace))
 	defer cancel()
-	served := &servedRequest{begin: make(chan struct{}), cancel: cancel}
+	served := &servedRequest{begin: newStartGate(), cancel: cancel}
 	e.coordinate.served.add(in.ID, served)
 	defer e.coordinate.served.drop(in.ID)
 	started := e.kernel.Now()
 	go e.signWhile(ctx, run, in.ID, cancel)
-	if !served.await(run) {
+	if !served.begin.await(run, beginBound) {
 		return &coordinateReply{Declined: declineNotBegun}, nil
 	}
 	w := &recorder{header: http.Header{}}
@@ -124,7 +110,7 @@
 	if r == nil {
 		return nil, fmt.Errorf("request %q ended or was never sent", in.ID)
 	}
-	r.beginOnce.Do(func() { close(r.begin) })
+	r.begin.open()
 	return struct{}{}, nil
 }
 
--- a/tier/pass/engine.go
+++ b/tier/pass/engine.go
@@ -30,7 +30,8 @@
 	coordinate   coordinateExchange
 	coordinators coordinators
 	overhead     overhead
-	start        startGate
+	// start opens once there is a configuration to serve requests by.
+	start startGate
 	// preconnected are the hosts that were connected to ahead; used on the control
 	// thread.
 	preconnected map[string]bool
--- a/tier/pass/serve.go
+++ b/tier/pass/serve.go
@@ -83,7 +83,7 @@
 	defer e.kernel.InFlight.Add(-1)
 	e.kernel.Wake()
 	q := e.newRequest(r)
-	configured := e.start.await(r.Context(), e.kernel.Now())
+	configured := e.start.await(r.Context(), startBound-e.kernel.Now())
 	q.view = e.kernel.View()
 	if e.kernel.Phase() == kernel.PhaseDraining {
 		w.Header().Set("Connection", "close")
--- a/tier/pass/start.go
+++ b/tier/pass/start.go
@@ -19,29 +19,30 @@
 	confirmBound = 5 * time.Second
 )
 
-// startGate opens once there is a configuration to serve requests by.
+// startGate holds back what may not start yet; it opens once, for good. It is safe for
+// concurrent use.
 type startGate struct {
-	configured chan struct{}
-	once       sync.Once
+	opened chan struct{}
+	once   sync.Once
 }
 
-func newStartGate() startGate { return startGate{configured: make(chan struct{})} }
+func newStartGate() startGate { return startGate{opened: make(chan struct{})} }
 
-// open lets requests pass; it may be called again.
-func (g *startGate) open() { g.once.Do(func() { close(g.configured) }) }
+// open lets all pass that wait; it may be called again.
+func (g *startGate) open() { g.once.Do(func() { close(g.opened) }) }
 
-// await waits for the first configuration, at most until a request may no longer wait
-// for it, and reports whether there is one.
-func (g *startGate) await(ctx context.Context, now time.Duration) bool {
+// await waits until the gate is open, at most for some time, and reports whether it is. An
+// open gate lets pass whatever the time and the context.
+func (g *startGate) await(ctx context.Context, most time.Duration) bool {
 	select {
-	case <-g.configured:
+	case <-g.opened:
 		return true
 	default:
 	}
-	ctx, cancel := context.WithTimeout(ctx, startBound-now)
+	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
 	select {
-	case <-g.configured:
+	case <-g.opened:
 		return true
 	case <-ctx.Done():
 		return false
