--- a/tier/entry/ask.go
+++ b/tier/entry/ask.go
@@ -94,15 +94,14 @@
 	c := &partCaller{
 		engine:       e,
 		upstreamCall: upstreamCall{service: q.service.Name, path: wire.PathPart, snapshot: snapshot, deadline: q.deadline},
-		message: func(part, attempt int) (wire.Identity, []byte, error) {
+		message: func(part, attempt int) (wire.Identity, any) {
 			s := &shards[part]
 			m := wire.PartRequest{
 				Identity: wire.Identity{RequestID: q.id, Attempt: plan*attemptsPerPlan + attempt, Shard: s.Name, MapRevision: q.service.MapRevision},
 				Service:  q.service.Name, From: s.From, To: s.To, Snapshot: snapshot,
 				DeadlineMillis: e.millisLeft(q), Question: question,
 			}
-			body, err := wire.Encode(&m)
-			return m.Identity, body, err
+			return m.Identity, &m
 		},
 		take: func(p *wire.PartReply) { merger.Add(p.Count, p.Rows) },
 	}
--- a/tier/entry/call.go
+++ b/tier/entry/call.go
@@ -22,8 +22,8 @@
 	engine *engine
 	// upstreamCall has what the calls of all parts have alike.
 	upstreamCall
-	// message makes the body of an attempt, and the identity that its reply must have.
-	message func(part, attempt int) (wire.Identity, []byte, error)
+	// message makes the message of an attempt, and the identity that its reply must have.
+	message func(part, attempt int) (wire.Identity, any)
 	// take merges a part.
 	take func(p *wire.PartReply)
 }
@@ -32,7 +32,8 @@
 
 func (c *partCaller) Call(ctx context.Context, a policy.Action) runner.Reply[*wire.PartReply] {
 	k := c.engine.kernel
-	id, body, err := c.message(a.Part, a.Attempt)
+	id, message := c.message(a.Part, a.Attempt)
+	body, err := wire.Encode(message)
 	if err != nil {
 		k.Log.Error().Err(err).Msg("message not encoded")
 		return runner.Reply[*wire.PartReply]{Outcome: policy.CallNotSent}
--- a/tier/entry/order.go
+++ b/tier/entry/order.go
@@ -174,14 +174,13 @@
 		engine:       e,
 		upstreamCall: upstreamCall{service: o.service.Name, path: wire.PathPlace, deadline: o.deadline},
 		take:         func(p *wire.PartReply) { placed = *p },
-		message: func(_, attempt int) (wire.Identity, []byte, error) {
+		message: func(_, attempt int) (wire.Identity, any) {
 			m := wire.PlaceRequest{
 				Identity: wire.Identity{RequestID: o.id, Attempt: attempt, Shard: o.shard.Name, MapRevision: o.service.MapRevision},
 				Service:  o.service.Name, Key: o.place.Key,
 				DeadlineMillis: e.millisLeft(o.request), Fields: fields,
 			}
-			body, err := wire.Encode(&m)
-			return m.Identity, body, err
+			return m.Identity, &m
 		},
 	}
 	result, err := e.run(ctx, c, o.request, replicas, false)
