--- a/tier/pass/doc.go
+++ b/tier/pass/doc.go
@@ -2,49 +2,34 @@
 // passes the request on to one upstream, or to one of each shard, and gives the caller
 // the upstream's answer, or the greatest records of all.
 //
-// # What it owns
+// It owns the callers' server, the connections to upstreams (link), and what this host
+// knows of other hosts as relays and coordinators (hostTracker). All of it lives in
+// memory and ends with the process.
 //
-// The callers' server, the connections to upstreams (link), and what this host knows
-// of other hosts as relays and coordinators (hostTracker). All of it lives in memory
-// and ends with the process.
-//
-// # What it relies on
-//
-// Package policy decides: which upstream gets a call, when a call is hedged or retried,
-// when a run ends, which host coordinates. Package runner carries these decisions out
-// and calls back. Package kernel gives the view of configuration and hosts, and the
-// calls between hosts. This package decides only what its constants say, beside each.
+// It relies on package policy for decisions: which upstream gets a call, when a call is
+// hedged or retried, when a run ends, which host coordinates. Package runner carries
+// these out and calls back. Package kernel gives the view of configuration and hosts,
+// and the calls between hosts. This package decides only what its constants say.
 //
 // # The way of a request
 //
-// Begin reading at ServeHTTP in serve.go, which lists the stages. Each has its file,
-// and a request passes them from top to bottom:
+// Begin reading at ServeHTTP in serve.go, which lists the stages. Their files, in order:
 //
-//	serve.go              the request and its stages
 //	start.go              wait for the first configuration
 //	inbound.go            find the route, read the request, and what of it is passed on
 //	refuse.go             refuse, with each Retry-After
-//	coordinate_client.go  hand a gather over to a coordinator (coordinators.go)
+//	coordinate_client.go  hand a gather over to a coordinator (coordinators.go), a
+//	                      stronger host that carries it out (coordinate_server.go)
 //	plan.go               which upstreams may answer, and which group of a split
 //	run.go                make the calls; admit.go whether a call may be sent
 //	call.go               one call to an upstream, on a connection of conn.go
-//	relay_client.go       calls to another hall, through a relay there
+//	relay_client.go       calls to another hall, in batches through a relay, a host
+//	                      there that makes them (relay_server.go)
 //	merge.go              merge the parts; relay_records.go fetch what they lack
 //	answer.go             answer the caller; outcome.go the log line and metrics
 //
-// # Exchanges between hosts
-//
-// A relay is a host of another hall that makes a batch of calls for this one. A
-// coordinator is a stronger host that carries a whole gather out for this one. The
-// files of both are named alike: relay_messages.go, relay_client.go, relay_server.go;
-// coordinate_messages.go, coordinate_client.go, coordinate_server.go. The client has
-// a sentBatch or sentRequest, the server a servedBatch or servedRequest; exchange.go
-// has what both exchanges share.
-//
-// # Views
-//
-// engine.follow takes each view of the kernel in: shares of upstreams (shares.go),
-// connections made ahead (preconnect.go), owners of cold upstreams (warmup.go).
+// exchange.go has what both exchanges between hosts share. engine.follow takes each view
+// of the kernel in: shares.go, preconnect.go, warmup.go.
 //
 // # Concurrency
 //
--- a/tier/pass/serve.go
+++ b/tier/pass/serve.go
@@ -67,14 +67,6 @@
 	parts gatheredParts
 }
 
-// newRequest makes a request of a caller.
-func (e *engine) newRequest(r *http.Request) *request {
-	return &request{
-		engine: e, times: requestTimes{begun: e.kernel.Now()},
-		in: inbound{id: r.Header.Get(e.headers.RequestID), method: r.Method, subject: policy.Subject{Caller: callerOf(r)}},
-	}
-}
-
 // ServeHTTP implements http.Handler. Each stage that a request passes has a file of its
 // own, in the order of the package comment; findRoute, read, quarantined and handOver end
 // the way of a request that they answer.
@@ -82,7 +74,10 @@
 	e.kernel.InFlight.Add(1)
 	defer e.kernel.InFlight.Add(-1)
 	e.kernel.Wake()
-	q := e.newRequest(r)
+	q := &request{
+		engine: e, times: requestTimes{begun: e.kernel.Now()},
+		in: inbound{id: r.Header.Get(e.headers.RequestID), method: r.Method, subject: policy.Subject{Caller: callerOf(r)}},
+	}
 	configured := e.start.await(r.Context(), startBound-e.kernel.Now())
 	q.view = e.kernel.View()
 	if e.kernel.Phase() == kernel.PhaseDraining {
