--- a/loomfake/document.go
+++ b/loomfake/document.go
@@ -12,12 +12,8 @@
 	"loomgap/tier/prog"
 )
 
-// documentCommand prints a document for a shape of tier.
-type documentCommand struct {
-	shape shape
-}
-
-// shape describes a tier of one data hall on loopback addresses.
+// shape describes a tier of one data hall on loopback addresses; the command prints
+// a document for it.
 type shape struct {
 	hosts, shards int
 	// peerPort is the first host's; the next one's is portsPerHost higher.
@@ -45,17 +41,16 @@
 )
 
 func newDocumentCommand() prog.Command {
-	c := &documentCommand{}
+	s := &shape{}
 	return prog.Command{
 		Name: "document", Synopsis: "print a document modelled on the users' tiers",
 		Usage: "loomfake document [-Hosts N] [-Shards N]\n" +
 			"Service Orders has the shards; the document has one upstream for each.\n",
-		Flags: c.flags, Run: logged(c.run),
+		Flags: s.flags, Run: logged(s.print),
 	}
 }
 
-func (c *documentCommand) flags(f *flag.FlagSet) {
-	s := &c.shape
+func (s *shape) flags(f *flag.FlagSet) {
 	f.IntVar(&s.hosts, "Hosts", 2, "entry hosts H1, H2 and so on")
 	f.IntVar(&s.peerPort, "PeerPort", 7401, "peer port of the first host; the next is 10 higher")
 	f.IntVar(&s.shards, "Shards", 24, "shards of service Orders")
@@ -67,8 +62,9 @@
 	f.DurationVar(&s.patience, "Patience", 100*time.Millisecond, "patience of class Search")
 }
 
-func (c *documentCommand) run(context.Context) error {
-	text, err := config.Encode(c.shape.document())
+// print prints the document.
+func (s *shape) print(context.Context) error {
+	text, err := config.Encode(s.document())
 	if err != nil {
 		return err
 	}
--- a/loomfake/link.go
+++ b/loomfake/link.go
@@ -12,7 +12,6 @@
 
 	"loomgap/tier/config"
 	"loomgap/tier/prog"
-	"loomgap/tier/wire"
 )
 
 // linkCommand runs a link between processes that can be cut.
@@ -47,10 +46,9 @@
 	if err != nil {
 		return err
 	}
-	k := &link{to: c.to.String(), conns: map[net.Conn]bool{}}
-	go k.accept(l)
+	k := startLink(l, c.to)
 	m := http.NewServeMux()
-	m.HandleFunc("POST /Fake", k.onFake)
+	m.HandleFunc("POST /Fake", posted(k.set))
 	return serveUntilStopped(admin, m, c.life)
 }
 
@@ -77,6 +75,13 @@
 	conns  map[net.Conn]bool
 }
 
+// startLink passes the connections that come to a listener on to an address.
+func startLink(l net.Listener, to netip.AddrPort) *link {
+	k := &link{to: to.String(), conns: map[net.Conn]bool{}}
+	go k.accept(l)
+	return k
+}
+
 // current returns the faults in force.
 func (k *link) current() linkFaults {
 	k.mu.Lock()
@@ -158,17 +163,6 @@
 	delete(k.conns, c)
 }
 
-// onFake sets the faults.
-func (k *link) onFake(w http.ResponseWriter, r *http.Request) {
-	var f linkFaults
-	if err := wire.Decode(r.Body, wire.MaxBody, &f); err != nil {
-		http.Error(w, err.Error(), http.StatusBadRequest)
-		return
-	}
-	k.set(f)
-	write(w, http.StatusOK, f)
-}
-
 // set changes the faults. Healing closes the connections that lost bytes.
 func (k *link) set(f linkFaults) {
 	k.mu.Lock()
--- a/loomfake/platform.go
+++ b/loomfake/platform.go
@@ -107,8 +107,8 @@
 	m.HandleFunc("GET "+wire.PathDocument, p.read(p.document))
 	m.HandleFunc("GET "+wire.PathLive, p.read(p.list))
 	m.HandleFunc("POST /Publish", p.onPublish)
-	m.HandleFunc("POST /Fake", p.onFake)
-	m.HandleFunc("POST /SetLive", p.onSetLive)
+	m.HandleFunc("POST /Fake", posted(p.setFaults))
+	m.HandleFunc("POST /SetLive", posted(p.setLive))
 	return m
 }
 
@@ -191,31 +191,32 @@
 	write(w, http.StatusOK, wire.DocumentReply{Revision: p.publish(string(text))})
 }
 
-func (p *publisher) onFake(w http.ResponseWriter, r *http.Request) {
-	var f platformFaults
-	if err := wire.Decode(r.Body, wire.MaxBody, &f); err != nil {
-		http.Error(w, err.Error(), http.StatusBadRequest)
-		return
-	}
+func (p *publisher) setFaults(f platformFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
 	p.wake()
-	write(w, http.StatusOK, f)
 }
 
-func (p *publisher) onSetLive(w http.ResponseWriter, r *http.Request) {
-	var e wire.LiveEntry
-	if err := wire.Decode(r.Body, wire.MaxBody, &e); err != nil {
-		http.Error(w, err.Error(), http.StatusBadRequest)
-		return
-	}
+func (p *publisher) setLive(e wire.LiveEntry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.version++
 	p.live[e.Name] = liveLine{state: e.State, at: time.Now()}
 	p.wake()
-	write(w, http.StatusOK, e)
+}
+
+// posted serves a value that is posted as JSON: it is set, and sent back.
+func posted[T any](set func(T)) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		var v T
+		if err := wire.Decode(r.Body, wire.MaxBody, &v); err != nil {
+			http.Error(w, err.Error(), http.StatusBadRequest)
+			return
+		}
+		set(v)
+		write(w, http.StatusOK, v)
+	}
 }
 
 // write answers with a value as JSON.
--- a/loomfake/soak.go
+++ b/loomfake/soak.go
@@ -35,13 +35,8 @@
 	Dir string
 }
 
-// soakCommand runs daemons under random faults and checks their promises.
-type soakCommand struct {
-	soakConfig
-}
-
 func newSoakCommand() prog.Command {
-	c := &soakCommand{}
+	c := &soakConfig{}
 	return prog.Command{
 		Name: "soak", Synopsis: "run daemons under random faults and check their promises",
 		Usage: "loomfake soak -Daemon FILE [-Seed N] [-For TIME]\n" +
@@ -50,7 +45,7 @@
 	}
 }
 
-func (c *soakCommand) flags(f *flag.FlagSet) {
+func (c *soakConfig) flags(f *flag.FlagSet) {
 	f.Uint64Var(&c.Seed, "Seed", 1, "`number` that draws the faults")
 	f.DurationVar(&c.For, "For", 20*time.Second, "how long faults come")
 	f.StringVar(&c.Daemon, "Daemon", "bin/loomd", "`file` of the daemon")
@@ -61,7 +56,8 @@
 	f.StringVar(&c.Dir, "Dir", "", "`directory` for the daemons' logs; empty for a new one that is removed if all is well")
 }
 
-func (c *soakCommand) run(ctx context.Context) error {
+// run runs daemons under random faults and checks their promises.
+func (c *soakConfig) run(ctx context.Context) error {
 	temporary := c.Dir == ""
 	if temporary {
 		dir, err := os.MkdirTemp("", "soak")
@@ -70,7 +66,7 @@
 		}
 		c.Dir = dir
 	}
-	s, cleanUp, err := newSoak(c.soakConfig)
+	s, cleanUp, err := newSoak(*c)
 	if err != nil {
 		return err
 	}
--- a/loomfake/soakcheck.go
+++ b/loomfake/soakcheck.go
@@ -163,13 +163,13 @@
 func (c *checker) versions() {
 	type process struct{ host, generation int }
 	known := map[process]int{}
-	served := slices.DeleteFunc(slices.Clone(c.soak.asked), func(a asked) bool {
-		return a.route == 0 || a.err != nil || a.status != http.StatusOK
-	})
+	withStatus := func(status int) []asked {
+		return slices.DeleteFunc(slices.Clone(c.soak.asked), func(a asked) bool {
+			return a.route == 0 || a.err != nil || a.status != status
+		})
+	}
+	served, refused := withStatus(http.StatusOK), withStatus(http.StatusNotFound)
 	slices.SortFunc(served, func(a, b asked) int { return cmp.Compare(a.ended, b.ended) })
-	refused := slices.DeleteFunc(slices.Clone(c.soak.asked), func(a asked) bool {
-		return a.route == 0 || a.err != nil || a.status != http.StatusNotFound
-	})
 	slices.SortFunc(refused, func(a, b asked) int { return cmp.Compare(a.at, b.at) })
 	for _, a := range refused {
 		for len(served) > 0 && served[0].ended < a.at {
--- a/loomfake/soakfault.go
+++ b/loomfake/soakfault.go
@@ -42,12 +42,10 @@
 		s.mu.Unlock()
 		end := f.begin(ctx, s)
 		if end != nil {
-			all.Add(1)
-			go func() {
-				defer all.Done()
+			all.Go(func() {
 				sleep(ctx, lasts)
 				end()
-			}()
+			})
 		}
 		sleep(ctx, pause)
 		if ctx.Err() != nil {
@@ -114,21 +112,9 @@
 		h.signal(syscall.SIGHUP)
 		return nil
 	}},
-	{"store cut off from a host", func(_ context.Context, s *soak) func() {
-		h := s.anyHost()
-		h.store.set(linkFaults{Cut: true})
-		return func() { h.store.set(linkFaults{}); s.touch(h) }
-	}},
-	{"store refuses a host", func(_ context.Context, s *soak) func() {
-		h := s.anyHost()
-		h.store.set(linkFaults{Reset: true})
-		return func() { h.store.set(linkFaults{}); s.touch(h) }
-	}},
-	{"store answers late", func(_ context.Context, s *soak) func() {
-		h := s.anyHost()
-		h.store.set(linkFaults{Delay: soakDelay(300)})
-		return func() { h.store.set(linkFaults{}); s.touch(h) }
-	}},
+	{"store cut off from a host", onStoreLink(linkFaults{Cut: true})},
+	{"store refuses a host", onStoreLink(linkFaults{Reset: true})},
+	{"store answers late", onStoreLink(linkFaults{Delay: soakDelay(300)})},
 	{"store down", func(_ context.Context, s *soak) func() {
 		s.touchStore()
 		s.store.Fail(http.StatusServiceUnavailable)
@@ -168,6 +154,15 @@
 	return config.Duration(time.Duration(millis) * time.Millisecond)
 }
 
+// onStoreLink is a fault of the connections of a host to the store.
+func onStoreLink(f linkFaults) func(context.Context, *soak) func() {
+	return func(_ context.Context, s *soak) func() {
+		h := s.anyHost()
+		h.store.set(f)
+		return func() { h.store.set(linkFaults{}); s.touch(h) }
+	}
+}
+
 // onLink is a fault of the connections to an upstream.
 func onLink(f linkFaults) func(context.Context, *soak) func() {
 	return func(_ context.Context, s *soak) func() {
--- a/loomfake/soakreport.go
+++ b/loomfake/soakreport.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"io"
+	"maps"
 	"net/http"
 	"slices"
 	"time"
@@ -47,12 +48,7 @@
 }
 
 func (s *soak) table(w io.Writer, counts map[string]int) {
-	var names []string
-	for n := range counts {
-		names = append(names, n)
-	}
-	slices.Sort(names)
-	for _, n := range names {
+	for _, n := range slices.Sorted(maps.Keys(counts)) {
 		fmt.Fprintf(w, "| %s | %d |\n", n, counts[n])
 	}
 }
--- a/loomfake/soakrun.go
+++ b/loomfake/soakrun.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"math/rand/v2"
 	"net/http"
+	"slices"
 	"sync"
 	"syscall"
 	"time"
@@ -89,8 +90,8 @@
 		h.signal(syscall.SIGCONT)
 		h.signal(syscall.SIGKILL)
 	}
-	for i := len(s.closers) - 1; i >= 0; i-- {
-		s.closers[i]()
+	for _, c := range slices.Backward(s.closers) {
+		c()
 	}
 }
 
@@ -103,11 +104,7 @@
 	}
 	var all sync.WaitGroup
 	for i := range s.Callers {
-		all.Add(1)
-		go func() {
-			defer all.Done()
-			s.call(callers, i)
-		}()
+		all.Go(func() { s.call(callers, i) })
 	}
 	sleep(ctx, soakWarm)
 	faults, stopFaults := context.WithTimeout(ctx, s.For)
--- a/loomfake/soaksite.go
+++ b/loomfake/soaksite.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"net/netip"
 	"slices"
@@ -84,8 +83,7 @@
 	if err != nil {
 		return nil, netip.AddrPort{}, err
 	}
-	k := &link{to: to.String(), conns: map[net.Conn]bool{}}
-	go k.accept(l)
+	k := startLink(l, to)
 	s.closers = append(s.closers, func() { _ = l.Close(); k.set(linkFaults{Reset: true}) })
 	return k, netip.MustParseAddrPort(l.Addr().String()), nil
 }
@@ -123,16 +121,16 @@
 	s.mu.Lock()
 	s.routes++
 	n, set := s.routes, s.sets[len(s.sets)-1]
-	groups := map[string]bool{}
+	var groups []string
 	for _, u := range s.upstreams {
-		groups[u.group] = true
+		groups = append(groups, u.group)
 	}
 	s.mu.Unlock()
 	v := platform.Document{Limits: platform.Limits{BodyBytes: 1 << 16}, Routes: soakRoutes(set, n)}
-	for g := range groups {
+	slices.Sort(groups)
+	for _, g := range slices.Compact(groups) {
 		v.Groups = append(v.Groups, platform.Group{Name: g, Connections: 40})
 	}
-	slices.SortFunc(v.Groups, func(a, b platform.Group) int { return strings.Compare(a.Name, b.Name) })
 	if err := s.store.Put(platform.DocumentKey, v); err != nil {
 		return err
 	}
