--- a/loomd/start.go
+++ b/loomd/start.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"slices"
 	"time"
 
 	"loomgap/tier/kernel"
@@ -30,12 +31,12 @@
 	}
 	var cleanUps []func()
 	cleanUp := func() {
-		for i := len(cleanUps) - 1; i >= 0; i-- {
-			cleanUps[i]()
+		for _, c := range slices.Backward(cleanUps) {
+			c()
 		}
 	}
 	for _, p := range stages {
-		c, err := logged(skipped(p.Run, p), p)(ctx, k)
+		c, err := startStage(ctx, k, p)
 		if err != nil {
 			cleanUp()
 			return nil, err
@@ -47,29 +48,19 @@
 	return cleanUp, nil
 }
 
-// run starts a stage and returns its clean-up; nil if it needs none.
-type run func(context.Context, *kernel.Kernel) (func(), error)
-
-// skipped leaves out a stage that has nothing to do.
-func skipped(next run, p kernel.Plugin) run {
-	return func(ctx context.Context, k *kernel.Kernel) (func(), error) {
-		if p.Skip(&k.Settings) {
-			k.Log.Info().Str("Stage", p.Name()).Msg("stage skipped")
-			return nil, nil
-		}
-		return next(ctx, k)
-	}
-}
-
-// logged logs a stage's start and names the stage in its error.
-func logged(next run, p kernel.Plugin) run {
-	return func(ctx context.Context, k *kernel.Kernel) (func(), error) {
-		started := time.Now()
-		c, err := next(ctx, k)
-		if err != nil {
+// startStage starts a stage unless it has nothing to do, logs that, and names the
+// stage in its error. It returns the stage's clean-up; nil if it needs none.
+func startStage(ctx context.Context, k *kernel.Kernel, p kernel.Plugin) (func(), error) {
+	started := time.Now()
+	var cleanUp func()
+	if p.Skip(&k.Settings) {
+		k.Log.Info().Str("Stage", p.Name()).Msg("stage skipped")
+	} else {
+		var err error
+		if cleanUp, err = p.Run(ctx, k); err != nil {
 			return nil, fmt.Errorf("stage %s: %w", p.Name(), err)
 		}
-		k.Log.Info().Str("Stage", p.Name()).Dur("Took", time.Since(started)).Msg("stage started")
-		return c, nil
 	}
+	k.Log.Info().Str("Stage", p.Name()).Dur("Took", time.Since(started)).Msg("stage started")
+	return cleanUp, nil
 }
