--- a/loomctl/plan.go
+++ b/loomctl/plan.go
@@ -6,6 +6,7 @@
 	"flag"
 	"fmt"
 	"os"
+	"slices"
 
 	"github.com/google/subcommands"
 	"github.com/sergi/go-diff/diffmatchpatch"
@@ -108,12 +109,7 @@
 }
 
 func onlyShows(statements []*query.Statement) bool {
-	for _, s := range statements {
-		if s.Show == nil {
-			return false
-		}
-	}
-	return true
+	return !slices.ContainsFunc(statements, func(s *query.Statement) bool { return s.Show == nil })
 }
 
 // start returns the document to begin from and the newest published revision.
--- a/loomd/settings.go
+++ b/loomd/settings.go
@@ -29,7 +29,6 @@
 	Remedy  string
 }
 
-// Error implements error.
 func (e *settingError) Error() string {
 	return fmt.Sprintf("-%s: %s: %s", e.Flag, e.Problem, e.Remedy)
 }
@@ -40,7 +39,6 @@
 // seeds is a list of addresses, divided by commas.
 type seeds []netip.AddrPort
 
-// String implements flag.Value.
 func (s *seeds) String() string {
 	var out []string
 	for _, a := range *s {
@@ -49,7 +47,6 @@
 	return strings.Join(out, ",")
 }
 
-// Set implements flag.Value.
 func (s *seeds) Set(v string) error {
 	*s = nil
 	if v == "" {
@@ -68,10 +65,8 @@
 // regions is a list of halls with their regions, divided by commas.
 type regions config.Regions
 
-// String implements flag.Value.
 func (r *regions) String() string { return config.Regions(*r).String() }
 
-// Set implements flag.Value.
 func (r *regions) Set(v string) error {
 	parsed, err := config.ParseRegions(v)
 	*r = regions(parsed)
--- a/loomd/trace.go
+++ b/loomd/trace.go
@@ -34,7 +34,6 @@
 	return nil
 }
 
-// Shutdown implements sdk.SpanExporter.
 func (spanLog) Shutdown(context.Context) error { return nil }
 
 // newTracer makes a tracer that logs a share of the requests' spans, or those
--- a/loomfake/connect.go
+++ b/loomfake/connect.go
@@ -16,7 +16,6 @@
 	open  atomic.Int64
 }
 
-// Accept implements net.Listener.
 func (l *costlyListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -39,13 +38,11 @@
 	last     sync.Once
 }
 
-// Read implements net.Conn.
 func (c *costlyConn) Read(b []byte) (int, error) {
 	c.first.Do(func() { time.Sleep(c.listener.cost) })
 	return c.Conn.Read(b)
 }
 
-// Close implements net.Conn.
 func (c *costlyConn) Close() error {
 	c.last.Do(func() { c.listener.open.Add(-1) })
 	return c.Conn.Close()
--- a/loomfake/platform.go
+++ b/loomfake/platform.go
@@ -206,19 +206,26 @@
 	p.wake()
 }
 
-// posted serves a value that is posted as JSON: it is set, and sent back.
-func posted[T any](set func(T)) http.HandlerFunc {
+// decoded serves requests whose body is a value as JSON.
+func decoded[T any](serve func(http.ResponseWriter, *http.Request, *T)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var v T
 		if err := wire.Decode(r.Body, wire.MaxBody, &v); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		set(v)
-		write(w, http.StatusOK, v)
+		serve(w, r, &v)
 	}
 }
 
+// posted serves a value that is posted as JSON: it is set, and sent back.
+func posted[T any](set func(T)) http.HandlerFunc {
+	return decoded(func(w http.ResponseWriter, _ *http.Request, v *T) {
+		set(*v)
+		write(w, http.StatusOK, v)
+	})
+}
+
 // write answers with a value as JSON.
 func write(w http.ResponseWriter, code int, v any) {
 	w.Header().Set("Content-Type", "application/json")
--- a/loomfake/soakupstream.go
+++ b/loomfake/soakupstream.go
@@ -48,7 +48,6 @@
 	Reset float64
 }
 
-// ServeHTTP implements http.Handler.
 func (u *soakUpstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h := platform.Headers
 	u.mu.Lock()
--- a/loomfake/upstreamserver.go
+++ b/loomfake/upstreamserver.go
@@ -82,8 +82,8 @@
 
 func (u *upstream) handler() http.Handler {
 	m := http.NewServeMux()
-	m.HandleFunc("POST "+wire.PathPart, u.onPart)
-	m.HandleFunc("POST "+wire.PathPlace, u.onPlace)
+	m.HandleFunc("POST "+wire.PathPart, decoded(u.onPart))
+	m.HandleFunc("POST "+wire.PathPlace, decoded(u.onPlace))
 	m.HandleFunc("POST "+wire.PathStatus, u.onStatus)
 	m.HandleFunc("POST /Fake", u.onFake)
 	m.HandleFunc("GET /Runs", u.onRuns)
@@ -164,12 +164,7 @@
 	return false
 }
 
-func (u *upstream) onPart(w http.ResponseWriter, r *http.Request) {
-	var in wire.PartRequest
-	if err := wire.Decode(r.Body, wire.MaxBody, &in); err != nil {
-		http.Error(w, err.Error(), http.StatusBadRequest)
-		return
-	}
+func (u *upstream) onPart(w http.ResponseWriter, r *http.Request, in *wire.PartRequest) {
 	u.serve(w, r, &job{identity: in.Identity, millis: in.DeadlineMillis, snapshot: in.Snapshot}, func(f *faults, out *wire.PartReply) {
 		if u.draw(f.WrongSnapshotShare) {
 			out.Snapshot++
@@ -178,12 +173,7 @@
 	})
 }
 
-func (u *upstream) onPlace(w http.ResponseWriter, r *http.Request) {
-	var in wire.PlaceRequest
-	if err := wire.Decode(r.Body, wire.MaxBody, &in); err != nil {
-		http.Error(w, err.Error(), http.StatusBadRequest)
-		return
-	}
+func (u *upstream) onPlace(w http.ResponseWriter, r *http.Request, in *wire.PlaceRequest) {
 	u.serve(w, r, &job{identity: in.Identity, millis: in.DeadlineMillis, order: in.RequestID}, func(_ *faults, out *wire.PartReply) {
 		out.Count = 1
 	})
@@ -216,7 +206,9 @@
 	if j.order != "" {
 		u.count(j.order)
 	}
-	if !work(r, u.serviceTime(&f)) {
+	select {
+	case <-time.After(u.serviceTime(&f)):
+	case <-r.Context().Done():
 		return
 	}
 	out := wire.PartReply{Identity: j.identity, Held: f.held(), Snapshot: j.snapshot}
@@ -231,16 +223,6 @@
 	u.runs[order]++
 }
 
-// work takes the service time, or ends early when the caller cancels.
-func work(r *http.Request, d time.Duration) bool {
-	select {
-	case <-time.After(d):
-		return true
-	case <-r.Context().Done():
-		return false
-	}
-}
-
 // reply sends a reply, right or wrong as the faults demand.
 func (u *upstream) reply(w http.ResponseWriter, r *http.Request, f *faults, out wire.PartReply) {
 	switch {
--- a/tier/replay/world.go
+++ b/tier/replay/world.go
@@ -114,21 +114,16 @@
 
 var _ heap.Interface = (*events)(nil)
 
-// Len implements heap.Interface.
 func (e events) Len() int { return len(e) }
 
-// Less implements heap.Interface.
 func (e events) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].rank < e[j].rank
 }
 
-// Swap implements heap.Interface.
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-// Push implements heap.Interface.
 func (e *events) Push(x any) { *e = append(*e, x.(event)) }
 
-// Pop implements heap.Interface.
 func (e *events) Pop() any {
 	last := len(*e) - 1
 	x := (*e)[last]
