--- a/loomfake/soakcheck.go
+++ b/loomfake/soakcheck.go
@@ -47,8 +47,7 @@
 		c.request(&s.asked[i])
 	}
 	c.versions()
-	c.leaving()
-	c.evacuation()
+	c.unwanted()
 	c.repeats()
 	c.recovery()
 	return c.broken
@@ -81,15 +80,15 @@
 	if a.err != nil && len(runs) > 0 {
 		c.expect("a planned stop cuts nothing", !c.stopped(a), "%s was cut by host %d: %v", a.id, a.host, a.err)
 	}
-	ran := map[string]map[string]bool{}
+	seen, ran := map[*soakUpstream]bool{}, map[string]int{}
 	for _, u := range runs {
-		if ran[u.group] == nil {
-			ran[u.group] = map[string]bool{}
+		if !seen[u] {
+			seen[u] = true
+			ran[u.group]++
 		}
-		ran[u.group][u.Name] = true
 	}
-	for g, us := range ran {
-		c.expect("attempts", len(us) <= 2, "%s ran on %d upstreams of %s", a.id, len(us), g)
+	for g, n := range ran {
+		c.expect("attempts", n <= 2, "%s ran on %d upstreams of %s", a.id, n, g)
 	}
 	switch {
 	case a.status != http.StatusOK || a.err != nil:
@@ -186,34 +185,27 @@
 	}
 }
 
-// evacuation checks that no request reached an upstream long after its hall was
-// evacuated.
-func (c *checker) evacuation() {
-	if c.soak.evacuatedAt == 0 {
-		return
-	}
+// unwanted checks that no request reached an upstream long after its hall was
+// evacuated, or after it was listed as leaving. A fault of a host or of the store may
+// have delayed the news that it leaves.
+func (c *checker) unwanted() {
 	for _, u := range c.soak.upstreams {
-		if u.hall != halls[0] {
-			continue
-		}
-		for _, a := range u.seen() {
-			late := a.at - c.soak.evacuatedAt
-			c.expect("evacuated halls", late <= soakUntouched, "%s got %s %s after its hall was evacuated", u.Name, a.id, late)
+		if u.hall == halls[0] {
+			c.notAfter("evacuated halls", u, c.soak.evacuatedAt, soakUntouched)
 		}
+		c.notAfter("leaving upstreams", u, u.leftAt, soakApply+soakUntouched)
 	}
 }
 
-// leaving checks that no request reached an upstream long after it was listed as
-// leaving. A fault of a host or of the store may have delayed the news.
-func (c *checker) leaving() {
-	for _, u := range c.soak.upstreams {
-		if u.leftAt == 0 {
-			continue
-		}
-		for _, a := range u.seen() {
-			late := a.at-u.leftAt > soakApply+soakUntouched
-			c.expect("leaving upstreams", !late, "%s got %s %s after it left", u.Name, a.id, a.at-u.leftAt)
-		}
+// notAfter checks that no request reached an upstream later than a while after a
+// time; a time of 0 stands for none.
+func (c *checker) notAfter(promise string, u *soakUpstream, at, while time.Duration) {
+	if at == 0 {
+		return
+	}
+	for _, a := range u.seen() {
+		late := a.at - at
+		c.expect(promise, late <= while, "%s got %s %s after it should get none", u.Name, a.id, late)
 	}
 }
 
--- a/loomfake/upstreamserver.go
+++ b/loomfake/upstreamserver.go
@@ -204,7 +204,9 @@
 		return
 	}
 	if j.order != "" {
-		u.count(j.order)
+		u.mu.Lock()
+		u.runs[j.order]++
+		u.mu.Unlock()
 	}
 	select {
 	case <-time.After(u.serviceTime(&f)):
@@ -216,13 +218,6 @@
 	u.reply(w, r, &f, out)
 }
 
-// count notes that an order runs, by its request ID.
-func (u *upstream) count(order string) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.runs[order]++
-}
-
 // reply sends a reply, right or wrong as the faults demand.
 func (u *upstream) reply(w http.ResponseWriter, r *http.Request, f *faults, out wire.PartReply) {
 	switch {
--- a/tier/replay/site.go
+++ b/tier/replay/site.go
@@ -1,6 +1,7 @@
 package replay
 
 import (
+	"fmt"
 	"time"
 
 	"loomgap/tier/policy"
@@ -27,6 +28,23 @@
 	begin(*upstream, *call) bool
 }
 
+// host is one entry host.
+type host struct {
+	world *world
+	index int
+	fleet *policy.Fleet
+	// pool has the latencies of requests of a class; nil at a site of routed ones.
+	pool *policy.Pool
+}
+
+func newHost(w *world, index int) *host {
+	h := &host{world: w, index: index, fleet: policy.NewFleet(policy.FleetConfig{Random: w.random})}
+	w.site.join(h)
+	return h
+}
+
+func upstreamName(i int) string { return fmt.Sprintf("U%d", i) }
+
 // classSite is the site of requests of a class: each shard is at as many upstreams as
 // it has replicas, and each upstream has a part of as many shards.
 type classSite struct {
