--- a/loomfake/soaksite.go
+++ b/loomfake/soaksite.go
@@ -29,8 +29,7 @@
 	soakSlack = 40
 	// soakSingles is how many upstreams the service has that is no shard.
 	soakSingles = 3
-	// soakRecords is how many records a shard has; soakRecordSize their size in
-	// bytes.
+	// soakRecords is how many records a shard has.
 	soakRecords = 6
 	// soakRecordSize is the size of a record in bytes: the protocol's.
 	soakRecordSize = 16
--- a/tier/replay/cases.go
+++ b/tier/replay/cases.go
@@ -82,13 +82,11 @@
 
 // smallCase is one service of 2 upstreams with 2 slots, as the users run 50 of.
 func smallCase(rate float64) Case {
-	return Case{
-		Seed: 1, length: 120 * time.Second, warm: 10 * time.Second, hosts: 2, sharing: sharingBorrow,
-		shards: 2, replicas: 2,
-		capacity: capacity{slots: 2, backlog: 4, service: 5 * time.Millisecond, sigma: 0.5},
-		hop:      250 * time.Microsecond, relayHop: 500 * time.Microsecond,
-		loads: []load{{class: caseClass("Counter", 5, 300*time.Millisecond), rate: rate, shards: 1}},
-	}
+	c := healthyCase()
+	c.length, c.warm = 120*time.Second, 10*time.Second
+	c.shards, c.capacity.slots = 2, 2
+	c.loads = []load{{class: caseClass("Counter", 5, 300*time.Millisecond), rate: rate, shards: 1}}
+	return c
 }
 
 // smallCapacity is how many calls a second the 4 slots of a small service can
