--- a/tier/policy/attempt.go
+++ b/tier/policy/attempt.go
@@ -101,7 +101,6 @@
 	return r.cancel(i, CallCancelled, out)
 }
 
-// markMissing closes a part that will not be in the answer.
 func (r *Run) markMissing(i int, reason query.Reason) {
 	p := &r.parts[i]
 	p.reason, p.closed = reason, true
--- a/tier/policy/backoff.go
+++ b/tier/policy/backoff.go
@@ -24,10 +24,8 @@
 	until time.Duration
 }
 
-// succeeded notes a good call: it ends the backoff.
 func (b *backoff) succeeded() { *b = backoff{} }
 
-// shed notes a call that the upstream refused to run.
 func (b *backoff) shed(now time.Duration) {
 	b.until = now + exponential(backoffFirst, 2, b.sheds, backoffLongest)
 	b.sheds++
@@ -38,5 +36,4 @@
 	return time.Duration(min(float64(first)*math.Pow(factor, float64(times)), float64(longest)))
 }
 
-// active reports whether the upstream is passed over now.
 func (b *backoff) active(now time.Duration) bool { return now < b.until }
--- a/tier/policy/borrowing.go
+++ b/tier/policy/borrowing.go
@@ -32,7 +32,6 @@
 	needed int
 }
 
-// shed gives all borrowed slots back.
 func (b *borrowing) shed() {
 	if b.borrowed > 0 {
 		b.needed = min(borrowGrowth*b.next(), borrowLatest)
@@ -53,5 +52,4 @@
 	b.borrowed = min(b.borrowed+1, room)
 }
 
-// next is how many calls must not be shed before one more slot is borrowed.
 func (b *borrowing) next() int { return max(b.needed, borrowFirst) }
--- a/tier/policy/budget.go
+++ b/tier/policy/budget.go
@@ -16,15 +16,12 @@
 	tokens float64
 }
 
-// earn adds what calls that were needed earn.
 func (b *budget) earn(calls int, ratio float64) {
 	b.fill(ratio*float64(calls), max(budgetDepth, budgetRequests*ratio*float64(calls)))
 }
 
-// fill adds tokens up to a depth.
 func (b *budget) fill(tokens, depth float64) { b.tokens = min(b.tokens+tokens, depth) }
 
-// take takes a token, and reports whether there was one.
 func (b *budget) take() bool {
 	if b.tokens < 1 {
 		return false
@@ -85,7 +82,6 @@
 	IsShard map[string]bool
 }
 
-// of returns the budget of a group.
 func (r *RetryBudgets) of(group string) RetryBudget {
 	if r.IsShard[group] {
 		return r.Shards
--- a/tier/policy/classstate.go
+++ b/tier/policy/classstate.go
@@ -22,7 +22,6 @@
 // density is the worth of a request for each upstream call that it takes.
 func (c *classState) density() float64 { return c.worth / max(c.cost, 1) }
 
-// topDensity is the density of the class that has the most.
 func (f *Fleet) topDensity() float64 {
 	top := 0.0
 	for _, c := range f.classes {
--- a/tier/policy/cold.go
+++ b/tier/policy/cold.go
@@ -68,10 +68,8 @@
 	c.entry = entry
 }
 
-// active reports whether the upstream is cold now.
 func (c *cold) active(now time.Duration) bool { return now < c.until }
 
-// throttled reports whether the upstream is cold and its calls are bounded.
 func (c *cold) throttled(now time.Duration) bool { return c.entry.Calls > 0 && c.active(now) }
 
 // ownerAt is the host that makes the calls now; empty if any may.
@@ -94,7 +92,6 @@
 	return len(c.sentAt) < n || now-c.sentAt[len(c.sentAt)-n] >= coldWindow
 }
 
-// sent counts a call that is sent now.
 func (c *cold) sent(now time.Duration) {
 	c.sentAt = append(c.sentAt, now)
 	c.sentAt = c.sentAt[max(len(c.sentAt)-c.limit(), 0):]
--- a/tier/policy/condition.go
+++ b/tier/policy/condition.go
@@ -73,7 +73,6 @@
 	}
 }
 
-// observeRatio records how many times as long a call took as comparable ones.
 func (c *condition) observeRatio(ratio, weight float64) {
 	if c.slowness == 0 {
 		c.slowness = ratio
--- a/tier/policy/coordinator.go
+++ b/tier/policy/coordinator.go
@@ -83,7 +83,6 @@
 	return other
 }
 
-// strongHosts are the coordinators among some hosts.
 func strongHosts(hosts []Candidate, strongest int) []Candidate {
 	return slices.DeleteFunc(slices.Clone(hosts), func(c Candidate) bool { return !IsCoordinator(c.Capacity, strongest) })
 }
--- a/tier/policy/crashreport.go
+++ b/tier/policy/crashreport.go
@@ -52,13 +52,10 @@
 	until time.Duration
 }
 
-// countsFor reports whether the report counts for a caller.
 func (c *crash) countsFor(now time.Duration, caller netip.Addr) bool {
 	return !c.Cleared && now < c.until && (!c.CallerOnly || c.Caller == caller)
 }
 
-// learn takes in what answers have shown of the report, and reports whether that was
-// new.
 func (c *crash) learn(cleared, callerOnly bool) bool {
 	isNew := cleared && !c.Cleared || callerOnly && !c.CallerOnly
 	c.Cleared, c.CallerOnly = c.Cleared || cleared, c.CallerOnly || callerOnly
@@ -75,7 +72,6 @@
 	weightIsolated
 )
 
-// weight is how much a report matters.
 func (c *crash) weight(now time.Duration) int {
 	switch {
 	case c.Cleared || now >= c.until:
--- a/tier/policy/ejection.go
+++ b/tier/policy/ejection.go
@@ -25,10 +25,8 @@
 	until time.Duration
 }
 
-// succeeded notes a good call: it ends the ejection.
 func (e *ejection) succeeded() { *e = ejection{} }
 
-// failed notes a failed call.
 func (e *ejection) failed(now time.Duration) {
 	e.failures++
 	if e.failures < ejectAfter {
@@ -37,5 +35,4 @@
 	e.until = now + exponential(ejectFirst, 2, e.failures-ejectAfter, ejectLongest)
 }
 
-// active reports whether the upstream is ejected now.
 func (e *ejection) active(now time.Duration) bool { return now < e.until }
--- a/tier/policy/fleet.go
+++ b/tier/policy/fleet.go
@@ -143,7 +143,6 @@
 	return findOrMake(f.pools, name, func() *Pool { return newPool(window) })
 }
 
-// findOrMake returns the value of a key, which is made at first use.
 func findOrMake[V any](m map[string]*V, key string, create func() *V) *V {
 	if m[key] == nil {
 		m[key] = create()
--- a/tier/policy/hedge.go
+++ b/tier/policy/hedge.go
@@ -92,17 +92,14 @@
 // attempt, before the first connection is lost. Measured: level without such requests.
 func (r *Run) hedgesOneAtATime() bool { return r.suspicion.open() && len(r.parts) > 1 }
 
-// hedgeInProgress reports whether any part has a hedge in progress.
 func (r *Run) hedgeInProgress() bool {
 	return slices.ContainsFunc(r.parts, func(p part) bool { return p.hedged && len(p.live) > 0 })
 }
 
-// hedges reports whether calls of the request may be hedged at all.
 func (r *Run) hedges() bool {
 	return r.request.Class.Hedge != config.HedgeNone && r.request.Repeatable
 }
 
-// hedgeDue reports whether the first call of a part has taken so long that it is hedged.
 func (r *Run) hedgeDue(now time.Duration, p *part) bool {
 	if p.hedged || len(p.live) == 0 || !r.hedges() {
 		return false
--- a/tier/policy/isolation.go
+++ b/tier/policy/isolation.go
@@ -18,8 +18,6 @@
 	isolatedTimeoutsMost = 2
 )
 
-// startOrDefer starts an attempt of a part, or defers the part while the request is
-// suspected.
 func (r *Run) startOrDefer(now time.Duration, i int, out []Action) []Action {
 	if r.suspected() {
 		r.deferPart(i)
@@ -28,7 +26,6 @@
 	return r.startAttempt(now, i, out)
 }
 
-// deferPart has a part wait until startDeferred starts it.
 func (r *Run) deferPart(i int) {
 	p := &r.parts[i]
 	p.deferred, p.hedged = true, false
@@ -139,7 +136,6 @@
 	return slices.ContainsFunc(r.parts, func(p part) bool { return len(p.live) > 0 })
 }
 
-// hasCalls reports whether a call of the run is in progress.
 func (r *Run) hasCalls() bool {
 	return slices.ContainsFunc(r.parts, func(p part) bool { return r.hasCall(&p) })
 }
--- a/tier/policy/latency.go
+++ b/tier/policy/latency.go
@@ -35,7 +35,6 @@
 	return counted, weight
 }
 
-// or is the smoothed latency, or another while none is known.
 func (l *latency) or(other time.Duration) time.Duration {
 	return cmp.Or(l.smoothed, other)
 }
--- a/tier/policy/learn.go
+++ b/tier/policy/learn.go
@@ -33,7 +33,6 @@
 	u.learnSlots(c)
 }
 
-// learnStall updates whether the upstream is unresponsive.
 func (u *Upstream) learnStall(now time.Duration, c Call) {
 	if c.Lingering {
 		u.stall.lingering = false
@@ -87,7 +86,6 @@
 	}
 }
 
-// learnSlots updates how many calls the upstream gets.
 func (u *Upstream) learnSlots(c Call) {
 	s := &u.slots
 	switch {
@@ -103,13 +101,11 @@
 	s.borrowing.succeeded(s.room())
 }
 
-// observe compares the time of a call with that of comparable calls.
 func (u *Upstream) observe(d time.Duration, p *Pool) {
 	counted, weight := u.latency.observe(d, u.kind.smoothing)
 	u.condition.observeRatio(counted.Seconds()/p.median().Seconds(), weight)
 }
 
-// compare updates whether the upstream is an outlier of its pool.
 func (u *Upstream) compare(p *Pool) {
 	if u.latency.samples == 0 || !p.known() || !u.kind.comparesLatency {
 		return
--- a/tier/policy/limit.go
+++ b/tier/policy/limit.go
@@ -18,7 +18,6 @@
 	good int
 }
 
-// known reports whether there is a limit.
 func (l *callLimit) known() bool { return l.calls > 0 }
 
 // reset notes that a new connection was reset while so many calls were under way,
--- a/tier/policy/load.go
+++ b/tier/policy/load.go
@@ -21,7 +21,6 @@
 	at      time.Duration
 }
 
-// update records what came with an answer.
 func (q *queueReport) update(now time.Duration, l Load) {
 	if l.Slots > 0 {
 		q.perSlot, q.at = float64(l.Waiting)/float64(l.Slots), now
--- a/tier/policy/outcome.go
+++ b/tier/policy/outcome.go
@@ -60,7 +60,6 @@
 	return o != CallUnreachable && o != CallNotSent && o != CallBarred && o != CallStalled
 }
 
-// isFailure reports whether the outcome counts as a failure of the upstream.
 func (o CallOutcome) isFailure() bool {
 	switch o {
 	case CallUnreachable, CallFailed, CallGarbage, CallBroken, CallCrashed, CallLate:
@@ -80,7 +79,6 @@
 	}
 }
 
-// reasonOf is why a part is missing whose last call had the outcome.
 func reasonOf(o CallOutcome) query.Reason {
 	switch o {
 	case CallUnreachable, CallBroken, CallCrashed, CallLost, CallFailed:
--- a/tier/policy/outlier.go
+++ b/tier/policy/outlier.go
@@ -32,7 +32,6 @@
 	nextProbe time.Duration
 }
 
-// update marks or unmarks the upstream by its latency and the median of its service.
 func (o *outlier) update(latency, median time.Duration) {
 	if o.marked {
 		o.marked = float64(latency) > outlierUntil*float64(median)
@@ -41,8 +40,6 @@
 	o.marked = latency > outlierFrom*median && latency-median > outlierLeast
 }
 
-// probeDue reports whether the upstream is an outlier that may be probed now.
 func (o *outlier) probeDue(now time.Duration) bool { return o.marked && now >= o.nextProbe }
 
-// probed notes a probe.
 func (o *outlier) probed(now time.Duration) { o.nextProbe = now + probeEvery }
--- a/tier/policy/pick.go
+++ b/tier/policy/pick.go
@@ -45,7 +45,6 @@
 	return r.request.Snapshot == 0 || !lacks
 }
 
-// score is how well an upstream suits a call now; the lowest is chosen.
 func (r *Run) score(now time.Duration, u *Upstream) float64 {
 	return r.chooser.score(now, u, r.rules.poolOf(u), r.fleet.random) * r.rules.hallFactor(u)
 }
--- a/tier/policy/plugin.go
+++ b/tier/policy/plugin.go
@@ -37,7 +37,6 @@
 	admissions = map[string]admission{}
 )
 
-// named finds a registered plug-in of a kind.
 func named[T any](kind string, registered map[string]T, name string) (T, error) {
 	p, ok := registered[name]
 	if !ok {
--- a/tier/policy/pool.go
+++ b/tier/policy/pool.go
@@ -50,7 +50,6 @@
 	quantiles map[float64]time.Duration
 }
 
-// newPool makes an empty pool with a window of so many latencies.
 func newPool(window int64) *Pool {
 	return &Pool{
 		current:   hdrhistogram.New(poolLowest, poolHighest, poolDigits),
@@ -60,7 +59,6 @@
 	}
 }
 
-// record adds a latency.
 func (p *Pool) record(d time.Duration) {
 	// A value between the bounds of the histogram is never an error.
 	_ = p.current.RecordValue(min(max(d.Microseconds(), poolLowest), poolHighest))
@@ -75,7 +73,6 @@
 	}
 }
 
-// known reports whether there are enough latencies to learn from.
 func (p *Pool) known() bool { return p.Count() >= poolEnough }
 
 // Count is how many latencies are looked at.
--- a/tier/policy/quarantine.go
+++ b/tier/policy/quarantine.go
@@ -79,8 +79,6 @@
 	return VerdictSuspected, 0
 }
 
-// quarantineFor is how long after the last report a request is refused that has crashed
-// so many upstreams in isolation.
 func quarantineFor(crashes int) time.Duration {
 	if crashes == 0 {
 		return 0
@@ -88,7 +86,6 @@
 	return exponential(quarantineFirst, quarantineGrowth, crashes-1, crashReportLife)
 }
 
-// worst is the verdict for the caller that fares worst.
 func (s *suspect) worst(now time.Duration) Verdict {
 	worst := VerdictSound
 	for i := range s.crashes {
--- a/tier/policy/retry.go
+++ b/tier/policy/retry.go
@@ -48,7 +48,6 @@
 	}
 }
 
-// failed carries out what follows a failed call of a part.
 func (r *Run) failed(now time.Duration, i int, o CallOutcome) []Action {
 	p := &r.parts[i]
 	switch r.decideRetry(now, i, o) {
--- a/tier/policy/rules.go
+++ b/tier/policy/rules.go
@@ -42,7 +42,6 @@
 	endsUncovered() bool
 }
 
-// newRules chooses the rules of a request.
 func newRules(c *RunConfig) rules {
 	switch c.Routed {
 	case nil:
--- a/tier/policy/run.go
+++ b/tier/policy/run.go
@@ -144,7 +144,6 @@
 	return r.finishIfDone(now, r.send(now, n, nil))
 }
 
-// freeSlot gives back the slot of an attempt that is not sent.
 func (r *Run) freeSlot(n int) []Action {
 	a := &r.attempts[n]
 	return []Action{{Kind: ActionFree, Attempt: n, Part: a.part, Upstream: a.upstream}}
--- a/tier/policy/slots.go
+++ b/tier/policy/slots.go
@@ -21,16 +21,13 @@
 	queue waiters
 }
 
-// set applies a new division of the upstream's slots.
 func (s *slots) set(share, ceiling int) {
 	s.share, s.ceiling = share, max(ceiling, share)
 	s.borrowing.borrowed = min(s.borrowing.borrowed, s.room())
 }
 
-// room is how many slots the upstream has beyond the share.
 func (s *slots) room() int { return s.ceiling - s.share }
 
-// divided is how many calls the division and borrowing allow.
 func (s *slots) divided() int { return s.share + s.borrowing.borrowed }
 
 // allowed is how many calls this host may have in progress now, but for the slow start.
--- a/tier/policy/snapshot.go
+++ b/tier/policy/snapshot.go
@@ -38,7 +38,6 @@
 	return snapshot
 }
 
-// covered counts the parts of which an upstream that stays holds a snapshot.
 func covered(parts [][]*Upstream, snapshot uint64) int {
 	n := 0
 	for _, replicas := range parts {
--- a/tier/policy/stall.go
+++ b/tier/policy/stall.go
@@ -35,14 +35,12 @@
 	lingering bool
 }
 
-// sent notes that a call is sent.
 func (s *stall) sent(now time.Duration) {
 	if s.unansweredSince == 0 {
 		s.unansweredSince = now
 	}
 }
 
-// assume considers the upstream unresponsive for a while.
 func (s *stall) assume(now time.Duration) { s.until = now + stalledFor }
 
 // answered notes an answer; pending is true if other calls wait for theirs.
@@ -53,8 +51,6 @@
 	}
 }
 
-// active reports whether the upstream is considered unresponsive now, given its
-// smoothed latency.
 func (s *stall) active(now, latency time.Duration) bool {
 	if now < s.until {
 		return true
--- a/tier/policy/status.go
+++ b/tier/policy/status.go
@@ -13,7 +13,6 @@
 	Known bool
 }
 
-// holds reports whether the window has a snapshot.
 func (w Window) holds(snapshot uint64) bool {
 	return w.Known && w.Oldest <= snapshot && snapshot <= w.Newest
 }
--- a/tier/policy/suspects.go
+++ b/tier/policy/suspects.go
@@ -64,7 +64,6 @@
 	q.notifyOf(s, false)
 }
 
-// merge takes crash reports in.
 func (q *quarantine) merge(now time.Duration, r *SuspectReport) {
 	s := q.suspect(r.Fingerprint)
 	before, changed := s.worst(now), false
@@ -124,7 +123,6 @@
 	return out
 }
 
-// expiresAt is when the last crash report ceases to count.
 func (s *suspect) expiresAt() time.Duration {
 	last := time.Duration(0)
 	for i := range s.crashes {
--- a/tier/policy/suspicion.go
+++ b/tier/policy/suspicion.go
@@ -39,7 +39,6 @@
 // remembered, and none has answered it.
 func (s *suspicion) open() bool { return s.subject.Fingerprint != "" && !s.cleared }
 
-// count counts an upstream that crashed.
 func (s *suspicion) count(u *Upstream) {
 	s.crashes++
 	s.lastCrashed = u.Name
@@ -100,7 +99,6 @@
 	}
 }
 
-// reportCrash makes a report of the last crash.
 func (r *Run) reportCrash(now time.Duration, isolated bool) {
 	s := &r.suspicion
 	if s.attemptID == 0 {
--- a/tier/policy/upstream.go
+++ b/tier/policy/upstream.go
@@ -40,7 +40,6 @@
 	status    status
 }
 
-// hasSlot reports whether a call may start.
 func (u *Upstream) hasSlot() bool {
 	limit := u.slots.allowed()
 	if u.kind.slowStart && u.latency.samples < warmSamples {
@@ -49,7 +48,6 @@
 	return u.slots.inUse < limit
 }
 
-// stalled reports whether the upstream is considered unresponsive now.
 func (u *Upstream) stalled(now time.Duration) bool { return u.stall.active(now, u.latency.smoothed) }
 
 // linger reports whether a call whose answer is not wanted may go on, and notes that it
@@ -74,7 +72,6 @@
 	}
 }
 
-// expectedWait is how long a new call is expected to wait for a slot.
 func (u *Upstream) expectedWait(p *Pool) time.Duration {
 	s := &u.slots
 	if s.share == 0 || s.excess() == 0 {
