--- a/tier/config/check.go
+++ b/tier/config/check.go
@@ -123,7 +123,6 @@
 	field, problem, remedy string
 }
 
-// firstBroken returns the fault of the first rule that is not met; nil if all are.
 func firstBroken(at string, rules []rule) error {
 	for _, r := range rules {
 		if !r.ok {
@@ -252,7 +251,6 @@
 	return nil
 }
 
-// targets finds groups that are not declared or stand twice.
 func (c *checker) targets(r *Route, at string) error {
 	targets := r.Targets()
 	for n, g := range targets {
@@ -266,7 +264,6 @@
 	return nil
 }
 
-// checkHomes finds regions that have no proper name or stand twice.
 func checkHomes(r *Route, at string) error {
 	for n, h := range r.Homes {
 		if h == "" {
--- a/tier/config/directory.go
+++ b/tier/config/directory.go
@@ -253,7 +253,6 @@
 	e.next.digest += hash
 }
 
-// finish brings the groups up to date that were touched.
 func (e *editor) finish() *Directory {
 	if len(e.touched) == 0 {
 		return e.next
--- a/tier/config/element.go
+++ b/tier/config/element.go
@@ -38,7 +38,6 @@
 	return len(*list) < before
 }
 
-// index makes the elements of a list findable by their names.
 func index[T Element](list []T) map[string]*T {
 	out := make(map[string]*T, len(list))
 	for i := range list {
--- a/tier/config/index.go
+++ b/tier/config/index.go
@@ -120,7 +120,6 @@
 // Shards names the groups that are shards of any route. It is not to be changed.
 func (x *Index) Shards() map[string]bool { return x.shards }
 
-// shards names the groups that are shards of any route.
 func (d *Document) shards() map[string]bool {
 	out := map[string]bool{}
 	for i := range d.Routes {
--- a/tier/peers/announcement.go
+++ b/tier/peers/announcement.go
@@ -73,7 +73,6 @@
 	go a.kernel.Do(a.announce)
 }
 
-// loop announces at regular times, until the context ends.
 func (a *announcer) loop(ctx context.Context) {
 	tick := time.Tick(announceEvery)
 	for {
@@ -168,7 +167,6 @@
 	fetches *fetches
 }
 
-// onAnnouncement serves an announcement.
 func (a *announcementServer) onAnnouncement(_ context.Context, m *announcement) (any, error) {
 	if !m.Peer.IsValid() {
 		return nil, fmt.Errorf("bad announcement: host %q tells no address", m.Host)
@@ -200,7 +198,6 @@
 	}
 }
 
-// noteAnnouncer notes who announces, and how old what it announces is.
 func (a *announcementServer) noteAnnouncer(s *kernel.State, m *announcement, now time.Duration) {
 	lost := m.Lost || m.Age > staleAfter(&a.kernel.Settings)
 	readAt := now - max(m.Age, 0)
--- a/tier/peers/conn.go
+++ b/tier/peers/conn.go
@@ -60,7 +60,6 @@
 	return n, err
 }
 
-// callSent notes that a call is sent, which the peer answers.
 func (c *peerConn) callSent() {
 	c.awaitingSince.CompareAndSwap(0, max(int64(c.now()), 1)) // 0 is none
 }
@@ -88,7 +87,6 @@
 	replaced bool
 }
 
-// call makes a call and waits for its answer.
 func (o *outgoing) call(ctx context.Context, method string, params, result any) error {
 	o.addCalls(1)
 	defer o.addCalls(-1)
@@ -103,7 +101,6 @@
 	o.closeIfDone()
 }
 
-// replace closes the connection once its calls have ended.
 func (o *outgoing) replace() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -161,7 +158,6 @@
 	return o
 }
 
-// unregister makes a connection no longer the one to use, if it is.
 func (n *node) unregister(to netip.AddrPort, o *outgoing) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/tier/peers/feed.go
+++ b/tier/peers/feed.go
@@ -106,7 +106,6 @@
 	return reading
 }
 
-// next reads everything, or waits for what changes.
 func (f *feed) next(ctx context.Context) (*kernel.Published, error) {
 	if f.revision == 0 {
 		return f.source.Read(ctx, f.exact)
@@ -118,7 +117,6 @@
 	return f.source.Watch(ctx, f.revision, f.lapse.wait(f.kernel.Now(), f.kernel.Settings.WatchWait))
 }
 
-// failed notes a read that failed and waits before the next.
 func (f *feed) failed(ctx context.Context, err error) {
 	if errors.Is(err, kernel.ErrHistoryGone) {
 		f.kernel.Log.Info().Uint64("DirectoryRevision", f.revision).Msg("history is gone, reading everything")
--- a/tier/peers/fetch.go
+++ b/tier/peers/fetch.go
@@ -56,7 +56,6 @@
 	packed wire.PackedDocument
 }
 
-// serveFetches serves the methods and returns the fetches of this host.
 func serveFetches(k *kernel.Kernel, n *node, newer func(*kernel.State)) *fetches {
 	f := &fetches{kernel: k, node: n, newer: newer}
 	k.Handle(methodDocument, f.onDocument)
@@ -100,7 +99,6 @@
 	return text, packed.Revision, err
 }
 
-// onDocument serves the document in force.
 func (f *fetches) onDocument(context.Context, json.RawMessage) (any, error) {
 	x := f.kernel.View().Index
 	if x == nil {
@@ -166,7 +164,6 @@
 	return &change, nil
 }
 
-// onDirectory serves the directory.
 func (f *fetches) onDirectory(context.Context, json.RawMessage) (any, error) {
 	var whole config.DirectoryChange
 	f.kernel.DoAndWait(func(s *kernel.State) { whole = s.Directory.Whole() })
--- a/tier/peers/heartbeat.go
+++ b/tier/peers/heartbeat.go
@@ -109,7 +109,6 @@
 	}
 }
 
-// sendAll sends one round of heartbeats.
 func (g *gossip) sendAll(s *kernel.State) {
 	now := g.kernel.Now()
 	if s.Pauses != g.pauses {
@@ -142,7 +141,6 @@
 	return h
 }
 
-// send sends a heartbeat and learns from the reply.
 func (g *gossip) send(to netip.AddrPort, message *heartbeat) {
 	ctx, cancel := context.WithTimeout(context.Background(), callBound)
 	defer cancel()
@@ -154,7 +152,6 @@
 	g.kernel.Do(func(s *kernel.State) { g.learn(s, to, &reply) })
 }
 
-// onHeartbeat serves a heartbeat.
 func (g *gossip) onHeartbeat(ctx context.Context, in *heartbeat) (any, error) {
 	if len(in.Members) == 0 || len(in.Members) > heartbeatEntries {
 		return nil, fmt.Errorf("heartbeat of %d members: send 1 to %d", len(in.Members), heartbeatEntries)
@@ -198,7 +195,6 @@
 	}
 }
 
-// compareRevision compares the document in force with that of a peer.
 func (g *gossip) compareRevision(s *kernel.State, h *heartbeat) {
 	if s.Revision() == 0 {
 		return
--- a/tier/peers/lapse.go
+++ b/tier/peers/lapse.go
@@ -26,7 +26,6 @@
 	due      time.Duration
 }
 
-// platformReturned notes that the platform is back after an absence.
 func (l *lapse) platformReturned(now time.Duration) { l.until = now + lapseLate }
 
 // hold takes the removals out of a change of a directory and keeps them, if the
--- a/tier/peers/members.go
+++ b/tier/peers/members.go
@@ -43,7 +43,6 @@
 	Capacity int `json:",omitempty"`
 }
 
-// newerThan orders what is reported of one host.
 func (e *memberEntry) newerThan(o *memberEntry) bool {
 	return cmp.Or(cmp.Compare(e.Incarnation, o.Incarnation), cmp.Compare(e.Counter, o.Counter)) > 0
 }
@@ -73,19 +72,16 @@
 	records map[string]*memberRecord
 }
 
-// newMemberTable makes a table that knows only its own host.
 func newMemberTable(c memberTableConfig) *memberTable {
 	return &memberTable{memberTableConfig: c, records: map[string]*memberRecord{}}
 }
 
-// tick counts a heartbeat of this host and forgets members.
 func (t *memberTable) tick(now time.Duration, revision uint64) {
 	t.Self.Counter++
 	t.Self.Revision = revision
 	maps.DeleteFunc(t.records, func(_ string, r *memberRecord) bool { return now-r.risenAt > forgetHeartbeats*t.Interval })
 }
 
-// leave marks this host as leaving.
 func (t *memberTable) leave() {
 	t.Self.Leaving = true
 	t.Self.Counter++
@@ -146,7 +142,6 @@
 	Live  bool
 }
 
-// members lists all known members, in order of name.
 func (t *memberTable) members(now time.Duration) []knownMember {
 	out := make([]knownMember, 0, len(t.records))
 	for _, r := range t.records {
--- a/tier/peers/node.go
+++ b/tier/peers/node.go
@@ -102,7 +102,6 @@
 	}
 }
 
-// serveOn speaks the peer protocol on a connection, whoever made it.
 func (n *node) serveOn(c *peerConn) *jsonrpc2.Conn {
 	stream := jsonrpc2.NewBufferedStream(c, frameCodec{})
 	handler := jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(n.serve))
@@ -111,7 +110,6 @@
 	return jsonrpc2.NewConn(context.Background(), stream, handler, quiet)
 }
 
-// serve carries out a call of another host.
 func (n *node) serve(ctx context.Context, c *jsonrpc2.Conn, r *jsonrpc2.Request) (any, error) {
 	h := n.kernel.Handler(r.Method)
 	if h == nil {
--- a/tier/peers/outage.go
+++ b/tier/peers/outage.go
@@ -30,14 +30,12 @@
 	pause time.Duration
 }
 
-// failed notes a read that failed.
 func (o *outage) failed(now time.Duration) {
 	if o.since == 0 {
 		o.since = now
 	}
 }
 
-// succeeded notes a read that went well.
 func (o *outage) succeeded(now time.Duration) { *o = outage{heardAt: now} }
 
 // isAway reports whether the platform counts as away: reads have failed for awayAfter,
--- a/tier/peers/strikes.go
+++ b/tier/peers/strikes.go
@@ -68,7 +68,6 @@
 	Reports []policy.SuspectReport
 }
 
-// check returns what is wrong with a message.
 func (m *strikesMessage) check() error {
 	if len(m.Reports) > policy.ReportsMost {
 		return fmt.Errorf("%w: %d requests: send %d at most", errBadStrikes, len(m.Reports), policy.ReportsMost)
@@ -152,7 +151,6 @@
 	}
 }
 
-// reportNew reports new strikes to other hosts.
 func (s *strikeReporter) reportNew(ctx context.Context) {
 	k := s.kernel
 	reports := k.Fleet.UnsentReports(k.Now())
@@ -171,7 +169,6 @@
 	}
 }
 
-// logReport logs and counts that the strikes of a request have changed.
 func (s *strikeReporter) logReport(r *policy.SuspectReport) {
 	k := s.kernel
 	verdict := k.Fleet.Worst(k.Now(), r.Fingerprint)
@@ -210,12 +207,10 @@
 	return sample(rand.Perm, all, n)
 }
 
-// others lists the other live hosts of this hall, and those of each other hall.
 func (s *strikeReporter) others() (near []string, far map[string][]string) {
 	return byHall(s.kernel.View().Members, s.kernel.Settings.Hall, (*kernel.Member).Callable)
 }
 
-// send reports strikes to a host.
 func (s *strikeReporter) send(ctx context.Context, host string, m *strikesMessage) {
 	ctx, cancel := context.WithTimeout(ctx, callBound)
 	defer cancel()
@@ -224,7 +219,6 @@
 	}
 }
 
-// onStrikes serves a report.
 func (s *strikeReporter) onStrikes(_ context.Context, params json.RawMessage) (any, error) {
 	return struct{}{}, s.decode(params)
 }
@@ -257,7 +251,6 @@
 	}
 }
 
-// onKnownStrikes serves an exchange.
 func (s *strikeReporter) onKnownStrikes(_ context.Context, params json.RawMessage) (any, error) {
 	if err := s.decode(params); err != nil {
 		return nil, err
@@ -265,7 +258,6 @@
 	return strikesMessage{Reports: s.kernel.Fleet.Reports(s.kernel.Now())}, nil
 }
 
-// decode reads a message of another host and takes it in.
 func (s *strikeReporter) decode(params json.RawMessage) error {
 	var m strikesMessage
 	if err := json.Unmarshal(params, &m); err != nil {
@@ -274,7 +266,6 @@
 	return s.learn(&m)
 }
 
-// learn takes in what another host reported.
 func (s *strikeReporter) learn(m *strikesMessage) error {
 	if err := m.check(); err != nil {
 		return err
--- a/tier/query/apply.go
+++ b/tier/query/apply.go
@@ -64,7 +64,6 @@
 	return nil
 }
 
-// find returns the element of a list with a name.
 func find[T config.Element](list []T, what, name string, p lexer.Position, remedy string) (*T, error) {
 	if v := config.Find(list, name); v != nil {
 		return v, nil
--- a/tier/query/grammar.go
+++ b/tier/query/grammar.go
@@ -249,7 +249,6 @@
 	return all[0], nil
 }
 
-// maxRows is how many rows the answer has at most.
 func (a *Ask) maxRows() int {
 	switch {
 	case a.Verb == "count":
