--- a/tier/replay/site.go
+++ b/tier/replay/site.go
@@ -24,7 +24,7 @@
 	// accept reports whether an upstream treats a call that arrives as usual; if
 	// not, the site does so.
 	accept(*upstream, *call) bool
-	// begin does so for a call that has just got a slot.
+	// begin reports the same of a call that has just got a slot.
 	begin(*upstream, *call) bool
 }
 
