--- a/tier/kernel/state.go
+++ b/tier/kernel/state.go
@@ -55,9 +55,13 @@
 }
 
 func (s *State) view() *View {
+	leaving := make(map[string]bool, len(s.Leaving))
+	for u := range s.Leaving {
+		leaving[u] = true
+	}
 	return &View{
 		DocumentState: s.DocumentState, Directory: s.Directory,
-		Members: maps.Clone(s.Members), Leaving: s.names(),
+		Members: maps.Clone(s.Members), Leaving: leaving,
 		Reading: s.Reading, PlatformReadAt: s.PlatformReadAt,
 	}
 }
@@ -129,15 +133,6 @@
 	}
 }
 
-// names is the set of the leaving upstreams.
-func (l *LeavingState) names() map[string]bool {
-	out := make(map[string]bool, len(l.Leaving))
-	for u := range l.Leaving {
-		out[u] = true
-	}
-	return out
-}
-
 // ReadingState is what a host knows of who reads the platform for whom. All times are
 // since the process started.
 type ReadingState struct {
