--- a/tier/entry/ask.go
+++ b/tier/entry/ask.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"strconv"
 	"time"
 
 	"loomgap/tier/config"
@@ -20,7 +21,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errInvalid, err)
 	}
-	id := e.requestID()
+	// No other request of any host has this ID.
+	s := &e.kernel.Settings
+	id := s.Host + "-" + s.Incarnation + "-" + strconv.FormatUint(e.requests.Add(1), 36)
 	q, err := e.newRequest(id, in.Class, ask.Service, in.DeadlineMillis)
 	if errors.Is(err, errNoConfig) {
 		return e.refuse(id, in.Class, err.Error(), notReadyRetry), nil
--- a/tier/entry/engine.go
+++ b/tier/entry/engine.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"strconv"
 	"sync/atomic"
 
 	"go.opentelemetry.io/otel/attribute"
@@ -47,11 +46,6 @@
 	}
 }
 
-// requestID returns an ID that no other request of any host has.
-func (e *engine) requestID() string {
-	return e.kernel.Settings.Host + "-" + e.kernel.Settings.Incarnation + "-" + strconv.FormatUint(e.requests.Add(1), 36)
-}
-
 // observe answers a request within a span, whose name is given. The request is counted
 // as in flight until it is answered, and its answer is counted in the metrics.
 func (e *engine) observe(ctx context.Context, name, id, class string, answer func(context.Context) (*entrygen.Answer, error)) (*entrygen.Answer, error) {
