--- a/tier/pass/engine.go
+++ b/tier/pass/engine.go
@@ -44,7 +44,7 @@
 	inboxes inboxes[*batchReply]
 	// served has each batch while it has calls under way or records that were left
 	// out.
-	served registry[servedBatch]
+	served registry[*servedBatch]
 	// allRecords notes the routes of this host's requests that need all records.
 	allRecords allRecords
 }
@@ -53,7 +53,7 @@
 // ends.
 type coordinateExchange struct {
 	inboxes inboxes[struct{}]
-	served  registry[servedRequest]
+	served  registry[*servedRequest]
 	// times are for requests sent. They are changed by tests only.
 	times signTimes
 }
--- a/tier/pass/exchange.go
+++ b/tier/pass/exchange.go
@@ -44,46 +44,45 @@
 // inboxes deliver what other hosts push about something that they were sent: a batch or a
 // request. It is safe for concurrent use; the zero value is ready.
 type inboxes[T any] struct {
-	// byID holds a chan T for each ID under way.
-	byID sync.Map
+	registry[chan T]
 }
 
 // open returns what is pushed about an ID, of which so many may wait, until it is
 // forgotten.
 func (s *inboxes[T]) open(id string, backlog int) (pushed <-chan T, forget func()) {
 	c := make(chan T, backlog)
-	s.byID.Store(id, c)
-	return c, func() { s.byID.Delete(id) }
+	s.add(id, c)
+	return c, func() { s.drop(id) }
 }
 
 // deliver hands over what was pushed about an ID. known is false if the ID is not under way,
 // taken if too much waits already.
 func (s *inboxes[T]) deliver(id string, pushed T) (known, taken bool) {
-	c, ok := s.byID.Load(id)
-	if !ok {
+	c := s.find(id)
+	if c == nil {
 		return false, false
 	}
 	select {
-	case c.(chan T) <- pushed:
+	case c <- pushed:
 		return true, true
 	default:
 		return true, false
 	}
 }
 
-// registry holds what this host does for others, by ID. It is safe for concurrent use; the
-// zero value is ready.
+// registry holds what is under way, by ID. It is safe for concurrent use; the zero value
+// is ready.
 type registry[T any] struct {
-	// byID holds a *T for each ID under way.
+	// byID holds a T for each ID under way.
 	byID sync.Map
 }
 
-func (s *registry[T]) add(id string, item *T) { s.byID.Store(id, item) }
+func (s *registry[T]) add(id string, item T) { s.byID.Store(id, item) }
 
-// find returns nil for an ID that ended or was never begun.
-func (s *registry[T]) find(id string) *T {
+// find returns the zero value for an ID that ended or was never begun.
+func (s *registry[T]) find(id string) T {
 	item, _ := s.byID.Load(id)
-	found, _ := item.(*T)
+	found, _ := item.(T)
 	return found
 }
 
