--- a/tier/policy/quarantine.go
+++ b/tier/policy/quarantine.go
@@ -31,7 +31,7 @@
 const (
 	// VerdictSound has the request run as any other.
 	VerdictSound Verdict = "Sound"
-	// VerdictSuspected has it run at one upstream, and at others only once that one
+	// VerdictSuspected lets it run at one upstream, and at others only once that one
 	// has answered.
 	VerdictSuspected Verdict = "Suspected"
 	// VerdictQuarantined has it refused.
--- a/tier/query/cover.go
+++ b/tier/query/cover.go
@@ -35,7 +35,7 @@
 	// no further call.
 	ReasonCold Reason = "Cold"
 	// ReasonSuspected means that the request is suspected of crashing upstreams, and
-	// the one upstream that it was tried at did not answer.
+	// the one upstream that was asked did not answer.
 	ReasonSuspected Reason = "Suspected"
 	// ReasonQuarantined means that the request is refused because it crashed upstreams.
 	ReasonQuarantined Reason = "Quarantined"
