--- a/tier/peers/shares.go
+++ b/tier/peers/shares.go
@@ -4,8 +4,6 @@
 	"cmp"
 	"slices"
 
-	"github.com/cespare/xxhash/v2"
-
 	"loomgap/tier/kernel"
 	"loomgap/tier/policy"
 )
@@ -19,7 +17,7 @@
 	}
 	all := make([]ranked, 0, len(hosts))
 	for _, h := range hosts {
-		all = append(all, ranked{h, rankHash(key, h)})
+		all = append(all, ranked{h, policy.Affinity(key, h)})
 	}
 	slices.SortFunc(all, func(a, b ranked) int {
 		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.host, b.host))
@@ -31,9 +29,6 @@
 	return out
 }
 
-// rankHash is what hosts are ranked by for a key, the least first.
-func rankHash(key, host string) uint64 { return xxhash.Sum64String(key + "\x00" + host) }
-
 // Owner is the host that calls an upstream on behalf of hosts without a slot of it.
 func Owner(key string, hosts []string) string { return Rank(key, hosts)[0] }
 
--- a/tier/policy/coldowner.go
+++ b/tier/policy/coldowner.go
@@ -20,7 +20,7 @@
 		return ""
 	}
 	return slices.MinFunc(hosts, func(a, b Candidate) int {
-		return cmp.Compare(affinity(upstream, a.Host), affinity(upstream, b.Host))
+		return cmp.Compare(Affinity(upstream, a.Host), Affinity(upstream, b.Host))
 	}).Host
 }
 
--- a/tier/policy/coordinator.go
+++ b/tier/policy/coordinator.go
@@ -69,7 +69,7 @@
 		return cmp.Or(
 			cmp.Compare(distance(&self, &a), distance(&self, &b)),
 			cmp.Compare(a.Pending, b.Pending),
-			cmp.Compare(affinity(self.Host, a.Host), affinity(self.Host, b.Host)),
+			cmp.Compare(Affinity(self.Host, a.Host), Affinity(self.Host, b.Host)),
 		)
 	})
 	return out
@@ -99,9 +99,9 @@
 	return c.RoundTrip
 }
 
-// affinity ranks hosts for a key (rendezvous hashing): keys spread over hosts, and
-// each key has the same order of hosts everywhere.
-func affinity(key, host string) uint64 { return xxhash.Sum64String(key + "\x00" + host) }
+// Affinity ranks hosts for a key (rendezvous hashing): keys spread over hosts, and
+// each key has the same order of hosts everywhere, the least hash first.
+func Affinity(key, host string) uint64 { return xxhash.Sum64String(key + "\x00" + host) }
 
 // RetryShares returns among how many hosts the slack of retries is divided, as
 // one host is to count them: all hosts where they are alike; else the coordinators
