--- a/tier/peers/fetch.go
+++ b/tier/peers/fetch.go
@@ -177,15 +177,15 @@
 // fetch calls a method without parameters. If the first try gets no answer, its
 // connection may have gone silent: the second is then made on another.
 func (n *node) fetch(from netip.AddrPort, method string, result any) error {
-	err := n.callWithin(firstFetchBound, from, method, result)
+	err := n.callWithin(firstFetchBound, from, method, struct{}{}, result)
 	if errors.Is(err, context.DeadlineExceeded) {
-		err = n.callWithin(callBound, from, method, result)
+		err = n.callWithin(callBound, from, method, struct{}{}, result)
 	}
 	return err
 }
 
-func (n *node) callWithin(bound time.Duration, to netip.AddrPort, method string, result any) error {
+func (n *node) callWithin(bound time.Duration, to netip.AddrPort, method string, params, result any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), bound)
 	defer cancel()
-	return n.callAddress(ctx, to, method, struct{}{}, result)
+	return n.callAddress(ctx, to, method, params, result)
 }
--- a/tier/peers/heartbeat.go
+++ b/tier/peers/heartbeat.go
@@ -142,10 +142,8 @@
 }
 
 func (g *gossip) send(to netip.AddrPort, message *heartbeat) {
-	ctx, cancel := context.WithTimeout(context.Background(), callBound)
-	defer cancel()
 	var reply heartbeat
-	if err := g.node.callAddress(ctx, to, methodHeartbeat, message, &reply); err != nil {
+	if err := g.node.callWithin(callBound, to, methodHeartbeat, message, &reply); err != nil {
 		g.kernel.Log.Debug().Err(err).Msg("heartbeat not answered")
 		return
 	}
--- a/tier/peers/strikes.go
+++ b/tier/peers/strikes.go
@@ -133,7 +133,10 @@
 			rounds++
 			switch {
 			case !started:
-				started = s.exchangeAtStart(ctx)
+				// Until another host is known there is nobody to ask.
+				hosts := s.partners(false, startExchanges)
+				s.exchangeAll(ctx, hosts)
+				started = len(hosts) > 0
 			case s.kernel.Fleet.HasSuspects():
 				s.exchangeAll(ctx, s.partners(rounds%exchangeElsewhere == 0, exchangePartners))
 			}
@@ -223,13 +226,6 @@
 	return struct{}{}, s.decode(params)
 }
 
-// exchangeAtStart asks some hosts for the strikes that they know; false if there is none yet.
-func (s *strikeReporter) exchangeAtStart(ctx context.Context) bool {
-	hosts := s.partners(false, startExchanges)
-	s.exchangeAll(ctx, hosts)
-	return len(hosts) > 0
-}
-
 func (s *strikeReporter) exchangeAll(ctx context.Context, hosts []string) {
 	m := strikesMessage{Reports: s.kernel.Fleet.Reports(s.kernel.Now())}
 	for _, host := range hosts {
--- a/tier/query/merge.go
+++ b/tier/query/merge.go
@@ -51,12 +51,7 @@
 
 // Matches reports whether a row meets every condition.
 func (q *Question) Matches(r *Row) bool {
-	for i := range q.Where {
-		if !q.Where[i].holds(r.Value(q.Where[i].Field)) {
-			return false
-		}
-	}
-	return true
+	return !slices.ContainsFunc(q.Where, func(c Condition) bool { return !c.holds(r.Value(c.Field)) })
 }
 
 func (c *Condition) holds(v string) bool {
