--- a/tier/peers/partners.go
+++ b/tier/peers/partners.go
@@ -108,13 +108,7 @@
 	for _, m := range s.Members {
 		known[m.Peer] = true
 	}
-	var out []netip.AddrPort
-	for _, a := range g.kernel.Live().Seeds {
-		if !known[a] {
-			out = append(out, a)
-		}
-	}
-	return out
+	return slices.DeleteFunc(slices.Clone(g.kernel.Live().Seeds), func(a netip.AddrPort) bool { return known[a] })
 }
 
 func (g *gossip) sample(from []netip.AddrPort, n int) []netip.AddrPort {
--- a/tier/policy/rules.go
+++ b/tier/policy/rules.go
@@ -43,10 +43,8 @@
 }
 
 func newRules(c *RunConfig) rules {
-	switch c.Routed {
-	case nil:
+	if c.Routed == nil {
 		return &classRules{fleet: c.Fleet, pool: c.Pool, class: c.Class}
-	default:
-		return &routedRules{fleet: c.Fleet, near: c.Pool, hedgeQuantile: c.Class.HedgeQuantile, routed: c.Routed}
 	}
+	return &routedRules{fleet: c.Fleet, near: c.Pool, hedgeQuantile: c.Class.HedgeQuantile, routed: c.Routed}
 }
