--- a/tier/peers/announcement.go
+++ b/tier/peers/announcement.go
@@ -161,7 +161,6 @@
 	}
 }
 
-// announcementServer takes in the announcements of other hosts.
 type announcementServer struct {
 	kernel  *kernel.Kernel
 	fetches *fetches
--- a/tier/peers/heartbeat.go
+++ b/tier/peers/heartbeat.go
@@ -54,7 +54,6 @@
 	Leaving []leavingSign `json:",omitempty"`
 }
 
-// leavingSign is a sign that an upstream leaves.
 type leavingSign struct {
 	Upstream string
 	// Age is how long ago the sign was given.
--- a/tier/peers/members.go
+++ b/tier/peers/members.go
@@ -54,7 +54,6 @@
 	risenAt time.Duration
 }
 
-// memberTableConfig configures a table.
 type memberTableConfig struct {
 	// Self is the entry of this host.
 	Self memberEntry
@@ -136,7 +135,6 @@
 	return out[:heartbeatEntries]
 }
 
-// knownMember is one member as the table knows it.
 type knownMember struct {
 	Entry memberEntry
 	Live  bool
--- a/tier/peers/node.go
+++ b/tier/peers/node.go
@@ -33,7 +33,6 @@
 	codeHandlerFailed = -32000
 )
 
-// dialer makes the connections to peers.
 var dialer = net.Dialer{Timeout: dialBound}
 
 // node serves and calls the peer protocol.
--- a/tier/peers/strikes.go
+++ b/tier/peers/strikes.go
@@ -63,7 +63,6 @@
 // errBadStrikes is wrapped when a message of another host cannot be one of strikes.
 var errBadStrikes = errors.New("bad strikes")
 
-// strikesMessage reports strikes.
 type strikesMessage struct {
 	Reports []policy.SuspectReport
 }
--- a/tier/policy/crashreport.go
+++ b/tier/policy/crashreport.go
@@ -45,7 +45,6 @@
 	Crashes     []CrashReport `json:"Strikes"`
 }
 
-// crash is a crash report as it is remembered.
 type crash struct {
 	CrashReport
 	// until is when it ceases to count.
--- a/tier/policy/finish.go
+++ b/tier/policy/finish.go
@@ -7,7 +7,6 @@
 	"loomgap/tier/query"
 )
 
-// progress counts the parts of a run.
 type progress struct {
 	// parts is how many there are; open counts those that have neither an answer nor a
 	// reason why they have none, included those in the answer.
--- a/tier/policy/retry.go
+++ b/tier/policy/retry.go
@@ -11,7 +11,6 @@
 	shedPauseSpread = 1.0
 )
 
-// nextStep is what follows a failed call.
 type nextStep string
 
 const (
--- a/tier/policy/run.go
+++ b/tier/policy/run.go
@@ -55,7 +55,6 @@
 	suspicion suspicion
 }
 
-// times are the moments of a run.
 type times struct {
 	// begun is when the request was admitted.
 	begun time.Duration
--- a/tier/policy/suspects.go
+++ b/tier/policy/suspects.go
@@ -18,7 +18,6 @@
 	ReportsMost = 16
 )
 
-// suspect is a request with crash reports.
 type suspect struct {
 	// crashes has at most crashReportsMost items, each with its own ID.
 	crashes []crash
