--- a/tier/entry/ask.go
+++ b/tier/entry/ask.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"strconv"
 	"time"
 
 	"loomgap/tier/config"
@@ -20,7 +21,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errInvalid, err)
 	}
-	id := e.requestID()
+	// No other request of any host has this ID.
+	s := &e.kernel.Settings
+	id := s.Host + "-" + s.Incarnation + "-" + strconv.FormatUint(e.requests.Add(1), 36)
 	q, err := e.newRequest(id, in.Class, ask.Service, in.DeadlineMillis)
 	if errors.Is(err, errNoConfig) {
 		return e.refuse(id, in.Class, err.Error(), notReadyRetry), nil
@@ -94,15 +97,14 @@
 	c := &partCaller{
 		engine:       e,
 		upstreamCall: upstreamCall{service: q.service.Name, path: wire.PathPart, snapshot: snapshot, deadline: q.deadline},
-		message: func(part, attempt int) (wire.Identity, []byte, error) {
+		message: func(part, attempt int) (wire.Identity, any) {
 			s := &shards[part]
 			m := wire.PartRequest{
 				Identity: wire.Identity{RequestID: q.id, Attempt: plan*attemptsPerPlan + attempt, Shard: s.Name, MapRevision: q.service.MapRevision},
 				Service:  q.service.Name, From: s.From, To: s.To, Snapshot: snapshot,
 				DeadlineMillis: e.millisLeft(q), Question: question,
 			}
-			body, err := wire.Encode(&m)
-			return m.Identity, body, err
+			return m.Identity, &m
 		},
 		take: func(p *wire.PartReply) { merger.Add(p.Count, p.Rows) },
 	}
