--- a/loomctl/ask.go
+++ b/loomctl/ask.go
@@ -11,7 +11,6 @@
 	"loomgap/tier/prog"
 )
 
-// askCommand asks a repeatable question.
 type askCommand struct {
 	connection
 	class    string
--- a/loomctl/check.go
+++ b/loomctl/check.go
@@ -13,7 +13,6 @@
 	"loomgap/tier/prog"
 )
 
-// checkCommand checks a document.
 type checkCommand struct {
 	revision uint64
 }
--- a/loomctl/client.go
+++ b/loomctl/client.go
@@ -42,7 +42,6 @@
 	format string
 }
 
-// bind declares the flags.
 func (c *connection) bind(f *flag.FlagSet) {
 	f.TextVar(&c.host, "Host", netip.MustParseAddrPort("127.0.0.1:7400"), "callers' `IP:port` of an entry host")
 	f.TextVar(&c.operate, "Operate", netip.MustParseAddrPort("127.0.0.1:7402"), "operators' `IP:port` of an entry host")
--- a/loomctl/drain.go
+++ b/loomctl/drain.go
@@ -10,7 +10,6 @@
 	"loomgap/tier/prog"
 )
 
-// drainCommand begins a planned stop.
 type drainCommand struct {
 	connection
 }
--- a/loomctl/exit.go
+++ b/loomctl/exit.go
@@ -37,7 +37,6 @@
 	return exitUsage
 }
 
-// exitOf gives the exit status of an answer's outcome.
 func exitOf(outcome string) subcommands.ExitStatus {
 	switch outcome {
 	case "Complete":
--- a/loomctl/order.go
+++ b/loomctl/order.go
@@ -13,7 +13,6 @@
 	"loomgap/tier/prog"
 )
 
-// orderCommand runs a not-repeatable request at most once.
 type orderCommand struct {
 	connection
 	class    string
--- a/loomctl/plan.go
+++ b/loomctl/plan.go
@@ -16,7 +16,6 @@
 	"loomgap/tier/query"
 )
 
-// planCommand composes the next document.
 type planCommand struct {
 	connection
 	command  string
--- a/loomctl/print.go
+++ b/loomctl/print.go
@@ -11,7 +11,6 @@
 	entrygen "loomgap/tier/gen/entry"
 )
 
-// printJSON prints a value as indented JSON.
 func printJSON(v any) subcommands.ExitStatus {
 	e := json.NewEncoder(os.Stdout)
 	e.SetIndent("", "  ")
@@ -49,7 +48,6 @@
 	return exitOf(a.Outcome)
 }
 
-// ranges writes ranges of keys out.
 func ranges(all []*entrygen.KeyRange) string {
 	var out []string
 	for _, r := range all {
--- a/loomctl/status.go
+++ b/loomctl/status.go
@@ -11,7 +11,6 @@
 	"loomgap/tier/prog"
 )
 
-// statusCommand describes a host.
 type statusCommand struct {
 	connection
 }
--- a/loomd/reload.go
+++ b/loomd/reload.go
@@ -77,7 +77,6 @@
 	return o
 }
 
-// settings reads the settings anew.
 func (o origin) settings() (*kernel.Settings, error) {
 	var c serveCommand
 	f := flag.NewFlagSet("settings", flag.ContinueOnError)
--- a/loomd/settings.go
+++ b/loomd/settings.go
@@ -73,7 +73,6 @@
 	return err
 }
 
-// bind declares the flags of the daemon.
 func bind(f *flag.FlagSet, s *kernel.Settings) {
 	f.StringVar(&s.Host, "Host", "", "`name` of this host in the document")
 	f.StringVar(&s.Hall, "Hall", "", "`name` of the data hall of this host")
--- a/loomfake/command.go
+++ b/loomfake/command.go
@@ -33,7 +33,6 @@
 	}
 }
 
-// listen opens a loopback address.
 func listen(at netip.AddrPort) (net.Listener, error) {
 	if !at.Addr().IsLoopback() {
 		return nil, errNotLoopback
@@ -53,7 +52,6 @@
 	idleBound = 2 * time.Minute
 )
 
-// newServer makes the server of a stand-in.
 func newServer(h http.Handler) *http.Server {
 	return &http.Server{Handler: h, ReadHeaderTimeout: headerBound, IdleTimeout: idleBound}
 }
--- a/loomfake/document.go
+++ b/loomfake/document.go
@@ -62,7 +62,6 @@
 	f.DurationVar(&s.patience, "Patience", 100*time.Millisecond, "patience of class Search")
 }
 
-// print prints the document.
 func (s *shape) print(context.Context) error {
 	text, err := config.Encode(s.document())
 	if err != nil {
--- a/loomfake/link.go
+++ b/loomfake/link.go
@@ -14,7 +14,6 @@
 	"loomgap/tier/prog"
 )
 
-// linkCommand runs a link between processes that can be cut.
 type linkCommand struct {
 	listen, to, admin netip.AddrPort
 	life              time.Duration
@@ -52,7 +51,6 @@
 	return serveUntilStopped(admin, m, c.life)
 }
 
-// linkFaults are the faults of a link.
 type linkFaults struct {
 	// Cut drops every byte.
 	Cut bool
@@ -82,7 +80,6 @@
 	return k
 }
 
-// current returns the faults in force.
 func (k *link) current() linkFaults {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/loomfake/platform.go
+++ b/loomfake/platform.go
@@ -58,7 +58,6 @@
 	return serveUntilStopped(l, p.handler(), c.life)
 }
 
-// platformFaults are the faults of the platform.
 type platformFaults struct {
 	// Down refuses every read.
 	Down bool
@@ -68,7 +67,6 @@
 	LiveLag config.Duration
 }
 
-// publisher publishes documents and a live list.
 type publisher struct {
 	// mu guards what follows.
 	mu sync.Mutex
@@ -226,7 +224,6 @@
 	})
 }
 
-// write answers with a value as JSON.
 func write(w http.ResponseWriter, code int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	text, err := json.Marshal(v)
--- a/loomfake/soak.go
+++ b/loomfake/soak.go
@@ -14,7 +14,6 @@
 // errPromise is wrapped by the error of a soak that saw a promise broken.
 var errPromise = errors.New("a promise was broken")
 
-// soakConfig says how a soak is run.
 type soakConfig struct {
 	// Seed draws the faults; the same seed draws the same ones at the same
 	// times.
--- a/loomfake/soakcaller.go
+++ b/loomfake/soakcaller.go
@@ -24,7 +24,6 @@
 	soakThink = 15 * time.Millisecond
 )
 
-// soakKind is a kind of request that callers make.
 type soakKind string
 
 // The kinds. A caller makes two gathers, then one of each other kind, and so on.
@@ -99,7 +98,6 @@
 	generation int
 }
 
-// connect makes the connection, unless there is one.
 func (c *caller) connect(h *soakHost) error {
 	if c.conn != nil {
 		return nil
@@ -113,7 +111,6 @@
 	return nil
 }
 
-// close ends the connection, if there is one.
 func (c *caller) close() {
 	if c.conn != nil {
 		_ = c.conn.Close()
@@ -121,7 +118,6 @@
 	}
 }
 
-// ask sends a request and reads its answer into a.
 func (c *caller) ask(ctx context.Context, s *soak, method, path string, a *asked) error {
 	if err := c.connect(s.hosts[c.host]); err != nil {
 		return err
--- a/loomfake/soakfault.go
+++ b/loomfake/soakfault.go
@@ -23,7 +23,6 @@
 	faultMore = 2500 * time.Millisecond
 )
 
-// faultKind is one kind of fault.
 type faultKind struct {
 	name string
 	// begin starts the fault and returns what ends it; nil if it ends by itself.
@@ -63,14 +62,12 @@
 	h.faultTimes = append(h.faultTimes, h.touched)
 }
 
-// anyHost draws the host of a fault.
 func (s *soak) anyHost() *soakHost {
 	h := s.hosts[s.random.IntN(len(s.hosts))]
 	s.touch(h)
 	return h
 }
 
-// anyUpstream draws the upstream of a fault.
 func (s *soak) anyUpstream() *soakUpstream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,7 +160,6 @@
 	}
 }
 
-// onLink is a fault of the connections to an upstream.
 func onLink(f linkFaults) func(context.Context, *soak) func() {
 	return func(_ context.Context, s *soak) func() {
 		u := s.anyUpstream()
@@ -172,7 +168,6 @@
 	}
 }
 
-// onUpstream is a fault of an upstream itself.
 func onUpstream(f upstreamFaults) func(context.Context, *soak) func() {
 	return func(_ context.Context, s *soak) func() {
 		u := s.anyUpstream()
--- a/loomfake/soakhost.go
+++ b/loomfake/soakhost.go
@@ -30,7 +30,6 @@
 	soakSeeds = 3
 )
 
-// hostAddress returns the address of a host, by its index.
 func hostAddress(i int) netip.Addr {
 	pid := os.Getpid()
 	return netip.AddrFrom4([4]byte{127, byte(soakNet + i), byte(pid >> 8), byte(pid)})
@@ -92,7 +91,6 @@
 	return os.WriteFile(h.settings, []byte(text), 0o600)
 }
 
-// start runs the daemon of the host.
 func (h *soakHost) start(daemon string) error {
 	f, err := os.OpenFile(h.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
--- a/loomfake/soakrun.go
+++ b/loomfake/soakrun.go
@@ -28,7 +28,6 @@
 	soakLast = 3 * time.Second
 )
 
-// soak is one run.
 type soak struct {
 	soakConfig
 	random  *rand.Rand
@@ -65,7 +64,6 @@
 	evacuatedAt time.Duration
 }
 
-// version is one published configuration.
 type version struct {
 	at     time.Duration
 	routes int
--- a/loomfake/soaksite.go
+++ b/loomfake/soaksite.go
@@ -76,7 +76,6 @@
 	return netip.MustParseAddrPort(l.Addr().String()), nil
 }
 
-// linkTo puts a link before an address.
 func (s *soak) linkTo(to netip.AddrPort) (*link, netip.AddrPort, error) {
 	l, err := listen(netip.MustParseAddrPort("127.0.0.1:0"))
 	if err != nil {
--- a/loomfake/soakupstream.go
+++ b/loomfake/soakupstream.go
@@ -21,7 +21,6 @@
 	ran bool
 }
 
-// soakUpstream is an upstream with faults.
 type soakUpstream struct {
 	mock.Upstream
 	group string
@@ -86,7 +85,6 @@
 	u.faults = f
 }
 
-// seen copies the arrivals.
 func (u *soakUpstream) seen() []arrival {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/loomfake/upstreamserver.go
+++ b/loomfake/upstreamserver.go
@@ -44,7 +44,6 @@
 	MapRevision uint64
 }
 
-// upstreamConfig configures a stand-in upstream.
 type upstreamConfig struct {
 	// slots is how many calls run at once, connections how many connections it
 	// accepts.
@@ -59,7 +58,6 @@
 // their logarithm. Not measured.
 const serviceSigma = 0.5
 
-// upstream is one stand-in upstream.
 type upstream struct {
 	config  upstreamConfig
 	slots   chan struct{}
@@ -100,7 +98,6 @@
 	return u.random.Float64() < share
 }
 
-// current returns the faults in force.
 func (u *upstream) current() faults {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -121,7 +118,6 @@
 	return time.Duration(factor * float64(f.Service))
 }
 
-// refuse answers that a call did not run.
 func refuse(w http.ResponseWriter, f *faults, id wire.Identity, kind wire.RefusalKind) {
 	code := http.StatusServiceUnavailable
 	if kind == wire.RefusalMoved || kind == wire.RefusalSnapshotGone {
--- a/tier/entry/answer.go
+++ b/tier/entry/answer.go
@@ -77,7 +77,6 @@
 	return out
 }
 
-// count counts an answer in the metrics.
 func count(a *entrygen.Answer, took time.Duration) {
 	labels := `{Class="` + a.Class + `",Outcome="` + a.Outcome + `"}`
 	metrics.GetOrCreateCounter("loomgap_requests_total" + labels).Inc()
--- a/tier/entry/ask.go
+++ b/tier/entry/ask.go
@@ -82,7 +82,6 @@
 // that one plan can make.
 const attemptsPerPlan = 1 << 20
 
-// gather makes one plan and carries it out.
 func (e *engine) gather(ctx context.Context, q *request, ask *query.Ask, plan int) (*entrygen.Answer, error) {
 	shards, err := query.Select(q.service, ask.Shards)
 	if err != nil {
@@ -122,7 +121,6 @@
 	return answer, nil
 }
 
-// replicasOf lists the replicas of each shard.
 func replicasOf(shards []config.Shard) [][]string {
 	out := make([][]string, len(shards))
 	for i := range shards {
--- a/tier/entry/operate.go
+++ b/tier/entry/operate.go
@@ -21,7 +21,6 @@
 	kernel.Register(kernel.Plugin{Name: "Operators", Skip: skip, Run: serveOperators})
 }
 
-// serveOperators serves operators.
 func serveOperators(_ context.Context, k *kernel.Kernel) (func(), error) {
 	mux := goahttp.NewMuxer()
 	endpoints := opsgen.NewEndpoints(&opsService{kernel: k})
@@ -52,7 +51,6 @@
 
 func writeMetrics(w http.ResponseWriter, _ *http.Request) { metrics.WritePrometheus(w, true) }
 
-// opsService implements the generated interface.
 type opsService struct {
 	kernel *kernel.Kernel
 }
--- a/tier/entry/order.go
+++ b/tier/entry/order.go
@@ -16,7 +16,6 @@
 // methodOrder is the peer method that forwards an order to its ticket's host.
 const methodOrder = "Order"
 
-// order is one not-repeatable request.
 type order struct {
 	*request
 	ticket  ticket
--- a/tier/entry/serve.go
+++ b/tier/entry/serve.go
@@ -34,7 +34,6 @@
 	kernel.Register(kernel.Plugin{Name: "Entry", Default: fillTimes, Skip: skip, Run: serveCallers})
 }
 
-// fillTimes fills in the times that the settings leave out.
 func fillTimes(s *kernel.Settings) {
 	if s.TicketLife == 0 {
 		s.TicketLife = time.Minute
@@ -47,7 +46,6 @@
 	}
 }
 
-// serveCallers serves callers.
 func serveCallers(ctx context.Context, k *kernel.Kernel) (func(), error) {
 	engine, closeEngine := newEngine(k)
 	stopStatus := kernel.RunLoops(ctx, (&statusReader{engine}).loop)
--- a/tier/entry/status.go
+++ b/tier/entry/status.go
@@ -39,7 +39,6 @@
 // that an upstream is healthy.
 type statusReader struct{ *engine }
 
-// loop reads until the context ends.
 func (r *statusReader) loop(ctx context.Context) {
 	for ctx.Err() == nil {
 		known := r.round(ctx)
@@ -109,7 +108,6 @@
 	return len(endpoints)
 }
 
-// read reads the status of one upstream and takes it in.
 func (r *statusReader) read(ctx context.Context, name string, p *endpoint) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -141,7 +139,6 @@
 	}
 }
 
-// status reads an upstream's status endpoint.
 func (c *client) status(ctx context.Context) (*wire.StatusReply, error) {
 	r := c.do(ctx, wire.PathStatus, http.Header{"Content-Type": {"application/json"}}, []byte("{}"))
 	if r.err != nil {
--- a/tier/entry/successor.go
+++ b/tier/entry/successor.go
@@ -86,7 +86,6 @@
 	stores []*ticketStore
 }
 
-// processOf names the process that minted a ticket.
 func processOf(host, incarnation string) string { return host + "/" + incarnation }
 
 // find returns the tickets of a process; nil if this host has not adopted them.
@@ -158,7 +157,6 @@
 	}
 }
 
-// hand sends tickets to their successor.
 func (e *engine) hand(successor string, r *adoptRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), adoptTimeout)
 	defer cancel()
--- a/tier/entry/ticket.go
+++ b/tier/entry/ticket.go
@@ -35,7 +35,6 @@
 	return fmt.Sprintf("%s/%s/%d", t.Host, t.Incarnation, t.Counter)
 }
 
-// parseTicket reads a ticket.
 func parseTicket(s string) (ticket, error) {
 	p := strings.Split(s, "/")
 	if len(p) == 3 && p[0] != "" && p[1] != "" {
@@ -46,7 +45,6 @@
 	return ticket{}, fmt.Errorf("%w %q: send the ticket as /tickets gave it", errTicket, s)
 }
 
-// claimKind says what a claim of a ticket found.
 type claimKind string
 
 // The kinds of claim.
@@ -67,7 +65,6 @@
 	claimOther claimKind = "Other"
 )
 
-// claim is the result of claiming a ticket.
 type claim struct {
 	kind claimKind
 	// settled is closed when a running request has its answer; nil unless kind is
@@ -101,19 +98,16 @@
 	given bool
 }
 
-// ticketsConfig configures a ticketStore.
 type ticketsConfig struct {
 	Host, Incarnation string
 	// Life is how long a ticket is remembered.
 	Life time.Duration
 }
 
-// newTicketStore makes an empty memory.
 func newTicketStore(c ticketsConfig) *ticketStore {
 	return &ticketStore{ticketsConfig: c, next: 1, oldest: 1, states: map[uint64]*ticketState{}}
 }
 
-// mint makes a ticket.
 func (t *ticketStore) mint(now time.Duration) (ticket, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/tier/kernel/control.go
+++ b/tier/kernel/control.go
@@ -54,7 +54,6 @@
 	}
 }
 
-// control is the control thread.
 func (k *Kernel) control(ctx context.Context, s *State) {
 	defer k.reportPanic(s)
 	tick := time.NewTicker(pulseEvery)
--- a/tier/pass/answer.go
+++ b/tier/pass/answer.go
@@ -10,7 +10,6 @@
 	"loomgap/tier/policy"
 )
 
-// answerSingle gives the caller the answer of one upstream.
 func (q *request) answerSingle(w http.ResponseWriter, r *policy.Result) {
 	a := q.answers.single
 	if a == nil {
--- a/tier/pass/backoff.go
+++ b/tier/pass/backoff.go
@@ -21,7 +21,6 @@
 	last time.Duration
 }
 
-// begin begins the next backoff.
 func (b *backoff) begin(now time.Duration) {
 	b.last = min(max(2*b.last, backoffFirst), backoffMost)
 	b.until = now + b.last
--- a/tier/pass/call.go
+++ b/tier/pass/call.go
@@ -48,7 +48,6 @@
 	block *block
 }
 
-// call is one call to one upstream.
 type call struct {
 	headers *kernel.Headers
 	method  string
@@ -104,7 +103,6 @@
 	return out
 }
 
-// do makes a call on a connection of the link.
 func (l *link) do(ctx context.Context, c *call) runner.Reply[*answer] {
 	n, err := l.get(ctx, c.unrepeatable)
 	if err != nil {
--- a/tier/pass/conn.go
+++ b/tier/pass/conn.go
@@ -53,7 +53,6 @@
 	reused bool
 }
 
-// link holds the idle connections to one upstream.
 type link struct {
 	address netip.AddrPort
 	now     func() time.Duration
@@ -108,7 +107,6 @@
 	return &conn{Conn: c, raw: raw, reader: bufio.NewReaderSize(c, readBuffer), idleBound: idleUnknown}, nil
 }
 
-// put keeps a connection for the next call.
 func (l *link) put(c *conn) {
 	c.idleSince, c.reused = l.now(), true
 	l.mu.Lock()
@@ -120,7 +118,6 @@
 	l.idle = append(l.idle, c)
 }
 
-// sweep closes the connections that were idle for too long.
 func (l *link) sweep() {
 	now := l.now()
 	l.closeIdle(func(c *conn) bool { return now-c.idleSince >= c.idleBound })
--- a/tier/pass/coordinate_messages.go
+++ b/tier/pass/coordinate_messages.go
@@ -56,7 +56,6 @@
 	declineNotBegun declineReason = "NotBegun"
 )
 
-// coordinateReply is a coordinator's answer.
 type coordinateReply struct {
 	// Declined is empty if the request was carried out or refused.
 	Declined declineReason `json:",omitempty"`
--- a/tier/pass/coordinate_server.go
+++ b/tier/pass/coordinate_server.go
@@ -37,7 +37,6 @@
 	kernel.HandleMessage(e.kernel, methodCoordinateStop, name, e.onCoordinateStop)
 }
 
-// onCoordinate carries a request out for another host.
 func (e *engine) onCoordinate(ctx context.Context, in *coordinateRequest) (any, error) {
 	if in.ID == "" || in.RequestID == "" || in.LeftMillis <= 0 {
 		return nil, fmt.Errorf("bad forwarded request %q: send ID, RequestID and LeftMillis above 0", in.ID)
--- a/tier/pass/coordinators.go
+++ b/tier/pass/coordinators.go
@@ -59,7 +59,6 @@
 	return best[0], true
 }
 
-// self describes this host as a candidate.
 func (e *engine) self() policy.Candidate {
 	s := &e.kernel.Settings
 	return policy.Candidate{Host: s.Host, Hall: s.Hall, Capacity: s.Capacity()}
--- a/tier/pass/inbound.go
+++ b/tier/pass/inbound.go
@@ -73,7 +73,6 @@
 	return true
 }
 
-// hostOnly takes the port off a Host header.
 func hostOnly(host string) string {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		return h
--- a/tier/pass/merge.go
+++ b/tier/pass/merge.go
@@ -32,7 +32,6 @@
 	}
 }
 
-// result returns the greatest records, the greatest first.
 func (m *merger) result() []byte {
 	m.cut()
 	return bytes.Join(m.records, nil)
@@ -109,7 +108,6 @@
 	return slices.DeleteFunc(blocks, func(b *block) bool { return !b.lacks(least) })
 }
 
-// drop leaves a block out of the answer.
 func (g *gatheredParts) drop(b *block) {
 	g.blocks = slices.DeleteFunc(g.blocks, func(other *block) bool { return other == b })
 }
--- a/tier/pass/plan.go
+++ b/tier/pass/plan.go
@@ -32,7 +32,6 @@
 	return p.reachable > 0 && float64(p.reachable) >= class.Coverage*float64(len(p.groups))
 }
 
-// plan makes the plan of a request of a route.
 func (e *engine) plan(v *kernel.View, r *config.Route) plan {
 	var groups []string
 	if r.Gather != nil {
--- a/tier/pass/plugin.go
+++ b/tier/pass/plugin.go
@@ -27,7 +27,6 @@
 	kernel.Register(kernel.Plugin{Name: "Routes", Skip: skip, Run: serveRoutes})
 }
 
-// serveRoutes serves routed requests.
 func serveRoutes(_ context.Context, k *kernel.Kernel) (func(), error) {
 	a, err := kernel.AdapterNamed(k.Settings.Adapter)
 	if err != nil {
--- a/tier/pass/relay_server.go
+++ b/tier/pass/relay_server.go
@@ -66,7 +66,6 @@
 	lingering bool
 }
 
-// servedBatch returns the batch with an ID.
 func (e *engine) servedBatch(id string) (*servedBatch, error) {
 	if b := e.relay.served.find(id); b != nil {
 		return b, nil
@@ -109,7 +108,6 @@
 	}
 }
 
-// onBatchStop ends the calls of a batch.
 func (e *engine) onBatchStop(_ context.Context, in *batchStop) (any, error) {
 	b, err := e.servedBatch(in.ID)
 	if err != nil {
--- a/tier/pass/serve.go
+++ b/tier/pass/serve.go
@@ -57,7 +57,6 @@
 	decidedAt time.Duration
 }
 
-// answers are what upstreams answered.
 type answers struct {
 	// single is the answer that was taken, for a request to one group.
 	single *answer
--- a/tier/replay/call.go
+++ b/tier/replay/call.go
@@ -6,7 +6,6 @@
 	"loomgap/tier/policy"
 )
 
-// call is one call to an upstream.
 type call struct {
 	world    *world
 	upstream *upstream
@@ -52,7 +51,6 @@
 	k.world.after(0, func() { k.finish(o) })
 }
 
-// stop ends the work at the other end.
 func (k *call) stop() {
 	switch {
 	case k.inner != nil:
--- a/tier/replay/case.go
+++ b/tier/replay/case.go
@@ -22,7 +22,6 @@
 	sharingOwner sharing = "Owner"
 )
 
-// load is the requests of one class.
 type load struct {
 	class config.Class
 	// rate is requests a second over all hosts, with Poisson arrivals.
--- a/tier/replay/cases.go
+++ b/tier/replay/cases.go
@@ -52,7 +52,6 @@
 	return []Case{plain, chosen}
 }
 
-// caseClass makes a class for a case.
 func caseClass(name string, worth int, deadline time.Duration) config.Class {
 	c := config.DefaultClass()
 	c.Name, c.Worth, c.Deadline = name, worth, config.Duration(deadline)
--- a/tier/replay/execution.go
+++ b/tier/replay/execution.go
@@ -37,7 +37,6 @@
 	return e
 }
 
-// begin starts the run of a request that may be repeated.
 func (e *execution) begin(c policy.RunConfig) {
 	w := e.host.world
 	c.Fleet, c.Repeatable = e.host.fleet, true
@@ -57,7 +56,6 @@
 	e.planWake()
 }
 
-// planWake plans the run's next wake.
 func (e *execution) planWake() {
 	w := e.host.world
 	next := e.run.Next()
@@ -74,7 +72,6 @@
 	})
 }
 
-// perform carries out what the run decided.
 func (e *execution) perform(actions []policy.Action) {
 	w := e.host.world
 	for _, a := range actions {
@@ -97,7 +94,6 @@
 	}
 }
 
-// finish counts the answer.
 func (e *execution) finish() {
 	r := e.run.Result()
 	took := e.host.world.now - e.begun
--- a/tier/replay/report.go
+++ b/tier/replay/report.go
@@ -81,7 +81,6 @@
 	}
 }
 
-// answered counts an answer.
 func (c *classResult) answered(took time.Duration, r *policy.Result, shards int) {
 	if c == nil {
 		return
--- a/tier/replay/site.go
+++ b/tier/replay/site.go
@@ -28,7 +28,6 @@
 	begin(*upstream, *call) bool
 }
 
-// host is one entry host.
 type host struct {
 	world *world
 	index int
--- a/tier/replay/upstream.go
+++ b/tier/replay/upstream.go
@@ -27,7 +27,6 @@
 	return oneIn(f.lostEvery, u.index) && u.world.now >= f.lostFrom
 }
 
-// slow reports whether the upstream is slow now.
 func (u *upstream) slow() bool {
 	f, now := &u.world.config.faults, u.world.now
 	return oneIn(f.slowEvery, u.index) && now >= f.slowFrom && (f.slowUntil == 0 || now < f.slowUntil)
@@ -66,7 +65,6 @@
 	}
 }
 
-// begin gives a slot to a call.
 func (u *upstream) begin(k *call) {
 	k.working = true
 	u.running = append(u.running, k)
--- a/tier/replay/world.go
+++ b/tier/replay/world.go
@@ -59,7 +59,6 @@
 	return w, nil
 }
 
-// run carries out all that is planned.
 func (w *world) run() {
 	for w.queue.Len() > 0 {
 		e := heap.Pop(&w.queue).(event)
@@ -96,12 +95,10 @@
 	return nil
 }
 
-// lognormal draws a service time.
 func (w *world) lognormal() time.Duration {
 	return time.Duration(float64(w.config.capacity.service) * math.Exp(w.config.capacity.sigma*w.random.NormFloat64()))
 }
 
-// event is something planned for a time.
 type event struct {
 	at time.Duration
 	// rank orders events of one time.
--- a/tier/runner/call.go
+++ b/tier/runner/call.go
@@ -10,7 +10,6 @@
 	"loomgap/tier/policy"
 )
 
-// call is one call in progress.
 type call struct {
 	cancel context.CancelFunc
 	// batched is true for a call that another host makes within its own slots;
--- a/tier/runner/runner.go
+++ b/tier/runner/runner.go
@@ -17,7 +17,6 @@
 	Run policy.RunConfig
 }
 
-// execution is one run being carried out.
 type execution[R any] struct {
 	kernel *kernel.Kernel
 	caller Caller[R]
