--- a/loomctl/client.go
+++ b/loomctl/client.go
@@ -84,13 +84,11 @@
 
 func (c *connection) doer() goahttp.Doer { return &http.Client{Timeout: c.timeout} }
 
-// entry makes a client of the callers' service.
 func (c *connection) entry() *entrygen.Client {
 	h := entryclient.NewClient("http", c.host.String(), c.doer(), goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
 	return entrygen.NewClient(h.Ask(), h.Ticket(), h.Order())
 }
 
-// ops makes a client of the operators' service.
 func (c *connection) ops() *opsgen.Client {
 	h := opsclient.NewClient("http", c.operate.String(), c.doer(), goahttp.RequestEncoder, goahttp.ResponseDecoder, false)
 	return opsgen.NewClient(h.Status(), h.Document(), h.Ready(), h.Drain())
--- a/loomctl/plan.go
+++ b/loomctl/plan.go
@@ -139,7 +139,6 @@
 	return nil
 }
 
-// difference lists the lines that leave and come.
 func difference(before, after string) string {
 	m := diffmatchpatch.New()
 	a, b, lines := m.DiffLinesToChars(before, after)
--- a/loomd/reload.go
+++ b/loomd/reload.go
@@ -62,7 +62,6 @@
 		Float64("RetrySlack", live.RetryBudget.Slack).Msg("changed settings in force")
 }
 
-// origin is where the settings of a daemon come from.
 type origin struct {
 	// flags are the flags of the command line, by name.
 	flags map[string]string
--- a/loomd/settings.go
+++ b/loomd/settings.go
@@ -36,7 +36,6 @@
 // Unwrap gives errSetting.
 func (e *settingError) Unwrap() error { return errSetting }
 
-// seeds is a list of addresses, divided by commas.
 type seeds []netip.AddrPort
 
 func (s *seeds) String() string {
--- a/loomd/start.go
+++ b/loomd/start.go
@@ -27,9 +27,7 @@
 		return nil, err
 	}
 	for _, p := range stages {
-		if p.Default != nil {
-			p.Default(&k.Settings)
-		}
+		p.Default(&k.Settings)
 	}
 	var cleanUps []func()
 	cleanUp := func() {
@@ -55,14 +53,14 @@
 func startStage(ctx context.Context, k *kernel.Kernel, p kernel.Plugin) (func(), error) {
 	started := time.Now()
 	var cleanUp func()
-	if p.Skip != nil && p.Skip(&k.Settings) {
-		k.Log.Info().Str("Stage", p.Name).Msg("stage skipped")
+	if p.Skip(&k.Settings) {
+		k.Log.Info().Str("Stage", p.Name()).Msg("stage skipped")
 	} else {
 		var err error
 		if cleanUp, err = p.Run(ctx, k); err != nil {
-			return nil, fmt.Errorf("stage %s: %w", p.Name, err)
+			return nil, fmt.Errorf("stage %s: %w", p.Name(), err)
 		}
 	}
-	k.Log.Info().Str("Stage", p.Name).Dur("Took", time.Since(started)).Msg("stage started")
+	k.Log.Info().Str("Stage", p.Name()).Dur("Took", time.Since(started)).Msg("stage started")
 	return cleanUp, nil
 }
--- a/loomd/trace.go
+++ b/loomd/trace.go
@@ -8,7 +8,6 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// spanLog writes finished spans as JSON lines.
 type spanLog struct {
 	log zerolog.Logger
 }
--- a/loomfake/link.go
+++ b/loomfake/link.go
@@ -65,7 +65,6 @@
 // linkBuffer is how many bytes a link passes on at once, at the most. Not measured.
 const linkBuffer = 32 << 10
 
-// link passes bytes on, or drops them.
 type link struct {
 	to     string
 	mu     sync.Mutex
--- a/loomfake/platform.go
+++ b/loomfake/platform.go
@@ -110,7 +110,6 @@
 	return m
 }
 
-// publish adds a document; its revision is its number.
 func (p *publisher) publish(text string) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/loomfake/soakcaller.go
+++ b/loomfake/soakcaller.go
@@ -35,7 +35,6 @@
 	kindSafe soakKind = "safe"
 )
 
-// asked is one request and what its caller got.
 type asked struct {
 	id   string
 	kind soakKind
--- a/loomfake/soakcheck.go
+++ b/loomfake/soakcheck.go
@@ -53,7 +53,6 @@
 	return c.broken
 }
 
-// checker judges what a soak did and saw.
 type checker struct {
 	soak *soak
 	// runs are the upstreams that ran a request, by its ID.
--- a/loomfake/soakfault.go
+++ b/loomfake/soakfault.go
@@ -74,7 +74,6 @@
 	return s.upstreams[s.random.IntN(len(s.upstreams))]
 }
 
-// touchStore notes that the store is disturbed.
 func (s *soak) touchStore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/loomfake/soakupstream.go
+++ b/loomfake/soakupstream.go
@@ -13,7 +13,6 @@
 	"loomgap/platform/mock"
 )
 
-// arrival is one request that reached an upstream.
 type arrival struct {
 	at time.Duration
 	id string
@@ -37,7 +36,6 @@
 	leftAt time.Duration
 }
 
-// upstreamFaults are what an upstream may do.
 type upstreamFaults struct {
 	// Shed and Fail are parts of the requests, 0 to 1; Slow is how long each
 	// takes.
--- a/loomfake/upstreamserver.go
+++ b/loomfake/upstreamserver.go
@@ -175,7 +175,6 @@
 	})
 }
 
-// job is one call to carry out.
 type job struct {
 	identity wire.Identity
 	millis   int64
@@ -268,7 +267,6 @@
 	write(w, http.StatusOK, f)
 }
 
-// runsReply is what a stand-in upstream recorded.
 type runsReply struct {
 	// Arrived is how many calls came, refused ones included.
 	Arrived int
--- a/tier/entry/client.go
+++ b/tier/entry/client.go
@@ -51,7 +51,6 @@
 
 func (c *client) close() { c.transport.CloseIdleConnections() }
 
-// reply is what came back from a call.
 type reply struct {
 	status int
 	body   []byte
--- a/tier/entry/endpoint.go
+++ b/tier/entry/endpoint.go
@@ -19,7 +19,6 @@
 	owner string
 }
 
-// basis is what slots and endpoints depend on.
 type basis struct {
 	index   *config.Index
 	hosts   []string
--- a/tier/entry/operate.go
+++ b/tier/entry/operate.go
@@ -16,12 +16,19 @@
 	"loomgap/tier/policy"
 )
 
-func init() {
-	skip := func(s *kernel.Settings) bool { return !s.Operate.IsValid() }
-	kernel.Register(kernel.Plugin{Name: "Operators", Skip: skip, Run: serveOperators})
-}
+type operators struct{}
+
+var _ kernel.Plugin = operators{}
+
+func init() { kernel.Register(operators{}) }
+
+func (operators) Name() string { return "Operators" }
+
+func (operators) Default(*kernel.Settings) {}
+
+func (operators) Skip(s *kernel.Settings) bool { return !s.Operate.IsValid() }
 
-func serveOperators(_ context.Context, k *kernel.Kernel) (func(), error) {
+func (operators) Run(_ context.Context, k *kernel.Kernel) (func(), error) {
 	mux := goahttp.NewMuxer()
 	endpoints := opsgen.NewEndpoints(&opsService{kernel: k})
 	server.New(endpoints, mux, goahttp.RequestDecoder, goahttp.ResponseEncoder, nil, fault).Mount(mux)
--- a/tier/entry/serve.go
+++ b/tier/entry/serve.go
@@ -29,12 +29,15 @@
 	callerHeaderBytes = 16 << 10
 )
 
-func init() {
-	skip := func(s *kernel.Settings) bool { return s.Adapter != "" }
-	kernel.Register(kernel.Plugin{Name: "Entry", Default: fillTimes, Skip: skip, Run: serveCallers})
-}
+type plugin struct{}
+
+var _ kernel.Plugin = plugin{}
+
+func init() { kernel.Register(plugin{}) }
 
-func fillTimes(s *kernel.Settings) {
+func (plugin) Name() string { return "Entry" }
+
+func (plugin) Default(s *kernel.Settings) {
 	if s.TicketLife == 0 {
 		s.TicketLife = time.Minute
 	}
@@ -46,7 +49,9 @@
 	}
 }
 
-func serveCallers(ctx context.Context, k *kernel.Kernel) (func(), error) {
+func (plugin) Skip(s *kernel.Settings) bool { return s.Adapter != "" }
+
+func (plugin) Run(ctx context.Context, k *kernel.Kernel) (func(), error) {
 	engine, closeEngine := newEngine(k)
 	stopStatus := kernel.RunLoops(ctx, (&statusReader{engine}).loop)
 	mux := goahttp.NewMuxer()
--- a/tier/entry/service.go
+++ b/tier/entry/service.go
@@ -16,7 +16,6 @@
 	"loomgap/tier/wire"
 )
 
-// service implements the generated interface.
 type service struct {
 	engine *engine
 }
--- a/tier/kernel/doc.go
+++ b/tier/kernel/doc.go
@@ -21,7 +21,6 @@
 //
 // Begin with State in state.go, then Kernel in kernel.go and control in control.go.
 // Who embeds the tier makes a Kernel by New, finds the plug-ins by Pipeline and runs
-// them. A Plugin is given by its functions; Source and PeerCaller are the interfaces to
-// implement. The parts of State are exported types so that tests of other packages can
-// build one.
+// them; Plugin, Source and PeerCaller are the interfaces to implement. The parts of State
+// are exported types so that tests of other packages can build one.
 package kernel
--- a/tier/kernel/plugin.go
+++ b/tier/kernel/plugin.go
@@ -10,21 +10,21 @@
 var ErrNoPlugin = errors.New("no such plug-in")
 
 // Plugin is one stage of the daemon.
-type Plugin struct {
+type Plugin interface {
 	// Name names the stage in logs and errors.
-	Name string
-	// Default fills in settings that were left out; nil if the stage has none.
-	Default func(s *Settings)
-	// Skip reports whether the stage has nothing to do; nil if it always runs.
-	Skip func(s *Settings) bool
+	Name() string
+	// Default fills in settings that were left out.
+	Default(s *Settings)
+	// Skip reports whether the stage has nothing to do.
+	Skip(s *Settings) bool
 	// Run starts the stage and returns its clean-up, which may be nil.
-	Run func(ctx context.Context, k *Kernel) (func(), error)
+	Run(ctx context.Context, k *Kernel) (func(), error)
 }
 
 var plugins = map[string]Plugin{}
 
 // Register makes a plug-in known; it is called from init functions.
-func Register(p Plugin) { plugins[p.Name] = p }
+func Register(p Plugin) { plugins[p.Name()] = p }
 
 // Pipeline finds plug-ins by name, in the order given.
 func Pipeline(names []string) ([]Plugin, error) {
--- a/tier/pass/inbound.go
+++ b/tier/pass/inbound.go
@@ -28,7 +28,6 @@
 	defaultBody = 1 << 20
 )
 
-// inbound is what the caller sent.
 type inbound struct {
 	id string
 	// hostName and path are what the route is found by.
--- a/tier/pass/plugin.go
+++ b/tier/pass/plugin.go
@@ -22,12 +22,19 @@
 	callerHeaderBytes = 64 << 10
 )
 
-func init() {
-	skip := func(s *kernel.Settings) bool { return s.Adapter == "" }
-	kernel.Register(kernel.Plugin{Name: "Routes", Skip: skip, Run: serveRoutes})
-}
+type plugin struct{}
+
+var _ kernel.Plugin = plugin{}
+
+func init() { kernel.Register(plugin{}) }
+
+func (plugin) Name() string { return "Routes" }
+
+func (plugin) Default(*kernel.Settings) {}
+
+func (plugin) Skip(s *kernel.Settings) bool { return s.Adapter == "" }
 
-func serveRoutes(_ context.Context, k *kernel.Kernel) (func(), error) {
+func (plugin) Run(_ context.Context, k *kernel.Kernel) (func(), error) {
 	a, err := kernel.AdapterNamed(k.Settings.Adapter)
 	if err != nil {
 		return nil, err
--- a/tier/pass/relay_messages.go
+++ b/tier/pass/relay_messages.go
@@ -83,14 +83,12 @@
 	TookMicros int64
 }
 
-// batchStop asks for the end of a batch.
 type batchStop struct {
 	ID string
 	// CallerGone is true if the caller of the request is gone.
 	CallerGone bool `json:"Left,omitempty"`
 }
 
-// recordsRequest names records that a reply left out.
 type recordsRequest struct {
 	// ID is that of the batch, Cut the number that the reply gave.
 	ID  string
--- a/tier/pass/relay_records.go
+++ b/tier/pass/relay_records.go
@@ -72,7 +72,6 @@
 	return &recordsReply{Records: b.leftOut[in.Cut-1]}, nil
 }
 
-// leftOutAt names records that a relay left out.
 type leftOutAt struct {
 	relay string
 	at    recordsRequest
--- a/tier/peers/feed.go
+++ b/tier/peers/feed.go
@@ -20,13 +20,19 @@
 	rolePause = 200 * time.Millisecond
 )
 
-func init() {
-	skip := func(s *kernel.Settings) bool { return s.Adapter == "" || !s.Platform.IsValid() }
-	kernel.Register(kernel.Plugin{Name: "Feed", Default: fillWatchWait, Skip: skip, Run: runFeed})
-}
+type feedPlugin struct{}
+
+var _ kernel.Plugin = feedPlugin{}
+
+func init() { kernel.Register(feedPlugin{}) }
+
+func (feedPlugin) Name() string { return "Feed" }
+
+func (feedPlugin) Default(s *kernel.Settings) { watchPlugin{}.Default(s) }
+
+func (feedPlugin) Skip(s *kernel.Settings) bool { return s.Adapter == "" || !s.Platform.IsValid() }
 
-// runFeed reads what an adapter's platform publishes.
-func runFeed(ctx context.Context, k *kernel.Kernel) (func(), error) {
+func (feedPlugin) Run(ctx context.Context, k *kernel.Kernel) (func(), error) {
 	a, err := kernel.AdapterNamed(k.Settings.Adapter)
 	if err != nil {
 		return nil, err
--- a/tier/peers/plugin.go
+++ b/tier/peers/plugin.go
@@ -12,18 +12,24 @@
 // measured; CAPACITY.md gives the cost by the size of a hall.
 const defaultHeartbeat = time.Second
 
-func init() {
-	kernel.Register(kernel.Plugin{Name: "Peers", Default: fillBeat, Run: joinPeers})
-}
+// plugin joins the entry hosts.
+type plugin struct{}
+
+var _ kernel.Plugin = plugin{}
+
+func init() { kernel.Register(plugin{}) }
 
-func fillBeat(s *kernel.Settings) {
+func (plugin) Name() string { return "Peers" }
+
+func (plugin) Default(s *kernel.Settings) {
 	if s.Beat == 0 {
 		s.Beat = defaultHeartbeat
 	}
 }
 
-// joinPeers joins the entry hosts.
-func joinPeers(ctx context.Context, k *kernel.Kernel) (func(), error) {
+func (plugin) Skip(*kernel.Settings) bool { return false }
+
+func (plugin) Run(ctx context.Context, k *kernel.Kernel) (func(), error) {
 	n, closeNode, err := newNode(k)
 	if err != nil {
 		return nil, err
--- a/tier/peers/watch.go
+++ b/tier/peers/watch.go
@@ -39,19 +39,24 @@
 	replyFactor = 2
 )
 
-func init() {
-	skip := func(s *kernel.Settings) bool { return !s.Platform.IsValid() || s.Adapter != "" }
-	kernel.Register(kernel.Plugin{Name: "Platform", Default: fillWatchWait, Skip: skip, Run: watchPlatform})
-}
+// watchPlugin reads what the platform publishes by loomgap's own protocol.
+type watchPlugin struct{}
+
+var _ kernel.Plugin = watchPlugin{}
+
+func init() { kernel.Register(watchPlugin{}) }
 
-func fillWatchWait(s *kernel.Settings) {
+func (watchPlugin) Name() string { return "Platform" }
+
+func (watchPlugin) Default(s *kernel.Settings) {
 	if s.WatchWait == 0 {
 		s.WatchWait = defaultWatchWait
 	}
 }
 
-// watchPlatform reads what the platform publishes by loomgap's own protocol.
-func watchPlatform(ctx context.Context, k *kernel.Kernel) (func(), error) {
+func (watchPlugin) Skip(s *kernel.Settings) bool { return !s.Platform.IsValid() || s.Adapter != "" }
+
+func (watchPlugin) Run(ctx context.Context, k *kernel.Kernel) (func(), error) {
 	transport := &http.Transport{DisableCompression: true}
 	w := &watcher{kernel: k, client: &http.Client{Transport: transport}, listed: map[string]wire.LiveState{}}
 	stop := kernel.RunLoops(ctx,
--- a/tier/replay/case.go
+++ b/tier/replay/case.go
@@ -31,7 +31,6 @@
 	shards int
 }
 
-// capacity is what each upstream can do.
 type capacity struct {
 	// slots is how many calls run at once, backlog how many may wait for a slot.
 	slots, backlog int
@@ -81,7 +80,6 @@
 	loads         []load
 }
 
-// slotsOf is how many slots of an upstream a host may fill.
 func (c *Case) slotsOf(host, upstream int) int {
 	if c.sharing != sharingShares && c.sharing != sharingBorrow {
 		return c.capacity.slots
--- a/tier/replay/report.go
+++ b/tier/replay/report.go
@@ -48,7 +48,6 @@
 	return float64(total) / r.seconds
 }
 
-// classResult is what became of the requests of one class.
 type classResult struct {
 	name  string
 	worth int
--- a/tier/replay/world.go
+++ b/tier/replay/world.go
@@ -39,7 +39,6 @@
 	return w.report(), nil
 }
 
-// newWorld prepares the replay of a case at a site.
 func newWorld(c Case, newSite func(*world) site) (*world, error) {
 	w := &world{config: c, random: rand.New(rand.NewPCG(c.Seed, seedStream)), indices: map[string]int{}}
 	w.site = newSite(w)
