--- a/tier/docs_test.go
+++ b/tier/docs_test.go
@@ -155,3 +155,47 @@
 	}
 	assert.Assert(t, messages >= 60, "only %d messages", messages)
 }
+
+// testName and sourceFile are a test and a source file that a page names.
+var (
+	testName   = regexp.MustCompile("`(Test[A-Za-z0-9]+)`")
+	sourceFile = regexp.MustCompile("`([a-z]+(?:/[a-z_]+)*/[a-z_]+\\.go)`")
+)
+
+// TestPagesNameWhatExists wants each test and source file that a page names to be there.
+// The record of the rounds may name what is gone.
+func TestPagesNameWhatExists(t *testing.T) {
+	pages, err := filepath.Glob(filepath.Join(root, "docs", "*.md"))
+	assert.NilError(t, err)
+	tests := declaredTests(t)
+	for _, path := range append(pages, filepath.Join(root, "README.md")) {
+		text, err := os.ReadFile(path)
+		assert.NilError(t, err)
+		for _, m := range testName.FindAllStringSubmatch(string(text), -1) {
+			assert.Check(t, tests[m[1]], "%s names the test %s", path, m[1])
+		}
+		for _, m := range sourceFile.FindAllStringSubmatch(string(text), -1) {
+			_, inRoot := os.Stat(filepath.Join(root, m[1]))
+			_, inTier := os.Stat(m[1])
+			assert.Check(t, inRoot == nil || inTier == nil, "%s names the file %s", path, m[1])
+		}
+	}
+}
+
+// declaredTests lists the tests of all modules by name.
+func declaredTests(t *testing.T) map[string]bool {
+	out := map[string]bool{}
+	err := filepath.WalkDir(root, func(path string, _ fs.DirEntry, err error) error {
+		if err != nil || !strings.HasSuffix(path, "_test.go") {
+			return err
+		}
+		relative, err := filepath.Rel(root, path)
+		assert.NilError(t, err)
+		for _, f := range functionsIn(parseFile(t, relative)) {
+			out[f] = true
+		}
+		return nil
+	})
+	assert.NilError(t, err)
+	return out
+}
