--- a/tier/pass/relay_client.go
+++ b/tier/pass/relay_client.go
@@ -53,8 +53,8 @@
 
 // Batches implements runner.Batcher: calls to upstreams of one other hall go together
 // through a relay there. Even a single call does: the relay has connections to the
-// upstream, and making one from afar takes longer than the call. When single
-// calls went through relays too, partial gathers of one site fell from 374 to 248. Calls
+// upstream, and making one from afar takes longer than the call. Measured in simulated
+// time: with single calls through relays too, partial gathers fell from 374 to 248. Calls
 // to a cold upstream go through its owner, whatever the hall.
 func (q *request) Batches(sends []policy.Action) (batches []runner.Batch, apart []policy.Action) {
 	if q.route.Gather == nil {
--- a/tier/policy/choose.go
+++ b/tier/policy/choose.go
@@ -67,7 +67,7 @@
 	farFactor = 1.25
 	// faultCost is what a call without a usable answer costs in time, so that an
 	// upstream which fails a part of its calls loses to one that is slower. Measured
-	// with the rule as a whole: worth of one site's largest day 0.709 to 0.831.
+	// with the rule as a whole: worth rose from 0.709 to 0.831 in simulated time.
 	faultCost = 500 * time.Millisecond
 )
 
