--- a/tier/entry/ask.go
+++ b/tier/entry/ask.go
@@ -32,7 +32,7 @@
 		return nil, err
 	}
 	// The same question of any caller is the same request.
-	content := policy.Content{HostName: ask.Service, Target: in.Statement}
+	content := policy.RequestContent{HostName: ask.Service, Target: in.Statement}
 	q.subject.Fingerprint = content.Fingerprint()
 	return e.observe(ctx, "ask", id, in.Class, func(ctx context.Context) (*entrygen.Answer, error) {
 		return e.answer(ctx, q, ask)
@@ -139,8 +139,8 @@
 	result, _, err := runner.Run(ctx, runner.Config[*wire.PartReply]{
 		Kernel: e.kernel, Caller: c,
 		Run: policy.RunConfig{
-			Fleet: e.kernel.Fleet, Pool: e.kernel.Fleet.Pool(q.service.Name), Class: q.class, Deadline: q.deadline,
-			Replicas: replicas, Snapshot: c.snapshot, Repeatable: repeatable, Subject: q.subject,
+			Fleet: e.kernel.Fleet, Pool: e.kernel.Fleet.LatencyPool(q.service.Name), Class: q.class, Deadline: q.deadline,
+			Replicas: replicas, Snapshot: c.snapshot, Repeatable: repeatable, Identity: q.subject,
 		},
 	}, giveUp)
 	return result, err
--- a/tier/entry/call.go
+++ b/tier/entry/call.go
@@ -42,7 +42,7 @@
 	x.upstream, x.id, x.body = a.Upstream.Name, id, body
 	outcome, part := c.engine.call(ctx, &x)
 	if part != nil {
-		k.Fleet.NoteStatus(k.Now(), a.Upstream, policy.Window{Oldest: part.Oldest, Newest: part.Newest, Known: true}, part.Leaving)
+		k.Fleet.RecordStatus(k.Now(), a.Upstream, policy.SnapshotRange{Oldest: part.Oldest, Newest: part.Newest, Known: true}, part.Leaving)
 	}
 	return runner.Reply[*wire.PartReply]{Outcome: outcome, Part: part}
 }
@@ -87,7 +87,7 @@
 	r := p.client.do(ctx, x.path, header, x.body)
 	outcome, part := classify(&r, x.id, x.snapshot)
 	outcome = runner.DetectCrash(ctx, outcome, p.client.address)
-	if outcome == policy.CallGarbage {
+	if outcome == policy.CallMalformed {
 		p.client.close()
 	}
 	if span.IsRecording() {
@@ -167,8 +167,8 @@
 		outcome, part = e.call(ctx, x)
 	}
 	now := e.kernel.Now()
-	policy.Deliver(e.kernel.Fleet.Finish(now, policy.Call{
-		Upstream: u, Pool: e.kernel.Fleet.Pool(x.service), Outcome: outcome, Took: now - started,
+	policy.NotifyGranted(e.kernel.Fleet.Finish(now, policy.Call{
+		Upstream: u, Pool: e.kernel.Fleet.LatencyPool(x.service), Outcome: outcome, Took: now - started,
 	}))
 	return outcome, part
 }
--- a/tier/entry/client.go
+++ b/tier/entry/client.go
@@ -132,5 +132,5 @@
 // dropped counts a reply that must not be used, and returns its outcome.
 func dropped(why string) policy.CallOutcome {
 	metrics.GetOrCreateCounter(`loomgap_replies_dropped_total{Why="` + why + `"}`).Inc()
-	return policy.CallGarbage
+	return policy.CallMalformed
 }
--- a/tier/entry/client_test.go
+++ b/tier/entry/client_test.go
@@ -32,11 +32,11 @@
 		want policy.CallOutcome
 	}{
 		{"whole reply", reply{status: 200, body: part(id, 7), reached: true}, policy.CallOK},
-		{"earlier attempt", reply{status: 200, body: part(other, 7), reached: true}, policy.CallGarbage},
-		{"another snapshot", reply{status: 200, body: part(id, 8), reached: true}, policy.CallGarbage},
-		{"cut short", reply{status: 200, body: part(id, 7)[:20], reached: true}, policy.CallGarbage},
-		{"unreadable", reply{status: 200, err: lost, reached: true}, policy.CallGarbage},
-		{"empty", reply{status: 200, reached: true}, policy.CallGarbage},
+		{"earlier attempt", reply{status: 200, body: part(other, 7), reached: true}, policy.CallMalformed},
+		{"another snapshot", reply{status: 200, body: part(id, 8), reached: true}, policy.CallMalformed},
+		{"cut short", reply{status: 200, body: part(id, 7)[:20], reached: true}, policy.CallMalformed},
+		{"unreadable", reply{status: 200, err: lost, reached: true}, policy.CallMalformed},
+		{"empty", reply{status: 200, reached: true}, policy.CallMalformed},
 		{"no connection", reply{err: lost}, policy.CallUnreachable},
 		{"lost after connecting", reply{err: lost, reached: true}, policy.CallBroken},
 		{"shed", reply{status: 503, body: refusal(id, wire.RefusalShed), reached: true}, policy.CallShed},
@@ -44,9 +44,9 @@
 		{"leaving", reply{status: 503, body: refusal(id, wire.RefusalLeaving), reached: true}, policy.CallLeaving},
 		{"snapshot gone", reply{status: 409, body: refusal(id, wire.RefusalSnapshotGone), reached: true}, policy.CallSnapshotGone},
 		{"moved", reply{status: 409, body: refusal(id, wire.RefusalMoved), reached: true}, policy.CallMoved},
-		{"another call's refusal", reply{status: 503, body: refusal(other, wire.RefusalShed), reached: true}, policy.CallGarbage},
-		{"unknown refusal", reply{status: 503, body: refusal(id, "Tired"), reached: true}, policy.CallGarbage},
-		{"bare status", reply{status: http.StatusBadGateway, body: []byte("bad gateway"), reached: true}, policy.CallGarbage},
+		{"another call's refusal", reply{status: 503, body: refusal(other, wire.RefusalShed), reached: true}, policy.CallMalformed},
+		{"unknown refusal", reply{status: 503, body: refusal(id, "Tired"), reached: true}, policy.CallMalformed},
+		{"bare status", reply{status: http.StatusBadGateway, body: []byte("bad gateway"), reached: true}, policy.CallMalformed},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/tier/entry/endpoint.go
+++ b/tier/entry/endpoint.go
@@ -74,7 +74,7 @@
 		}
 	}
 	// The control thread carries no traffic.
-	go policy.Deliver(granted)
+	go policy.NotifyGranted(granted)
 }
 
 // endpoint returns how to reach an upstream; nil for one of another data hall.
--- a/tier/entry/operate.go
+++ b/tier/entry/operate.go
@@ -82,7 +82,7 @@
 	for _, u := range k.Fleet.State(now) {
 		out.Upstreams = append(out.Upstreams, &opsgen.UpstreamStatus{
 			Name: u.Name, State: upstreamState(&u), ColdOwner: u.ColdOwner, InUse: uint32(max(u.InUse, 0)), Share: uint32(max(u.Share, 0)), Queued: uint32(max(u.Queued, 0)),
-			LatencyMicros: uint64(u.Latency.Microseconds()), Oldest: u.Window.Oldest, Newest: u.Window.Newest,
+			LatencyMicros: uint64(u.Latency.Microseconds()), Oldest: u.Snapshots.Oldest, Newest: u.Snapshots.Newest,
 		})
 	}
 	slices.SortFunc(out.Upstreams, func(a, b *opsgen.UpstreamStatus) int { return cmp.Compare(a.Name, b.Name) })
--- a/tier/entry/order.go
+++ b/tier/entry/order.go
@@ -189,7 +189,7 @@
 		return e.refuse(o.id, o.class.Name, refusal.Reason, refusal.RetryAfter)
 	case err != nil:
 		return e.refuse(o.id, o.class.Name, err.Error(), notReadyRetry)
-	case result.Unknown:
+	case result.OutcomeUnknown:
 		return e.unknown(o.payload, "the upstream's answer was lost; look the record up before placing it again")
 	case result.Included == 0:
 		return e.refuse(o.id, o.class.Name, "no upstream took it: "+string(result.Reasons[0]), time.Duration(o.class.Deadline))
--- a/tier/entry/request.go
+++ b/tier/entry/request.go
@@ -28,7 +28,7 @@
 	deadline time.Duration
 	// subject identifies a question that crashes upstreams; the zero value for an
 	// order, which runs at most once whoever repeats it.
-	subject policy.Subject
+	subject policy.RequestIdentity
 }
 
 // newRequest fixes the configuration and the deadline of a request. The error is
--- a/tier/entry/status.go
+++ b/tier/entry/status.go
@@ -97,7 +97,7 @@
 		if p == nil {
 			continue
 		}
-		r.kernel.Fleet.NoteStatusRead(now, name)
+		r.kernel.Fleet.RecordStatusRead(now, name)
 		slots <- struct{}{}
 		all.Go(func() {
 			defer func() { <-slots }()
@@ -118,8 +118,8 @@
 	}
 	now := r.kernel.Now()
 	if u := r.kernel.Fleet.Find(name); u != nil {
-		window := policy.Window{Oldest: status.Oldest, Newest: status.Newest, Known: status.Newest > 0}
-		r.kernel.Fleet.NoteStatus(now, u, window, status.Leaving)
+		window := policy.SnapshotRange{Oldest: status.Oldest, Newest: status.Newest, Known: status.Newest > 0}
+		r.kernel.Fleet.RecordStatus(now, u, window, status.Leaving)
 	}
 	if r.kernel.View().Leaving[name] {
 		r.kernel.Do(func(s *kernel.State) { r.updateLeaving(s, name, now, status.Leaving) })
--- a/tier/pass/admit.go
+++ b/tier/pass/admit.go
@@ -14,7 +14,7 @@
 func (e *engine) admits(now time.Duration, c *call, u *policy.Upstream) bool {
 	reason := e.barrier(c.route, u.Name)
 	// The request may have been quarantined since the call was planned.
-	if verdict, _ := e.kernel.Fleet.Judge(now, c.subject); verdict == policy.VerdictQuarantined {
+	if verdict, _ := e.kernel.Fleet.Verdict(now, c.subject); verdict == policy.VerdictQuarantined {
 		reason = query.ReasonQuarantined
 	}
 	if reason == "" && !e.kernel.Fleet.AdmitCold(now, u) {
@@ -42,5 +42,5 @@
 	if r := v.Index.RouteNamed(route); r != nil {
 		homes = r.Homes
 	}
-	return e.placement(v).Barrier(&l, homes)
+	return e.placement(v).DenyReason(&l, homes)
 }
--- a/tier/pass/answer.go
+++ b/tier/pass/answer.go
@@ -23,7 +23,7 @@
 		}
 		q.log(o, a.status).Int("Calls", r.Attempts).Msg("request answered")
 		q.write(w, a.status, a.header, a.body)
-	case r.Ran == 0 && !r.Unknown && q.answers.failure == nil:
+	case r.Ran == 0 && !r.OutcomeUnknown && q.answers.failure == nil:
 		q.refuse(w, "no upstream took it: "+string(r.Reasons[0]), q.retryUpstream())
 	default:
 		q.fail(w, outcomeUnknown, r)
--- a/tier/pass/call.go
+++ b/tier/pass/call.go
@@ -56,7 +56,7 @@
 	route, id string
 	// subject identifies the request if it crashes upstreams; the zero value if the host
 	// that planned the call did not send it.
-	subject policy.Subject
+	subject policy.RequestIdentity
 	// upstream is the name that the upstream must have to run the request.
 	upstream string
 	// left is the time until the deadline.
@@ -216,7 +216,7 @@
 func judge(c *call, a *answer, err error) runner.Reply[*answer] {
 	switch {
 	case errors.Is(err, errCrossed) || errors.Is(err, wire.ErrTooLarge):
-		return runner.Reply[*answer]{Outcome: policy.CallGarbage}
+		return runner.Reply[*answer]{Outcome: policy.CallMalformed}
 	case err != nil:
 		return runner.Reply[*answer]{Outcome: policy.CallBroken}
 	}
@@ -227,7 +227,7 @@
 	case a.header.Get(c.headers.NotRun) != "":
 		out.Outcome = policy.CallShed
 	case a.status < http.StatusMultipleChoices && a.header.Get(c.headers.Stamp) == "":
-		out.Outcome, out.Part = policy.CallGarbage, nil
+		out.Outcome, out.Part = policy.CallMalformed, nil
 	case a.status < http.StatusMultipleChoices || a.status < http.StatusInternalServerError && !c.gathered && !promisesNotRun(a.status):
 		out.Outcome = policy.CallOK
 	default:
--- a/tier/pass/conn.go
+++ b/tier/pass/conn.go
@@ -33,7 +33,7 @@
 	// until the other idle connections are closed: longer than upstreams pause, and no
 	// longer than an unwanted call lingers that shows it. Without it, one request after
 	// another is sent on connections that have all gone silent without a reset.
-	silentCallBound = policy.LingerFor
+	silentCallBound = policy.LingerDuration
 )
 
 // conn is one connection to an upstream. One request is on it at a time.
--- a/tier/pass/coordinate_server.go
+++ b/tier/pass/coordinate_server.go
@@ -72,7 +72,7 @@
 	now := e.kernel.Now()
 	q := &request{
 		engine: e, view: e.kernel.View(),
-		in: inbound{id: in.RequestID, hostName: in.HostName, path: in.Path, method: in.Method, subject: policy.Subject{Caller: in.Caller}},
+		in: inbound{id: in.RequestID, hostName: in.HostName, path: in.Path, method: in.Method, subject: policy.RequestIdentity{Caller: in.Caller}},
 		times: requestTimes{
 			begun:    now - max(time.Duration(in.SpentMicros)*time.Microsecond, 0),
 			deadline: now + time.Duration(in.LeftMillis)*time.Millisecond,
--- a/tier/pass/coordinate_test.go
+++ b/tier/pass/coordinate_test.go
@@ -109,7 +109,7 @@
 
 // carried reports whether the host has made calls for a request.
 func (h *host) carried() bool {
-	near, _ := h.kernel.Fleet.RoutedPools("Find")
+	near, _ := h.kernel.Fleet.RoutedLatencyPools("Find")
 	return near.Count() > 0
 }
 
--- a/tier/pass/coordinators.go
+++ b/tier/pass/coordinators.go
@@ -59,7 +59,7 @@
 // coordinator picks the host that is to carry the request out; false for this one.
 func (q *request) coordinator(tried map[string]bool) (policy.Candidate, bool) {
 	e := q.engine
-	carriers := e.placement(q.view).Carriers(*e.coordinators.candidates.Load(), q.route.Homes)
+	carriers := e.placement(q.view).AllowedHosts(*e.coordinators.candidates.Load(), q.route.Homes)
 	best := policy.Coordinators(e.self(), e.hosts.candidates(carriers, e.kernel.Now(), tried))
 	if len(best) == 0 {
 		return policy.Candidate{}, false
--- a/tier/pass/engine.go
+++ b/tier/pass/engine.go
@@ -127,7 +127,7 @@
 	granted := e.kernel.Fleet.Apply(e.kernel.Now(), shares)
 	e.links.replace(all, e.kernel.Now)
 	// The control thread carries no traffic.
-	go policy.Deliver(granted)
+	go policy.NotifyGranted(granted)
 }
 
 // shareSome sets the shares and links of upstreams that were listed, changed or removed.
@@ -146,7 +146,7 @@
 	}
 	granted := e.kernel.Fleet.Update(e.kernel.Now(), shares, gone)
 	e.links.update(listed, gone, e.kernel.Now)
-	go policy.Deliver(granted)
+	go policy.NotifyGranted(granted)
 }
 
 // link returns the link to an upstream; nil if it is not listed.
--- a/tier/pass/inbound.go
+++ b/tier/pass/inbound.go
@@ -34,7 +34,7 @@
 	head, body []byte
 	// subject identifies the request if it crashes upstreams; its fingerprint is empty
 	// until the request is read.
-	subject policy.Subject
+	subject policy.RequestIdentity
 }
 
 // setContent sets what the request asks for, and the fingerprint of that.
@@ -156,11 +156,11 @@
 }
 
 // contentOf returns what a request asks for, read from the head that headOf wrote.
-func contentOf(head, body []byte) policy.Content {
+func contentOf(head, body []byte) policy.RequestContent {
 	line, rest, _ := strings.Cut(string(head), "\r\n")
 	method, line, _ := strings.Cut(line, " ")
 	host, _, _ := strings.Cut(strings.TrimPrefix(rest, "Host: "), "\r\n")
-	return policy.Content{Method: method, Target: strings.TrimSuffix(line, " HTTP/1.1"), HostName: host, Body: body}
+	return policy.RequestContent{Method: method, Target: strings.TrimSuffix(line, " HTTP/1.1"), HostName: host, Body: body}
 }
 
 // headOf writes the request line and the headers that all upstreams get alike.
--- a/tier/pass/inbound_test.go
+++ b/tier/pass/inbound_test.go
@@ -16,6 +16,6 @@
 		r := httptest.NewRequest("POST", target, strings.NewReader("body"))
 		r.Host = "shop.example"
 		got := contentOf(headOf(r, &names, 4), []byte("body"))
-		assert.DeepEqual(t, got, policy.Content{Method: "POST", HostName: "shop.example", Target: target, Body: []byte("body")})
+		assert.DeepEqual(t, got, policy.RequestContent{Method: "POST", HostName: "shop.example", Target: target, Body: []byte("body")})
 	}
 }
--- a/tier/pass/outcome.go
+++ b/tier/pass/outcome.go
@@ -75,8 +75,8 @@
 	out := make([]string, 0, len(missing))
 	for _, m := range missing {
 		text := q.plan.groups[m.Part] + " " + string(m.Reason) + " " + strconv.Itoa(m.Sends)
-		if m.Unhedged != "" {
-			text += " " + string(m.Unhedged)
+		if m.HedgeSkipped != "" {
+			text += " " + string(m.HedgeSkipped)
 		}
 		out = append(out, text)
 	}
--- a/tier/pass/plan.go
+++ b/tier/pass/plan.go
@@ -42,7 +42,7 @@
 	names, absent := make([][]string, len(groups)), make([]query.Reason, len(groups))
 	placement := e.placement(v)
 	for i, g := range groups {
-		names[i], absent[i] = placement.Usable(g, r.Homes)
+		names[i], absent[i] = placement.AllowedUpstreams(g, r.Homes)
 	}
 	p := plan{groups: groups, replicas: e.kernel.Fleet.Resolve(names), absent: absent}
 	for _, us := range p.replicas {
--- a/tier/pass/refuse.go
+++ b/tier/pass/refuse.go
@@ -38,7 +38,7 @@
 // quarantined refuses a request that crashes upstreams, and reports whether it did.
 func (q *request) quarantined(w http.ResponseWriter) bool {
 	k := q.engine.kernel
-	verdict, left := k.Fleet.Judge(k.Now(), q.in.subject)
+	verdict, left := k.Fleet.Verdict(k.Now(), q.in.subject)
 	if verdict != policy.VerdictQuarantined {
 		return false
 	}
--- a/tier/pass/relay_client.go
+++ b/tier/pass/relay_client.go
@@ -21,7 +21,7 @@
 const (
 	// hedgesDue is when the first sign is due for a batch of hedges, of which each call
 	// is reported as it ends: upstreams that pause answer within that time.
-	hedgesDue = policy.LingerFor
+	hedgesDue = policy.LingerDuration
 	// firstReplyReserve is how much earlier than the hedges of its calls the first reply to
 	// a batch is due: when replies came just after the hedges, there were 27% extra calls.
 	firstReplyReserve = 4 * time.Millisecond
@@ -288,7 +288,7 @@
 // for all of them.
 func (s *sentBatch) report(g *batchReply) {
 	k := s.request.engine.kernel
-	k.Fleet.TakeConditions(k.Now(), s.hall(), g.Conditions)
+	k.Fleet.SetConditions(k.Now(), s.hall(), g.Conditions)
 	b := &block{records: g.Records, stamps: map[int]string{}}
 	if g.Cut > 0 {
 		b.leftOut = &leftOutAt{relay: s.relay, at: recordsRequest{ID: s.in.ID, Cut: g.Cut}}
--- a/tier/pass/relay_server.go
+++ b/tier/pass/relay_server.go
@@ -35,7 +35,7 @@
 	// subject identifies the request if it crashes upstreams. Its caller is unknown
 	// here, and its fingerprint is made from the head: to send both would add a tenth
 	// to the bytes between regions.
-	subject policy.Subject
+	subject policy.RequestIdentity
 	// begun is when the calls began, firstDue when the first reply is due, deadline
 	// when the calls end.
 	begun, firstDue, deadline time.Duration
@@ -113,9 +113,9 @@
 	if err != nil {
 		return nil, err
 	}
-	linger := policy.LingerFor
-	verdict, _ := e.kernel.Fleet.Judge(e.kernel.Now(), b.subject)
-	if in.CallerGone || verdict != policy.VerdictSound {
+	linger := policy.LingerDuration
+	verdict, _ := e.kernel.Fleet.Verdict(e.kernel.Now(), b.subject)
+	if in.CallerGone || verdict != policy.VerdictClean {
 		linger = 0
 	}
 	b.stop(linger)
@@ -148,12 +148,12 @@
 
 // subjectOf identifies the request of a batch; the zero value while no request is
 // suspected of anything.
-func (e *engine) subjectOf(in *batchRequest) policy.Subject {
+func (e *engine) subjectOf(in *batchRequest) policy.RequestIdentity {
 	if !e.kernel.Fleet.HasSuspects() {
-		return policy.Subject{}
+		return policy.RequestIdentity{}
 	}
 	content := contentOf([]byte(in.Head), in.Body)
-	return policy.Subject{Fingerprint: content.Fingerprint()}
+	return policy.RequestIdentity{Fingerprint: content.Fingerprint()}
 }
 
 // call makes one call within this host's slots.
@@ -174,7 +174,7 @@
 		b.mu.Lock()
 		c.upstream = u
 		b.mu.Unlock()
-		k.Fleet.Sent(started, u)
+		k.Fleet.RecordSent(started, u)
 		reply = b.exchange(ctx, l, u)
 		b.freeSlot(i, c, &reply, started)
 	}
@@ -205,13 +205,13 @@
 func (b *servedBatch) freeSlot(i int, c *servedCall, r *runner.Reply[*answer], started time.Duration) {
 	k := b.engine.kernel
 	now := k.Now()
-	near, _ := k.Fleet.RoutedPools(b.in.Route)
+	near, _ := k.Fleet.RoutedLatencyPools(b.in.Route)
 	b.mu.Lock()
 	delete(b.calls, i)
 	lingering := c.lingering
 	b.mu.Unlock()
-	policy.Deliver(k.Fleet.Finish(now, policy.Call{
-		Upstream: c.upstream, Pool: near, Outcome: r.Outcome, Took: now - started, Load: r.Load, Crowded: r.Crowded,
+	policy.NotifyGranted(k.Fleet.Finish(now, policy.Call{
+		Upstream: c.upstream, Pool: near, Outcome: r.Outcome, Took: now - started, Load: r.Load, NewConnReset: r.Crowded,
 		Lingering: lingering,
 	}))
 }
@@ -241,7 +241,7 @@
 	b.stopped = true
 	b.forget()
 	for _, c := range b.calls {
-		if linger > 0 && c.upstream != nil && b.engine.kernel.Fleet.Linger(c.upstream) {
+		if linger > 0 && c.upstream != nil && b.engine.kernel.Fleet.TryLinger(c.upstream) {
 			c.lingering = true
 			time.AfterFunc(linger, c.cancel)
 			continue
--- a/tier/pass/run.go
+++ b/tier/pass/run.go
@@ -14,7 +14,7 @@
 // Take and Ended with what became of them.
 func (q *request) run(ctx context.Context) (policy.Result, error) {
 	k := q.engine.kernel
-	near, far := k.Fleet.RoutedPools(q.route.Name)
+	near, far := k.Fleet.RoutedLatencyPools(q.route.Name)
 	spent := k.Now() - q.times.begun
 	stop := context.AfterFunc(ctx, func() { q.callerGone.Store(true) })
 	defer stop()
@@ -22,11 +22,11 @@
 		Kernel: k, Caller: q,
 		Run: policy.RunConfig{
 			Fleet: k.Fleet, Pool: near, Class: q.remainingClass(spent), Deadline: q.times.deadline,
-			Replicas: q.plan.replicas, Repeatable: q.route.Repeatable, Subject: q.in.subject,
-			Routed: &policy.Routed{
+			Replicas: q.plan.replicas, Repeatable: q.route.Repeatable, Identity: q.in.subject,
+			Routed: &policy.RoutedConfig{
 				Groups: q.plan.groups, FarPool: far, MaxAttempts: q.route.MaxAttempts,
-				Objective: max(time.Duration(q.route.Objective)-spent, 0), Hall: q.plan.hall,
-				Relayed: q.route.Gather != nil, Absent: q.plan.absent,
+				Objective: max(time.Duration(q.route.Objective)-spent, 0), PreferredHall: q.plan.hall,
+				CanRelay: q.route.Gather != nil, NoUpstreamReasons: q.plan.absent,
 			},
 		},
 	}, ctx.Done())
--- a/tier/pass/serve.go
+++ b/tier/pass/serve.go
@@ -75,7 +75,7 @@
 	e.kernel.Wake()
 	q := &request{
 		engine: e, times: requestTimes{begun: e.kernel.Now()},
-		in: inbound{id: r.Header.Get(e.headers.RequestID), method: r.Method, subject: policy.Subject{Caller: callerOf(r)}},
+		in: inbound{id: r.Header.Get(e.headers.RequestID), method: r.Method, subject: policy.RequestIdentity{Caller: callerOf(r)}},
 	}
 	configured := e.start.await(r.Context(), startBound-e.kernel.Now())
 	q.view = e.kernel.View()
--- a/tier/pass/shares.go
+++ b/tier/pass/shares.go
@@ -67,7 +67,7 @@
 	return hostCounts{
 		hosts: max(float64(staying)/float64(own), leastHosts), hall: max(float64(hall)/float64(own), leastInHall),
 		known:        max(float64(len(capacities)+1), leastHosts),
-		coordinating: max(policy.RetryShares(own, capacities), leastHosts),
+		coordinating: max(policy.RetryBudgetDivisor(own, capacities), leastHosts),
 	}
 }
 
@@ -84,8 +84,8 @@
 func (b *shareBasis) retryBudgets() policy.RetryBudgets {
 	ratio, slack, window := b.retryBudget.Ratio, b.retryBudget.Slack*slackShare, b.retryBudget.Window
 	return policy.RetryBudgets{
-		Shards:  policy.ShareRetryBudget(ratio, slack, b.coordinating).Within(window),
-		Single:  policy.ShareRetryBudget(ratio, slack, b.known).Within(window),
+		Shards:  policy.ShareRetryBudget(ratio, slack, b.coordinating).WithWindow(window),
+		Single:  policy.ShareRetryBudget(ratio, slack, b.known).WithWindow(window),
 		IsShard: b.index.Shards(),
 	}
 }
@@ -105,6 +105,6 @@
 	return policy.Share{
 		Name: l.Name, Slots: max(int(burstShare*part*float64(connections)/hosts), 1),
 		Leaving: l.Leaving || b.directory.Evacuated(l.Hall),
-		Listed:  true, Hall: l.Hall, Near: near, Born: l.Born, Cold: e.coldOf(l, b),
+		Listed:  true, Hall: l.Hall, Near: near, StartedMillis: l.Born, Cold: e.coldOf(l, b),
 	}
 }
--- a/tier/pass/warmup.go
+++ b/tier/pass/warmup.go
@@ -13,7 +13,7 @@
 	out := policy.Cold{Remaining: time.Duration(l.Warmup), Revision: l.Revision, Sequence: l.Sequence, Evacuated: b.directory.Evacuated(l.Hall)}
 	if g := b.index.Group(l.Group); g != nil {
 		s := &e.kernel.Settings
-		out.Warmup, out.Calls = time.Duration(g.Warmup), policy.ColdCalls(g.ColdRate, s.ColdFactor, s.ColdSlack)
+		out.Warmup, out.CallLimit = time.Duration(g.Warmup), policy.ColdCallLimit(g.ColdRate, s.ColdFactor, s.ColdSlack)
 	}
 	return out
 }
@@ -21,7 +21,7 @@
 // assignCold assigns each cold upstream that can handle a bounded number of calls to
 // one host of its hall; it runs on the control thread.
 func (e *engine) assignCold(v *kernel.View) {
-	cold := e.kernel.Fleet.ThrottledCold(e.kernel.Now())
+	cold := e.kernel.Fleet.ThrottledUpstreams(e.kernel.Now())
 	if len(cold) == 0 {
 		return
 	}
--- a/tier/peers/reader.go
+++ b/tier/peers/reader.go
@@ -128,7 +128,7 @@
 func (r *readerRanking) compare(a, b string) int {
 	return cmp.Or(
 		cmp.Compare(r.weakness(a), r.weakness(b)),
-		cmp.Compare(policy.Affinity(watchKey, a), policy.Affinity(watchKey, b)),
+		cmp.Compare(policy.RendezvousHash(watchKey, a), policy.RendezvousHash(watchKey, b)),
 		cmp.Compare(a, b),
 	)
 }
--- a/tier/peers/shares.go
+++ b/tier/peers/shares.go
@@ -17,7 +17,7 @@
 	}
 	all := make([]ranked, 0, len(hosts))
 	for _, h := range hosts {
-		all = append(all, ranked{h, policy.Affinity(key, h)})
+		all = append(all, ranked{h, policy.RendezvousHash(key, h)})
 	}
 	slices.SortFunc(all, func(a, b ranked) int {
 		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.host, b.host))
--- a/tier/peers/strikes.go
+++ b/tier/peers/strikes.go
@@ -66,8 +66,8 @@
 }
 
 func (m *strikesMessage) check() error {
-	if len(m.Reports) > policy.ReportsMost {
-		return fmt.Errorf("%w: %d requests: send %d at most", errBadStrikes, len(m.Reports), policy.ReportsMost)
+	if len(m.Reports) > policy.MaxReports {
+		return fmt.Errorf("%w: %d requests: send %d at most", errBadStrikes, len(m.Reports), policy.MaxReports)
 	}
 	for i := range m.Reports {
 		r := &m.Reports[i]
@@ -157,7 +157,7 @@
 	if len(reports) == 0 {
 		return
 	}
-	if len(reports) == policy.ReportsMost {
+	if len(reports) == policy.MaxReports {
 		s.notify(false) // there may be more
 	}
 	for i := range reports {
@@ -171,7 +171,7 @@
 
 func (s *strikeReporter) logReport(r *policy.SuspectReport) {
 	k := s.kernel
-	verdict := k.Fleet.Worst(k.Now(), r.Fingerprint)
+	verdict := k.Fleet.WorstVerdict(k.Now(), r.Fingerprint)
 	metrics.GetOrCreateCounter(`loomgap_suspects_total{Verdict="` + string(verdict) + `"}`).Inc()
 	var upstreams, callers []string
 	for _, strike := range r.Crashes {
@@ -263,6 +263,6 @@
 	if err := m.check(); err != nil {
 		return err
 	}
-	s.kernel.Fleet.TakeReports(s.kernel.Now(), m.Reports)
+	s.kernel.Fleet.MergeReports(s.kernel.Now(), m.Reports)
 	return nil
 }
--- a/tier/peers/strikes_test.go
+++ b/tier/peers/strikes_test.go
@@ -130,7 +130,7 @@
 func (n *strikeNet) suspected(f policy.Fingerprint) int {
 	count := 0
 	for _, k := range n.kernels {
-		if k.Fleet.Worst(k.Now(), f) != policy.VerdictSound {
+		if k.Fleet.WorstVerdict(k.Now(), f) != policy.VerdictClean {
 			count++
 		}
 	}
@@ -139,8 +139,8 @@
 
 // seeStrike has a host see a strike, as if told of it by itself.
 func seeStrike(k *kernel.Kernel, f policy.Fingerprint, id uint64) {
-	k.Fleet.TakeReports(k.Now(), []policy.SuspectReport{{Fingerprint: f, Crashes: []policy.CrashReport{{
-		ID: id, Attempt: id, Upstream: "U", Left: time.Hour,
+	k.Fleet.MergeReports(k.Now(), []policy.SuspectReport{{Fingerprint: f, Crashes: []policy.CrashReport{{
+		ID: id, Attempt: id, Upstream: "U", Remaining: time.Hour,
 	}}}})
 }
 
@@ -199,12 +199,12 @@
 		seeStrike(n.kernels["H0"], "F", 1)
 		time.Sleep(time.Second)
 		away := n.kernels["H3"]
-		assert.Equal(t, away.Fleet.Worst(away.Now(), "F"), policy.VerdictSound)
+		assert.Equal(t, away.Fleet.WorstVerdict(away.Now(), "F"), policy.VerdictClean)
 		n.cutOff("H3", false)
 		started := n.add(t, 7, n.kernels["H0"].View().Members)
 		time.Sleep(3 * time.Second)
 		for _, k := range []*kernel.Kernel{away, started} {
-			assert.Equal(t, k.Fleet.Worst(k.Now(), "F"), policy.VerdictSuspected, k.Settings.Host)
+			assert.Equal(t, k.Fleet.WorstVerdict(k.Now(), "F"), policy.VerdictSuspected, k.Settings.Host)
 		}
 	})
 }
@@ -226,7 +226,7 @@
 		{"cut off", `{"Reports":[`, false},
 		{"no fingerprint", `{"Reports":[{"Strikes":[]}]}`, false},
 		{"a long fingerprint", `{"Reports":[{"Fingerprint":"` + strings.Repeat("F", maxFingerprint+1) + `"}]}`, false},
-		{"too many requests", `{"Reports":[` + many(policy.ReportsMost+1, report) + `]}`, false},
+		{"too many requests", `{"Reports":[` + many(policy.MaxReports+1, report) + `]}`, false},
 		{"too many strikes", `{"Reports":[{"Fingerprint":"F","Strikes":[` + many(maxReportedStrikes+1, `{"ID":1,"Left":1000}`) + `]}]}`, false},
 		{"a caller that is none", `{"Reports":[{"Fingerprint":"F","Strikes":[{"ID":1,"Caller":"nobody"}]}]}`, false},
 	}
@@ -240,7 +240,7 @@
 					return
 				}
 				assert.ErrorIs(t, err, errBadStrikes)
-				assert.Equal(t, k.Fleet.Worst(k.Now(), "F"), policy.VerdictSound)
+				assert.Equal(t, k.Fleet.WorstVerdict(k.Now(), "F"), policy.VerdictClean)
 			})
 		})
 	}
--- a/tier/policy/action.go
+++ b/tier/policy/action.go
@@ -11,13 +11,13 @@
 	ActionSend ActionKind = "Send"
 	// ActionCancel asks for a sent attempt to be given up.
 	ActionCancel ActionKind = "Cancel"
-	// ActionLinger asks for a sent attempt to be given up after LingerFor: its answer
+	// ActionLinger asks for a sent attempt to be given up after LingerDuration: its answer
 	// is not wanted, but shows when the upstream answers again.
 	ActionLinger ActionKind = "Linger"
-	// ActionTake asks for the attempt's part to be merged into the answer.
-	ActionTake ActionKind = "Take"
-	// ActionFree asks for Fleet.Free: a slot was granted and is not wanted.
-	ActionFree ActionKind = "Free"
+	// ActionMerge asks for the attempt's part to be merged into the answer.
+	ActionMerge ActionKind = "Take"
+	// ActionReleaseSlot asks for Fleet.ReleaseSlot: a slot was granted and is not wanted.
+	ActionReleaseSlot ActionKind = "Free"
 	// ActionFinish asks for the answer to be given now. It comes once.
 	ActionFinish ActionKind = "Finish"
 )
@@ -31,7 +31,7 @@
 	Part     int
 	Upstream *Upstream
 	// Pool is where the latency of a sent attempt belongs.
-	Pool *Pool
+	Pool *LatencyPool
 	// HedgeIn is how long after it was sent an attempt is hedged; 0 if it will not be.
 	HedgeIn time.Duration
 	// Outcome is what a cancelled attempt is to be reported as.
--- a/tier/policy/attempt.go
+++ b/tier/policy/attempt.go
@@ -114,7 +114,7 @@
 }
 
 // cancel gives up all attempts of a part. One whose answer shows when its upstream
-// answers again goes on for LingerFor.
+// answers again goes on for LingerDuration.
 func (r *Run) cancel(i int, o CallOutcome, out []Action) []Action {
 	p := &r.parts[i]
 	for _, n := range p.live {
--- a/tier/policy/budget_test.go
+++ b/tier/policy/budget_test.go
@@ -59,7 +59,7 @@
 		for _, c := range capacities {
 			f := NewFleet(FleetConfig{Random: r})
 			f.SetRetryBudgets(RetryBudgets{
-				Shards: ShareRetryBudget(ratio, slack, RetryShares(c, capacities[1:])),
+				Shards: ShareRetryBudget(ratio, slack, RetryBudgetDivisor(c, capacities[1:])),
 				Single: ShareRetryBudget(ratio, slack, single(c)), IsShard: map[string]bool{"Shard": true},
 			})
 			hosts = append(hosts, f)
@@ -79,7 +79,7 @@
 		}
 		return float64(len(taken)) / float64(asked), mostWithin(taken, window), ratio*perSecond*window.Seconds() + slack
 	}
-	asShards, _, _ := replay(func(own int) float64 { return RetryShares(own, capacities[1:]) })
+	asShards, _, _ := replay(func(own int) float64 { return RetryBudgetDivisor(own, capacities[1:]) })
 	alike, most, bound := replay(func(int) float64 { return strong + weak })
 	t.Logf("hedges let through: %.2f divided as that of shards, %.2f among all alike; %d of %.0f in %s", asShards, alike, most, bound, window)
 	assert.Assert(t, alike > 0.95 && asShards < 0.8)
--- a/tier/policy/calls.go
+++ b/tier/policy/calls.go
@@ -6,28 +6,28 @@
 )
 
 // Finish gives the slot of a call back and learns from its outcome. The
-// waiters that got a slot are returned, for Deliver.
+// waiters that got a slot are returned, for NotifyGranted.
 func (f *Fleet) Finish(now time.Duration, c Call) []*Waiter {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c.Upstream.learn(now, c)
-	if c.Elsewhere {
+	if c.Relayed {
 		return nil
 	}
 	c.Upstream.slots.inUse--
 	return c.Upstream.grant(now)
 }
 
-// Free gives an unused slot back.
-func (f *Fleet) Free(now time.Duration, u *Upstream) []*Waiter {
+// ReleaseSlot gives an unused slot back.
+func (f *Fleet) ReleaseSlot(now time.Duration, u *Upstream) []*Waiter {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	u.slots.inUse--
 	return u.grant(now)
 }
 
-// Sent notes that a call is sent to an upstream now.
-func (f *Fleet) Sent(now time.Duration, u *Upstream) {
+// RecordSent notes that a call is sent to an upstream now.
+func (f *Fleet) RecordSent(now time.Duration, u *Upstream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	u.stall.sent(now)
@@ -41,25 +41,25 @@
 	return u.stalled(now)
 }
 
-// Linger reports whether a call whose answer is not wanted any more may go on for a
+// TryLinger reports whether a call whose answer is not wanted any more may go on for a
 // while; Finish is then called with Lingering set.
-func (f *Fleet) Linger(u *Upstream) bool {
+func (f *Fleet) TryLinger(u *Upstream) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return u.linger()
 }
 
-// Lingered releases what Linger took for a call that ended before it could linger.
-func (f *Fleet) Lingered(u *Upstream) {
+// CancelLinger releases what Linger took for a call that ended before it could linger.
+func (f *Fleet) CancelLinger(u *Upstream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	u.stall.lingering = false
 }
 
-// Enter asks for a slot outside a run, as for a call on another host's behalf.
+// AcquireOrQueue asks for a slot outside a run, as for a call on another host's behalf.
 // It reports whether the slot was granted at once, or else whether the waiter
 // is queued.
-func (f *Fleet) Enter(w *Waiter) (granted, queued bool) {
+func (f *Fleet) AcquireOrQueue(w *Waiter) (granted, queued bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return w.Upstream.enter(w)
@@ -70,7 +70,7 @@
 func (f *Fleet) Acquire(ctx context.Context, u *Upstream, deadline time.Duration, now func() time.Duration) bool {
 	got := make(chan struct{})
 	w := &Waiter{Upstream: u, Deadline: deadline, Granted: func() { close(got) }}
-	granted, queued := f.Enter(w)
+	granted, queued := f.AcquireOrQueue(w)
 	if !queued {
 		return granted
 	}
--- a/tier/policy/choose.go
+++ b/tier/policy/choose.go
@@ -33,7 +33,7 @@
 // leastTime takes the replica whose own calls suggest the earliest answer.
 type leastTime struct{}
 
-func (leastTime) score(now time.Duration, u *Upstream, p *Pool, r Random) float64 {
+func (leastTime) score(now time.Duration, u *Upstream, p *LatencyPool, r Random) float64 {
 	latency := u.latency.or(p.median())
 	score := latency.Seconds() * (1 + u.slots.ahead()) * jitter(r)
 	if u.outlier.marked || u.backoff.active(now) {
@@ -48,12 +48,14 @@
 // random takes any replica: the baseline.
 type random struct{}
 
-func (random) score(_ time.Duration, _ *Upstream, _ *Pool, r Random) float64 { return r.Float64() }
+func (random) score(_ time.Duration, _ *Upstream, _ *LatencyPool, r Random) float64 {
+	return r.Float64()
+}
 
 // first takes the first replica that is not ejected.
 type first struct{}
 
-func (first) score(now time.Duration, u *Upstream, _ *Pool, _ Random) float64 {
+func (first) score(now time.Duration, u *Upstream, _ *LatencyPool, _ Random) float64 {
 	if u.ejection.active(now) {
 		return ejectedPenalty
 	}
@@ -73,7 +75,7 @@
 // compares with others, the calls ahead of a new one, and its faults.
 type leastLatency struct{}
 
-func (leastLatency) score(now time.Duration, u *Upstream, p *Pool, r Random) float64 {
+func (leastLatency) score(now time.Duration, u *Upstream, p *LatencyPool, r Random) float64 {
 	slowness, faults := u.condition.expected(now, u.Name)
 	latency := p.median().Seconds() * slowness
 	ahead := u.slots.ahead() + u.load.ahead(now)
--- a/tier/policy/class.go
+++ b/tier/policy/class.go
@@ -24,7 +24,7 @@
 type classRules struct {
 	fleet *Fleet
 	// pool holds the latencies of the service.
-	pool  *Pool
+	pool  *LatencyPool
 	class *config.Class
 }
 
@@ -64,7 +64,7 @@
 
 func (c *classRules) hallFactor(*Upstream) float64 { return 1 }
 
-func (c *classRules) poolOf(*Upstream) *Pool { return c.pool }
+func (c *classRules) poolOf(*Upstream) *LatencyPool { return c.pool }
 
 func (c *classRules) absence(time.Duration, int, *part) query.Reason { return query.ReasonUnreachable }
 
--- a/tier/policy/cold.go
+++ b/tier/policy/cold.go
@@ -25,17 +25,17 @@
 	Revision, Sequence uint64
 	// Warmup is how long it may be cold after its hall was evacuated.
 	Warmup time.Duration
-	// Calls is the most calls that it can handle within a second while it is cold, from
+	// CallLimit is the most calls that it can handle within a second while it is cold, from
 	// all hosts together; 0 for no bound.
-	Calls int
+	CallLimit int
 	// Evacuated is true while its hall is evacuated.
 	Evacuated bool
 }
 
-// ColdCalls returns how many calls a cold upstream may get within a second from all
+// ColdCallLimit returns how many calls a cold upstream may get within a second from all
 // hosts together: its rate times a factor, and a slack besides; 0 if it has no rate,
 // which is no bound.
-func ColdCalls(rate, factor, slack float64) int {
+func ColdCallLimit(rate, factor, slack float64) int {
 	if rate <= 0 {
 		return 0
 	}
@@ -77,7 +77,7 @@
 
 func (c *cold) active(now time.Duration) bool { return now < c.until }
 
-func (c *cold) throttled(now time.Duration) bool { return c.entry.Calls > 0 && c.active(now) }
+func (c *cold) throttled(now time.Duration) bool { return c.entry.CallLimit > 0 && c.active(now) }
 
 // ownerAt is the host that makes the calls now; empty if any may.
 func (c *cold) ownerAt(now time.Duration) string {
@@ -88,7 +88,7 @@
 }
 
 // limit is how many calls the owner sends within coldWindow.
-func (c *cold) limit() int { return max(c.entry.Calls/coldOwners, 1) }
+func (c *cold) limit() int { return max(c.entry.CallLimit/coldOwners, 1) }
 
 // admits reports whether this host, as the owner, may send one more call now.
 func (c *cold) admits(now time.Duration) bool {
--- a/tier/policy/cold_test.go
+++ b/tier/policy/cold_test.go
@@ -18,14 +18,14 @@
 		{0, 1.5, 5, 0}, {1, 1.5, 5, 6}, {4, 1.5, 5, 11}, {40, 1.5, 5, 65}, {0.1, 1, 0, 1}, {-1, 1.5, 5, 0},
 	}
 	for _, tt := range tests {
-		assert.Equal(t, ColdCalls(tt.rate, tt.factor, tt.slack), tt.want, "%+v", tt)
+		assert.Equal(t, ColdCallLimit(tt.rate, tt.factor, tt.slack), tt.want, "%+v", tt)
 	}
 }
 
 // coldFleet is a fleet with one cold upstream of this host's hall.
 func coldFleet(calls int) (*Fleet, *Upstream) {
 	f := NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(1, 2))})
-	share := Share{Name: "U", Slots: 100, Listed: true, Hall: "A", Near: true, Cold: Cold{Remaining: 10 * time.Second, Revision: 1, Calls: calls}}
+	share := Share{Name: "U", Slots: 100, Listed: true, Hall: "A", Near: true, Cold: Cold{Remaining: 10 * time.Second, Revision: 1, CallLimit: calls}}
 	f.Apply(time.Minute, []Share{share})
 	return f, f.Find("U")
 }
--- a/tier/policy/coldowner.go
+++ b/tier/policy/coldowner.go
@@ -20,7 +20,7 @@
 		return ""
 	}
 	return slices.MinFunc(hosts, func(a, b Candidate) int {
-		return cmp.Compare(Affinity(upstream, a.Host), Affinity(upstream, b.Host))
+		return cmp.Compare(RendezvousHash(upstream, a.Host), RendezvousHash(upstream, b.Host))
 	}).Host
 }
 
@@ -46,8 +46,8 @@
 	delete(f.cold, u.Name)
 }
 
-// ThrottledCold names the upstreams that are throttled, with their halls.
-func (f *Fleet) ThrottledCold(now time.Duration) map[string]string {
+// ThrottledUpstreams names the upstreams that are throttled, with their halls.
+func (f *Fleet) ThrottledUpstreams(now time.Duration) map[string]string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := map[string]string{}
--- a/tier/policy/condition_test.go
+++ b/tier/policy/condition_test.go
@@ -16,7 +16,7 @@
 		{CallShed, 0.55},
 		{CallUnreachable, 0.55},
 		{CallFailed, 0.55},
-		{CallGarbage, 0.55},
+		{CallMalformed, 0.55},
 		{CallBroken, 0.55},
 		{CallCrashed, 0.55},
 		{CallLate, 0.5},
--- a/tier/policy/conditions.go
+++ b/tier/policy/conditions.go
@@ -28,9 +28,9 @@
 	return findOrMake(f.conditions, hall, func() *hallConditions { return &hallConditions{at: never} })
 }
 
-// TakeConditions stores a host's report about the upstreams of its hall: those
+// SetConditions stores a host's report about the upstreams of its hall: those
 // that it does not mention do well.
-func (f *Fleet) TakeConditions(now time.Duration, hall string, reported []Condition) {
+func (f *Fleet) SetConditions(now time.Duration, hall string, reported []Condition) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	h := f.hallConditions(hall)
--- a/tier/policy/conditions_test.go
+++ b/tier/policy/conditions_test.go
@@ -13,7 +13,7 @@
 // and comes back once it is not reported any more.
 func TestConditionsAreReportedAndBelieved(t *testing.T) {
 	near := routedFleet(4, RetryBudget{})
-	pool, _ := near.RoutedPools("Find")
+	pool, _ := near.RoutedLatencyPools("Find")
 	finish := func(f *Fleet, name string, took time.Duration) {
 		f.Finish(0, Call{Upstream: f.Find(name), Pool: pool, Outcome: CallOK, Took: took})
 	}
@@ -36,11 +36,11 @@
 		return sends(actions)[1].Upstream.Name
 	}
 	assert.Equal(t, first(0), "N1")
-	far.TakeConditions(0, "A", reported)
+	far.SetConditions(0, "A", reported)
 	assert.Equal(t, first(time.Millisecond), "F1")
-	far.TakeConditions(time.Second, "A", nil)
+	far.SetConditions(time.Second, "A", nil)
 	assert.Equal(t, first(time.Second), "N1")
-	far.TakeConditions(time.Second, "A", reported)
+	far.SetConditions(time.Second, "A", reported)
 	assert.Equal(t, first(time.Second+conditionLife+1), "N1", "an old report is not believed")
 }
 
@@ -52,7 +52,7 @@
 	u.condition.slowness, u.latency.samples, u.condition.seenAt = 20, 5, 0
 	slowness, _ := u.condition.expected(0, u.Name)
 	assert.Equal(t, slowness, 20.0)
-	f.TakeConditions(0, "B", nil)
+	f.SetConditions(0, "B", nil)
 	slowness, _ = u.condition.expected(0, u.Name)
 	assert.Equal(t, slowness, float64(reportSlow))
 }
--- a/tier/policy/coordinator.go
+++ b/tier/policy/coordinator.go
@@ -67,7 +67,7 @@
 		return cmp.Or(
 			cmp.Compare(distance(&self, &a), distance(&self, &b)),
 			cmp.Compare(a.Pending, b.Pending),
-			cmp.Compare(Affinity(self.Host, a.Host), Affinity(self.Host, b.Host)),
+			cmp.Compare(RendezvousHash(self.Host, a.Host), RendezvousHash(self.Host, b.Host)),
 		)
 	})
 	return out
@@ -97,14 +97,14 @@
 	return c.RoundTrip
 }
 
-// Affinity ranks hosts for a key (rendezvous hashing): keys spread over hosts, and
+// RendezvousHash ranks hosts for a key (rendezvous hashing): keys spread over hosts, and
 // each key has the same order of hosts everywhere, the least hash first.
-func Affinity(key, host string) uint64 { return xxhash.Sum64String(key + "\x00" + host) }
+func RendezvousHash(key, host string) uint64 { return xxhash.Sum64String(key + "\x00" + host) }
 
-// RetryShares returns among how many hosts the slack of retries is divided, as
+// RetryBudgetDivisor returns among how many hosts the slack of retries is divided, as
 // one host is to count them: all hosts where they are alike; else the coordinators
 // divide coordinatorSlack of it, and the others the rest. It is above 0.
-func RetryShares(own int, capacities []int) float64 {
+func RetryBudgetDivisor(own int, capacities []int) float64 {
 	all := append(capacities, own)
 	strongest, coordinators := slices.Max(all), 0
 	for _, c := range all {
--- a/tier/policy/coordinator_test.go
+++ b/tier/policy/coordinator_test.go
@@ -85,7 +85,7 @@
 			sum := 0.0
 			for i, own := range capacities {
 				others := append(append([]int{}, capacities[:i]...), capacities[i+1:]...)
-				sum += 1 / RetryShares(own, others)
+				sum += 1 / RetryBudgetDivisor(own, others)
 			}
 			assert.Assert(t, sum > 0.999 && sum < 1.001, "%f", sum)
 		})
--- a/tier/policy/crashreport.go
+++ b/tier/policy/crashreport.go
@@ -34,8 +34,8 @@
 	// CallerOnly is true once an upstream has answered the request to another caller:
 	// the report counts for its own caller only.
 	CallerOnly bool `json:"Narrow,omitempty"`
-	// Left is how long the report still counts.
-	Left time.Duration
+	// Remaining is how long the report still counts.
+	Remaining time.Duration `json:"Left"`
 }
 
 // SuspectReport is all crash reports of one request, as hosts exchange them.
--- a/tier/policy/doc.go
+++ b/tier/policy/doc.go
@@ -10,7 +10,7 @@
 // Fleet.Apply, and makes a Run of each request by NewRun. Run.Begin, Granted, Reply,
 // Wake and GiveUp return actions, which package runner carries out; a call that ended is
 // reported to Fleet.Finish. Types that stand only in fields of these, as ActionKind,
-// HedgeObstacle or CrashReport, are exported so that the fields can be read.
+// HedgeSkipReason or CrashReport, are exported so that the fields can be read.
 //
 // # Owns
 //
--- a/tier/policy/fingerprint.go
+++ b/tier/policy/fingerprint.go
@@ -21,15 +21,15 @@
 // address is no part of it: a caller may have several.
 type Fingerprint string
 
-// Content is what a request and its repeats have in common.
-type Content struct {
+// RequestContent is what a request and its repeats have in common.
+type RequestContent struct {
 	// Method, HostName and Target are of the request line; Target has the query.
 	Method, HostName, Target string
 	Body                     []byte
 }
 
 // Fingerprint returns the fingerprint of the request.
-func (c *Content) Fingerprint() Fingerprint {
+func (c *RequestContent) Fingerprint() Fingerprint {
 	h := sha256.New()
 	for _, text := range []string{c.Method, c.HostName, c.Target} {
 		writeField(h, len(text), []byte(text))
--- a/tier/policy/fingerprint_test.go
+++ b/tier/policy/fingerprint_test.go
@@ -9,8 +9,8 @@
 
 // TestFingerprint changes one thing of a request at a time.
 func TestFingerprint(t *testing.T) {
-	sample := func() *Content {
-		return &Content{
+	sample := func() *RequestContent {
+		return &RequestContent{
 			Method: "GET", HostName: "shop.example",
 			Target: "/find/x?page=1", Body: bytes.Repeat([]byte("a"), fingerprintBody),
 		}
@@ -18,17 +18,17 @@
 	base := sample().Fingerprint()
 	tests := []struct {
 		name   string
-		change func(c *Content)
+		change func(c *RequestContent)
 		same   bool
 	}{
-		{"a repeat", func(*Content) {}, true},
-		{"another method", func(c *Content) { c.Method = "POST" }, false},
-		{"another host name", func(c *Content) { c.HostName = "lab.example" }, false},
-		{"another query", func(c *Content) { c.Target = "/find/x?page=2" }, false},
-		{"fields that join alike", func(c *Content) { c.HostName, c.Target = "shop.example/find", "/x?page=1" }, false},
-		{"another body", func(c *Content) { c.Body[7] = 'b' }, false},
-		{"a longer body", func(c *Content) { c.Body = append(c.Body, 'a') }, false},
-		{"a body that differs beyond what counts", func(c *Content) { c.Body = c.Body[:len(c.Body):len(c.Body)] }, true},
+		{"a repeat", func(*RequestContent) {}, true},
+		{"another method", func(c *RequestContent) { c.Method = "POST" }, false},
+		{"another host name", func(c *RequestContent) { c.HostName = "lab.example" }, false},
+		{"another query", func(c *RequestContent) { c.Target = "/find/x?page=2" }, false},
+		{"fields that join alike", func(c *RequestContent) { c.HostName, c.Target = "shop.example/find", "/x?page=1" }, false},
+		{"another body", func(c *RequestContent) { c.Body[7] = 'b' }, false},
+		{"a longer body", func(c *RequestContent) { c.Body = append(c.Body, 'a') }, false},
+		{"a body that differs beyond what counts", func(c *RequestContent) { c.Body = c.Body[:len(c.Body):len(c.Body)] }, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/tier/policy/fleet.go
+++ b/tier/policy/fleet.go
@@ -17,7 +17,7 @@
 	// throttled.
 	upstreams map[string]*Upstream
 	cold      map[string]*Upstream
-	pools     map[string]*Pool
+	pools     map[string]*LatencyPool
 	classes   map[string]*classState
 	// retries holds what may be spent at each group of a routed request.
 	retries      map[string]*groupRetries
@@ -40,7 +40,7 @@
 		random:     c.Random,
 		upstreams:  map[string]*Upstream{},
 		cold:       map[string]*Upstream{},
-		pools:      map[string]*Pool{},
+		pools:      map[string]*LatencyPool{},
 		classes:    map[string]*classState{},
 		retries:    map[string]*groupRetries{},
 		conditions: map[string]*hallConditions{},
@@ -66,15 +66,15 @@
 	// hall of this host.
 	Hall string
 	Near bool
-	// Born is when the upstream's process started, in milliseconds since 1970 by its own
+	// StartedMillis is when the upstream's process started, in milliseconds since 1970 by its own
 	// clock; 0 if that is not known.
-	Born int64
+	StartedMillis int64
 	// Cold is what is known of the start of a listed upstream.
 	Cold Cold
 }
 
 // Apply sets the shares of all upstreams; one that is not named is forgotten.
-// Waiters that may now go ahead are returned, for Deliver.
+// Waiters that may now go ahead are returned, for NotifyGranted.
 func (f *Fleet) Apply(now time.Duration, shares []Share) []*Waiter {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -93,7 +93,7 @@
 }
 
 // Update sets the shares of some upstreams and forgets others; what it does not name
-// stays as it is. Waiters that may now go ahead are returned, for Deliver.
+// stays as it is. Waiters that may now go ahead are returned, for NotifyGranted.
 func (f *Fleet) Update(now time.Duration, shares []Share, gone []string) []*Waiter {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -111,14 +111,14 @@
 func (f *Fleet) setShare(now time.Duration, s *Share) []*Waiter {
 	u := f.upstreams[s.Name]
 	var granted []*Waiter
-	if u != nil && u.born > 0 && s.Born > u.born {
+	if u != nil && u.born > 0 && s.StartedMillis > u.born {
 		granted, u = u.dismiss(now), nil
 	}
 	if u == nil {
 		u = &Upstream{Name: s.Name, status: status{heardAt: never, readAt: never}}
 		f.upstreams[s.Name] = u
 	}
-	u.born = max(u.born, s.Born)
+	u.born = max(u.born, s.StartedMillis)
 	u.slots.set(s.Slots, s.MaxSlots)
 	u.leaving = s.Leaving || u.gone
 	u.kind, u.near, u.hall = &declaredKind, s.Near, s.Hall
@@ -172,16 +172,16 @@
 	return out
 }
 
-// Pool returns the latency pool of a service, made at first use.
-func (f *Fleet) Pool(service string) *Pool {
+// LatencyPool returns the latency pool of a service, made at first use.
+func (f *Fleet) LatencyPool(service string) *LatencyPool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.pool(service, poolWindow)
 }
 
-// RoutedPools give the latencies of a route's calls within this host's hall and
+// RoutedLatencyPools give the latencies of a route's calls within this host's hall and
 // to others, made at first use.
-func (f *Fleet) RoutedPools(route string) (near, far *Pool) {
+func (f *Fleet) RoutedLatencyPools(route string) (near, far *LatencyPool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	// A route may have the name of a service.
@@ -189,8 +189,8 @@
 }
 
 // pool returns the pool of a name; the fleet is locked.
-func (f *Fleet) pool(name string, window int64) *Pool {
-	return findOrMake(f.pools, name, func() *Pool { return newPool(window) })
+func (f *Fleet) pool(name string, window int64) *LatencyPool {
+	return findOrMake(f.pools, name, func() *LatencyPool { return newPool(window) })
 }
 
 func findOrMake[V any](m map[string]*V, key string, create func() *V) *V {
@@ -208,8 +208,8 @@
 	InUse, Share, Queued int
 	// Latency is the smoothed time of its calls; 0 before the first.
 	Latency time.Duration
-	// Window is the span of index snapshots that it last stated.
-	Window Window
+	// Snapshots is the range of index snapshots that it last stated.
+	Snapshots SnapshotRange
 	// Ejected is true while it is out of rotation after failures, Leaving from the
 	// first sign that it leaves.
 	Ejected, Leaving bool
@@ -227,7 +227,7 @@
 	for _, u := range f.upstreams {
 		out = append(out, UpstreamState{
 			Name: u.Name, InUse: u.slots.inUse, Share: u.slots.share, Queued: u.slots.queue.Len(),
-			Latency: u.latency.smoothed, Window: u.status.window, Ejected: u.ejection.active(now), Leaving: u.leaving,
+			Latency: u.latency.smoothed, Snapshots: u.status.window, Ejected: u.ejection.active(now), Leaving: u.leaving,
 			Evacuated: u.cold.entry.Evacuated, Cold: u.cold.active(now), ColdOwner: u.cold.ownerAt(now),
 		})
 	}
--- a/tier/policy/hedge.go
+++ b/tier/policy/hedge.go
@@ -20,22 +20,22 @@
 	batchHedgeDivisor = 2
 )
 
-// HedgeObstacle says what kept a call from being hedged.
-type HedgeObstacle string
+// HedgeSkipReason says what kept a call from being hedged.
+type HedgeSkipReason string
 
 const (
 	// HedgeNoUpstream means that no other upstream of the part may be asked.
-	HedgeNoUpstream HedgeObstacle = "NoUpstream"
+	HedgeNoUpstream HedgeSkipReason = "NoUpstream"
 	// HedgeNoSlot means that this host's share of the other upstream is in use.
-	HedgeNoSlot HedgeObstacle = "NoSlot"
+	HedgeNoSlot HedgeSkipReason = "NoSlot"
 	// HedgeCold means that the other upstream has not warmed up.
-	HedgeCold HedgeObstacle = "Cold"
+	HedgeCold HedgeSkipReason = "Cold"
 	// HedgeNoBudget means that the retry budget is spent, or that no further
 	// attempt is allowed.
-	HedgeNoBudget HedgeObstacle = "NoBudget"
+	HedgeNoBudget HedgeSkipReason = "NoBudget"
 	// HedgeSuspected means that the request may be one that crashes upstreams, or that
 	// no upstream has answered it and another call is hedged already.
-	HedgeSuspected HedgeObstacle = "Doubted"
+	HedgeSuspected HedgeSkipReason = "Doubted"
 )
 
 // hedge makes a second call for a part whose first is slow, or notes why not.
@@ -52,7 +52,7 @@
 
 // decideHedge decides whether a part gets a second call, and at which upstream, or says
 // why not. The hedge is taken from its budget. There is none into a queue.
-func (r *Run) decideHedge(now time.Duration, i int) (*Upstream, HedgeObstacle) {
+func (r *Run) decideHedge(now time.Duration, i int) (*Upstream, HedgeSkipReason) {
 	if r.suspected() || r.hedgesOneAtATime() && r.hedgeInProgress() {
 		return nil, HedgeSuspected
 	}
@@ -144,8 +144,8 @@
 	a.hedgeAge += a.hedgeAge/batchHedgeDivisor + batchHedgeDelay
 }
 
-// Overdue hedges attempts now that are known to take long.
-func (r *Run) Overdue(now time.Duration, attempts []int) []Action {
+// HedgeNow hedges attempts now that are known to take long.
+func (r *Run) HedgeNow(now time.Duration, attempts []int) []Action {
 	if r.finished {
 		return nil
 	}
--- a/tier/policy/learn.go
+++ b/tier/policy/learn.go
@@ -6,19 +6,19 @@
 type Call struct {
 	Upstream *Upstream
 	// Pool holds the latencies of comparable calls.
-	Pool    *Pool
+	Pool    *LatencyPool
 	Outcome CallOutcome
 	// Took is the time from dispatch to the outcome.
 	Took time.Duration
 	// Load is what the upstream reported with its answer; zero for nothing.
 	Load Load
-	// Elsewhere is true for a call that another host made: it held no slot.
-	Elsewhere bool
+	// Relayed is true for a call that another host made: it held no slot.
+	Relayed bool
 	// Lingering is true for a call that went on though it was not wanted.
 	Lingering bool
-	// Crowded is true for a call whose new connection was reset before any answer:
+	// NewConnReset is true for a call whose new connection was reset before any answer:
 	// the upstream may have reached its bound of connections.
-	Crowded bool
+	NewConnReset bool
 }
 
 // learn updates all that calls show of an upstream. The slot of the call is still in
@@ -42,7 +42,7 @@
 		u.stall.assume(now)
 	case c.Outcome.answered():
 		u.stall.answered(now, u.slots.inUse > 1)
-	case u.slots.inUse <= 1 && !c.Elsewhere:
+	case u.slots.inUse <= 1 && !c.Relayed:
 		// The call had no answer, and no other is under way that could show one.
 		u.stall.unansweredSince = 0
 		u.stall.assume(now)
@@ -89,7 +89,7 @@
 func (u *Upstream) learnSlots(c Call) {
 	s := &u.slots
 	switch {
-	case c.Crowded && u.kind.learnsLimit:
+	case c.NewConnReset && u.kind.learnsLimit:
 		s.limit.reset(s.inUse)
 	case c.Outcome == CallOK:
 		s.limit.succeeded(s.divided())
@@ -101,12 +101,12 @@
 	s.borrowing.succeeded(s.room())
 }
 
-func (u *Upstream) observe(d time.Duration, p *Pool) {
+func (u *Upstream) observe(d time.Duration, p *LatencyPool) {
 	counted, weight := u.latency.observe(d, u.kind.smoothing)
 	u.condition.observeRatio(counted.Seconds()/p.median().Seconds(), weight)
 }
 
-func (u *Upstream) compare(p *Pool) {
+func (u *Upstream) compare(p *LatencyPool) {
 	if u.latency.samples == 0 || !p.known() || !u.kind.comparesLatency {
 		return
 	}
--- a/tier/policy/learn_test.go
+++ b/tier/policy/learn_test.go
@@ -25,7 +25,7 @@
 		{CallMoved, "answered", "answered leaving gone"},
 		{CallSnapshotGone, "answered", "answered"},
 		{CallFailed, "answered failed", "answered failed"},
-		{CallGarbage, "unresponsive failed", "unresponsive failed"},
+		{CallMalformed, "unresponsive failed", "unresponsive failed"},
 		{CallBroken, "unresponsive failed", "unresponsive failed limited"},
 		{CallCrashed, "unresponsive failed", "unresponsive failed"},
 		{CallUnreachable, "unresponsive failed", "unresponsive failed"},
@@ -51,7 +51,7 @@
 		backoff: backoff{sheds: 1, until: now}, stall: stall{unansweredSince: now - time.Second},
 	}
 	p := newPool(poolWindow)
-	u.learn(now, Call{Upstream: &u, Pool: p, Outcome: o, Took: time.Second, Crowded: o == CallBroken})
+	u.learn(now, Call{Upstream: &u, Pool: p, Outcome: o, Took: time.Second, NewConnReset: o == CallBroken})
 	var out []string
 	add := func(changed bool, word string) {
 		if changed {
@@ -75,6 +75,6 @@
 // answer: it may be that host which does not answer.
 func TestCallsOfOtherHostsShowNoStall(t *testing.T) {
 	u := Upstream{kind: &listedKind}
-	u.learn(time.Minute, Call{Upstream: &u, Pool: newPool(poolWindow), Outcome: CallLost, Elsewhere: true})
+	u.learn(time.Minute, Call{Upstream: &u, Pool: newPool(poolWindow), Outcome: CallLost, Relayed: true})
 	assert.Assert(t, !u.stalled(time.Minute))
 }
--- a/tier/policy/outcome.go
+++ b/tier/policy/outcome.go
@@ -29,8 +29,8 @@
 	CallMoved CallOutcome = "Moved"
 	// CallFailed is the upstream's own failure; the call may have run.
 	CallFailed CallOutcome = "Failed"
-	// CallGarbage is a reply that does not belong to the call or cannot be read.
-	CallGarbage CallOutcome = "Garbage"
+	// CallMalformed is a reply that does not belong to the call or cannot be read.
+	CallMalformed CallOutcome = "Garbage"
 	// CallBroken is a connection lost after the request may have left.
 	CallBroken CallOutcome = "Broken"
 	// CallCrashed is a connection lost after the request may have left, and the
@@ -62,7 +62,7 @@
 
 func (o CallOutcome) isFailure() bool {
 	switch o {
-	case CallUnreachable, CallFailed, CallGarbage, CallBroken, CallCrashed, CallLate:
+	case CallUnreachable, CallFailed, CallMalformed, CallBroken, CallCrashed, CallLate:
 		return true
 	default:
 		return false
@@ -87,7 +87,7 @@
 		return query.ReasonSnapshotGone
 	case CallMoved:
 		return query.ReasonMoved
-	case CallGarbage:
+	case CallMalformed:
 		return query.ReasonGarbage
 	case CallLate, CallCancelled, CallNotSent, CallStalled:
 		return query.ReasonLate
--- a/tier/policy/part.go
+++ b/tier/policy/part.go
@@ -25,7 +25,7 @@
 	// hedged is true once a second replica was asked; there is no third.
 	hedged bool
 	// unhedged is why no second replica was asked when it was last considered.
-	unhedged HedgeObstacle
+	unhedged HedgeSkipReason
 	// live are its attempts that are queued or sent and were not given up, the oldest
 	// first.
 	live []int
--- a/tier/policy/placement.go
+++ b/tier/policy/placement.go
@@ -17,9 +17,9 @@
 	Directory *config.Directory
 }
 
-// Barrier returns why an upstream may not get requests of a route with these
+// DenyReason returns why an upstream may not get requests of a route with these
 // homes; empty if it may.
-func (p *Placement) Barrier(l *config.Listing, homes []string) query.Reason {
+func (p *Placement) DenyReason(l *config.Listing, homes []string) query.Reason {
 	switch {
 	case l.Leaving:
 		return query.ReasonUnreachable
@@ -32,14 +32,14 @@
 	}
 }
 
-// Usable names the upstreams of a group that may get requests of a route with
+// AllowedUpstreams names the upstreams of a group that may get requests of a route with
 // these homes, in order of name. If there is none, the reason says why.
-func (p *Placement) Usable(group string, homes []string) (names []string, reason query.Reason) {
+func (p *Placement) AllowedUpstreams(group string, homes []string) (names []string, reason query.Reason) {
 	listed := p.Directory.Group(group)
 	names = make([]string, 0, len(listed))
 	reason = query.ReasonUnreachable
 	for i := range listed {
-		barrier := p.Barrier(&listed[i], homes)
+		barrier := p.DenyReason(&listed[i], homes)
 		if barrier == "" {
 			names = append(names, listed[i].Name)
 			continue
@@ -54,10 +54,10 @@
 	return names, reason
 }
 
-// Carriers returns the candidates that may be handed a request of a route with
+// AllowedHosts returns the candidates that may be handed a request of a route with
 // these homes: by their own halls. The region of the caller may be another than that
 // of the host that it reached, where the caller's own hosts are down, and is ignored.
-func (p *Placement) Carriers(all []Candidate, homes []string) []Candidate {
+func (p *Placement) AllowedHosts(all []Candidate, homes []string) []Candidate {
 	if len(homes) == 0 {
 		return all
 	}
--- a/tier/policy/placement_test.go
+++ b/tier/policy/placement_test.go
@@ -38,7 +38,7 @@
 		atHome := func(hall string) bool {
 			return len(homes) == 0 || regions[hall] != "" && slices.Contains(homes, regions[hall])
 		}
-		names, reason := p.Usable("G", homes)
+		names, reason := p.AllowedUpstreams("G", homes)
 		for _, l := range change.Listed {
 			want := !l.Leaving && !d.Evacuated(l.Hall) && atHome(l.Hall)
 			assert.Equal(t, slices.Contains(names, l.Name), want, "%+v", l)
@@ -48,7 +48,7 @@
 		for _, h := range halls {
 			all = append(all, Candidate{Host: "host of " + h, Hall: h, Capacity: 1})
 		}
-		carriers := p.Carriers(all, homes)
+		carriers := p.AllowedHosts(all, homes)
 		for _, c := range all {
 			assert.Equal(t, slices.Contains(carriers, c), atHome(c.Hall), "%+v", c)
 		}
@@ -69,6 +69,6 @@
 		{config.Listing{Hall: "D"}, query.ReasonAway},
 	}
 	for _, tt := range tests {
-		assert.Equal(t, p.Barrier(&tt.listing, []string{"East"}), tt.want, "%+v", tt.listing)
+		assert.Equal(t, p.DenyReason(&tt.listing, []string{"East"}), tt.want, "%+v", tt.listing)
 	}
 }
--- a/tier/policy/plugin.go
+++ b/tier/policy/plugin.go
@@ -21,7 +21,7 @@
 // chooser scores a replica; the lowest score is chosen.
 type chooser interface {
 	// score is called with the fleet locked. It must not keep u.
-	score(now time.Duration, u *Upstream, p *Pool, r Random) float64
+	score(now time.Duration, u *Upstream, p *LatencyPool, r Random) float64
 }
 
 // admission says how much of the time left may be spent by expected work.
--- a/tier/policy/pool.go
+++ b/tier/policy/pool.go
@@ -33,10 +33,10 @@
 	poolFallback = 10 * time.Millisecond
 )
 
-// Pool holds the latencies of all replicas of one service. A quantile of one
+// LatencyPool holds the latencies of all replicas of one service. A quantile of one
 // upstream would hide that the upstream is slow; the pool's shows it. It is used with
 // the fleet locked.
-type Pool struct {
+type LatencyPool struct {
 	// current and previous are the histograms of the present window and the one before.
 	current  *hdrhistogram.Histogram
 	previous *hdrhistogram.Histogram
@@ -48,8 +48,8 @@
 	quantiles map[float64]time.Duration
 }
 
-func newPool(window int64) *Pool {
-	return &Pool{
+func newPool(window int64) *LatencyPool {
+	return &LatencyPool{
 		current:   hdrhistogram.New(poolLowest, poolHighest, poolDigits),
 		previous:  hdrhistogram.New(poolLowest, poolHighest, poolDigits),
 		quantiles: map[float64]time.Duration{},
@@ -57,7 +57,7 @@
 	}
 }
 
-func (p *Pool) record(d time.Duration) {
+func (p *LatencyPool) record(d time.Duration) {
 	// A value between the bounds of the histogram is never an error.
 	_ = p.current.RecordValue(min(max(d.Microseconds(), poolLowest), poolHighest))
 	p.fresh++
@@ -71,13 +71,13 @@
 	}
 }
 
-func (p *Pool) known() bool { return p.Count() >= poolEnough }
+func (p *LatencyPool) known() bool { return p.Count() >= poolEnough }
 
 // Count is how many latencies are looked at.
-func (p *Pool) Count() int64 { return p.current.TotalCount() + p.previous.TotalCount() }
+func (p *LatencyPool) Count() int64 { return p.current.TotalCount() + p.previous.TotalCount() }
 
 // median is the middle latency, or a fixed guess while little is known.
-func (p *Pool) median() time.Duration {
+func (p *LatencyPool) median() time.Duration {
 	if !p.known() {
 		return poolFallback
 	}
@@ -86,7 +86,7 @@
 
 // quantile is a latency quantile of the recent calls, 0 to 1. It is read from the
 // histogram once in many latencies and cached between.
-func (p *Pool) quantile(q float64) time.Duration {
+func (p *LatencyPool) quantile(q float64) time.Duration {
 	if d, ok := p.quantiles[q]; ok {
 		return d
 	}
--- a/tier/policy/quarantine.go
+++ b/tier/policy/quarantine.go
@@ -28,8 +28,8 @@
 type Verdict string
 
 const (
-	// VerdictSound has the request run as any other.
-	VerdictSound Verdict = "Sound"
+	// VerdictClean has the request run as any other.
+	VerdictClean Verdict = "Sound"
 	// VerdictSuspected lets it run at one upstream, and at others only once that one
 	// has answered.
 	VerdictSuspected Verdict = "Suspected"
@@ -37,10 +37,10 @@
 	VerdictQuarantined Verdict = "Quarantined"
 )
 
-// Subject is a request as it is remembered: what it asks for, and who asks. What it
+// RequestIdentity is a request as it is remembered: what it asks for, and who asks. What it
 // asks for crashes upstreams, whoever asks, until an answer to another caller shows
 // that it depends on who does.
-type Subject struct {
+type RequestIdentity struct {
 	Fingerprint Fingerprint
 	// Caller is the address that the request came from; the zero value if it is not
 	// known.
@@ -67,7 +67,7 @@
 		}
 	}
 	if len(all) == 0 {
-		return VerdictSound, 0
+		return VerdictClean, 0
 	}
 	enough := len(attempts) >= quarantineAttempts && countCrashes(all) >= quarantineAttempts
 	believed := callers[caller] || len(callers) >= otherCallersLeast
@@ -86,7 +86,7 @@
 }
 
 func (s *suspect) worst(now time.Duration) Verdict {
-	worst := VerdictSound
+	worst := VerdictClean
 	for i := range s.crashes {
 		switch v, _ := s.judge(now, s.crashes[i].Caller); v {
 		case VerdictQuarantined:
@@ -99,15 +99,15 @@
 	return worst
 }
 
-// Judge returns what is to be done with a request, and for how long it is refused.
-func (f *Fleet) Judge(now time.Duration, of Subject) (Verdict, time.Duration) {
+// Verdict returns what is to be done with a request, and for how long it is refused.
+func (f *Fleet) Verdict(now time.Duration, of RequestIdentity) (Verdict, time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.quarantine.suspect(of.Fingerprint).judge(now, of.Caller)
 }
 
-// Worst returns the verdict on a request for the caller that fares worst.
-func (f *Fleet) Worst(now time.Duration, of Fingerprint) Verdict {
+// WorstVerdict returns the verdict on a request for the caller that fares worst.
+func (f *Fleet) WorstVerdict(now time.Duration, of Fingerprint) Verdict {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.quarantine.suspect(of).worst(now)
--- a/tier/policy/quarantine_test.go
+++ b/tier/policy/quarantine_test.go
@@ -38,7 +38,7 @@
 		want    Verdict
 		left    time.Duration
 	}{
-		{"none", nil, 0, VerdictSound, 0},
+		{"none", nil, 0, VerdictClean, 0},
 		{"shared", []CrashReport{shared(1)}, 0, VerdictSuspected, 0},
 		{"shared, often", []CrashReport{shared(1), shared(2), shared(3)}, 0, VerdictSuspected, 0},
 		{"once isolated", []CrashReport{isolated(1)}, 0, VerdictSuspected, 0},
@@ -48,21 +48,21 @@
 		{"for two minutes at first", []CrashReport{shared(1), isolated(2)}, 2 * time.Minute, VerdictSuspected, 0},
 		{"for ten then", []CrashReport{shared(1), isolated(2), isolated(3)}, 9 * time.Minute, VerdictQuarantined, time.Minute},
 		{"for a day at most", []CrashReport{isolated(1), isolated(2), isolated(3), isolated(4), isolated(5), isolated(6), isolated(7)}, 0, VerdictQuarantined, 24 * time.Hour},
-		{"a day later", []CrashReport{isolated(1), isolated(2)}, 24 * time.Hour, VerdictSound, 0},
+		{"a day later", []CrashReport{isolated(1), isolated(2)}, 24 * time.Hour, VerdictClean, 0},
 		{"many attempts at one upstream that crashed once", []CrashReport{together(1), together(2), together(3)}, 0, VerdictSuspected, 0},
 		{"many attempts at one upstream, and one at another", []CrashReport{together(1), together(2), together(3), isolated(4)}, 0, VerdictQuarantined, 10 * time.Minute},
 		{"answered meanwhile", []CrashReport{isolated(2), cleared}, 0, VerdictSuspected, 0},
-		{"cleared when sent", []CrashReport{cleared}, 0, VerdictSound, 0},
+		{"cleared when sent", []CrashReport{cleared}, 0, VerdictClean, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			f := newFleetFor(1)
 			now := time.Minute
 			for i := range tt.reports {
-				tt.reports[i].Left = crashReportLife
+				tt.reports[i].Remaining = crashReportLife
 			}
-			f.TakeReports(now, []SuspectReport{{Fingerprint: "F", Crashes: tt.reports}})
-			got, left := f.Judge(now+tt.after, Subject{Fingerprint: "F"})
+			f.MergeReports(now, []SuspectReport{{Fingerprint: "F", Crashes: tt.reports}})
+			got, left := f.Verdict(now+tt.after, RequestIdentity{Fingerprint: "F"})
 			assert.Equal(t, got, tt.want)
 			assert.Equal(t, left, tt.left)
 		})
@@ -75,16 +75,16 @@
 	f, other := newFleetFor(1), newFleetFor(2)
 	now := time.Minute
 	for id, u := range []string{"A", "B"} {
-		f.quarantine.report(now, Subject{Fingerprint: "F"}, CrashReport{ID: uint64(id), Attempt: uint64(id), Isolated: true, Upstream: u})
+		f.quarantine.report(now, RequestIdentity{Fingerprint: "F"}, CrashReport{ID: uint64(id), Attempt: uint64(id), Isolated: true, Upstream: u})
 	}
 	before := f.Reports(now)
-	other.TakeReports(now, before)
-	f.quarantine.clear(Subject{Fingerprint: "F"})
-	other.TakeReports(now, f.UnsentReports(now))
-	f.TakeReports(now, before)
+	other.MergeReports(now, before)
+	f.quarantine.clear(RequestIdentity{Fingerprint: "F"})
+	other.MergeReports(now, f.UnsentReports(now))
+	f.MergeReports(now, before)
 	for _, host := range []*Fleet{f, other} {
-		verdict, _ := host.Judge(now, Subject{Fingerprint: "F"})
-		assert.Equal(t, verdict, VerdictSound)
+		verdict, _ := host.Verdict(now, RequestIdentity{Fingerprint: "F"})
+		assert.Equal(t, verdict, VerdictClean)
 	}
 }
 
@@ -104,25 +104,25 @@
 			h, f := any(), rapid.SampledFrom(names).Draw(t, "fingerprint")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				h.quarantine.clear(Subject{Fingerprint: f, Caller: rapid.SampledFrom(callers).Draw(t, "caller")})
+				h.quarantine.clear(RequestIdentity{Fingerprint: f, Caller: rapid.SampledFrom(callers).Draw(t, "caller")})
 			case 1:
-				any().TakeReports(now, h.Reports(now))
+				any().MergeReports(now, h.Reports(now))
 			default:
 				id++
-				h.quarantine.report(now, Subject{Fingerprint: f, Caller: rapid.SampledFrom(callers).Draw(t, "caller")}, CrashReport{ID: id, Attempt: id, Isolated: rapid.Bool().Draw(t, "alone"), Upstream: fmt.Sprint("U", id%4)})
+				h.quarantine.report(now, RequestIdentity{Fingerprint: f, Caller: rapid.SampledFrom(callers).Draw(t, "caller")}, CrashReport{ID: id, Attempt: id, Isolated: rapid.Bool().Draw(t, "alone"), Upstream: fmt.Sprint("U", id%4)})
 			}
 		}
 		for range 2 {
 			for _, from := range hosts {
 				for _, to := range hosts {
-					to.TakeReports(now, from.Reports(now))
+					to.MergeReports(now, from.Reports(now))
 				}
 			}
 		}
 		for _, f := range names {
-			want, _ := hosts[0].Judge(now, Subject{Fingerprint: f, Caller: callers[0]})
+			want, _ := hosts[0].Verdict(now, RequestIdentity{Fingerprint: f, Caller: callers[0]})
 			for _, h := range hosts {
-				got, _ := h.Judge(now, Subject{Fingerprint: f, Caller: callers[0]})
+				got, _ := h.Verdict(now, RequestIdentity{Fingerprint: f, Caller: callers[0]})
 				assert.Equal(t, got, want)
 			}
 		}
@@ -134,14 +134,14 @@
 func TestReportsExpire(t *testing.T) {
 	a, b := newFleetFor(1), newFleetFor(2)
 	now := time.Minute
-	a.quarantine.report(now, Subject{Fingerprint: "F"}, CrashReport{ID: 1, Upstream: "A"})
+	a.quarantine.report(now, RequestIdentity{Fingerprint: "F"}, CrashReport{ID: 1, Upstream: "A"})
 	for now < time.Minute+crashReportLife {
 		reports := a.Reports(now)
 		now += 10 * time.Second
-		b.TakeReports(now, reports)
+		b.MergeReports(now, reports)
 		reports = b.Reports(now)
 		now += 10 * time.Second
-		a.TakeReports(now, reports)
+		a.MergeReports(now, reports)
 	}
 	now += time.Minute
 	assert.Equal(t, len(a.Reports(now)), 0)
@@ -154,21 +154,21 @@
 	f := newFleetFor(1)
 	now := time.Minute
 	for id, u := range []string{"A", "B"} {
-		f.quarantine.report(now, Subject{Fingerprint: "Quarantined"}, CrashReport{ID: uint64(id), Attempt: uint64(id), Isolated: true, Upstream: u})
+		f.quarantine.report(now, RequestIdentity{Fingerprint: "Quarantined"}, CrashReport{ID: uint64(id), Attempt: uint64(id), Isolated: true, Upstream: u})
 	}
 	for i := range 3 * suspectsMost {
 		now += time.Millisecond
-		f.quarantine.report(now, Subject{Fingerprint: Fingerprint(fmt.Sprint("F", i))}, CrashReport{ID: uint64(100 + i), Upstream: "A"})
+		f.quarantine.report(now, RequestIdentity{Fingerprint: Fingerprint(fmt.Sprint("F", i))}, CrashReport{ID: uint64(100 + i), Upstream: "A"})
 	}
 	for i := range 3 * crashReportsMost {
-		f.quarantine.report(now, Subject{Fingerprint: "Quarantined"}, CrashReport{ID: uint64(1_000_000 + i), Upstream: "A"})
+		f.quarantine.report(now, RequestIdentity{Fingerprint: "Quarantined"}, CrashReport{ID: uint64(1_000_000 + i), Upstream: "A"})
 	}
 	assert.Equal(t, len(f.quarantine.suspects), suspectsMost)
 	assert.Equal(t, len(f.quarantine.suspects["Quarantined"].crashes), crashReportsMost)
-	verdict, _ := f.Judge(now, Subject{Fingerprint: "Quarantined"})
+	verdict, _ := f.Verdict(now, RequestIdentity{Fingerprint: "Quarantined"})
 	assert.Equal(t, verdict, VerdictQuarantined)
 	first := f.UnsentReports(now)
-	assert.Equal(t, len(first), ReportsMost)
+	assert.Equal(t, len(first), MaxReports)
 	assert.Equal(t, first[0].Fingerprint, Fingerprint("Quarantined"))
 	assert.Assert(t, f.UnsentReports(now)[0].Fingerprint != "Quarantined", "sent once")
 }
@@ -176,19 +176,19 @@
 // TestCallersAreToldApart has a request of two callers be known to crash upstreams, or
 // to crash none for one of them.
 func TestCallersAreToldApart(t *testing.T) {
-	mine, other := Subject{Fingerprint: "F", Caller: callers[0]}, Subject{Fingerprint: "F", Caller: callers[1]}
+	mine, other := RequestIdentity{Fingerprint: "F", Caller: callers[0]}, RequestIdentity{Fingerprint: "F", Caller: callers[1]}
 	now := time.Minute
 	tests := []struct {
 		name        string
-		reports     []Subject
-		answered    *Subject
+		reports     []RequestIdentity
+		answered    *RequestIdentity
 		want, their Verdict
 	}{
-		{"one caller's", []Subject{mine, mine}, nil, VerdictQuarantined, VerdictSuspected},
-		{"of both", []Subject{mine, other}, nil, VerdictQuarantined, VerdictQuarantined},
-		{"answered to the other", []Subject{mine, mine}, &other, VerdictQuarantined, VerdictSound},
-		{"answered to the one", []Subject{mine, mine}, &mine, VerdictSound, VerdictSound},
-		{"of both, answered to the other", []Subject{mine, other}, &other, VerdictSuspected, VerdictSound},
+		{"one caller's", []RequestIdentity{mine, mine}, nil, VerdictQuarantined, VerdictSuspected},
+		{"of both", []RequestIdentity{mine, other}, nil, VerdictQuarantined, VerdictQuarantined},
+		{"answered to the other", []RequestIdentity{mine, mine}, &other, VerdictQuarantined, VerdictClean},
+		{"answered to the one", []RequestIdentity{mine, mine}, &mine, VerdictClean, VerdictClean},
+		{"of both, answered to the other", []RequestIdentity{mine, other}, &other, VerdictSuspected, VerdictClean},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -199,9 +199,9 @@
 			if tt.answered != nil {
 				f.quarantine.clear(*tt.answered)
 			}
-			got, _ := f.Judge(now, mine)
+			got, _ := f.Verdict(now, mine)
 			assert.Equal(t, got, tt.want)
-			got, _ = f.Judge(now, other)
+			got, _ = f.Verdict(now, other)
 			assert.Equal(t, got, tt.their)
 		})
 	}
@@ -213,10 +213,10 @@
 	f := newFleetFor(1)
 	now := time.Minute
 	for id := range uint64(2) {
-		f.quarantine.report(now, Subject{Fingerprint: "F"}, CrashReport{ID: id, Attempt: id, Isolated: true, Upstream: "U"})
+		f.quarantine.report(now, RequestIdentity{Fingerprint: "F"}, CrashReport{ID: id, Attempt: id, Isolated: true, Upstream: "U"})
 		now += 2 * time.Second
 	}
-	verdict, _ := f.Judge(now, Subject{Fingerprint: "F"})
+	verdict, _ := f.Verdict(now, RequestIdentity{Fingerprint: "F"})
 	assert.Equal(t, verdict, VerdictQuarantined)
 }
 
@@ -226,7 +226,7 @@
 	f := newFleetFor(1)
 	for i := range suspectsMost {
 		for k := range crashReportsMost {
-			f.quarantine.report(0, Subject{Fingerprint: Fingerprint(fmt.Sprint("F", i))}, CrashReport{ID: uint64(i*crashReportsMost + k), Upstream: "U"})
+			f.quarantine.report(0, RequestIdentity{Fingerprint: Fingerprint(fmt.Sprint("F", i))}, CrashReport{ID: uint64(i*crashReportsMost + k), Upstream: "U"})
 		}
 	}
 	b.ResetTimer()
--- a/tier/policy/queue.go
+++ b/tier/policy/queue.go
@@ -27,8 +27,8 @@
 	place int
 }
 
-// Deliver tells waiters that they got their slots. No lock may be held.
-func Deliver(granted []*Waiter) {
+// NotifyGranted tells waiters that they got their slots. No lock may be held.
+func NotifyGranted(granted []*Waiter) {
 	for _, w := range granted {
 		w.Granted()
 	}
--- a/tier/policy/result.go
+++ b/tier/policy/result.go
@@ -10,9 +10,9 @@
 	Reason query.Reason
 	// Sends counts the calls sent for the part.
 	Sends int
-	// Unhedged is why no second upstream was asked; empty if one was, or if the
+	// HedgeSkipped is why no second upstream was asked; empty if one was, or if the
 	// call was not yet due to be hedged.
-	Unhedged HedgeObstacle
+	HedgeSkipped HedgeSkipReason
 }
 
 // Result describes a finished run.
@@ -27,20 +27,20 @@
 	Attempts int
 	// Ran counts the upstream calls that may have run.
 	Ran int
-	// Unknown is true if a not-repeatable request may have run unseen.
-	Unknown bool
+	// OutcomeUnknown is true if a not-repeatable request may have run unseen.
+	OutcomeUnknown bool
 }
 
 // Result returns the account of the run after ActionFinish.
 func (r *Run) Result() Result {
-	out := Result{Included: r.progress.included, Unknown: r.unknown}
+	out := Result{Included: r.progress.included, OutcomeUnknown: r.unknown}
 	for i := range r.parts {
 		p := &r.parts[i]
 		out.Attempts += p.sends
 		out.Ran += p.ran
 		out.Reasons = append(out.Reasons, p.reason)
 		if p.reason != "" {
-			out.Missing = append(out.Missing, Missing{Part: i, Reason: p.reason, Sends: p.sends, Unhedged: p.unhedged})
+			out.Missing = append(out.Missing, Missing{Part: i, Reason: p.reason, Sends: p.sends, HedgeSkipped: p.unhedged})
 		}
 	}
 	return out
--- a/tier/policy/retryafter.go
+++ b/tier/policy/retryafter.go
@@ -49,7 +49,7 @@
 
 // retryAfter is when the caller of a refused request of a class is to come back: after
 // the excess of the work expected over what is allowed, and no sooner than one call takes.
-func (f *Fleet) retryAfter(p *Pool, excess time.Duration) time.Duration {
+func (f *Fleet) retryAfter(p *LatencyPool, excess time.Duration) time.Duration {
 	base := max(excess, p.median(), leastRetryAfter)
 	return time.Duration(float64(base) * (1 + retryAfterSpread*f.random.Float64())).Round(time.Millisecond)
 }
--- a/tier/policy/retrybudget.go
+++ b/tier/policy/retrybudget.go
@@ -46,8 +46,8 @@
 	return RetryBudget{Ratio: ratio * retryBudgetShare, Depth: slack * retryBudgetShare / max(hosts, 1)}
 }
 
-// Within returns the budget with the window in which groups count.
-func (b RetryBudget) Within(window time.Duration) RetryBudget {
+// WithWindow returns the budget with the window in which groups count.
+func (b RetryBudget) WithWindow(window time.Duration) RetryBudget {
 	b.Window = window
 	return b
 }
--- a/tier/policy/routed.go
+++ b/tier/policy/routed.go
@@ -34,24 +34,24 @@
 	otherHallFactor = 1.2
 )
 
-// Routed is what a routed request adds to a run.
-type Routed struct {
+// RoutedConfig is what a routed request adds to a run.
+type RoutedConfig struct {
 	// Groups holds for each part the group whose retry budget its hedges and retries use.
 	Groups []string
 	// FarPool holds the latencies of calls to other halls than this host's.
-	FarPool *Pool
+	FarPool *LatencyPool
 	// MaxAttempts is the most upstreams that may run one part; 1 or more.
 	MaxAttempts int
-	// Hall is the data hall that is preferred among those other than this
+	// PreferredHall is the data hall that is preferred among those other than this
 	// host's own, so that calls may go there together; empty for none.
-	Hall string
+	PreferredHall string
 	// Objective is the time within which an answer has its full worth.
 	Objective time.Duration
-	// Relayed is true if other hosts can make calls for the run.
-	Relayed bool
-	// Absent holds for each part why none of its upstreams may be asked; empty for
+	// CanRelay is true if other hosts can make calls for the run.
+	CanRelay bool
+	// NoUpstreamReasons holds for each part why none of its upstreams may be asked; empty for
 	// those with an upstream.
-	Absent []query.Reason
+	NoUpstreamReasons []query.Reason
 }
 
 // routedRules are the rules of a routed request. Its hedges and retries are paid from
@@ -59,10 +59,10 @@
 type routedRules struct {
 	fleet *Fleet
 	// near holds the latencies of the route's calls within this host's hall.
-	near *Pool
+	near *LatencyPool
 	// hedgeQuantile is the quantile of like calls after which a call is hedged.
 	hedgeQuantile float64
-	routed        *Routed
+	routed        *RoutedConfig
 }
 
 var _ rules = (*routedRules)(nil)
@@ -114,19 +114,19 @@
 	case r.fleet.owns(u):
 		return !u.cold.admits(now)
 	default:
-		return u.cold.owner == "" || !r.routed.Relayed
+		return u.cold.owner == "" || !r.routed.CanRelay
 	}
 }
 
 func (r *routedRules) hallFactor(u *Upstream) float64 {
-	if u.near || r.routed.Hall == "" || u.hall == r.routed.Hall {
+	if u.near || r.routed.PreferredHall == "" || u.hall == r.routed.PreferredHall {
 		return 1
 	}
 	return otherHallFactor
 }
 
 // poolOf tells near calls from far ones, which take longer whatever the upstream does.
-func (r *routedRules) poolOf(u *Upstream) *Pool {
+func (r *routedRules) poolOf(u *Upstream) *LatencyPool {
 	if u.near {
 		return r.near
 	}
@@ -137,8 +137,8 @@
 	if slices.ContainsFunc(p.replicas, func(u *Upstream) bool { return r.barred(now, u) }) {
 		return query.ReasonCold
 	}
-	if len(r.routed.Absent) > i && r.routed.Absent[i] != "" {
-		return r.routed.Absent[i]
+	if len(r.routed.NoUpstreamReasons) > i && r.routed.NoUpstreamReasons[i] != "" {
+		return r.routed.NoUpstreamReasons[i]
 	}
 	return query.ReasonUnreachable
 }
--- a/tier/policy/routed_test.go
+++ b/tier/policy/routed_test.go
@@ -32,8 +32,8 @@
 		Gather: &config.Gather{Coverage: coverage, Top: 1},
 	}
 	c := r.Class()
-	near, far := f.RoutedPools("Find")
-	routed := &Routed{MaxAttempts: attempts, FarPool: far, Objective: 200 * time.Millisecond}
+	near, far := f.RoutedLatencyPools("Find")
+	routed := &RoutedConfig{MaxAttempts: attempts, FarPool: far, Objective: 200 * time.Millisecond}
 	var names [][]string
 	for g := range groups {
 		routed.Groups = append(routed.Groups, fmt.Sprint("G", g))
@@ -98,7 +98,7 @@
 	started := make([]int, hosts)
 	start := func(i, tick int) {
 		f := NewFleet(FleetConfig{Random: random})
-		setRetryBudget(f, ShareRetryBudget(ratio, slack*0.9, float64(hosts)).Within(time.Duration(window)*tickTime))
+		setRetryBudget(f, ShareRetryBudget(ratio, slack*0.9, float64(hosts)).WithWindow(time.Duration(window)*tickTime))
 		fleets[i], started[i] = f, tick
 	}
 	for i := range fleets {
@@ -183,7 +183,7 @@
 			}
 			assert.Assert(t, finished(actions), "%v", actions)
 			assert.Equal(t, n, tt.sends)
-			assert.Equal(t, r.Result().Unknown, tt.unknown)
+			assert.Equal(t, r.Result().OutcomeUnknown, tt.unknown)
 		})
 	}
 }
@@ -200,7 +200,7 @@
 func TestRoutedRunWithoutBudgetDoesNotRepeat(t *testing.T) {
 	f := routedFleet(1, RetryBudget{})
 	r, actions := routedRun(t, f, 0, 1, 2, 1, true)
-	for now := time.Duration(0); now < time.Second; now = r.Next() {
+	for now := time.Duration(0); now < time.Second; now = r.WakeAt() {
 		assert.Equal(t, len(sends(r.Wake(now))), 0, "no hedge without a token")
 	}
 	s := sends(actions)[0]
@@ -220,14 +220,14 @@
 		now += 50 * time.Millisecond
 		r, actions := routedRun(t, f, now, 1, 2, 1, true)
 		a := sends(actions)[0]
-		f.Sent(now, a.Upstream)
+		f.RecordSent(now, a.Upstream)
 		now += 10 * time.Millisecond
 		answer(now, r, a, 10*time.Millisecond)
 	}
 	r, actions := routedRun(t, f, now, 1, 2, 1, true)
 	stuck := sends(actions)[0]
 	assert.Equal(t, stuck.Upstream.Name, "N0")
-	f.Sent(now, stuck.Upstream)
+	f.RecordSent(now, stuck.Upstream)
 	now += 60 * time.Millisecond
 	assert.Assert(t, f.Stalled(now, stuck.Upstream))
 	_, actions = routedRun(t, f, now, 1, 2, 1, true)
@@ -248,7 +248,7 @@
 	for range 2 {
 		r, actions := routedRun(t, f, 0, 1, 2, 1, true)
 		first := sends(actions)[0]
-		f.Sent(0, first.Upstream)
+		f.RecordSent(0, first.Upstream)
 		second := sends(r.Wake(first.HedgeIn))
 		assert.Equal(t, len(second), 1)
 		for _, a := range r.Reply(first.HedgeIn, second[0].Attempt, CallOK) {
@@ -293,13 +293,13 @@
 func TestLingeringIsGivenBack(t *testing.T) {
 	f := routedFleet(1, RetryBudget{Ratio: 1, Depth: 100})
 	u := f.Find("N0")
-	assert.Assert(t, f.Linger(u))
-	assert.Assert(t, !f.Linger(u), "one lingers at a time")
-	f.Lingered(u)
-	assert.Assert(t, f.Linger(u))
+	assert.Assert(t, f.TryLinger(u))
+	assert.Assert(t, !f.TryLinger(u), "one lingers at a time")
+	f.CancelLinger(u)
+	assert.Assert(t, f.TryLinger(u))
 	u.slots.inUse++
 	f.Finish(0, Call{Upstream: u, Pool: newPool(poolWindow), Outcome: CallCancelled, Took: time.Millisecond, Lingering: true})
-	assert.Assert(t, f.Linger(u))
+	assert.Assert(t, f.TryLinger(u))
 }
 
 // TestOverdueCallsAreHedged has the news of a batch lack one call: that one is
@@ -315,7 +315,7 @@
 	now := first[0].HedgeIn
 	assert.Equal(t, len(sends(r.Wake(now))), 0, "its news may still come")
 	r.Reply(now, first[0].Attempt, CallOK)
-	hedges := sends(r.Overdue(now, []int{first[1].Attempt}))
+	hedges := sends(r.HedgeNow(now, []int{first[1].Attempt}))
 	assert.Equal(t, len(hedges), 1)
 	assert.Equal(t, hedges[0].Part, first[1].Part)
 }
@@ -325,10 +325,10 @@
 func TestLostCallsSayNothingOfTheirUpstream(t *testing.T) {
 	for _, o := range []CallOutcome{CallLost, CallNotSent} {
 		f := routedFleet(1, RetryBudget{})
-		near, _ := f.RoutedPools("Find")
+		near, _ := f.RoutedLatencyPools("Find")
 		u := f.Find("F0")
 		for range 2 * ejectAfter {
-			f.Finish(0, Call{Upstream: u, Pool: near, Outcome: o, Took: time.Millisecond, Elsewhere: true})
+			f.Finish(0, Call{Upstream: u, Pool: near, Outcome: o, Took: time.Millisecond, Relayed: true})
 		}
 		assert.Assert(t, u.eligible(0) && u.condition.faults == 0, "%s: %+v", o, u)
 	}
@@ -370,7 +370,7 @@
 		return n
 	}
 	assert.Equal(t, enter(), 6)
-	f.Finish(0, Call{Upstream: u, Pool: p, Outcome: CallBroken, Crowded: true})
+	f.Finish(0, Call{Upstream: u, Pool: p, Outcome: CallBroken, NewConnReset: true})
 	assert.Equal(t, enter(), 0, "five are under way")
 	finish := func(calls int) {
 		for range calls {
@@ -386,7 +386,7 @@
 	}
 	assert.Equal(t, enter(), 6, "the limit has grown")
 	for range 20 {
-		f.Finish(0, Call{Upstream: u, Pool: p, Outcome: CallBroken, Crowded: true})
+		f.Finish(0, Call{Upstream: u, Pool: p, Outcome: CallBroken, NewConnReset: true})
 		u.slots.inUse++
 	}
 	u.slots.inUse = 0
--- a/tier/policy/rules.go
+++ b/tier/policy/rules.go
@@ -34,7 +34,7 @@
 	// is not preferred.
 	hallFactor(u *Upstream) float64
 	// poolOf is where the latencies of calls to an upstream belong.
-	poolOf(u *Upstream) *Pool
+	poolOf(u *Upstream) *LatencyPool
 	// absence is why a part has no upstream to ask.
 	absence(now time.Duration, i int, p *part) query.Reason
 	// endsUncovered reports whether a run ends as soon as its least coverage is out of
--- a/tier/policy/run.go
+++ b/tier/policy/run.go
@@ -11,7 +11,7 @@
 type RunConfig struct {
 	Fleet *Fleet
 	// Pool holds the latencies of the service.
-	Pool *Pool
+	Pool *LatencyPool
 	// Class is the request's class; it is not changed.
 	Class *config.Class
 	// Deadline is when the answer must be given, margin taken off.
@@ -22,11 +22,11 @@
 	Snapshot uint64
 	// Repeatable is false for a request that must run at most once.
 	Repeatable bool
-	// Subject is what the request is remembered by if it crashes upstreams; the zero
+	// Identity is what the request is remembered by if it crashes upstreams; the zero
 	// value if it is never to be suspected.
-	Subject Subject
+	Identity RequestIdentity
 	// Routed is what a routed request adds; nil for a request of a class.
-	Routed *Routed
+	Routed *RoutedConfig
 	// Granted is called, with no lock held, when a queued attempt has its slot.
 	Granted func(attempt int)
 }
@@ -84,7 +84,7 @@
 		parts:     make([]part, len(c.Replicas)),
 		attempts:  make([]attempt, 0, len(c.Replicas)+spareAttempts),
 		progress:  progress{parts: len(c.Replicas), open: len(c.Replicas)},
-		suspicion: suspicion{subject: c.Subject},
+		suspicion: suspicion{subject: c.Identity},
 	}
 	for i := range r.parts {
 		r.parts[i].replicas = c.Replicas[i]
@@ -145,7 +145,7 @@
 
 func (r *Run) freeSlot(n int) []Action {
 	a := &r.attempts[n]
-	return []Action{{Kind: ActionFree, Attempt: n, Part: a.part, Upstream: a.upstream}}
+	return []Action{{Kind: ActionReleaseSlot, Attempt: n, Part: a.part, Upstream: a.upstream}}
 }
 
 // Reply is to be called with what became of a sent attempt. The part may be merged only
@@ -170,7 +170,7 @@
 	defer r.fleet.mu.Unlock()
 	if o == CallOK {
 		r.noteAnswer()
-		out := []Action{{Kind: ActionTake, Attempt: n, Part: a.part, Upstream: a.upstream}}
+		out := []Action{{Kind: ActionMerge, Attempt: n, Part: a.part, Upstream: a.upstream}}
 		return r.finishIfDone(now, r.include(a.part, out))
 	}
 	if o == CallCrashed && r.noteCrash(now, a) {
@@ -222,11 +222,11 @@
 	}
 }
 
-// Next is when Wake is to be called.
-func (r *Run) Next() time.Duration { return r.times.next }
+// WakeAt is when Wake is to be called.
+func (r *Run) WakeAt() time.Duration { return r.times.next }
 
-// GiveUp is to be called when the caller is gone.
-func (r *Run) GiveUp(now time.Duration) []Action {
+// Abort is to be called when the caller is gone.
+func (r *Run) Abort(now time.Duration) []Action {
 	if r.finished {
 		return nil
 	}
--- a/tier/policy/run_test.go
+++ b/tier/policy/run_test.go
@@ -88,11 +88,11 @@
 		replicas[i] = []*Upstream{m.upstreams[first], m.upstreams[(first+1)%3]}
 	}
 	fingerprint := rapid.SampledFrom([]Fingerprint{"", "One", "Two", "Three"}).Draw(t, "fingerprint")
-	verdict, _ := m.fleet.Judge(m.now, Subject{Fingerprint: fingerprint})
+	verdict, _ := m.fleet.Verdict(m.now, RequestIdentity{Fingerprint: fingerprint})
 	x.suspected = verdict == VerdictSuspected
 	r, err := NewRun(RunConfig{
-		Fleet: m.fleet, Pool: m.fleet.Pool("Data"), Class: &c, Deadline: m.now + 50*time.Millisecond,
-		Replicas: replicas, Repeatable: x.repeatable, Subject: Subject{Fingerprint: fingerprint},
+		Fleet: m.fleet, Pool: m.fleet.LatencyPool("Data"), Class: &c, Deadline: m.now + 50*time.Millisecond,
+		Replicas: replicas, Repeatable: x.repeatable, Identity: RequestIdentity{Fingerprint: fingerprint},
 		Granted: func(n int) { x.granted = append(x.granted, n) },
 	})
 	assert.NilError(t, err)
@@ -122,11 +122,11 @@
 			}
 			x.sent[a.Attempt] = a.Upstream
 			x.everSent++
-		case ActionTake:
+		case ActionMerge:
 			x.taken[a.Part]++
 			assert.Equal(t, x.taken[a.Part], 1, "a part merged twice")
-		case ActionFree:
-			Deliver(m.fleet.Free(m.now, a.Upstream))
+		case ActionReleaseSlot:
+			NotifyGranted(m.fleet.ReleaseSlot(m.now, a.Upstream))
 		case ActionFinish:
 			x.finished++
 			m.finished(x)
@@ -150,7 +150,7 @@
 	assert.Equal(t, included, r.Included)
 	assert.Equal(t, len(r.Reasons), x.shards)
 	assert.Equal(t, r.Attempts, x.everSent)
-	if !x.repeatable && included == 0 && !r.Unknown {
+	if !x.repeatable && included == 0 && !r.OutcomeUnknown {
 		assert.Assert(t, !x.proofless && len(x.sent) == 0, "not run, but it may have run")
 	}
 }
@@ -172,7 +172,7 @@
 
 // anyOutcome has success more than once, so that runs get far.
 var anyOutcome = []CallOutcome{
-	CallOK, CallOK, CallOK, CallOK, CallOK, CallOK, CallUnreachable, CallShed, CallLeaving, CallNotSent, CallSnapshotGone, CallMoved, CallGarbage, CallBroken, CallBroken, CallCrashed, CallCrashed, CallLate,
+	CallOK, CallOK, CallOK, CallOK, CallOK, CallOK, CallUnreachable, CallShed, CallLeaving, CallNotSent, CallSnapshotGone, CallMoved, CallMalformed, CallBroken, CallBroken, CallCrashed, CallCrashed, CallLate,
 }
 
 // reply ends one sent attempt of any run, also of a finished one.
@@ -183,9 +183,9 @@
 	if !o.NotRun() && o != CallOK {
 		x.proofless = true
 	}
-	granted := m.fleet.Finish(m.now, Call{Upstream: u, Pool: m.fleet.Pool("Data"), Outcome: o, Took: time.Millisecond})
+	granted := m.fleet.Finish(m.now, Call{Upstream: u, Pool: m.fleet.LatencyPool("Data"), Outcome: o, Took: time.Millisecond})
 	m.perform(x, x.run.Reply(m.now, n, o))
-	Deliver(granted)
+	NotifyGranted(granted)
 }
 
 func (m *machine) step() {
@@ -205,7 +205,7 @@
 		m.perform(x, x.run.Wake(m.now))
 	case what == 4 && len(m.runs) > 0:
 		x := rapid.SampledFrom(m.runs).Draw(t, "run")
-		m.perform(x, x.run.GiveUp(m.now))
+		m.perform(x, x.run.Abort(m.now))
 	case len(open) > 0:
 		x := rapid.SampledFrom(open).Draw(t, "run")
 		for n := range 64 {
@@ -264,9 +264,9 @@
 func TestSnapshotCoversTheMostShards(t *testing.T) {
 	f := NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(1, 0))})
 	f.Apply(0, []Share{{Name: "A", Slots: 1}, {Name: "B", Slots: 1}, {Name: "C", Slots: 1}})
-	windows := map[string]Window{"A": {3, 5, true}, "B": {4, 4, true}, "C": {4, 6, true}}
+	windows := map[string]SnapshotRange{"A": {3, 5, true}, "B": {4, 4, true}, "C": {4, 6, true}}
 	for n, w := range windows {
-		f.NoteStatus(0, f.Find(n), w, false)
+		f.RecordStatus(0, f.Find(n), w, false)
 	}
 	_, s := f.Plan([][]string{{"A"}, {"B"}, {"C"}})
 	assert.Equal(t, s, uint64(4))
@@ -301,17 +301,17 @@
 	c := config.DefaultClass()
 	c.Admission = "None"
 	r, err := NewRun(RunConfig{
-		Fleet: f, Pool: f.Pool("Data"), Class: &c, Deadline: 300 * time.Millisecond,
+		Fleet: f, Pool: f.LatencyPool("Data"), Class: &c, Deadline: 300 * time.Millisecond,
 		Replicas: [][]*Upstream{upstreams, upstreams}, Repeatable: true, Granted: func(int) {},
 	})
 	assert.NilError(t, err)
 	sent, err := r.Begin(0)
 	assert.NilError(t, err)
 	assert.Equal(t, len(sent), 2)
-	hedges := r.Wake(r.Next())
+	hedges := r.Wake(r.WakeAt())
 	assert.Equal(t, len(hedges), 2)
 	first := r.Reply(r.attempts[0].hedgeAge, sent[0].Attempt, CallOK)
-	assert.Equal(t, first[0].Kind, ActionTake)
+	assert.Equal(t, first[0].Kind, ActionMerge)
 	assert.Equal(t, first[1].Kind, ActionCancel)
 	assert.Equal(t, first[1].Attempt, hedges[0].Attempt)
 	assert.Equal(t, len(r.Reply(r.attempts[0].hedgeAge, hedges[0].Attempt, CallOK)), 0, "the loser is not merged")
--- a/tier/policy/stall.go
+++ b/tier/policy/stall.go
@@ -12,10 +12,10 @@
 	// stalledFor is how long an upstream is considered unresponsive while no call of this
 	// host waits there that could show otherwise. Pauses of upstreams take some 100 ms.
 	stalledFor = 100 * time.Millisecond
-	// LingerFor is how long a call goes on whose answer is not wanted any more; longer than
+	// LingerDuration is how long a call goes on whose answer is not wanted any more; longer than
 	// upstreams pause, so that it shows the end of a pause without a probe. Without
 	// lingering calls worth falls by up to 0.011.
-	LingerFor = 300 * time.Millisecond
+	LingerDuration = 300 * time.Millisecond
 )
 
 // stall detects an upstream that accepts calls and answers none for a moment, as
--- a/tier/policy/state_golden_test.go
+++ b/tier/policy/state_golden_test.go
@@ -44,7 +44,7 @@
 	fleet  *Fleet
 	random *rand.Rand
 	now    time.Duration
-	pool   *Pool
+	pool   *LatencyPool
 	shares []Share
 }
 
@@ -58,9 +58,9 @@
 		})
 	}
 	t.fleet.Apply(t.now, t.shares)
-	t.pool = t.fleet.Pool("Data")
+	t.pool = t.fleet.LatencyPool("Data")
 	if listed {
-		t.pool, _ = t.fleet.RoutedPools("Find")
+		t.pool, _ = t.fleet.RoutedLatencyPools("Find")
 	}
 	t.fleet.SetColdOwners("Self", map[string]string{"U0": "Self", "U1": "Other", "U2": "Self"})
 	return t
@@ -69,7 +69,7 @@
 var tracedOutcomes = []CallOutcome{
 	CallOK, CallOK, CallOK, CallOK, CallOK, CallOK, CallOK, CallOK, CallOK, CallOK, CallOK, CallOK,
 	CallCancelled, CallCancelled, CallLate, CallShed, CallShed, CallUnreachable, CallBroken, CallCrashed,
-	CallStalled, CallNotSent, CallBarred, CallLost, CallFailed, CallGarbage, CallSnapshotGone, CallMoved,
+	CallStalled, CallNotSent, CallBarred, CallLost, CallFailed, CallMalformed, CallSnapshotGone, CallMoved,
 }
 
 // apply changes a share now and then: cold entries, evacuations, fewer slots.
@@ -80,9 +80,9 @@
 	s.Leaving = t.random.IntN(8) == 0
 	s.Cold = Cold{
 		Remaining: time.Duration(t.random.IntN(3)) * time.Second, Revision: uint64(t.random.IntN(5)),
-		Warmup: time.Duration(t.random.IntN(2)) * time.Second, Calls: t.random.IntN(12), Evacuated: t.random.IntN(6) == 0,
+		Warmup: time.Duration(t.random.IntN(2)) * time.Second, CallLimit: t.random.IntN(12), Evacuated: t.random.IntN(6) == 0,
 	}
-	Deliver(t.fleet.Apply(t.now, t.shares))
+	NotifyGranted(t.fleet.Apply(t.now, t.shares))
 	t.fleet.SetColdOwners("Self", map[string]string{"U0": "Self", "U1": "Other", "U2": "Self"})
 }
 
@@ -98,8 +98,8 @@
 func (t *tracer) finish(u *Upstream) string {
 	c := Call{
 		Upstream: u, Pool: t.pool, Outcome: tracedOutcomes[t.random.IntN(len(tracedOutcomes))],
-		Took:      time.Duration(t.random.ExpFloat64() * float64(10*time.Millisecond)),
-		Elsewhere: t.random.IntN(4) == 0, Lingering: t.random.IntN(5) == 0, Crowded: t.random.IntN(30) == 0,
+		Took:    time.Duration(t.random.ExpFloat64() * float64(10*time.Millisecond)),
+		Relayed: t.random.IntN(4) == 0, Lingering: t.random.IntN(5) == 0, NewConnReset: t.random.IntN(30) == 0,
 	}
 	if t.random.IntN(3) == 0 {
 		c.Load = Load{Running: t.random.IntN(4), Waiting: t.random.IntN(4), Slots: 4}
@@ -107,11 +107,11 @@
 	if u.Name == "U3" {
 		c.Took *= 6
 	}
-	if !c.Elsewhere && t.inUse(u) <= 0 {
+	if !c.Relayed && t.inUse(u) <= 0 {
 		return "none in use"
 	}
 	granted := t.fleet.Finish(t.now, c)
-	Deliver(granted)
+	NotifyGranted(granted)
 	return fmt.Sprint("finish ", c.Outcome, len(granted))
 }
 
@@ -121,29 +121,29 @@
 	what := t.random.IntN(24)
 	switch {
 	case what < 8:
-		granted, queued := t.fleet.Enter(&Waiter{Upstream: u, Deadline: t.now + time.Duration(t.random.IntN(60))*time.Millisecond, Granted: func() {}})
+		granted, queued := t.fleet.AcquireOrQueue(&Waiter{Upstream: u, Deadline: t.now + time.Duration(t.random.IntN(60))*time.Millisecond, Granted: func() {}})
 		return fmt.Sprint("enter ", granted, queued)
 	case what < 16:
 		return t.finish(u)
 	case what == 16:
 		if t.inUse(u) > 0 {
-			Deliver(t.fleet.Free(t.now, u))
+			NotifyGranted(t.fleet.ReleaseSlot(t.now, u))
 		}
 		return "free"
 	case what < 19:
-		t.fleet.Sent(t.now, u)
+		t.fleet.RecordSent(t.now, u)
 		return fmt.Sprint("sent ", t.fleet.Stalled(t.now, u))
 	case what == 19:
-		return fmt.Sprint("linger ", t.fleet.Linger(u))
+		return fmt.Sprint("linger ", t.fleet.TryLinger(u))
 	case what == 20:
-		t.fleet.NoteStatus(t.now, u, Window{Oldest: 1, Newest: uint64(t.random.IntN(5)), Known: t.random.IntN(2) == 0}, t.random.IntN(40) == 0)
+		t.fleet.RecordStatus(t.now, u, SnapshotRange{Oldest: 1, Newest: uint64(t.random.IntN(5)), Known: t.random.IntN(2) == 0}, t.random.IntN(40) == 0)
 		return fmt.Sprint("note ", t.fleet.SilentSince(t.now-100*time.Millisecond, 2))
 	case what == 21:
 		told := []Condition{{Upstream: u.Name, Slowness: t.random.IntN(8), FaultPercent: t.random.IntN(100)}}
-		t.fleet.TakeConditions(t.now, string(rune('A'+t.random.IntN(2))), told[:t.random.IntN(2)])
+		t.fleet.SetConditions(t.now, string(rune('A'+t.random.IntN(2))), told[:t.random.IntN(2)])
 		return fmt.Sprint("conditions ", len(t.fleet.Conditions(t.now)))
 	case what == 22:
-		return fmt.Sprint("cold ", t.fleet.AdmitCold(t.now, u), t.fleet.DestinationOf(t.now, u), t.fleet.ThrottledCold(t.now))
+		return fmt.Sprint("cold ", t.fleet.AdmitCold(t.now, u), t.fleet.DestinationOf(t.now, u), t.fleet.ThrottledUpstreams(t.now))
 	default:
 		if t.random.IntN(10) == 0 {
 			t.apply()
--- a/tier/policy/status_test.go
+++ b/tier/policy/status_test.go
@@ -10,16 +10,16 @@
 
 func TestWindowHoldsItsSnapshots(t *testing.T) {
 	tests := []struct {
-		window   Window
+		window   SnapshotRange
 		snapshot uint64
 		want     bool
 	}{
-		{Window{}, 0, false},
-		{Window{Oldest: 3, Newest: 5}, 4, false},
-		{Window{Oldest: 3, Newest: 5, Known: true}, 2, false},
-		{Window{Oldest: 3, Newest: 5, Known: true}, 3, true},
-		{Window{Oldest: 3, Newest: 5, Known: true}, 5, true},
-		{Window{Oldest: 3, Newest: 5, Known: true}, 6, false},
+		{SnapshotRange{}, 0, false},
+		{SnapshotRange{Oldest: 3, Newest: 5}, 4, false},
+		{SnapshotRange{Oldest: 3, Newest: 5, Known: true}, 2, false},
+		{SnapshotRange{Oldest: 3, Newest: 5, Known: true}, 3, true},
+		{SnapshotRange{Oldest: 3, Newest: 5, Known: true}, 5, true},
+		{SnapshotRange{Oldest: 3, Newest: 5, Known: true}, 6, false},
 	}
 	for _, tt := range tests {
 		assert.Equal(t, tt.window.holds(tt.snapshot), tt.want, "%+v %d", tt.window, tt.snapshot)
@@ -27,19 +27,21 @@
 }
 
 func TestStatusKeepsTheNewestWindow(t *testing.T) {
-	known := func(oldest, newest uint64) Window { return Window{Oldest: oldest, Newest: newest, Known: true} }
+	known := func(oldest, newest uint64) SnapshotRange {
+		return SnapshotRange{Oldest: oldest, Newest: newest, Known: true}
+	}
 	tests := []struct {
 		name     string
-		said     []Window
-		want     Window
+		said     []SnapshotRange
+		want     SnapshotRange
 		nowKnown bool
 	}{
-		{"nothing said", []Window{{}}, Window{}, false},
-		{"the first", []Window{known(1, 2)}, known(1, 2), true},
-		{"a newer one", []Window{known(1, 2), known(2, 3)}, known(2, 3), true},
-		{"an older one came late", []Window{known(2, 3), known(1, 2)}, known(2, 3), true},
-		{"it dropped its oldest", []Window{known(1, 3), known(2, 3)}, known(2, 3), true},
-		{"an answer without a window", []Window{known(1, 2), {}}, known(1, 2), true},
+		{"nothing said", []SnapshotRange{{}}, SnapshotRange{}, false},
+		{"the first", []SnapshotRange{known(1, 2)}, known(1, 2), true},
+		{"a newer one", []SnapshotRange{known(1, 2), known(2, 3)}, known(2, 3), true},
+		{"an older one came late", []SnapshotRange{known(2, 3), known(1, 2)}, known(2, 3), true},
+		{"it dropped its oldest", []SnapshotRange{known(1, 3), known(2, 3)}, known(2, 3), true},
+		{"an answer without a window", []SnapshotRange{known(1, 2), {}}, known(1, 2), true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -61,10 +63,10 @@
 	second := time.Second
 	assert.DeepEqual(t, f.SilentSince(second, 9), []string{"A", "B", "C"})
 	assert.DeepEqual(t, f.SilentSince(second, 2), []string{"A", "B"})
-	f.NoteStatusRead(second, "A")
-	f.NoteStatusRead(second, "None")
+	f.RecordStatusRead(second, "A")
+	f.RecordStatusRead(second, "None")
 	assert.DeepEqual(t, f.SilentSince(second, 9), []string{"B", "C", "A"})
-	f.NoteStatus(2*second, f.Find("B"), Window{}, true)
+	f.RecordStatus(2*second, f.Find("B"), SnapshotRange{}, true)
 	assert.DeepEqual(t, f.SilentSince(second, 9), []string{"C", "A"})
 	assert.DeepEqual(t, f.Leaving(), []string{"B"})
 }
--- a/tier/policy/statuses.go
+++ b/tier/policy/statuses.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// NoteStatus records what an upstream reported about itself.
-func (f *Fleet) NoteStatus(now time.Duration, u *Upstream, w Window, leaving bool) {
+// RecordStatus records what an upstream reported about itself.
+func (f *Fleet) RecordStatus(now time.Duration, u *Upstream, w SnapshotRange, leaving bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	u.status.update(now, w)
@@ -32,8 +32,8 @@
 	return out
 }
 
-// NoteStatusRead notes that an upstream's status is being read.
-func (f *Fleet) NoteStatusRead(now time.Duration, name string) {
+// RecordStatusRead notes that an upstream's status is being read.
+func (f *Fleet) RecordStatusRead(now time.Duration, name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if u := f.upstreams[name]; u != nil {
--- a/tier/policy/suspects.go
+++ b/tier/policy/suspects.go
@@ -13,9 +13,9 @@
 	suspectsMost = 1024
 	// crashReportsMost is the number of crash reports that are remembered of a request.
 	crashReportsMost = 8
-	// ReportsMost is the number of requests that hosts report to each other at once:
+	// MaxReports is the number of requests that hosts report to each other at once:
 	// 3 KB, less when compressed.
-	ReportsMost = 16
+	MaxReports = 16
 )
 
 type suspect struct {
@@ -46,14 +46,14 @@
 }
 
 // report takes in a crash that this host saw.
-func (q *quarantine) report(now time.Duration, of Subject, c CrashReport) {
-	c.Left, c.Caller = crashReportLife, of.Caller
+func (q *quarantine) report(now time.Duration, of RequestIdentity, c CrashReport) {
+	c.Remaining, c.Caller = crashReportLife, of.Caller
 	q.merge(now, &SuspectReport{Fingerprint: of.Fingerprint, Crashes: []CrashReport{c}})
 }
 
 // clear notes that an upstream has answered the request: what crashed others was
 // something else, or depends on the caller.
-func (q *quarantine) clear(of Subject) {
+func (q *quarantine) clear(of RequestIdentity) {
 	s := q.suspect(of.Fingerprint)
 	for i := range s.crashes {
 		c := &s.crashes[i]
@@ -89,7 +89,7 @@
 
 // add takes one crash report in, and reports whether it was new.
 func (s *suspect) add(now time.Duration, c *CrashReport) bool {
-	left := min(c.Left, crashReportLife)
+	left := min(c.Remaining, crashReportLife)
 	i := slices.IndexFunc(s.crashes, func(o crash) bool { return o.ID == c.ID })
 	switch {
 	case i >= 0:
@@ -135,7 +135,7 @@
 	out := SuspectReport{Fingerprint: f}
 	for i := range s.crashes {
 		c := s.crashes[i].CrashReport
-		if c.Left = s.crashes[i].until - now; c.Left > 0 {
+		if c.Remaining = s.crashes[i].until - now; c.Remaining > 0 {
 			out.Crashes = append(out.Crashes, c)
 		}
 	}
@@ -174,7 +174,7 @@
 	}
 	slices.SortFunc(all, func(a, b Fingerprint) int { return q.compare(now, b, a) })
 	var out []SuspectReport
-	for _, f := range all[:min(len(all), ReportsMost)] {
+	for _, f := range all[:min(len(all), MaxReports)] {
 		s := q.suspects[f]
 		s.unsent = s.unsent && !unsent
 		out = append(out, s.report(now, f))
@@ -213,8 +213,8 @@
 	return f.quarantine.reports(now, false)
 }
 
-// TakeReports takes in what another host reported.
-func (f *Fleet) TakeReports(now time.Duration, reports []SuspectReport) {
+// MergeReports takes in what another host reported.
+func (f *Fleet) MergeReports(now time.Duration, reports []SuspectReport) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range reports {
--- a/tier/policy/suspicion.go
+++ b/tier/policy/suspicion.go
@@ -15,7 +15,7 @@
 type suspicion struct {
 	// subject is what the request is remembered by; where its fingerprint is empty
 	// it is never suspected.
-	subject Subject
+	subject RequestIdentity
 	// reported is true if the request had crash reports before the run.
 	reported bool
 	// crashes counts the upstreams that crashed under the run; lastCrashed is the last.
--- a/tier/policy/suspicion_test.go
+++ b/tier/policy/suspicion_test.go
@@ -14,7 +14,7 @@
 	r, _ := routedRun(t, f, now, groups, 2, 1, true)
 	again, err := NewRun(RunConfig{
 		Fleet: f, Pool: r.request.Pool, Class: r.request.Class, Deadline: now + 2*time.Second, Replicas: replicasOf(r),
-		Repeatable: true, Routed: r.request.Routed, Subject: Subject{Fingerprint: "F"}, Granted: func(int) {},
+		Repeatable: true, Routed: r.request.Routed, Identity: RequestIdentity{Fingerprint: "F"}, Granted: func(int) {},
 	})
 	assert.NilError(t, err)
 	actions, err := again.Begin(now)
@@ -42,7 +42,7 @@
 }
 
 func verdictOf(f *Fleet, now time.Duration) Verdict {
-	v, _ := f.Judge(now, Subject{Fingerprint: "F"})
+	v, _ := f.Verdict(now, RequestIdentity{Fingerprint: "F"})
 	return v
 }
 
@@ -56,7 +56,7 @@
 
 	one := r.Reply(now, sends(first)[0].Attempt, CallCrashed)
 	assert.Equal(t, len(sends(one)), 1, "the first is tried again at once")
-	assert.Equal(t, verdictOf(f, now), VerdictSound)
+	assert.Equal(t, verdictOf(f, now), VerdictClean)
 
 	two := r.Reply(now, sends(first)[1].Attempt, CallCrashed)
 	assert.Equal(t, count(two, ActionCancel), 4, "%v", two)
@@ -74,16 +74,16 @@
 func TestSuspicionEndsWithAnAnswer(t *testing.T) {
 	now := 10 * time.Millisecond
 	f := routedFleet(6, RetryBudget{Ratio: 1, Depth: 100})
-	f.quarantine.report(0, Subject{Fingerprint: "F"}, CrashReport{ID: 1, Isolated: true, Upstream: "Gone"})
+	f.quarantine.report(0, RequestIdentity{Fingerprint: "F"}, CrashReport{ID: 1, Isolated: true, Upstream: "Gone"})
 	r, first := suspectRun(t, f, 0, 6)
 	assert.Equal(t, len(sends(first)), 1)
-	for at := r.Next(); at < isolatedTimeoutFactor*r.attempts[0].hedgeAge; at = r.Next() {
+	for at := r.WakeAt(); at < isolatedTimeoutFactor*r.attempts[0].hedgeAge; at = r.WakeAt() {
 		assert.Equal(t, len(sends(r.Wake(at))), 0, "no hedge while it is suspected")
 		now = at
 	}
 	rest := r.Reply(now, sends(first)[0].Attempt, CallOK)
 	assert.Equal(t, len(sends(rest)), 5)
-	assert.Equal(t, verdictOf(f, now), VerdictSound)
+	assert.Equal(t, verdictOf(f, now), VerdictClean)
 }
 
 // TestIsolatedCrashIsReported tells an upstream that crashed from one that resets a
@@ -103,7 +103,7 @@
 	for _, tt := range tests {
 		t.Run(string(tt.outcome), func(t *testing.T) {
 			f := routedFleet(6, RetryBudget{Ratio: 1, Depth: 100})
-			f.quarantine.report(0, Subject{Fingerprint: "F"}, CrashReport{ID: 1, Isolated: true, Upstream: "Gone"})
+			f.quarantine.report(0, RequestIdentity{Fingerprint: "F"}, CrashReport{ID: 1, Isolated: true, Upstream: "Gone"})
 			r, first := suspectRun(t, f, 0, 6)
 			next := r.Reply(time.Millisecond, sends(first)[0].Attempt, tt.outcome)
 			assert.Equal(t, verdictOf(f, time.Millisecond), tt.want)
@@ -119,10 +119,10 @@
 func TestQuarantinedRequestIsRefused(t *testing.T) {
 	f := routedFleet(6, RetryBudget{})
 	for id, u := range []string{"A", "B"} {
-		f.quarantine.report(0, Subject{Fingerprint: "F"}, CrashReport{ID: uint64(id), Attempt: uint64(id), Isolated: true, Upstream: u})
+		f.quarantine.report(0, RequestIdentity{Fingerprint: "F"}, CrashReport{ID: uint64(id), Attempt: uint64(id), Isolated: true, Upstream: u})
 	}
 	r, _ := routedRun(t, f, 0, 6, 2, 1, true)
-	r.suspicion.subject, r.finished = Subject{Fingerprint: "F"}, false
+	r.suspicion.subject, r.finished = RequestIdentity{Fingerprint: "F"}, false
 	_, err := r.Begin(time.Second)
 	var refusal *Refusal
 	assert.Assert(t, errors.As(err, &refusal), "%v", err)
@@ -139,18 +139,18 @@
 		assert.Equal(t, len(sends(next)), 1, "tried again at once")
 		assert.Equal(t, count(next, ActionCancel), 0)
 	}
-	assert.Equal(t, verdictOf(f, time.Millisecond), VerdictSound)
+	assert.Equal(t, verdictOf(f, time.Millisecond), VerdictClean)
 }
 
 // TestIsolatedCallThatHangsIsReplaced has the upstreams of isolated calls be unresponsive: the
 // second is asked after a while, and the run ends before its deadline.
 func TestIsolatedCallThatHangsIsReplaced(t *testing.T) {
 	f := routedFleet(6, RetryBudget{Ratio: 1, Depth: 100})
-	f.quarantine.report(0, Subject{Fingerprint: "F"}, CrashReport{ID: 1, Upstream: "Gone"})
+	f.quarantine.report(0, RequestIdentity{Fingerprint: "F"}, CrashReport{ID: 1, Upstream: "Gone"})
 	r, first := suspectRun(t, f, 0, 6)
 	assert.Equal(t, len(sends(first)), 1)
 	sent := 1
-	for now := r.Next(); now < time.Second; now = r.Next() {
+	for now := r.WakeAt(); now < time.Second; now = r.WakeAt() {
 		actions := r.Wake(now)
 		sent += len(sends(actions))
 		if finished(actions) {
--- a/tier/policy/upstream.go
+++ b/tier/policy/upstream.go
@@ -75,7 +75,7 @@
 	}
 }
 
-func (u *Upstream) expectedWait(p *Pool) time.Duration {
+func (u *Upstream) expectedWait(p *LatencyPool) time.Duration {
 	s := &u.slots
 	if s.share == 0 || s.excess() == 0 {
 		return 0
--- a/tier/policy/upstream_test.go
+++ b/tier/policy/upstream_test.go
@@ -22,7 +22,7 @@
 		{"ejected until now", Upstream{ejection: ejection{until: now}}, true},
 		{"in backoff", Upstream{backoff: backoff{until: later}}, false},
 		{"cold", Upstream{cold: cold{until: later}}, true},
-		{"throttled", Upstream{cold: cold{until: later, entry: Cold{Calls: 5}}}, false},
+		{"throttled", Upstream{cold: cold{until: later, entry: Cold{CallLimit: 5}}}, false},
 		{"unresponsive", Upstream{stall: stall{until: later}}, true},
 		{"slower than its like", Upstream{condition: condition{slowness: 9, faults: 0.9, seenAt: now}}, true},
 	}
@@ -98,24 +98,26 @@
 // waits start again under its name: nothing that was learnt of it holds any more.
 func TestLaterStartIsAnotherUpstream(t *testing.T) {
 	f := NewFleet(FleetConfig{})
-	share := Share{Name: "U", Slots: 1, Listed: true, Born: 1000}
+	share := Share{Name: "U", Slots: 1, Listed: true, StartedMillis: 1000}
 	f.Apply(0, []Share{share})
 	first := f.Find("U")
 	granted := 0
-	wait := func() { f.Enter(&Waiter{Upstream: first, Deadline: time.Minute, Granted: func() { granted++ }}) }
+	wait := func() {
+		f.AcquireOrQueue(&Waiter{Upstream: first, Deadline: time.Minute, Granted: func() { granted++ }})
+	}
 	wait()
 	wait()
 	first.gone, first.leaving = true, true
 	first.ejection.failed(0)
 
-	Deliver(f.Update(0, []Share{share}, nil))
+	NotifyGranted(f.Update(0, []Share{share}, nil))
 	assert.Assert(t, f.Find("U") == first, "the same start is the same upstream")
-	share.Born = 2000
-	Deliver(f.Update(0, []Share{share}, nil))
+	share.StartedMillis = 2000
+	NotifyGranted(f.Update(0, []Share{share}, nil))
 	second := f.Find("U")
 	assert.Assert(t, second != first && !second.leaving && second.slots.inUse == 0)
 	assert.Equal(t, second.ejection, ejection{})
 	assert.Equal(t, granted, 1, "the call that waited goes ahead")
-	Deliver(f.Update(0, []Share{{Name: "U", Slots: 1, Listed: true, Born: 1000}}, nil))
+	NotifyGranted(f.Update(0, []Share{{Name: "U", Slots: 1, Listed: true, StartedMillis: 1000}}, nil))
 	assert.Assert(t, f.Find("U") == second, "an earlier start changes nothing")
 }
--- a/tier/policy/words_test.go
+++ b/tier/policy/words_test.go
@@ -23,15 +23,15 @@
 	}{
 		{"outcomes", words(
 			CallOK, CallUnreachable, CallShed, CallLeaving, CallNotSent, CallBarred, CallStalled, CallSnapshotGone,
-			CallMoved, CallFailed, CallGarbage, CallBroken, CallCrashed, CallLost, CallCancelled, CallLate,
+			CallMoved, CallFailed, CallMalformed, CallBroken, CallCrashed, CallLost, CallCancelled, CallLate,
 		), "OK Unreachable Shed Leaving NotSent Barred Stalled SnapshotGone Moved Failed Garbage Broken Crashed Lost Cancelled Late"},
 		{"reasons", words(
 			query.ReasonLate, query.ReasonUnreachable, query.ReasonRefused, query.ReasonSnapshotGone, query.ReasonMoved,
 			query.ReasonGarbage, query.ReasonEvacuated, query.ReasonAway, query.ReasonCold, query.ReasonSuspected, query.ReasonQuarantined,
 		), "Late Unreachable Refused SnapshotGone Moved Garbage Evacuated Away Cold Suspected Quarantined"},
-		{"verdicts", words(VerdictSound, VerdictSuspected, VerdictQuarantined), "Sound Suspected Quarantined"},
+		{"verdicts", words(VerdictClean, VerdictSuspected, VerdictQuarantined), "Sound Suspected Quarantined"},
 		{"obstacles to a hedge", words(HedgeNoUpstream, HedgeNoSlot, HedgeCold, HedgeNoBudget, HedgeSuspected), "NoUpstream NoSlot Cold NoBudget Doubted"},
-		{"actions", words(ActionSend, ActionCancel, ActionLinger, ActionTake, ActionFree, ActionFinish), "Send Cancel Linger Take Free Finish"},
+		{"actions", words(ActionSend, ActionCancel, ActionLinger, ActionMerge, ActionReleaseSlot, ActionFinish), "Send Cancel Linger Take Free Finish"},
 		{"refusal", words(ReasonQuarantined), "the request has crashed the upstreams that ran it"},
 		{"error", words((&Refusal{Reason: "full", RetryAfter: time.Second}).Error()), "not run: full; ask again in 1s"},
 	}
@@ -66,7 +66,7 @@
 		{CallSnapshotGone, query.ReasonSnapshotGone, true, true, false, true},
 		{CallMoved, query.ReasonMoved, true, true, false, true},
 		{CallFailed, query.ReasonUnreachable, false, true, true, true},
-		{CallGarbage, query.ReasonGarbage, false, true, true, false},
+		{CallMalformed, query.ReasonGarbage, false, true, true, false},
 		{CallBroken, query.ReasonUnreachable, false, true, true, false},
 		{CallCrashed, query.ReasonUnreachable, false, true, true, false},
 		{CallLost, query.ReasonUnreachable, false, true, false, false},
@@ -86,7 +86,7 @@
 // TestReportsOnTheWire pins what hosts of different versions tell each other of requests
 // that crash upstreams.
 func TestReportsOnTheWire(t *testing.T) {
-	full := CrashReport{ID: 1, Attempt: 2, Isolated: true, Upstream: "U", Caller: netip.MustParseAddr("192.0.2.1"), Cleared: true, CallerOnly: true, Left: time.Second}
+	full := CrashReport{ID: 1, Attempt: 2, Isolated: true, Upstream: "U", Caller: netip.MustParseAddr("192.0.2.1"), Cleared: true, CallerOnly: true, Remaining: time.Second}
 	tests := []struct {
 		name   string
 		report SuspectReport
--- a/tier/replay/call.go
+++ b/tier/replay/call.go
@@ -74,7 +74,7 @@
 	u := owner.fleet.Find(name)
 	w.after(k.hop, func() {
 		waiter := &policy.Waiter{Upstream: u, Deadline: deadline, Granted: func() { w.after(0, func() { k.relayed(owner, u) }) }}
-		granted, queued := owner.fleet.Enter(waiter)
+		granted, queued := owner.fleet.AcquireOrQueue(waiter)
 		switch {
 		case granted:
 			k.relayed(owner, u)
@@ -88,13 +88,13 @@
 func (k *call) relayed(owner *host, u *policy.Upstream) {
 	w := k.world
 	if k.cancelled {
-		policy.Deliver(owner.fleet.Free(w.now, u))
+		policy.NotifyGranted(owner.fleet.ReleaseSlot(w.now, u))
 		return
 	}
 	sent := w.now
 	k.inner = &call{world: w, upstream: k.upstream, hop: w.config.hop}
 	k.inner.done = func(o policy.CallOutcome) {
-		policy.Deliver(owner.fleet.Finish(w.now, policy.Call{Upstream: u, Pool: owner.pool, Outcome: o, Took: w.now - sent}))
+		policy.NotifyGranted(owner.fleet.Finish(w.now, policy.Call{Upstream: u, Pool: owner.pool, Outcome: o, Took: w.now - sent}))
 		k.reply(o)
 	}
 	k.inner.start()
--- a/tier/replay/crash_site_test.go
+++ b/tier/replay/crash_site_test.go
@@ -157,16 +157,16 @@
 
 // subject returns what hosts remember a request by; the zero value where the request
 // is not known.
-func (s *routedSite) subject(q *callerRequest) policy.Subject {
+func (s *routedSite) subject(q *callerRequest) policy.RequestIdentity {
 	if q == nil || !s.routed.crash.remember {
-		return policy.Subject{}
+		return policy.RequestIdentity{}
 	}
-	return policy.Subject{Fingerprint: q.fingerprint, Caller: q.caller}
+	return policy.RequestIdentity{Fingerprint: q.fingerprint, Caller: q.caller}
 }
 
 // serve has a host carry out one attempt of a caller's request.
 func (s *routedSite) serve(h *host, q *callerRequest) {
-	if verdict, _ := h.fleet.Judge(s.world.now, s.subject(q)); verdict == policy.VerdictQuarantined {
+	if verdict, _ := h.fleet.Verdict(s.world.now, s.subject(q)); verdict == policy.VerdictQuarantined {
 		if !q.crashes {
 			s.crashes.blamed++
 		}
@@ -188,7 +188,7 @@
 		reports := h.fleet.UnsentReports(w.now)
 		for _, i := range w.random.Perm(len(w.hosts))[:min(reportHosts, len(w.hosts))] {
 			to := w.hosts[i]
-			w.after(s.routed.farHop, func() { to.fleet.TakeReports(w.now, reports) })
+			w.after(s.routed.farHop, func() { to.fleet.MergeReports(w.now, reports) })
 		}
 	}
 	h.fleet.OnCrashReports(func(urgent bool) {
--- a/tier/replay/execution.go
+++ b/tier/replay/execution.go
@@ -58,7 +58,7 @@
 
 func (e *execution) planWake() {
 	w := e.host.world
-	next := e.run.Next()
+	next := e.run.WakeAt()
 	if e.wakeAt == next {
 		return
 	}
@@ -81,9 +81,9 @@
 		case policy.ActionCancel:
 			e.calls[a.Attempt].cancel(a.Outcome)
 		case policy.ActionLinger:
-			e.calls[a.Attempt].linger(a.Outcome, policy.LingerFor)
-		case policy.ActionFree:
-			policy.Deliver(e.host.fleet.Free(w.now, a.Upstream))
+			e.calls[a.Attempt].linger(a.Outcome, policy.LingerDuration)
+		case policy.ActionReleaseSlot:
+			policy.NotifyGranted(e.host.fleet.ReleaseSlot(w.now, a.Upstream))
 		case policy.ActionFinish:
 			e.finish()
 		default:
@@ -115,10 +115,10 @@
 	index := w.indices[a.Upstream.Name]
 	sent := w.now
 	k := &call{world: w, upstream: w.upstreams[index], hop: w.site.hop(e.host, index), execution: e}
-	e.host.fleet.Sent(sent, a.Upstream)
+	e.host.fleet.RecordSent(sent, a.Upstream)
 	k.done = func(o policy.CallOutcome) {
 		w.site.work(e.host, func() {
-			policy.Deliver(e.host.fleet.Finish(w.now, policy.Call{
+			policy.NotifyGranted(e.host.fleet.Finish(w.now, policy.Call{
 				Upstream: a.Upstream, Pool: a.Pool, Outcome: o, Took: w.now - sent, Lingering: k.lingering,
 			}))
 			e.perform(e.run.Reply(w.now, a.Attempt, o))
--- a/tier/replay/routed_site_test.go
+++ b/tier/replay/routed_site_test.go
@@ -164,7 +164,7 @@
 			Hall: hall, Near: hall == s.routed.hall(h.index),
 		})
 	}
-	share := policy.ShareRetryBudget(s.routed.ratio, s.routed.slack, float64(c.hosts)).Within(s.routed.window)
+	share := policy.ShareRetryBudget(s.routed.ratio, s.routed.slack, float64(c.hosts)).WithWindow(s.routed.window)
 	h.fleet.SetRetryBudgets(policy.RetryBudgets{Shards: share, Single: share})
 	h.fleet.Apply(0, shares)
 	if s.routed.crash != nil {
@@ -289,7 +289,7 @@
 			names[i] = append(names[i], upstreamName(i*w.config.replicas+r))
 		}
 	}
-	near, far := h.fleet.RoutedPools(c.route.Name)
+	near, far := h.fleet.RoutedLatencyPools(c.route.Name)
 	e := h.newExecution(g.load, w.config.shards)
 	e.begun = g.began - g.back
 	e.onEnd = func(answer *policy.Result, took time.Duration) { s.ended(e, g, answer, took) }
@@ -297,9 +297,9 @@
 		s.attempts[e] = &attempt{request: g.request}
 	}
 	e.begin(policy.RunConfig{
-		Pool: near, Class: &class, Replicas: h.fleet.Resolve(names), Subject: s.subject(g.request),
+		Pool: near, Class: &class, Replicas: h.fleet.Resolve(names), Identity: s.subject(g.request),
 		Deadline: w.now + time.Duration(c.route.TimeLimit),
-		Routed: &policy.Routed{
+		Routed: &policy.RoutedConfig{
 			Groups: groups, FarPool: far, MaxAttempts: c.route.MaxAttempts, Objective: max(time.Duration(c.route.Objective)-spent, 0),
 		},
 	})
--- a/tier/replay/site.go
+++ b/tier/replay/site.go
@@ -33,7 +33,7 @@
 	index int
 	fleet *policy.Fleet
 	// pool has the latencies of requests of a class; nil at a site of routed ones.
-	pool *policy.Pool
+	pool *policy.LatencyPool
 }
 
 func newHost(w *world, index int) *host {
@@ -65,9 +65,9 @@
 		shares = append(shares, share)
 	}
 	h.fleet.Apply(0, shares)
-	h.pool = h.fleet.Pool("Data")
+	h.pool = h.fleet.LatencyPool("Data")
 	for i := range c.shards {
-		h.fleet.NoteStatus(0, h.fleet.Find(upstreamName(i)), policy.Window{Oldest: 1, Newest: 1, Known: true}, false)
+		h.fleet.RecordStatus(0, h.fleet.Find(upstreamName(i)), policy.SnapshotRange{Oldest: 1, Newest: 1, Known: true}, false)
 	}
 }
 
--- a/tier/runner/batch.go
+++ b/tier/runner/batch.go
@@ -24,7 +24,7 @@
 		})}
 		e.calls[a.Attempt] = calls[i]
 		e.run.DelayHedge(a.Attempt)
-		granted = append(granted, e.kernel.Fleet.Free(e.kernel.Now(), a.Upstream)...)
+		granted = append(granted, e.kernel.Fleet.ReleaseSlot(e.kernel.Now(), a.Upstream)...)
 	}
 	go func() {
 		defer cancel()
@@ -72,6 +72,6 @@
 				late = append(late, a.Attempt)
 			}
 		}
-		return r.execution.run.Overdue(now, late)
+		return r.execution.run.HedgeNow(now, late)
 	})
 }
--- a/tier/runner/call.go
+++ b/tier/runner/call.go
@@ -39,7 +39,7 @@
 	started := k.Now()
 	reply := Reply[R]{Outcome: policy.CallNotSent}
 	if k.Awake() && started < e.deadline {
-		k.Fleet.Sent(started, a.Upstream)
+		k.Fleet.RecordSent(started, a.Upstream)
 		reply = e.caller.Call(ctx, a)
 	}
 	e.ended(a, c, started, reply)
@@ -64,13 +64,13 @@
 	countCall(reply.Outcome)
 	granted := k.Fleet.Finish(now, policy.Call{
 		Upstream: a.Upstream, Pool: a.Pool, Outcome: reply.Outcome, Took: reply.Took, Load: reply.Load,
-		Elsewhere: c.batched, Lingering: lingering, Crowded: reply.Crowded && !c.batched,
+		Relayed: c.batched, Lingering: lingering, NewConnReset: reply.Crowded && !c.batched,
 	})
 	e.handle(func(now time.Duration) []policy.Action {
 		e.reply = reply.Part
 		return e.run.Reply(now, a.Attempt, reply.Outcome)
 	})
-	policy.Deliver(granted)
+	policy.NotifyGranted(granted)
 }
 
 // settled distinguishes a call that was cancelled from one that broke; the
@@ -91,11 +91,11 @@
 func (e *execution[R]) linger(a policy.Action) {
 	c := e.calls[a.Attempt]
 	if c == nil || c.ended {
-		e.kernel.Fleet.Lingered(a.Upstream)
+		e.kernel.Fleet.CancelLinger(a.Upstream)
 		return
 	}
 	c.outcome, c.lingering = a.Outcome, true
-	time.AfterFunc(policy.LingerFor, func() {
+	time.AfterFunc(policy.LingerDuration, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		c.cancel()
--- a/tier/runner/runner.go
+++ b/tier/runner/runner.go
@@ -67,7 +67,7 @@
 	select {
 	case <-e.done:
 	case <-callerGone:
-		e.handle(e.run.GiveUp)
+		e.handle(e.run.Abort)
 		<-e.done
 	}
 	e.mu.Lock()
@@ -85,11 +85,11 @@
 		e.mu.Unlock()
 		return err
 	}
-	e.wakeAt = e.run.Next()
+	e.wakeAt = e.run.WakeAt()
 	e.timer = time.AfterFunc(e.wakeAt-now, e.wake)
 	granted := e.perform(actions)
 	e.mu.Unlock()
-	policy.Deliver(granted)
+	policy.NotifyGranted(granted)
 	return nil
 }
 
@@ -98,12 +98,12 @@
 	e.mu.Lock()
 	now := e.kernel.Now()
 	granted := e.perform(event(now))
-	if next := e.run.Next(); e.timer != nil && next < e.wakeAt {
+	if next := e.run.WakeAt(); e.timer != nil && next < e.wakeAt {
 		e.wakeAt = next
 		e.timer.Reset(max(next-now, 0))
 	}
 	e.mu.Unlock()
-	policy.Deliver(granted)
+	policy.NotifyGranted(granted)
 }
 
 // granted passes on that a queued attempt has its slot.
@@ -120,7 +120,7 @@
 }
 
 // perform carries actions out; the execution is locked. It returns the waiters that got
-// a slot, for policy.Deliver after unlocking.
+// a slot, for policy.NotifyGranted after unlocking.
 func (e *execution[R]) perform(actions []policy.Action) []*policy.Waiter {
 	var (
 		granted []*policy.Waiter
@@ -137,10 +137,10 @@
 			}
 		case policy.ActionLinger:
 			e.linger(a)
-		case policy.ActionTake:
+		case policy.ActionMerge:
 			e.caller.Take(a.Part, e.reply)
-		case policy.ActionFree:
-			granted = append(granted, e.kernel.Fleet.Free(e.kernel.Now(), a.Upstream)...)
+		case policy.ActionReleaseSlot:
+			granted = append(granted, e.kernel.Fleet.ReleaseSlot(e.kernel.Now(), a.Upstream)...)
 		case policy.ActionFinish:
 			e.over, e.decidedAt = true, e.kernel.Now()
 			close(e.done)
@@ -150,7 +150,7 @@
 }
 
 // launch starts calls; the execution is locked. It returns the waiters that got a slot,
-// for policy.Deliver after unlocking.
+// for policy.NotifyGranted after unlocking.
 func (e *execution[R]) launch(sends []policy.Action) (granted []*policy.Waiter) {
 	var batches []Batch
 	if e.batcher != nil && len(sends) > 0 {
