--- a/tier/policy/admit.go
+++ b/tier/policy/admit.go
@@ -9,7 +9,7 @@
 const (
 	// coverageExpected is the share of the parts that must be expected in time for a
 	// request to be admitted, if its class asks for no less.
-	coverageExpected = 0.9
+	admissionCoverage = 0.9
 	// costWeight is the weight of the last request in the smoothed cost of a class.
 	costWeight = 0.05
 )
@@ -39,9 +39,9 @@
 	if c.cost == 0 {
 		c.cost = parts
 	}
-	allowed := rule.allow(q.Deadline-now, c.density(), f.topDensity())
+	allowed := rule.allow(q.Deadline-now, c.worthPerCall(), f.maxWorthPerCall())
 	inTime, shortest := q.expected(allowed)
-	if float64(inTime) < min(class.Coverage, coverageExpected)*parts {
+	if float64(inTime) < min(class.Coverage, admissionCoverage)*parts {
 		return &Refusal{Reason: "the work ahead does not fit the deadline", RetryAfter: f.retryAfter(q.Pool, shortest-allowed)}
 	}
 	c.inFlight++
@@ -57,7 +57,7 @@
 	shortest = math.MaxInt64
 	for _, upstreams := range q.Replicas {
 		best := shortestTime(upstreams, func(u *Upstream) time.Duration {
-			return u.expectedWait(q.Pool) + u.latency.or(q.Pool.median())
+			return u.expectedWait(q.Pool) + u.latency.orDefault(q.Pool.median())
 		})
 		if best <= allowed || len(upstreams) == 0 {
 			inTime++
@@ -80,9 +80,9 @@
 // Shares of the slack that expected work may fill.
 const (
 	// allowedLeast is the share for the requests of least worth per cost.
-	allowedLeast = 0.2
+	minSlackShare = 0.2
 	// allowedMost is the share for those of most worth per cost.
-	allowedMost = 0.75
+	maxSlackShare = 0.75
 )
 
 // admitAll refuses nothing: the baseline.
@@ -104,5 +104,5 @@
 	if top > 0 {
 		rank = min(density/top, 1)
 	}
-	return time.Duration(float64(slack) * (allowedLeast + (allowedMost-allowedLeast)*rank))
+	return time.Duration(float64(slack) * (minSlackShare + (maxSlackShare-minSlackShare)*rank))
 }
--- a/tier/policy/attempt.go
+++ b/tier/policy/attempt.go
@@ -10,7 +10,7 @@
 // leaveQueues takes a part's other attempts out of their queues once one has
 // its slot. If another is being granted just now, Granted frees its slot.
 func (r *Run) leaveQueues(i, granted int) {
-	for _, n := range slices.Clone(r.parts[i].live) {
+	for _, n := range slices.Clone(r.parts[i].active) {
 		if a := &r.attempts[n]; n != granted && a.phase == phaseQueued {
 			a.waiter.abandon()
 			r.withdraw(n)
@@ -23,7 +23,7 @@
 	a := &r.attempts[n]
 	a.phase = phaseDone
 	p := &r.parts[a.part]
-	p.live = removeFirst(p.live, n)
+	p.active = removeFirst(p.active, n)
 	p.tried = removeFirst(p.tried, a.upstream)
 	p.tries--
 }
@@ -34,39 +34,39 @@
 func (r *Run) startAttempt(now time.Duration, i int, out []Action) []Action {
 	u := r.pick(now, i, anyUpstream)
 	if u == nil {
-		r.markMissing(i, r.rules.absence(now, i, &r.parts[i]))
+		r.markMissing(i, r.rules.missingReason(now, i, &r.parts[i]))
 		return out
 	}
-	out = r.enter(now, i, u, out)
+	out = r.addAttempt(now, i, u, out)
 	p := &r.parts[i]
-	for !p.closed && len(p.live) > 0 && r.attempts[p.live[len(p.live)-1]].phase == phaseQueued {
+	for !p.closed && len(p.active) > 0 && r.attempts[p.active[len(p.active)-1]].phase == phaseQueued {
 		u = r.pick(now, i, onlyEligible)
 		if u == nil {
 			break
 		}
-		out = r.enter(now, i, u, out)
+		out = r.addAttempt(now, i, u, out)
 	}
 	return out
 }
 
 // enter asks for a slot at an upstream for a new attempt of a part. It sends the attempt
 // if the slot is granted at once, else the attempt is queued there.
-func (r *Run) enter(now time.Duration, i int, u *Upstream, out []Action) []Action {
+func (r *Run) addAttempt(now time.Duration, i int, u *Upstream, out []Action) []Action {
 	p := &r.parts[i]
 	n := len(r.attempts)
 	w := &Waiter{Upstream: u, Deadline: r.request.Deadline, Granted: func() { r.request.Granted(n) }}
-	granted, queued := u.enter(w)
+	granted, queued := u.acquireOrQueue(w)
 	p.tries++
 	p.tried = append(p.tried, u)
 	if !granted && !queued {
 		r.attempts = append(r.attempts, attempt{part: i, upstream: u, phase: phaseDone})
-		if len(p.live) == 0 {
+		if len(p.active) == 0 {
 			r.markMissing(i, query.ReasonRefused)
 		}
 		return out
 	}
 	r.attempts = append(r.attempts, attempt{part: i, upstream: u, phase: phaseQueued, waiter: w})
-	p.live = append(p.live, n)
+	p.active = append(p.active, n)
 	if granted {
 		r.leaveQueues(i, n)
 		return r.send(now, n, out)
@@ -93,7 +93,7 @@
 }
 
 // include has a part be in the answer, and gives up its other attempts.
-func (r *Run) include(i int, out []Action) []Action {
+func (r *Run) includePart(i int, out []Action) []Action {
 	p := &r.parts[i]
 	p.closed = true
 	r.progress.included++
@@ -109,15 +109,15 @@
 
 // linger reports whether an attempt that is not wanted any more may go on: one at a near
 // upstream, whose caller is not gone.
-func (r *Run) linger(a *attempt) bool {
-	return a.upstream.near && r.request.Repeatable && !r.callerGone && !r.suspected() && a.upstream.linger()
+func (r *Run) mayLinger(a *attempt) bool {
+	return a.upstream.near && r.request.Repeatable && !r.callerGone && !r.suspected() && a.upstream.tryLinger()
 }
 
 // cancel gives up all attempts of a part. One whose answer shows when its upstream
 // answers again goes on for LingerDuration.
 func (r *Run) cancel(i int, o CallOutcome, out []Action) []Action {
 	p := &r.parts[i]
-	for _, n := range p.live {
+	for _, n := range p.active {
 		a := &r.attempts[n]
 		switch a.phase {
 		case phaseQueued:
@@ -125,13 +125,13 @@
 			a.phase = phaseDone
 		case phaseSent:
 			kind := ActionCancel
-			if r.linger(a) {
+			if r.mayLinger(a) {
 				kind = ActionLinger
 			}
 			out = append(out, Action{Kind: kind, Attempt: n, Part: i, Upstream: a.upstream, Outcome: o})
 		default:
 		}
 	}
-	p.live = nil
+	p.active = nil
 	return out
 }
--- a/tier/policy/backoff.go
+++ b/tier/policy/backoff.go
@@ -8,9 +8,9 @@
 // Constants of the backoff after sheds.
 const (
 	// backoffFirst is the backoff after the first shed.
-	backoffFirst = 5 * time.Millisecond
+	initialBackoff = 5 * time.Millisecond
 	// backoffLongest is the longest backoff.
-	backoffLongest = time.Second
+	maxBackoff = time.Second
 )
 
 // backoff passes over an upstream that sheds calls, for twice as long at each
@@ -25,7 +25,7 @@
 func (b *backoff) succeeded() { *b = backoff{} }
 
 func (b *backoff) shed(now time.Duration) {
-	b.until = now + exponential(backoffFirst, 2, b.sheds, backoffLongest)
+	b.until = now + exponential(initialBackoff, 2, b.sheds, maxBackoff)
 	b.sheds++
 }
 
--- a/tier/policy/borrowing.go
+++ b/tier/policy/borrowing.go
@@ -3,9 +3,9 @@
 // Constants of borrowing.
 const (
 	// borrowFirst is the least number of calls not shed until one more slot is borrowed.
-	borrowFirst = 16
+	minCallsToBorrow = 16
 	// borrowLatest is the greatest such number.
-	borrowLatest = 1 << 16
+	maxCallsToBorrow = 1 << 16
 	// borrowGrowth is how many times as many calls are needed after a shed of borrowed
 	// slots.
 	borrowGrowth = 4
@@ -25,12 +25,12 @@
 	notShed int
 	// needed is how many calls must not be shed before one more slot is borrowed;
 	// 0 for borrowFirst.
-	needed int
+	callsNeeded int
 }
 
 func (b *borrowing) shed() {
 	if b.borrowed > 0 {
-		b.needed = min(borrowGrowth*b.next(), borrowLatest)
+		b.callsNeeded = min(borrowGrowth*b.callsToBorrow(), maxCallsToBorrow)
 	}
 	b.borrowed, b.notShed = 0, 0
 }
@@ -38,14 +38,14 @@
 // succeeded counts a call that was not shed; room is the slots beyond the share.
 func (b *borrowing) succeeded(room int) {
 	b.notShed++
-	if b.notShed < b.next() {
+	if b.notShed < b.callsToBorrow() {
 		return
 	}
 	b.notShed = 0
 	if b.borrowed > 0 {
-		b.needed = max(b.needed/borrowDecay, borrowFirst)
+		b.callsNeeded = max(b.callsNeeded/borrowDecay, minCallsToBorrow)
 	}
 	b.borrowed = min(b.borrowed+1, room)
 }
 
-func (b *borrowing) next() int { return max(b.needed, borrowFirst) }
+func (b *borrowing) callsToBorrow() int { return max(b.callsNeeded, minCallsToBorrow) }
--- a/tier/policy/borrowing_test.go
+++ b/tier/policy/borrowing_test.go
@@ -14,16 +14,16 @@
 		steps          []int
 		borrowed, next int
 	}{
-		{"too few calls", []int{borrowFirst - 1}, 0, borrowFirst},
-		{"enough calls", []int{borrowFirst}, 1, borrowFirst},
-		{"as many again", []int{2 * borrowFirst}, 2, borrowFirst},
-		{"no more than there are", []int{9 * borrowFirst}, 3, borrowFirst},
-		{"a shed without borrowed slots costs nothing", []int{borrowFirst - 1, shed}, 0, borrowFirst},
-		{"calls before a shed do not count", []int{borrowFirst - 1, shed, 1}, 0, borrowFirst},
-		{"a shed gives all back", []int{2 * borrowFirst, shed}, 0, 4 * borrowFirst},
-		{"and delays the next", []int{borrowFirst, shed, 4*borrowFirst - 1}, 0, 4 * borrowFirst},
-		{"which comes later", []int{borrowFirst, shed, 4 * borrowFirst}, 1, 4 * borrowFirst},
-		{"the delay halves", []int{borrowFirst, shed, 8 * borrowFirst}, 2, 2 * borrowFirst},
+		{"too few calls", []int{minCallsToBorrow - 1}, 0, minCallsToBorrow},
+		{"enough calls", []int{minCallsToBorrow}, 1, minCallsToBorrow},
+		{"as many again", []int{2 * minCallsToBorrow}, 2, minCallsToBorrow},
+		{"no more than there are", []int{9 * minCallsToBorrow}, 3, minCallsToBorrow},
+		{"a shed without borrowed slots costs nothing", []int{minCallsToBorrow - 1, shed}, 0, minCallsToBorrow},
+		{"calls before a shed do not count", []int{minCallsToBorrow - 1, shed, 1}, 0, minCallsToBorrow},
+		{"a shed gives all back", []int{2 * minCallsToBorrow, shed}, 0, 4 * minCallsToBorrow},
+		{"and delays the next", []int{minCallsToBorrow, shed, 4*minCallsToBorrow - 1}, 0, 4 * minCallsToBorrow},
+		{"which comes later", []int{minCallsToBorrow, shed, 4 * minCallsToBorrow}, 1, 4 * minCallsToBorrow},
+		{"the delay halves", []int{minCallsToBorrow, shed, 8 * minCallsToBorrow}, 2, 2 * minCallsToBorrow},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -37,7 +37,7 @@
 				}
 			}
 			assert.Equal(t, b.borrowed, tt.borrowed)
-			assert.Equal(t, b.next(), tt.next)
+			assert.Equal(t, b.callsToBorrow(), tt.next)
 		})
 	}
 }
@@ -49,5 +49,5 @@
 		b.borrowed = 1
 		b.shed()
 	}
-	assert.Equal(t, b.next(), borrowLatest)
+	assert.Equal(t, b.callsToBorrow(), maxCallsToBorrow)
 }
--- a/tier/policy/calls.go
+++ b/tier/policy/calls.go
@@ -46,7 +46,7 @@
 func (f *Fleet) TryLinger(u *Upstream) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return u.linger()
+	return u.tryLinger()
 }
 
 // CancelLinger releases what Linger took for a call that ended before it could linger.
@@ -62,7 +62,7 @@
 func (f *Fleet) AcquireOrQueue(w *Waiter) (granted, queued bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return w.Upstream.enter(w)
+	return w.Upstream.acquireOrQueue(w)
 }
 
 // Acquire waits for a slot outside a run until a deadline or the end of the context,
@@ -86,5 +86,5 @@
 	defer f.mu.Unlock()
 	w.abandon()
 	// It may have been granted meanwhile.
-	return w.place == placeGranted
+	return w.index == indexGranted
 }
--- a/tier/policy/choose.go
+++ b/tier/policy/choose.go
@@ -34,8 +34,8 @@
 type leastTime struct{}
 
 func (leastTime) score(now time.Duration, u *Upstream, p *LatencyPool, r Random) float64 {
-	latency := u.latency.or(p.median())
-	score := latency.Seconds() * (1 + u.slots.ahead()) * jitter(r)
+	latency := u.latency.orDefault(p.median())
+	score := latency.Seconds() * (1 + u.slots.queuedPerSlot()) * jitter(r)
 	if u.outlier.marked || u.backoff.active(now) {
 		score += outlierPenalty
 	}
@@ -78,7 +78,7 @@
 func (leastLatency) score(now time.Duration, u *Upstream, p *LatencyPool, r Random) float64 {
 	slowness, faults := u.condition.expected(now, u.Name)
 	latency := p.median().Seconds() * slowness
-	ahead := u.slots.ahead() + u.load.ahead(now)
+	ahead := u.slots.queuedPerSlot() + u.load.expectedPerSlot(now)
 	score := latency * (1 + ahead) * jitter(r)
 	score += faults * faultCost.Seconds()
 	if u.stalled(now) {
--- a/tier/policy/choose_test.go
+++ b/tier/policy/choose_test.go
@@ -22,7 +22,7 @@
 		{"an outlier", leastTime{}, Upstream{latency: slow}, Upstream{outlier: outlier{marked: true}}},
 		{"in backoff", leastTime{}, Upstream{latency: slow}, Upstream{backoff: backoff{until: later}}},
 		{"ejected", leastTime{}, Upstream{latency: slow, outlier: outlier{marked: true}, backoff: backoff{until: later}}, Upstream{ejection: ejection{until: later}}},
-		{"unresponsive", leastLatency{}, Upstream{condition: condition{slowness: 9, seenAt: now}}, Upstream{near: true, stall: stall{until: later}}},
+		{"unresponsive", leastLatency{}, Upstream{condition: condition{slowness: 9, observedAt: now}}, Upstream{near: true, stall: stall{until: later}}},
 		{"listed and in backoff", leastLatency{}, Upstream{stall: stall{until: later}}, Upstream{near: true, backoff: backoff{until: later}}},
 		{"listed and ejected", leastLatency{}, Upstream{stall: stall{until: later}, backoff: backoff{until: later}}, Upstream{near: true, ejection: ejection{until: later}}},
 		{"the first that is not ejected", first{}, Upstream{latency: slow}, Upstream{ejection: ejection{until: later}}},
@@ -41,7 +41,7 @@
 func TestLeastLatencyCountsWhatDelaysACall(t *testing.T) {
 	const now = time.Minute
 	near := func(change func(u *Upstream)) Upstream {
-		u := Upstream{near: true, condition: condition{seenAt: now}}
+		u := Upstream{near: true, condition: condition{observedAt: now}}
 		change(&u)
 		return u
 	}
@@ -53,7 +53,7 @@
 		{"fails a part of its calls", near(func(u *Upstream) { u.condition.faults = 0.01 })},
 		{"this host's calls are ahead", near(func(u *Upstream) { u.slots.share, u.slots.inUse = 4, 1 })},
 		{"other hosts' calls are ahead", near(func(u *Upstream) { u.load = queueReport{perSlot: 0.25, at: now} })},
-		{"in another hall", Upstream{condition: condition{seenAt: now}}},
+		{"in another hall", Upstream{condition: condition{observedAt: now}}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -70,7 +70,7 @@
 func TestUnseenUpstreamIsAskedAgain(t *testing.T) {
 	const now = time.Minute
 	r, p := rand.New(rand.NewPCG(1, 0)), newPool(poolWindow)
-	seen := Upstream{near: true, condition: condition{slowness: 4, seenAt: now}}
-	unseen := Upstream{near: true, condition: condition{slowness: 4, seenAt: now - staleFull}}
+	seen := Upstream{near: true, condition: condition{slowness: 4, observedAt: now}}
+	unseen := Upstream{near: true, condition: condition{slowness: 4, observedAt: now - minWeightAge}}
 	assert.Assert(t, leastLatency{}.score(now, &unseen, p, r) < 0.6*leastLatency{}.score(now, &seen, p, r))
 }
--- a/tier/policy/class.go
+++ b/tier/policy/class.go
@@ -10,7 +10,7 @@
 const (
 	// classTries is the number of attempts, queued ones included, for one part of a request
 	// of a class.
-	classTries = 4
+	maxClassAttempts = 4
 	// classRetryRatio is the number of retries that each part of a request of a class
 	// earns.
 	classRetryRatio = 0.1
@@ -46,19 +46,19 @@
 	return o == CallShed || c.fleet.class(c.class.Name).retries.take()
 }
 
-func (c *classRules) attemptsLeft(p *part) bool { return p.tries < classTries }
+func (c *classRules) attemptsLeft(p *part) bool { return p.tries < maxClassAttempts }
 
 // hedgeDelay has a call hedged when it takes longer than nearly all calls to the service.
 func (c *classRules) hedgeDelay(_ *Upstream, limit time.Duration) time.Duration {
 	if !c.pool.known() {
 		return limit / classHedgeDivisor
 	}
-	return max(c.pool.quantile(c.class.HedgeQuantile), hedgeLeast)
+	return max(c.pool.quantile(c.class.HedgeQuantile), minHedgeDelay)
 }
 
 // hedgesAtSame is true, since a call that straggles says little about the next call to
 // the same upstream.
-func (c *classRules) hedgesAtSame() bool { return true }
+func (c *classRules) hedgesSameUpstream() bool { return true }
 
 func (c *classRules) barred(time.Duration, *Upstream) bool { return false }
 
@@ -66,7 +66,9 @@
 
 func (c *classRules) poolOf(*Upstream) *LatencyPool { return c.pool }
 
-func (c *classRules) absence(time.Duration, int, *part) query.Reason { return query.ReasonUnreachable }
+func (c *classRules) missingReason(time.Duration, int, *part) query.Reason {
+	return query.ReasonUnreachable
+}
 
 // endsUncovered is false: a class answers with what arrives by its deadline.
-func (c *classRules) endsUncovered() bool { return false }
+func (c *classRules) endsWithoutCoverage() bool { return false }
--- a/tier/policy/classstate.go
+++ b/tier/policy/classstate.go
@@ -20,12 +20,12 @@
 }
 
 // density is the worth of a request for each upstream call that it takes.
-func (c *classState) density() float64 { return c.worth / max(c.cost, 1) }
+func (c *classState) worthPerCall() float64 { return c.worth / max(c.cost, 1) }
 
-func (f *Fleet) topDensity() float64 {
+func (f *Fleet) maxWorthPerCall() float64 {
 	top := 0.0
 	for _, c := range f.classes {
-		top = max(top, c.density())
+		top = max(top, c.worthPerCall())
 	}
 	return top
 }
--- a/tier/policy/cold.go
+++ b/tier/policy/cold.go
@@ -5,13 +5,13 @@
 const (
 	// coldOwners is how many hosts may believe at a time that they are the owner: one that
 	// was frozen or cut off from its hall does not know of the next.
-	coldOwners = 2
+	maxColdOwners = 2
 	// coldWindow is the time within which calls to a cold upstream are counted: the
 	// configuration gives their rate by the second.
 	coldWindow = time.Second
 	// coldOwnerAge is the age of the process before which a host is no owner: for its first
 	// heartbeats it knows no other host and would own everything.
-	coldOwnerAge = 3 * time.Second
+	minColdOwnerAge = 3 * time.Second
 )
 
 // Cold is what a share says about an upstream that may be cold: it started, or came back
@@ -88,18 +88,18 @@
 }
 
 // limit is how many calls the owner sends within coldWindow.
-func (c *cold) limit() int { return max(c.entry.CallLimit/coldOwners, 1) }
+func (c *cold) ownerLimit() int { return max(c.entry.CallLimit/maxColdOwners, 1) }
 
 // admits reports whether this host, as the owner, may send one more call now.
-func (c *cold) admits(now time.Duration) bool {
-	if now < coldOwnerAge {
+func (c *cold) allows(now time.Duration) bool {
+	if now < minColdOwnerAge {
 		return false
 	}
-	n := c.limit()
+	n := c.ownerLimit()
 	return len(c.sentAt) < n || now-c.sentAt[len(c.sentAt)-n] >= coldWindow
 }
 
-func (c *cold) sent(now time.Duration) {
+func (c *cold) recordSent(now time.Duration) {
 	c.sentAt = append(c.sentAt, now)
-	c.sentAt = c.sentAt[max(len(c.sentAt)-c.limit(), 0):]
+	c.sentAt = c.sentAt[max(len(c.sentAt)-c.ownerLimit(), 0):]
 }
--- a/tier/policy/cold_test.go
+++ b/tier/policy/cold_test.go
@@ -54,8 +54,8 @@
 			sent = append(sent, now)
 		}
 	}
-	assert.Equal(t, mostWithin(sent, time.Second), 11/coldOwners)
-	assert.Assert(t, len(sent) >= 9*(11/coldOwners)-1, "%d sent", len(sent))
+	assert.Equal(t, mostWithin(sent, time.Second), 11/maxColdOwners)
+	assert.Assert(t, len(sent) >= 9*(11/maxColdOwners)-1, "%d sent", len(sent))
 }
 
 // mostWithin is the largest number of times within any span; they are in order.
@@ -194,7 +194,7 @@
 			used := float64(len(sent)) / lasts.Seconds() / bound
 			t.Logf("%4d hosts, %-10s: at most %2d in a second of %d allowed, %.2f of the bound used", hosts, name, most, bound, used)
 			if name == "owner" {
-				assert.Assert(t, most <= bound/coldOwners && used > 0.4)
+				assert.Assert(t, most <= bound/maxColdOwners && used > 0.4)
 			}
 		}
 	}
--- a/tier/policy/coldowner.go
+++ b/tier/policy/coldowner.go
@@ -37,7 +37,7 @@
 
 // noteCold keeps cold up to date after the share of an upstream was set; the fleet is
 // locked.
-func (f *Fleet) noteCold(now time.Duration, u *Upstream) {
+func (f *Fleet) trackCold(now time.Duration, u *Upstream) {
 	if u.cold.throttled(now) {
 		f.cold[u.Name] = u
 		return
@@ -85,13 +85,13 @@
 	if !u.cold.throttled(now) {
 		return true
 	}
-	if !f.owns(u) || !u.cold.admits(now) {
+	if !f.ownsCold(u) || !u.cold.allows(now) {
 		return false
 	}
-	u.cold.sent(now)
+	u.cold.recordSent(now)
 	return true
 }
 
 // owns reports whether this host makes the calls to a throttled upstream; the fleet is
 // locked.
-func (f *Fleet) owns(u *Upstream) bool { return u.cold.owner != "" && u.cold.owner == f.self }
+func (f *Fleet) ownsCold(u *Upstream) bool { return u.cold.owner != "" && u.cold.owner == f.self }
--- a/tier/policy/condition.go
+++ b/tier/policy/condition.go
@@ -5,25 +5,25 @@
 const (
 	// reportSlow is how many times slower than comparable upstreams one must be to be
 	// reported.
-	reportSlow = 3
+	minReportedSlowness = 3
 	// reportFaults is the share of calls without a usable answer from which on an upstream
 	// is reported.
-	reportFaults = 0.25
+	minReportedFaults = 0.25
 	// reportFresh is the greatest age of the last call to an upstream that is reported: one
 	// that all hosts avoid is tried again once reports end.
-	reportFresh = 3 * time.Second
+	maxReportedAge = 3 * time.Second
 	// conditionLife is how long a report is believed: one comes with each batch that the
 	// other hall answers.
-	conditionLife = 3 * time.Second
+	conditionTTL = 3 * time.Second
 	// faultWeight is how much one call counts in the share of faults.
 	faultWeight = 0.1
 	// staleAfter is for how long what this host saw counts in full.
-	staleAfter = time.Second
+	fullWeightAge = time.Second
 	// staleFull is the age from which on it counts for staleLeast.
-	staleFull = 5 * time.Second
+	minWeightAge = 5 * time.Second
 	// staleLeast is the part that what this host saw counts for when it is old, so that an
 	// upstream which was slow is asked again.
-	staleLeast = 0.5
+	minObservationWeight = 0.5
 )
 
 // Condition is a host's report of an upstream of its own hall that does worse
@@ -54,7 +54,7 @@
 	// faults is the smoothed share of calls that brought no usable answer, 0 to 1.
 	faults float64
 	// seenAt is when this host's last call to it ended.
-	seenAt time.Duration
+	observedAt time.Duration
 	// hall is the report about its hall; nil if there can be none.
 	hall *hallConditions
 }
@@ -62,7 +62,7 @@
 // observeOutcome records how a call ended. Outcomes that say nothing about the upstream
 // leave the share of faults as it is.
 func (c *condition) observeOutcome(now time.Duration, o CallOutcome) {
-	c.seenAt = now
+	c.observedAt = now
 	switch {
 	case o == CallOK:
 		c.faults -= faultWeight * c.faults
@@ -81,33 +81,33 @@
 // worthReporting reports whether this host saw lately that the upstream does worse
 // than others.
 func (c *condition) worthReporting(now time.Duration) bool {
-	return now-c.seenAt <= reportFresh && (c.slowness > reportSlow || c.faults > reportFaults)
+	return now-c.observedAt <= maxReportedAge && (c.slowness > minReportedSlowness || c.faults > minReportedFaults)
 }
 
 // expected is how slow and how faulty the upstream of a name is expected to be. What
 // this host saw itself counts for less as it gets old; a report that does not mention
 // the upstream bounds it by what would have been reported.
 func (c *condition) expected(now time.Duration, name string) (slowness, faults float64) {
-	fresh := freshness(now - c.seenAt)
+	fresh := freshness(now - c.observedAt)
 	slowness, faults = fresh, fresh*c.faults
 	if c.slowness > 0 {
 		slowness *= c.slowness
 	}
-	if c.hall == nil || now-c.hall.at > conditionLife {
+	if c.hall == nil || now-c.hall.at > conditionTTL {
 		return slowness, faults
 	}
 	r, worse := c.hall.reported[name]
 	if !worse {
-		return min(slowness, reportSlow), min(faults, reportFaults)
+		return min(slowness, minReportedSlowness), min(faults, minReportedFaults)
 	}
 	return max(slowness, float64(r.Slowness)), max(faults, float64(r.FaultPercent)/100)
 }
 
 // freshness is how much of what this host saw counts after some time, staleLeast to 1.
 func freshness(age time.Duration) float64 {
-	if age <= staleAfter {
+	if age <= fullWeightAge {
 		return 1
 	}
-	passed := min(float64(age-staleAfter)/float64(staleFull-staleAfter), 1)
-	return 1 - (1-staleLeast)*passed
+	passed := min(float64(age-fullWeightAge)/float64(minWeightAge-fullWeightAge), 1)
+	return 1 - (1-minObservationWeight)*passed
 }
--- a/tier/policy/condition_test.go
+++ b/tier/policy/condition_test.go
@@ -33,7 +33,7 @@
 		c := condition{faults: 0.5}
 		c.observeOutcome(time.Second, tt.outcome)
 		assert.Equal(t, c.faults, tt.want, "%s", tt.outcome)
-		assert.Equal(t, c.seenAt, time.Second, "%s", tt.outcome)
+		assert.Equal(t, c.observedAt, time.Second, "%s", tt.outcome)
 	}
 }
 
@@ -52,15 +52,15 @@
 		condition        condition
 		slowness, faults float64
 	}{
-		{"nothing known", condition{seenAt: now}, 1, 0},
-		{"seen", condition{slowness: 2, faults: 0.5, seenAt: now}, 2, 0.5},
-		{"seen long ago", condition{slowness: 2, faults: 0.5, seenAt: now - staleFull}, 1, 0.25},
-		{"seen a while ago", condition{slowness: 2, faults: 0.5, seenAt: now - (staleAfter+staleFull)/2}, 1.5, 0.375},
-		{"reported", condition{slowness: 2, seenAt: now, hall: report(0, worse)}, 8, 0.5},
-		{"seen worse than reported", condition{slowness: 9, faults: 0.6, seenAt: now, hall: report(0, worse)}, 9, 0.6},
-		{"an old report", condition{slowness: 2, seenAt: now, hall: report(conditionLife+1, worse)}, 2, 0},
-		{"not mentioned", condition{slowness: 9, faults: 0.6, seenAt: now, hall: report(0)}, reportSlow, reportFaults},
-		{"another is mentioned", condition{slowness: 2, seenAt: now, hall: report(0, Condition{Upstream: "V", Slowness: 9})}, 2, 0},
+		{"nothing known", condition{observedAt: now}, 1, 0},
+		{"seen", condition{slowness: 2, faults: 0.5, observedAt: now}, 2, 0.5},
+		{"seen long ago", condition{slowness: 2, faults: 0.5, observedAt: now - minWeightAge}, 1, 0.25},
+		{"seen a while ago", condition{slowness: 2, faults: 0.5, observedAt: now - (fullWeightAge+minWeightAge)/2}, 1.5, 0.375},
+		{"reported", condition{slowness: 2, observedAt: now, hall: report(0, worse)}, 8, 0.5},
+		{"seen worse than reported", condition{slowness: 9, faults: 0.6, observedAt: now, hall: report(0, worse)}, 9, 0.6},
+		{"an old report", condition{slowness: 2, observedAt: now, hall: report(conditionTTL+1, worse)}, 2, 0},
+		{"not mentioned", condition{slowness: 9, faults: 0.6, observedAt: now, hall: report(0)}, minReportedSlowness, minReportedFaults},
+		{"another is mentioned", condition{slowness: 2, observedAt: now, hall: report(0, Condition{Upstream: "V", Slowness: 9})}, 2, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -78,11 +78,11 @@
 		condition condition
 		want      bool
 	}{
-		{"does well", condition{slowness: reportSlow, faults: reportFaults, seenAt: now}, false},
-		{"slow", condition{slowness: reportSlow + 0.1, seenAt: now}, true},
-		{"faulty", condition{slowness: 1, faults: reportFaults + 0.01, seenAt: now}, true},
-		{"seen as long ago as counts", condition{slowness: 9, seenAt: now - reportFresh}, true},
-		{"seen too long ago", condition{slowness: 9, seenAt: now - reportFresh - 1}, false},
+		{"does well", condition{slowness: minReportedSlowness, faults: minReportedFaults, observedAt: now}, false},
+		{"slow", condition{slowness: minReportedSlowness + 0.1, observedAt: now}, true},
+		{"faulty", condition{slowness: 1, faults: minReportedFaults + 0.01, observedAt: now}, true},
+		{"seen as long ago as counts", condition{slowness: 9, observedAt: now - maxReportedAge}, true},
+		{"seen too long ago", condition{slowness: 9, observedAt: now - maxReportedAge - 1}, false},
 	}
 	for _, tt := range tests {
 		assert.Equal(t, tt.condition.worthReporting(now), tt.want, "%s", tt.name)
--- a/tier/policy/conditions_test.go
+++ b/tier/policy/conditions_test.go
@@ -28,7 +28,7 @@
 	assert.Equal(t, len(reported), 1)
 	assert.Equal(t, reported[0].Upstream, "N1")
 	assert.Assert(t, reported[0].Slowness >= 5, "%+v", reported)
-	assert.Equal(t, len(near.Conditions(reportFresh+time.Second)), 0, "what was seen long ago is not reported")
+	assert.Equal(t, len(near.Conditions(maxReportedAge+time.Second)), 0, "what was seen long ago is not reported")
 
 	far := routedFleet(4, RetryBudget{})
 	first := func(now time.Duration) string {
@@ -41,7 +41,7 @@
 	far.SetConditions(time.Second, "A", nil)
 	assert.Equal(t, first(time.Second), "N1")
 	far.SetConditions(time.Second, "A", reported)
-	assert.Equal(t, first(time.Second+conditionLife+1), "N1", "an old report is not believed")
+	assert.Equal(t, first(time.Second+conditionTTL+1), "N1", "an old report is not believed")
 }
 
 // TestWhatIsNotReportedDoesWell has a host that saw an upstream slow learn from one
@@ -49,10 +49,10 @@
 func TestWhatIsNotReportedDoesWell(t *testing.T) {
 	f := routedFleet(1, RetryBudget{})
 	u := f.Find("F0")
-	u.condition.slowness, u.latency.samples, u.condition.seenAt = 20, 5, 0
+	u.condition.slowness, u.latency.samples, u.condition.observedAt = 20, 5, 0
 	slowness, _ := u.condition.expected(0, u.Name)
 	assert.Equal(t, slowness, 20.0)
 	f.SetConditions(0, "B", nil)
 	slowness, _ = u.condition.expected(0, u.Name)
-	assert.Equal(t, slowness, float64(reportSlow))
+	assert.Equal(t, slowness, float64(minReportedSlowness))
 }
--- a/tier/policy/crashreport.go
+++ b/tier/policy/crashreport.go
@@ -10,9 +10,9 @@
 const (
 	// crashReportLife is how long a crash report counts: people mend what a request
 	// crashes, which takes hours.
-	crashReportLife = 24 * time.Hour
+	crashReportTTL = 24 * time.Hour
 	// restartLeast is less than an upstream takes to start again and to crash once more.
-	restartLeast = time.Second
+	minRestartTime = time.Second
 )
 
 // CrashReport is evidence that a request crashes the upstreams that run it: some crashed
@@ -89,7 +89,7 @@
 	})
 	n := 0
 	for i, c := range reports {
-		if i == 0 || reports[i-1].Upstream != c.Upstream || c.until-reports[i-1].until >= restartLeast {
+		if i == 0 || reports[i-1].Upstream != c.Upstream || c.until-reports[i-1].until >= minRestartTime {
 			n++
 		}
 	}
--- a/tier/policy/ejection.go
+++ b/tier/policy/ejection.go
@@ -6,11 +6,11 @@
 const (
 	// ejectAfter is the number of consecutive failures after which an upstream is taken out
 	// of rotation.
-	ejectAfter = 3
+	ejectAfterFailures = 3
 	// ejectFirst is how long the first ejection lasts.
-	ejectFirst = time.Second
+	initialEjection = time.Second
 	// ejectLongest is the longest that an ejection lasts.
-	ejectLongest = 30 * time.Second
+	maxEjection = 30 * time.Second
 )
 
 // ejection takes an upstream out of rotation after consecutive failures, for twice
@@ -27,10 +27,10 @@
 
 func (e *ejection) failed(now time.Duration) {
 	e.failures++
-	if e.failures < ejectAfter {
+	if e.failures < ejectAfterFailures {
 		return
 	}
-	e.until = now + exponential(ejectFirst, 2, e.failures-ejectAfter, ejectLongest)
+	e.until = now + exponential(initialEjection, 2, e.failures-ejectAfterFailures, maxEjection)
 }
 
 func (e *ejection) active(now time.Duration) bool { return now < e.until }
--- a/tier/policy/ejection_test.go
+++ b/tier/policy/ejection_test.go
@@ -15,13 +15,13 @@
 		want     time.Duration
 	}{
 		{"none", 0, false, 0},
-		{"one fewer than it takes", ejectAfter - 1, false, 0},
-		{"enough", ejectAfter, false, time.Second},
-		{"one more doubles it", ejectAfter + 1, false, 2 * time.Second},
-		{"four more", ejectAfter + 4, false, 16 * time.Second},
-		{"the longest", ejectAfter + 5, false, 30 * time.Second},
-		{"many more", ejectAfter + 500, false, 30 * time.Second},
-		{"a good call ends it", ejectAfter + 5, true, 0},
+		{"one fewer than it takes", ejectAfterFailures - 1, false, 0},
+		{"enough", ejectAfterFailures, false, time.Second},
+		{"one more doubles it", ejectAfterFailures + 1, false, 2 * time.Second},
+		{"four more", ejectAfterFailures + 4, false, 16 * time.Second},
+		{"the longest", ejectAfterFailures + 5, false, 30 * time.Second},
+		{"many more", ejectAfterFailures + 500, false, 30 * time.Second},
+		{"a good call ends it", ejectAfterFailures + 5, true, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/tier/policy/fingerprint.go
+++ b/tier/policy/fingerprint.go
@@ -13,7 +13,7 @@
 	fingerprintBytes = 8
 	// fingerprintBody is how much of a body counts, besides its length, so that a
 	// body of a megabyte costs no more than one of 64 KiB (about 0.05 ms).
-	fingerprintBody = 64 << 10
+	maxFingerprintBody = 64 << 10
 )
 
 // Fingerprint is the same for a request and all its repeats, at whichever host, and
@@ -34,7 +34,7 @@
 	for _, text := range []string{c.Method, c.HostName, c.Target} {
 		writeField(h, len(text), []byte(text))
 	}
-	writeField(h, len(c.Body), c.Body[:min(len(c.Body), fingerprintBody)])
+	writeField(h, len(c.Body), c.Body[:min(len(c.Body), maxFingerprintBody)])
 	return Fingerprint(hex.EncodeToString(h.Sum(nil)[:fingerprintBytes]))
 }
 
--- a/tier/policy/fingerprint_test.go
+++ b/tier/policy/fingerprint_test.go
@@ -12,7 +12,7 @@
 	sample := func() *RequestContent {
 		return &RequestContent{
 			Method: "GET", HostName: "shop.example",
-			Target: "/find/x?page=1", Body: bytes.Repeat([]byte("a"), fingerprintBody),
+			Target: "/find/x?page=1", Body: bytes.Repeat([]byte("a"), maxFingerprintBody),
 		}
 	}
 	base := sample().Fingerprint()
--- a/tier/policy/finish.go
+++ b/tier/policy/finish.go
@@ -51,7 +51,7 @@
 	case now >= r.times.patience && r.request.Repeatable && p.covers(coverage):
 		return true
 	default:
-		return r.rules.endsUncovered() && !p.canCover(coverage)
+		return r.rules.endsWithoutCoverage() && !p.canCover(coverage)
 	}
 }
 
--- a/tier/policy/fleet.go
+++ b/tier/policy/fleet.go
@@ -86,7 +86,7 @@
 	}
 	for n := range f.upstreams {
 		if !named[n] {
-			f.forget(n)
+			f.removeUpstream(n)
 		}
 	}
 	return granted
@@ -102,7 +102,7 @@
 		granted = append(granted, f.setShare(now, &shares[i])...)
 	}
 	for _, n := range gone {
-		f.forget(n)
+		f.removeUpstream(n)
 	}
 	return granted
 }
@@ -111,14 +111,14 @@
 func (f *Fleet) setShare(now time.Duration, s *Share) []*Waiter {
 	u := f.upstreams[s.Name]
 	var granted []*Waiter
-	if u != nil && u.born > 0 && s.StartedMillis > u.born {
-		granted, u = u.dismiss(now), nil
+	if u != nil && u.startedMillis > 0 && s.StartedMillis > u.startedMillis {
+		granted, u = u.grantAll(now), nil
 	}
 	if u == nil {
 		u = &Upstream{Name: s.Name, status: status{heardAt: never, readAt: never}}
 		f.upstreams[s.Name] = u
 	}
-	u.born = max(u.born, s.StartedMillis)
+	u.startedMillis = max(u.startedMillis, s.StartedMillis)
 	u.slots.set(s.Slots, s.MaxSlots)
 	u.leaving = s.Leaving || u.gone
 	u.kind, u.near, u.hall = &declaredKind, s.Near, s.Hall
@@ -126,20 +126,20 @@
 		u.kind = &listedKind
 		u.condition.hall = f.hallConditions(s.Hall)
 		u.cold.update(now, s.Cold)
-		f.noteCold(now, u)
+		f.trackCold(now, u)
 	}
 	return append(granted, u.grant(now)...)
 }
 
 // dismiss lets all calls go ahead that wait for a slot of an upstream whose process has
 // been replaced by a later one: what is known of it does not hold for that one.
-func (u *Upstream) dismiss(now time.Duration) []*Waiter {
+func (u *Upstream) grantAll(now time.Duration) []*Waiter {
 	u.slots.set(u.slots.inUse+u.slots.queue.Len(), 0)
 	return u.grant(now)
 }
 
 // forget drops an upstream; the fleet is locked.
-func (f *Fleet) forget(name string) {
+func (f *Fleet) removeUpstream(name string) {
 	delete(f.upstreams, name)
 	delete(f.cold, name)
 }
--- a/tier/policy/hedge.go
+++ b/tier/policy/hedge.go
@@ -9,7 +9,7 @@
 
 const (
 	// hedgeLeast is the least time after which a call is hedged.
-	hedgeLeast = 500 * time.Microsecond
+	minHedgeDelay = 500 * time.Microsecond
 	// hedgeRecheckDivisor divides the hedge delay: a hedge that was not possible is
 	// considered again after that part of it.
 	hedgeRecheckDivisor = 4
@@ -47,7 +47,7 @@
 		return out
 	}
 	p.hedged = true
-	return r.enter(now, i, u, out)
+	return r.addAttempt(now, i, u, out)
 }
 
 // decideHedge decides whether a part gets a second call, and at which upstream, or says
@@ -77,7 +77,7 @@
 	if u := r.pick(now, i, onlyEligible); u != nil && u.hasSlot() {
 		return u
 	}
-	if u := r.attempts[r.parts[i].live[0]].upstream; r.rules.hedgesAtSame() && u.hasSlot() && u.eligible(now) {
+	if u := r.attempts[r.parts[i].active[0]].upstream; r.rules.hedgesSameUpstream() && u.hasSlot() && u.eligible(now) {
 		return u
 	}
 	return r.pick(now, i, anyUpstream)
@@ -91,7 +91,7 @@
 func (r *Run) hedgesOneAtATime() bool { return r.suspicion.open() && len(r.parts) > 1 }
 
 func (r *Run) hedgeInProgress() bool {
-	return slices.ContainsFunc(r.parts, func(p part) bool { return p.hedged && len(p.live) > 0 })
+	return slices.ContainsFunc(r.parts, func(p part) bool { return p.hedged && len(p.active) > 0 })
 }
 
 func (r *Run) hedges() bool {
@@ -99,10 +99,10 @@
 }
 
 func (r *Run) hedgeDue(now time.Duration, p *part) bool {
-	if p.hedged || len(p.live) == 0 || !r.hedges() {
+	if p.hedged || len(p.active) == 0 || !r.hedges() {
 		return false
 	}
-	a := &r.attempts[p.live[0]]
+	a := &r.attempts[p.active[0]]
 	return a.phase != phaseQueued && now-a.sentAt >= a.hedgeAge
 }
 
@@ -115,24 +115,24 @@
 	if a.phase == phaseSent && first > now {
 		return first
 	}
-	return now + max(a.hedgeAge/hedgeRecheckDivisor, hedgeLeast)
+	return now + max(a.hedgeAge/hedgeRecheckDivisor, minHedgeDelay)
 }
 
 // probe asks an outlier besides the chosen replica, so that its recovery is seen without
 // anybody waiting for it. Only declared upstreams are outliers: the class pays.
 func (r *Run) probe(now time.Duration, i int, out []Action) []Action {
-	if !r.hedges() || len(r.parts[i].live) == 0 {
+	if !r.hedges() || len(r.parts[i].active) == 0 {
 		return out
 	}
 	for _, u := range r.parts[i].replicas {
 		if !u.outlier.probeDue(now) || u.leaving || u.ejection.active(now) || !u.hasSlot() {
 			continue
 		}
-		if u == r.attempts[r.parts[i].live[0]].upstream || !r.fleet.class(r.request.Class.Name).hedges.take() {
+		if u == r.attempts[r.parts[i].active[0]].upstream || !r.fleet.class(r.request.Class.Name).hedges.take() {
 			continue
 		}
 		u.outlier.probed(now)
-		return r.enter(now, i, u, out)
+		return r.addAttempt(now, i, u, out)
 	}
 	return out
 }
--- a/tier/policy/hedge_test.go
+++ b/tier/policy/hedge_test.go
@@ -29,7 +29,7 @@
 		}, HedgeNoUpstream},
 		{"the other one has no slot", 2, 1, func(_ *Run, u *Upstream) { u.slots.inUse = 100 }, HedgeNoSlot},
 		{"the request is suspected", 2, 1, func(r *Run, _ *Upstream) {
-			r.suspicion.subject, r.suspicion.reported = RequestIdentity{Fingerprint: "F"}, true
+			r.suspicion.identity, r.suspicion.reported = RequestIdentity{Fingerprint: "F"}, true
 		}, HedgeSuspected},
 	}
 	for _, tt := range tests {
--- a/tier/policy/isolation.go
+++ b/tier/policy/isolation.go
@@ -15,7 +15,7 @@
 	isolatedTimeoutFactor = 4
 	// isolatedTimeoutsMost is the number of isolated calls that may take too long until the
 	// run ends: their upstreams may crash later, unseen.
-	isolatedTimeoutsMost = 2
+	maxIsolatedTimeouts = 2
 )
 
 func (r *Run) startOrDefer(now time.Duration, i int, out []Action) []Action {
@@ -93,7 +93,7 @@
 		if p.closed || !r.hasCall(p) || !r.rules.attemptsLeft(p) {
 			continue
 		}
-		for _, n := range p.live {
+		for _, n := range p.active {
 			p.tried = removeFirst(p.tried, r.attempts[n].upstream)
 		}
 		out = r.postpone(i, CallCancelled, out)
@@ -111,7 +111,7 @@
 // some of these the run ends.
 func (r *Run) replaceIsolated(now time.Duration, i int, out []Action) []Action {
 	r.suspicion.isolatedTimeouts++
-	if r.suspicion.isolatedTimeouts >= isolatedTimeoutsMost {
+	if r.suspicion.isolatedTimeouts >= maxIsolatedTimeouts {
 		return r.finish(now, out)
 	}
 	if r.rules.attemptsLeft(&r.parts[i]) {
@@ -133,7 +133,7 @@
 
 // hasAttempts reports whether a call of the run is in progress or waits for its slot.
 func (r *Run) hasAttempts() bool {
-	return slices.ContainsFunc(r.parts, func(p part) bool { return len(p.live) > 0 })
+	return slices.ContainsFunc(r.parts, func(p part) bool { return len(p.active) > 0 })
 }
 
 func (r *Run) hasCalls() bool {
--- a/tier/policy/kind.go
+++ b/tier/policy/kind.go
@@ -31,14 +31,14 @@
 	declaredWeight = 0.1
 	// declaredLeap is how many times the smoothed latency a new one counts for at most, so
 	// that one straggler does not make an upstream an outlier, but four do.
-	declaredLeap = 4
+	declaredMaxRatio = 4
 )
 
 // declaredKind is that of the upstreams that the document declares, which serve the
 // requests of classes. All hosts of their hall call them directly and often: each
 // compares the replicas of a service by its own calls.
 var declaredKind = kind{
-	smoothing:       smoothing{weight: declaredWeight, leap: declaredLeap},
+	smoothing:       smoothing{weight: declaredWeight, maxRatio: declaredMaxRatio},
 	slowStart:       true,
 	comparesLatency: true,
 }
@@ -48,7 +48,7 @@
 	// listedWeight is how much a new latency counts in the smoothed one, 0 to 1.
 	listedWeight = 0.25
 	// listedLeap is how many times the smoothed latency a new one counts for at most.
-	listedLeap = 8
+	listedMaxRatio = 8
 )
 
 // listedKind is that of the upstreams that list themselves with the platform, which
@@ -56,7 +56,7 @@
 // upstream is judged by its silence (stall), by the faults and the slowness that its
 // hall reports (condition) and by its own reports, not by how its latency compares.
 var listedKind = kind{
-	smoothing: smoothing{weight: listedWeight, leap: listedLeap},
+	smoothing: smoothing{weight: listedWeight, maxRatio: listedMaxRatio},
 	// Left out, the slow calls that hedges end would make the pool's quantiles sink,
 	// and hedges come ever earlier.
 	poolsCancelled: true,
--- a/tier/policy/latency.go
+++ b/tier/policy/latency.go
@@ -10,7 +10,7 @@
 	// weight is how much a new latency counts, 0 to 1; the first ones count more.
 	weight float64
 	// leap is how many times the smoothed latency a new one counts for at most.
-	leap time.Duration
+	maxRatio time.Duration
 }
 
 // latency is how long an upstream's calls take, smoothed. It is compared with that of
@@ -30,11 +30,11 @@
 		l.smoothed = took
 	}
 	weight = max(s.weight, 1/float64(l.samples))
-	counted = min(took, s.leap*l.smoothed)
+	counted = min(took, s.maxRatio*l.smoothed)
 	l.smoothed += time.Duration(weight * float64(counted-l.smoothed))
 	return counted, weight
 }
 
-func (l *latency) or(other time.Duration) time.Duration {
+func (l *latency) orDefault(other time.Duration) time.Duration {
 	return cmp.Or(l.smoothed, other)
 }
--- a/tier/policy/latency_test.go
+++ b/tier/policy/latency_test.go
@@ -9,7 +9,7 @@
 
 func TestLatency(t *testing.T) {
 	const ms = time.Millisecond
-	s := smoothing{weight: 0.1, leap: 4}
+	s := smoothing{weight: 0.1, maxRatio: 4}
 	tests := []struct {
 		name string
 		took []time.Duration
@@ -23,12 +23,12 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			l := latency{}
-			assert.Equal(t, l.or(ms), ms, "nothing is known")
+			assert.Equal(t, l.orDefault(ms), ms, "nothing is known")
 			for _, d := range tt.took {
 				l.observe(d, s)
 			}
 			assert.Equal(t, l.smoothed.Round(time.Microsecond), tt.want)
-			assert.Equal(t, l.or(ms), l.smoothed)
+			assert.Equal(t, l.orDefault(ms), l.smoothed)
 		})
 	}
 }
@@ -39,9 +39,9 @@
 	const ms = time.Millisecond
 	l := latency{}
 	for range 100 {
-		l.observe(10*ms, smoothing{weight: 0.1, leap: 4})
+		l.observe(10*ms, smoothing{weight: 0.1, maxRatio: 4})
 	}
-	counted, weight := l.observe(100*ms, smoothing{weight: 0.1, leap: 4})
+	counted, weight := l.observe(100*ms, smoothing{weight: 0.1, maxRatio: 4})
 	assert.Equal(t, counted, 40*ms)
 	assert.Equal(t, weight, 0.1)
 	assert.Equal(t, l.smoothed, 13*ms)
--- a/tier/policy/learn.go
+++ b/tier/policy/learn.go
@@ -29,7 +29,7 @@
 	u.load.update(now, c.Load)
 	u.learnLatency(c)
 	u.learnHealth(now, c.Outcome)
-	u.compare(c.Pool)
+	u.updateOutlier(c.Pool)
 	u.learnSlots(c)
 }
 
@@ -39,13 +39,13 @@
 	}
 	switch {
 	case c.Outcome == CallStalled:
-		u.stall.assume(now)
+		u.stall.assumeStalled(now)
 	case c.Outcome.answered():
 		u.stall.answered(now, u.slots.inUse > 1)
 	case u.slots.inUse <= 1 && !c.Relayed:
 		// The call had no answer, and no other is under way that could show one.
 		u.stall.unansweredSince = 0
-		u.stall.assume(now)
+		u.stall.assumeStalled(now)
 	}
 }
 
@@ -57,7 +57,7 @@
 		u.observe(c.Took, c.Pool)
 	case CallCancelled:
 		// The call would have taken at least this long: a lower bound.
-		if c.Took > u.latency.or(c.Pool.median()) {
+		if c.Took > u.latency.orDefault(c.Pool.median()) {
 			u.observe(c.Took, c.Pool)
 		}
 		if u.kind.poolsCancelled {
@@ -92,13 +92,13 @@
 	case c.NewConnReset && u.kind.learnsLimit:
 		s.limit.reset(s.inUse)
 	case c.Outcome == CallOK:
-		s.limit.succeeded(s.divided())
+		s.limit.succeeded(s.withBorrowed())
 	}
 	if c.Outcome == CallShed {
 		s.borrowing.shed()
 		return
 	}
-	s.borrowing.succeeded(s.room())
+	s.borrowing.succeeded(s.borrowable())
 }
 
 func (u *Upstream) observe(d time.Duration, p *LatencyPool) {
@@ -106,7 +106,7 @@
 	u.condition.observeRatio(counted.Seconds()/p.median().Seconds(), weight)
 }
 
-func (u *Upstream) compare(p *LatencyPool) {
+func (u *Upstream) updateOutlier(p *LatencyPool) {
 	if u.latency.samples == 0 || !p.known() || !u.kind.comparesLatency {
 		return
 	}
--- a/tier/policy/limit.go
+++ b/tier/policy/limit.go
@@ -2,7 +2,7 @@
 
 const (
 	// limitLeast is the least limit, in calls.
-	limitLeast = 2
+	minCallLimit = 2
 	// limitGrowth is how many times the limit in calls must go well until the limit grows
 	// by one.
 	limitGrowth = 4
@@ -14,14 +14,14 @@
 	// calls is the limit; 0 for none, else at least limitLeast.
 	calls int
 	// good counts calls that went well since calls last changed.
-	good int
+	succeededCalls int
 }
 
 func (l *callLimit) known() bool { return l.calls > 0 }
 
 // reset notes that a new connection was reset while so many calls were under way,
 // the one that made it included.
-func (l *callLimit) reset(inUse int) { l.calls, l.good = max(inUse-1, limitLeast), 0 }
+func (l *callLimit) reset(inUse int) { l.calls, l.succeededCalls = max(inUse-1, minCallLimit), 0 }
 
 // succeeded counts a call that went well. The limit is dropped once it has grown to
 // the slots that this host has.
@@ -29,11 +29,11 @@
 	if !l.known() {
 		return
 	}
-	l.good++
-	if l.good < limitGrowth*l.calls {
+	l.succeededCalls++
+	if l.succeededCalls < limitGrowth*l.calls {
 		return
 	}
-	l.calls, l.good = l.calls+1, 0
+	l.calls, l.succeededCalls = l.calls+1, 0
 	if l.calls >= slots {
 		l.calls = 0
 	}
--- a/tier/policy/limit_test.go
+++ b/tier/policy/limit_test.go
@@ -15,7 +15,7 @@
 		want  int
 	}{
 		{"one less than under way", 6, 0, 5},
-		{"never below the least", 1, 0, limitLeast},
+		{"never below the least", 1, 0, minCallLimit},
 		{"too few good calls", 4, 3*limitGrowth - 1, 3},
 		{"enough good calls", 4, 3 * limitGrowth, 4},
 		{"enough for one more", 4, (3 + 4) * limitGrowth, 5},
--- a/tier/policy/load.go
+++ b/tier/policy/load.go
@@ -4,7 +4,7 @@
 
 // loadLife is how long an upstream's report of its queue is believed; it counts for less
 // as it gets older.
-const loadLife = 300 * time.Millisecond
+const loadTTL = 300 * time.Millisecond
 
 // Load is what an upstream reports about its work.
 type Load struct {
@@ -28,10 +28,10 @@
 }
 
 // ahead is how many calls for each slot a new one is expected to find in the queue.
-func (q *queueReport) ahead(now time.Duration) float64 {
+func (q *queueReport) expectedPerSlot(now time.Duration) float64 {
 	age := now - q.at
-	if age >= loadLife {
+	if age >= loadTTL {
 		return 0
 	}
-	return q.perSlot * (1 - age.Seconds()/loadLife.Seconds())
+	return q.perSlot * (1 - age.Seconds()/loadTTL.Seconds())
 }
--- a/tier/policy/load_test.go
+++ b/tier/policy/load_test.go
@@ -18,14 +18,14 @@
 		{"no report", Load{}, 0, 0},
 		{"no queue", Load{Running: 4, Slots: 4}, 0, 0},
 		{"just reported", Load{Running: 4, Waiting: 8, Slots: 4}, 0, 2},
-		{"half its life old", Load{Waiting: 8, Slots: 4}, loadLife / 2, 1},
-		{"too old", Load{Waiting: 8, Slots: 4}, loadLife, 0},
+		{"half its life old", Load{Waiting: 8, Slots: 4}, loadTTL / 2, 1},
+		{"too old", Load{Waiting: 8, Slots: 4}, loadTTL, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			q := queueReport{}
 			q.update(now, tt.load)
-			assert.Equal(t, q.ahead(now+tt.age), tt.want)
+			assert.Equal(t, q.expectedPerSlot(now+tt.age), tt.want)
 		})
 	}
 }
@@ -34,6 +34,6 @@
 func TestQueueReportOutlastsAnswersWithoutOne(t *testing.T) {
 	q := queueReport{}
 	q.update(time.Minute, Load{Waiting: 4, Slots: 4})
-	q.update(time.Minute+loadLife/2, Load{})
-	assert.Equal(t, q.ahead(time.Minute), 1.0)
+	q.update(time.Minute+loadTTL/2, Load{})
+	assert.Equal(t, q.expectedPerSlot(time.Minute), 1.0)
 }
--- a/tier/policy/outlier.go
+++ b/tier/policy/outlier.go
@@ -5,17 +5,17 @@
 const (
 	// outlierFrom is how many medians of its service the latency of an upstream must exceed
 	// to make it an outlier.
-	outlierFrom = 3
+	outlierEnterRatio = 3
 	// outlierUntil is how many medians the latency must come down to until the
 	// upstream is no outlier. It is well below outlierFrom: calls that are hedged and
 	// cancelled show a slow upstream less slow than it is, and without the gap it
 	// would be trusted again and again.
-	outlierUntil = 1.5
+	outlierExitRatio = 1.5
 	// outlierLeast is by how much the latency must exceed the median besides: where calls
 	// take microseconds, three medians are noise.
-	outlierLeast = time.Millisecond
+	minOutlierExcess = time.Millisecond
 	// probeEvery is the least time between two probes of one outlier.
-	probeEvery = 100 * time.Millisecond
+	minProbeInterval = 100 * time.Millisecond
 )
 
 // outlier marks an upstream whose calls take much longer than those of its service.
@@ -30,12 +30,12 @@
 
 func (o *outlier) update(latency, median time.Duration) {
 	if o.marked {
-		o.marked = float64(latency) > outlierUntil*float64(median)
+		o.marked = float64(latency) > outlierExitRatio*float64(median)
 		return
 	}
-	o.marked = latency > outlierFrom*median && latency-median > outlierLeast
+	o.marked = latency > outlierEnterRatio*median && latency-median > minOutlierExcess
 }
 
 func (o *outlier) probeDue(now time.Duration) bool { return o.marked && now >= o.nextProbe }
 
-func (o *outlier) probed(now time.Duration) { o.nextProbe = now + probeEvery }
+func (o *outlier) probed(now time.Duration) { o.nextProbe = now + minProbeInterval }
--- a/tier/policy/outlier_test.go
+++ b/tier/policy/outlier_test.go
@@ -38,6 +38,6 @@
 	o.marked = true
 	assert.Assert(t, o.probeDue(time.Second))
 	o.probed(time.Second)
-	assert.Assert(t, !o.probeDue(time.Second+probeEvery-1))
-	assert.Assert(t, o.probeDue(time.Second+probeEvery))
+	assert.Assert(t, !o.probeDue(time.Second+minProbeInterval-1))
+	assert.Assert(t, o.probeDue(time.Second+minProbeInterval))
 }
--- a/tier/policy/part.go
+++ b/tier/policy/part.go
@@ -28,7 +28,7 @@
 	unhedged HedgeSkipReason
 	// live are its attempts that are queued or sent and were not given up, the oldest
 	// first.
-	live []int
+	active []int
 	// tried are the upstreams that it does not go to again.
 	tried []*Upstream
 	// retryAt is when it is asked for again after all its upstreams shed calls; 0 for never.
@@ -60,7 +60,7 @@
 }
 
 // account takes an outcome out of what may have run and arrived.
-func (p *part) account(o CallOutcome) {
+func (p *part) recordOutcome(o CallOutcome) {
 	if o.NotRun() {
 		p.ran--
 	}
@@ -71,7 +71,7 @@
 
 // hasCall reports whether a call of a part is in progress.
 func (r *Run) hasCall(p *part) bool {
-	return slices.ContainsFunc(p.live, func(n int) bool { return r.attempts[n].phase == phaseSent })
+	return slices.ContainsFunc(p.active, func(n int) bool { return r.attempts[n].phase == phaseSent })
 }
 
 // removeFirst removes the first of some items that equals another: an upstream is tried
--- a/tier/policy/pick.go
+++ b/tier/policy/pick.go
@@ -21,7 +21,7 @@
 	var best *Upstream
 	low := math.Inf(1)
 	for _, u := range p.replicas {
-		if !r.askable(now, p, u) || eligible && !u.eligible(now) {
+		if !r.canCall(now, p, u) || eligible && !u.eligible(now) {
 			continue
 		}
 		s := r.score(now, u)
@@ -37,7 +37,7 @@
 
 // askable reports whether an upstream may be asked for a part at all: it does not leave,
 // was not tried, may get calls of the run, and holds the snapshot as far as is known.
-func (r *Run) askable(now time.Duration, p *part, u *Upstream) bool {
+func (r *Run) canCall(now time.Duration, p *part, u *Upstream) bool {
 	if u.leaving || slices.Contains(p.tried, u) || r.rules.barred(now, u) {
 		return false
 	}
--- a/tier/policy/plugin.go
+++ b/tier/policy/plugin.go
@@ -16,7 +16,7 @@
 var _ Random = (*rand.Rand)(nil)
 
 // errUnknown is wrapped when a plug-in is asked for that nobody registered.
-var errUnknown = errors.New("not registered")
+var errNotRegistered = errors.New("not registered")
 
 // chooser scores a replica; the lowest score is chosen.
 type chooser interface {
@@ -40,7 +40,7 @@
 func named[T any](kind string, registered map[string]T, name string) (T, error) {
 	p, ok := registered[name]
 	if !ok {
-		return p, fmt.Errorf("%s %q: %w", kind, name, errUnknown)
+		return p, fmt.Errorf("%s %q: %w", kind, name, errNotRegistered)
 	}
 	return p, nil
 }
--- a/tier/policy/pool.go
+++ b/tier/policy/pool.go
@@ -8,10 +8,10 @@
 
 const (
 	// poolLowest is the least latency that is told from others, in microseconds.
-	poolLowest = 1
+	minPoolLatency = 1
 	// poolHighest is the greatest latency, in microseconds: a minute, longer than any
 	// request of today takes.
-	poolHighest = 60_000_000
+	maxPoolLatency = 60_000_000
 	// poolDigits is the number of significant digits of a latency, 1 to 5 for the
 	// histogram.
 	poolDigits = 2
@@ -26,11 +26,11 @@
 	routedWindow = 2_000
 	// poolSettled divides the window: quantiles are those of the window before until so
 	// large a part of the present one has come.
-	poolSettled = 4
+	poolSettledDivisor = 4
 	// poolEnough is the number of latencies from which on a pool is known.
-	poolEnough = 50
+	minPoolSamples = 50
 	// poolFallback is the median of a pool that is not known.
-	poolFallback = 10 * time.Millisecond
+	defaultMedian = 10 * time.Millisecond
 )
 
 // LatencyPool holds the latencies of all replicas of one service. A quantile of one
@@ -50,8 +50,8 @@
 
 func newPool(window int64) *LatencyPool {
 	return &LatencyPool{
-		current:   hdrhistogram.New(poolLowest, poolHighest, poolDigits),
-		previous:  hdrhistogram.New(poolLowest, poolHighest, poolDigits),
+		current:   hdrhistogram.New(minPoolLatency, maxPoolLatency, poolDigits),
+		previous:  hdrhistogram.New(minPoolLatency, maxPoolLatency, poolDigits),
 		quantiles: map[float64]time.Duration{},
 		window:    window,
 	}
@@ -59,7 +59,7 @@
 
 func (p *LatencyPool) record(d time.Duration) {
 	// A value between the bounds of the histogram is never an error.
-	_ = p.current.RecordValue(min(max(d.Microseconds(), poolLowest), poolHighest))
+	_ = p.current.RecordValue(min(max(d.Microseconds(), minPoolLatency), maxPoolLatency))
 	p.fresh++
 	if p.current.TotalCount() >= p.window {
 		p.previous, p.current = p.current, p.previous
@@ -71,7 +71,7 @@
 	}
 }
 
-func (p *LatencyPool) known() bool { return p.Count() >= poolEnough }
+func (p *LatencyPool) known() bool { return p.Count() >= minPoolSamples }
 
 // Count is how many latencies are looked at.
 func (p *LatencyPool) Count() int64 { return p.current.TotalCount() + p.previous.TotalCount() }
@@ -79,7 +79,7 @@
 // median is the middle latency, or a fixed guess while little is known.
 func (p *LatencyPool) median() time.Duration {
 	if !p.known() {
-		return poolFallback
+		return defaultMedian
 	}
 	return p.quantile(0.5)
 }
@@ -91,7 +91,7 @@
 		return d
 	}
 	h := p.current
-	if h.TotalCount() < p.window/poolSettled && p.previous.TotalCount() > 0 {
+	if h.TotalCount() < p.window/poolSettledDivisor && p.previous.TotalCount() > 0 {
 		h = p.previous
 	}
 	d := time.Duration(h.ValueAtQuantile(q*100)) * time.Microsecond
--- a/tier/policy/pool_test.go
+++ b/tier/policy/pool_test.go
@@ -10,11 +10,11 @@
 func TestPoolIsKnownAfterSomeLatencies(t *testing.T) {
 	const ms = time.Millisecond
 	p := newPool(poolWindow)
-	for range poolEnough - 1 {
+	for range minPoolSamples - 1 {
 		p.record(20 * ms)
 	}
 	assert.Assert(t, !p.known())
-	assert.Equal(t, p.median(), poolFallback)
+	assert.Equal(t, p.median(), defaultMedian)
 	p.record(20 * ms)
 	assert.Assert(t, p.known())
 	assert.Assert(t, near(p.median(), 20*ms), p.median())
@@ -34,7 +34,7 @@
 		want      time.Duration
 	}{
 		{window, 10 * ms, 10 * ms},
-		{window/poolSettled - poolRefresh, 40 * ms, 10 * ms},
+		{window/poolSettledDivisor - poolRefresh, 40 * ms, 10 * ms},
 		{2 * poolRefresh, 40 * ms, 40 * ms},
 	}
 	for i, s := range steps {
@@ -48,11 +48,11 @@
 
 func TestPoolTakesAnyLatency(t *testing.T) {
 	p := newPool(poolWindow)
-	for range poolEnough {
+	for range minPoolSamples {
 		p.record(-time.Second)
 		p.record(time.Hour)
 	}
-	assert.Equal(t, p.Count(), int64(2*poolEnough))
+	assert.Equal(t, p.Count(), int64(2*minPoolSamples))
 	assert.Equal(t, p.quantile(0.25), time.Microsecond)
 	assert.Assert(t, near(p.quantile(0.99), time.Minute), p.quantile(0.99))
 }
--- a/tier/policy/quarantine.go
+++ b/tier/policy/quarantine.go
@@ -8,14 +8,14 @@
 const (
 	// quarantineAttempts is the number of attempts of a request, and of crashes, that must
 	// be reported until it is refused; one of them isolated.
-	quarantineAttempts = 2
+	minQuarantineAttempts = 2
 	// otherCallersLeast is the number of callers whose reports have the request of another
 	// caller refused.
-	otherCallersLeast = 2
+	minOtherCallers = 2
 	// quarantineFirst is how long after its last report a request is refused at first. Then
 	// it may show again what it does, at one upstream: it crashes some six in its first
 	// day.
-	quarantineFirst = 2 * time.Minute
+	initialQuarantine = 2 * time.Minute
 	// quarantineGrowth is how many times as long a request is refused with each further
 	// isolated crash, up to crashReportLife.
 	quarantineGrowth = 5
@@ -50,7 +50,7 @@
 // judge returns the verdict on a request of a caller, and for how long it is refused.
 // Reports of one other caller do not have it refused, nor do those of one upstream that
 // crashed under many attempts.
-func (s *suspect) judge(now time.Duration, caller netip.Addr) (Verdict, time.Duration) {
+func (s *suspect) verdict(now time.Duration, caller netip.Addr) (Verdict, time.Duration) {
 	var all, isolated []*crash
 	attempts, callers := map[uint64]bool{}, map[netip.Addr]bool{}
 	last := never
@@ -63,14 +63,14 @@
 		attempts[c.Attempt], callers[c.Caller] = true, true
 		if c.Isolated {
 			isolated = append(isolated, c)
-			last = max(last, c.until-crashReportLife)
+			last = max(last, c.until-crashReportTTL)
 		}
 	}
 	if len(all) == 0 {
 		return VerdictClean, 0
 	}
-	enough := len(attempts) >= quarantineAttempts && countCrashes(all) >= quarantineAttempts
-	believed := callers[caller] || len(callers) >= otherCallersLeast
+	enough := len(attempts) >= minQuarantineAttempts && countCrashes(all) >= minQuarantineAttempts
+	believed := callers[caller] || len(callers) >= minOtherCallers
 	left := last + quarantineFor(countCrashes(isolated)) - now
 	if enough && believed && left > 0 {
 		return VerdictQuarantined, left
@@ -82,13 +82,13 @@
 	if crashes == 0 {
 		return 0
 	}
-	return exponential(quarantineFirst, quarantineGrowth, crashes-1, crashReportLife)
+	return exponential(initialQuarantine, quarantineGrowth, crashes-1, crashReportTTL)
 }
 
-func (s *suspect) worst(now time.Duration) Verdict {
+func (s *suspect) worstVerdict(now time.Duration) Verdict {
 	worst := VerdictClean
 	for i := range s.crashes {
-		switch v, _ := s.judge(now, s.crashes[i].Caller); v {
+		switch v, _ := s.verdict(now, s.crashes[i].Caller); v {
 		case VerdictQuarantined:
 			return v
 		case VerdictSuspected:
@@ -103,12 +103,12 @@
 func (f *Fleet) Verdict(now time.Duration, of RequestIdentity) (Verdict, time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.quarantine.suspect(of.Fingerprint).judge(now, of.Caller)
+	return f.quarantine.suspect(of.Fingerprint).verdict(now, of.Caller)
 }
 
 // WorstVerdict returns the verdict on a request for the caller that fares worst.
 func (f *Fleet) WorstVerdict(now time.Duration, of Fingerprint) Verdict {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.quarantine.suspect(of).worst(now)
+	return f.quarantine.suspect(of).worstVerdict(now)
 }
--- a/tier/policy/quarantine_test.go
+++ b/tier/policy/quarantine_test.go
@@ -59,7 +59,7 @@
 			f := newFleetFor(1)
 			now := time.Minute
 			for i := range tt.reports {
-				tt.reports[i].Remaining = crashReportLife
+				tt.reports[i].Remaining = crashReportTTL
 			}
 			f.MergeReports(now, []SuspectReport{{Fingerprint: "F", Crashes: tt.reports}})
 			got, left := f.Verdict(now+tt.after, RequestIdentity{Fingerprint: "F"})
@@ -135,7 +135,7 @@
 	a, b := newFleetFor(1), newFleetFor(2)
 	now := time.Minute
 	a.quarantine.report(now, RequestIdentity{Fingerprint: "F"}, CrashReport{ID: 1, Upstream: "A"})
-	for now < time.Minute+crashReportLife {
+	for now < time.Minute+crashReportTTL {
 		reports := a.Reports(now)
 		now += 10 * time.Second
 		b.MergeReports(now, reports)
@@ -156,15 +156,15 @@
 	for id, u := range []string{"A", "B"} {
 		f.quarantine.report(now, RequestIdentity{Fingerprint: "Quarantined"}, CrashReport{ID: uint64(id), Attempt: uint64(id), Isolated: true, Upstream: u})
 	}
-	for i := range 3 * suspectsMost {
+	for i := range 3 * maxSuspects {
 		now += time.Millisecond
 		f.quarantine.report(now, RequestIdentity{Fingerprint: Fingerprint(fmt.Sprint("F", i))}, CrashReport{ID: uint64(100 + i), Upstream: "A"})
 	}
-	for i := range 3 * crashReportsMost {
+	for i := range 3 * maxCrashReports {
 		f.quarantine.report(now, RequestIdentity{Fingerprint: "Quarantined"}, CrashReport{ID: uint64(1_000_000 + i), Upstream: "A"})
 	}
-	assert.Equal(t, len(f.quarantine.suspects), suspectsMost)
-	assert.Equal(t, len(f.quarantine.suspects["Quarantined"].crashes), crashReportsMost)
+	assert.Equal(t, len(f.quarantine.suspects), maxSuspects)
+	assert.Equal(t, len(f.quarantine.suspects["Quarantined"].crashes), maxCrashReports)
 	verdict, _ := f.Verdict(now, RequestIdentity{Fingerprint: "Quarantined"})
 	assert.Equal(t, verdict, VerdictQuarantined)
 	first := f.UnsentReports(now)
@@ -224,14 +224,14 @@
 // 0.11 ms, where each was judged for it 5.3 ms (one core, beside other work).
 func BenchmarkMakeRoom(b *testing.B) {
 	f := newFleetFor(1)
-	for i := range suspectsMost {
-		for k := range crashReportsMost {
-			f.quarantine.report(0, RequestIdentity{Fingerprint: Fingerprint(fmt.Sprint("F", i))}, CrashReport{ID: uint64(i*crashReportsMost + k), Upstream: "U"})
+	for i := range maxSuspects {
+		for k := range maxCrashReports {
+			f.quarantine.report(0, RequestIdentity{Fingerprint: Fingerprint(fmt.Sprint("F", i))}, CrashReport{ID: uint64(i*maxCrashReports + k), Upstream: "U"})
 		}
 	}
 	b.ResetTimer()
 	for b.Loop() {
-		f.quarantine.makeRoom(0)
+		f.quarantine.evictIfFull(0)
 		f.quarantine.suspects["F"] = f.quarantine.suspects["F1000"]
 	}
 }
--- a/tier/policy/queue.go
+++ b/tier/policy/queue.go
@@ -11,9 +11,9 @@
 // The place of a waiter that is not in a queue; one that is has its index, 0 or more.
 const (
 	// placeOut is that of a waiter that was not granted a slot.
-	placeOut = -1
+	indexNone = -1
 	// placeGranted is that of a waiter that was.
-	placeGranted = -2
+	indexGranted = -2
 )
 
 // Waiter is a call that waits for a slot.
@@ -24,7 +24,7 @@
 	// Granted is called, with no lock held, when the slot is there.
 	Granted func()
 	// place is its index in the queue, placeOut or placeGranted.
-	place int
+	index int
 }
 
 // NotifyGranted tells waiters that they got their slots. No lock may be held.
@@ -35,11 +35,11 @@
 }
 
 // enter grants a waiter a slot, or else queues it unless the queue is full.
-func (u *Upstream) enter(w *Waiter) (granted, queued bool) {
-	w.place = placeOut
+func (u *Upstream) acquireOrQueue(w *Waiter) (granted, queued bool) {
+	w.index = indexNone
 	if u.hasSlot() {
 		u.slots.inUse++
-		w.place = placeGranted
+		w.index = indexGranted
 		return true, false
 	}
 	if u.slots.queue.Len() >= queuePerSlot*max(u.slots.share, 1) {
@@ -51,8 +51,8 @@
 
 // abandon takes the waiter out of its queue, if it is in one.
 func (w *Waiter) abandon() {
-	if w.place >= 0 {
-		heap.Remove(&w.Upstream.slots.queue, w.place)
+	if w.index >= 0 {
+		heap.Remove(&w.Upstream.slots.queue, w.index)
 	}
 }
 
@@ -66,7 +66,7 @@
 			continue
 		}
 		u.slots.inUse++
-		w.place = placeGranted
+		w.index = indexGranted
 		out = append(out, w)
 	}
 	return out
@@ -83,12 +83,12 @@
 
 func (q waiters) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
-	q[i].place, q[j].place = i, j
+	q[i].index, q[j].index = i, j
 }
 
 func (q *waiters) Push(x any) {
 	w := x.(*Waiter)
-	w.place = len(*q)
+	w.index = len(*q)
 	*q = append(*q, w)
 }
 
@@ -97,6 +97,6 @@
 	w := (*q)[last]
 	(*q)[last] = nil
 	*q = (*q)[:last]
-	w.place = placeOut
+	w.index = indexNone
 	return w
 }
--- a/tier/policy/queue_test.go
+++ b/tier/policy/queue_test.go
@@ -44,10 +44,10 @@
 	u := &Upstream{kind: &listedKind, slots: slots{share: 1, ceiling: 1}}
 	w := func(deadline time.Duration) *Waiter { return &Waiter{Upstream: u, Deadline: deadline} }
 	first, late, early, gone, past := w(time.Second), w(90*ms), w(50*ms), w(60*ms), w(10*ms)
-	granted, queued := u.enter(first)
+	granted, queued := u.acquireOrQueue(first)
 	assert.Assert(t, granted && !queued)
 	for _, x := range []*Waiter{late, early, gone, past} {
-		granted, queued = u.enter(x)
+		granted, queued = u.acquireOrQueue(x)
 		assert.Assert(t, !granted && queued)
 	}
 	assert.Equal(t, len(u.grant(20*ms)), 0, "no slot is free")
@@ -58,9 +58,9 @@
 		got := u.grant(20 * ms)
 		assert.Equal(t, len(got), 1)
 		assert.Assert(t, got[0] == want, "%s", got[0].Deadline)
-		assert.Equal(t, want.place, placeGranted)
+		assert.Equal(t, want.index, indexGranted)
 	}
-	assert.Equal(t, past.place, placeOut)
+	assert.Equal(t, past.index, indexNone)
 	assert.Equal(t, u.slots.queue.Len(), 0)
 }
 
@@ -68,10 +68,10 @@
 	for _, share := range []int{0, 1, 2} {
 		u := &Upstream{kind: &declaredKind, slots: slots{share: share, ceiling: share, inUse: share}}
 		for range queuePerSlot * max(share, 1) {
-			_, queued := u.enter(&Waiter{Upstream: u})
+			_, queued := u.acquireOrQueue(&Waiter{Upstream: u})
 			assert.Assert(t, queued)
 		}
-		granted, queued := u.enter(&Waiter{Upstream: u})
+		granted, queued := u.acquireOrQueue(&Waiter{Upstream: u})
 		assert.Assert(t, !granted && !queued)
 	}
 }
--- a/tier/policy/retry.go
+++ b/tier/policy/retry.go
@@ -5,7 +5,7 @@
 const (
 	// shedPauseLeast is the least pause before an upstream that shed a call is asked again,
 	// in median latencies of like calls.
-	shedPauseLeast = 0.5
+	minShedPause = 0.5
 	// shedPauseSpread is by how many medians the pause is longer at most, at random, so
 	// that calls which were shed together do not come back together.
 	shedPauseSpread = 1.0
@@ -31,7 +31,7 @@
 	switch {
 	case !r.request.Repeatable && !o.NotRun():
 		return stepGiveUp
-	case len(p.live) > 0:
+	case len(p.active) > 0:
 		return stepWait
 	case !r.rules.attemptsLeft(p) || !r.rules.payRetry(now, i, p, o):
 		return stepGiveUp
@@ -54,7 +54,7 @@
 		return r.startOrDefer(now, i, nil)
 	case stepPause:
 		p.tried = nil
-		pause := shedPauseLeast + shedPauseSpread*r.fleet.random.Float64()
+		pause := minShedPause + shedPauseSpread*r.fleet.random.Float64()
 		p.retryAt = now + time.Duration(float64(r.request.Pool.median())*pause)
 		r.wakeBy(p.retryAt)
 	case stepGiveUp:
--- a/tier/policy/retry_test.go
+++ b/tier/policy/retry_test.go
@@ -43,8 +43,8 @@
 				}
 			}
 			r.attempts[sent.Attempt].phase = phaseDone
-			r.parts[0].live = removeFirst(r.parts[0].live, sent.Attempt)
-			r.parts[0].account(tt.outcome)
+			r.parts[0].active = removeFirst(r.parts[0].active, sent.Attempt)
+			r.parts[0].recordOutcome(tt.outcome)
 			assert.Equal(t, r.decideRetry(time.Millisecond, 0, tt.outcome), tt.want)
 		})
 	}
--- a/tier/policy/retryafter.go
+++ b/tier/policy/retryafter.go
@@ -8,7 +8,7 @@
 
 const (
 	// leastRetryAfter is the least time after which a refused caller is to come back.
-	leastRetryAfter = 10 * time.Millisecond
+	minRetryAfter = 10 * time.Millisecond
 	// retryAfterSpread is the share by which that time is longer at most, at random, so
 	// that callers refused together do not come back together.
 	retryAfterSpread = 1.0
@@ -50,6 +50,6 @@
 // retryAfter is when the caller of a refused request of a class is to come back: after
 // the excess of the work expected over what is allowed, and no sooner than one call takes.
 func (f *Fleet) retryAfter(p *LatencyPool, excess time.Duration) time.Duration {
-	base := max(excess, p.median(), leastRetryAfter)
+	base := max(excess, p.median(), minRetryAfter)
 	return time.Duration(float64(base) * (1 + retryAfterSpread*f.random.Float64())).Round(time.Millisecond)
 }
--- a/tier/policy/retrybudget.go
+++ b/tier/policy/retrybudget.go
@@ -5,7 +5,7 @@
 // draw takes a token. With less than one left it takes what is left, and succeeds with
 // that probability: many hosts that earn little each then take as many tokens together
 // as they earn, on average.
-func (b *budget) draw(r Random) bool {
+func (b *budget) takeProbabilistic(r Random) bool {
 	if b.take() {
 		return true
 	}
@@ -20,11 +20,11 @@
 	retryBudgetShare = 0.95
 	// drawBelow is the depth, in retries, below which retries are drawn by chance: there
 	// are many hosts then, and chance evens out.
-	drawBelow = 3.0
+	probabilisticDepth = 3.0
 	// retriesAtStart is the share of the depth that a host begins with, and of the reserve
 	// that it has for the first window: all hosts may be started again at once, and what
 	// they spent before still counts.
-	retriesAtStart = 0.25
+	initialRetryShare = 0.25
 )
 
 // RetryBudget bounds the calls beyond the first, hedges and retries, that this
@@ -88,7 +88,7 @@
 type groupRetries struct {
 	saved budget
 	// spent counts what was spent in the last window.
-	spent recent
+	spent windowedSum
 }
 
 // takeHedge takes a hedge at a group; the fleet is locked. Where there are so many hosts
@@ -108,8 +108,8 @@
 	budget := f.retryBudgets.of(group)
 	had := b.saved.tokens
 	taken := false
-	if budget.Depth < drawBelow {
-		taken = b.saved.draw(f.random)
+	if budget.Depth < probabilisticDepth {
+		taken = b.saved.takeProbabilistic(f.random)
 	} else {
 		taken = b.saved.take()
 	}
@@ -128,7 +128,7 @@
 	}
 	slack := budget.Depth
 	if now < budget.Window {
-		slack *= retriesAtStart
+		slack *= initialRetryShare
 	}
 	if b.spent.sum(now, budget.Window)+b.saved.tokens+1 > slack {
 		return false
@@ -140,7 +140,7 @@
 // retriesOf returns what may be spent at a group; the fleet is locked.
 func (f *Fleet) retriesOf(group string) *groupRetries {
 	return findOrMake(f.retries, group, func() *groupRetries {
-		return &groupRetries{saved: budget{f.retryBudgets.of(group).Depth * retriesAtStart}}
+		return &groupRetries{saved: budget{f.retryBudgets.of(group).Depth * initialRetryShare}}
 	})
 }
 
--- a/tier/policy/routed.go
+++ b/tier/policy/routed.go
@@ -11,23 +11,23 @@
 	// routedSends is the least number of calls that one part of a routed request may
 	// have, those that were turned away included, so that a group that sheds is not asked
 	// forever. A part with more upstreams may ask each once.
-	routedSends = 4
+	minRoutedSends = 4
 	// hedgeLatest is the share of the objective after which a call is hedged at the latest,
 	// while it is not known how long calls to other halls take.
-	hedgeLatest = 0.4
+	maxHedgeDelayShare = 0.4
 	// hedgeDone is the share of the objective by which a hedge is to be answered, if it
 	// takes no longer than hedgeFarQuantile of the far calls.
-	hedgeDone = 0.8
+	hedgedAnswerShare = 0.8
 	// hedgeFarQuantile is the quantile of the latencies of far calls that a hedge is
 	// expected to take.
 	hedgeFarQuantile = 0.8
 	// hedgeEarliest is the quantile of the latencies of like calls before which no call is
 	// hedged: where calls are slow because hosts or upstreams are busy, more of them make
 	// it worse.
-	hedgeEarliest = 0.9
+	minHedgeQuantile = 0.9
 	// hedgeUnknown is the share of the objective after which a call is hedged while the
 	// latencies of like calls are not known.
-	hedgeUnknown = 0.25
+	defaultHedgeDelayShare = 0.25
 	// otherHallFactor multiplies the score of an upstream that is neither near nor in the
 	// preferred hall. It is more than latencies of like upstreams differ, so that calls to
 	// other halls go there together.
@@ -84,7 +84,7 @@
 }
 
 func (r *routedRules) attemptsLeft(p *part) bool {
-	return p.ran < r.routed.MaxAttempts && p.sends < max(routedSends, len(p.replicas))
+	return p.ran < r.routed.MaxAttempts && p.sends < max(minRoutedSends, len(p.replicas))
 }
 
 // hedgeDelay has a call hedged when it takes longer than nearly all like calls, but a near
@@ -93,17 +93,17 @@
 	objective := float64(r.routed.Objective)
 	p := r.poolOf(u)
 	if !p.known() {
-		return time.Duration(hedgeUnknown * objective)
+		return time.Duration(defaultHedgeDelayShare * objective)
 	}
-	latest := time.Duration(hedgeLatest * objective)
+	latest := time.Duration(maxHedgeDelayShare * objective)
 	if far := r.routed.FarPool; far.known() {
-		latest = time.Duration(hedgeDone*objective) - far.quantile(hedgeFarQuantile)
+		latest = time.Duration(hedgedAnswerShare*objective) - far.quantile(hedgeFarQuantile)
 	}
-	earliest := p.quantile(hedgeEarliest)
-	return max(min(p.quantile(r.hedgeQuantile), latest), earliest, hedgeLeast)
+	earliest := p.quantile(minHedgeQuantile)
+	return max(min(p.quantile(r.hedgeQuantile), latest), earliest, minHedgeDelay)
 }
 
-func (r *routedRules) hedgesAtSame() bool { return false }
+func (r *routedRules) hedgesSameUpstream() bool { return false }
 
 // barred bars a cold upstream if it has had as many calls as it can handle, or if this host
 // is not the one that makes its calls and no other host makes calls for the run.
@@ -111,8 +111,8 @@
 	switch {
 	case !u.cold.throttled(now):
 		return false
-	case r.fleet.owns(u):
-		return !u.cold.admits(now)
+	case r.fleet.ownsCold(u):
+		return !u.cold.allows(now)
 	default:
 		return u.cold.owner == "" || !r.routed.CanRelay
 	}
@@ -133,7 +133,7 @@
 	return r.routed.FarPool
 }
 
-func (r *routedRules) absence(now time.Duration, i int, p *part) query.Reason {
+func (r *routedRules) missingReason(now time.Duration, i int, p *part) query.Reason {
 	if slices.ContainsFunc(p.replicas, func(u *Upstream) bool { return r.barred(now, u) }) {
 		return query.ReasonCold
 	}
@@ -144,4 +144,4 @@
 }
 
 // endsUncovered is true: an answer without the least coverage is of no use.
-func (r *routedRules) endsUncovered() bool { return true }
+func (r *routedRules) endsWithoutCoverage() bool { return true }
--- a/tier/policy/routed_test.go
+++ b/tier/policy/routed_test.go
@@ -327,7 +327,7 @@
 		f := routedFleet(1, RetryBudget{})
 		near, _ := f.RoutedLatencyPools("Find")
 		u := f.Find("F0")
-		for range 2 * ejectAfter {
+		for range 2 * ejectAfterFailures {
 			f.Finish(0, Call{Upstream: u, Pool: near, Outcome: o, Took: time.Millisecond, Relayed: true})
 		}
 		assert.Assert(t, u.eligible(0) && u.condition.faults == 0, "%s: %+v", o, u)
@@ -347,7 +347,7 @@
 		return spent
 	}
 	depth := 80.0 * retryBudgetShare / 8
-	assert.Equal(t, spend(), int(depth*retriesAtStart))
+	assert.Equal(t, spend(), int(depth*initialRetryShare))
 	assert.Equal(t, spend(), 0)
 	for range 1000 {
 		f.earnRetry("G")
--- a/tier/policy/rules.go
+++ b/tier/policy/rules.go
@@ -26,7 +26,7 @@
 	// the time from the start of the run to its deadline.
 	hedgeDelay(u *Upstream, limit time.Duration) time.Duration
 	// hedgesAtSame reports whether the upstream of a slow call may get its hedge too.
-	hedgesAtSame() bool
+	hedgesSameUpstream() bool
 
 	// barred reports whether an upstream may get no call of the run at the moment.
 	barred(now time.Duration, u *Upstream) bool
@@ -36,10 +36,10 @@
 	// poolOf is where the latencies of calls to an upstream belong.
 	poolOf(u *Upstream) *LatencyPool
 	// absence is why a part has no upstream to ask.
-	absence(now time.Duration, i int, p *part) query.Reason
+	missingReason(now time.Duration, i int, p *part) query.Reason
 	// endsUncovered reports whether a run ends as soon as its least coverage is out of
 	// reach.
-	endsUncovered() bool
+	endsWithoutCoverage() bool
 }
 
 func newRules(c *RunConfig) rules {
--- a/tier/policy/run.go
+++ b/tier/policy/run.go
@@ -45,7 +45,7 @@
 	// attempts holds all attempts of the run; an attempt is known by its index.
 	attempts []attempt
 	progress progress
-	times    times
+	times    wakeTimes
 	// finished is true once ActionFinish was given, or the request refused.
 	finished bool
 	// callerGone is true once the caller is gone.
@@ -55,7 +55,7 @@
 	suspicion suspicion
 }
 
-type times struct {
+type wakeTimes struct {
 	// begun is when the request was admitted.
 	begun time.Duration
 	// patience is when an answer that meets the least coverage is given, though parts
@@ -84,7 +84,7 @@
 		parts:     make([]part, len(c.Replicas)),
 		attempts:  make([]attempt, 0, len(c.Replicas)+spareAttempts),
 		progress:  progress{parts: len(c.Replicas), open: len(c.Replicas)},
-		suspicion: suspicion{subject: c.Identity},
+		suspicion: suspicion{identity: c.Identity},
 	}
 	for i := range r.parts {
 		r.parts[i].replicas = c.Replicas[i]
@@ -97,8 +97,8 @@
 func (r *Run) Begin(now time.Duration) ([]Action, error) {
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
-	subject := r.suspicion.subject
-	verdict, left := r.fleet.quarantine.suspect(subject.Fingerprint).judge(now, subject.Caller)
+	subject := r.suspicion.identity
+	verdict, left := r.fleet.quarantine.suspect(subject.Fingerprint).verdict(now, subject.Caller)
 	if verdict == VerdictQuarantined {
 		r.finished = true
 		return nil, &Refusal{Reason: ReasonQuarantined, RetryAfter: left}
@@ -133,7 +133,7 @@
 		// It began to leave while the attempt waited: nothing new goes there.
 		a.phase = phaseDone
 		p := &r.parts[a.part]
-		p.live = removeFirst(p.live, n)
+		p.active = removeFirst(p.active, n)
 		return r.finishIfDone(now, append(r.freeSlot(n), r.failed(now, a.part, CallLeaving)...))
 	}
 	if r.deferGranted(n) {
@@ -157,23 +157,23 @@
 	}
 	a.phase = phaseDone
 	p := &r.parts[a.part]
-	wanted := slices.Contains(p.live, n) && !p.closed && !r.finished
-	p.live = removeFirst(p.live, n)
-	p.account(o)
+	wanted := slices.Contains(p.active, n) && !p.closed && !r.finished
+	p.active = removeFirst(p.active, n)
+	p.recordOutcome(o)
 	if !wanted {
 		if o == CallCrashed {
-			r.noteLateCrash(now, a)
+			r.recordLateCrash(now, a)
 		}
 		return nil
 	}
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
 	if o == CallOK {
-		r.noteAnswer()
+		r.recordAnswer()
 		out := []Action{{Kind: ActionMerge, Attempt: n, Part: a.part, Upstream: a.upstream}}
-		return r.finishIfDone(now, r.include(a.part, out))
+		return r.finishIfDone(now, r.includePart(a.part, out))
 	}
-	if o == CallCrashed && r.noteCrash(now, a) {
+	if o == CallCrashed && r.recordCrash(now, a) {
 		r.unknown = !r.request.Repeatable
 		r.markMissing(a.part, reasonOf(o))
 		return r.finish(now, nil)
@@ -215,7 +215,7 @@
 		return r.startOrDefer(now, i, out)
 	case !r.hedgeDue(now, p):
 		return out
-	case r.isolatedTimedOut(now, &r.attempts[p.live[0]]):
+	case r.isolatedTimedOut(now, &r.attempts[p.active[0]]):
 		return r.replaceIsolated(now, i, out)
 	default:
 		return r.hedge(now, i, out)
@@ -254,8 +254,8 @@
 		if p.retryAt > 0 {
 			next = min(next, p.retryAt)
 		}
-		if len(p.live) > 0 && !p.hedged {
-			next = min(next, r.hedgeTime(now, &r.attempts[p.live[0]]))
+		if len(p.active) > 0 && !p.hedged {
+			next = min(next, r.hedgeTime(now, &r.attempts[p.active[0]]))
 		}
 	}
 	return next
--- a/tier/policy/run_test.go
+++ b/tier/policy/run_test.go
@@ -65,7 +65,7 @@
 	m.upstreams = m.fleet.resolve([][]string{names})[0]
 	if rapid.Bool().Draw(t, "warm") {
 		for _, u := range m.upstreams {
-			u.latency.samples = warmSamples
+			u.latency.samples = slowStartSamples
 		}
 	}
 	return m
@@ -286,7 +286,7 @@
 		assert.NilError(t, err)
 	}
 	_, err := named("chooser", choosers, "Best")
-	assert.ErrorIs(t, err, errUnknown)
+	assert.ErrorIs(t, err, errNotRegistered)
 }
 
 // TestLoserIsNotMerged has both calls of a hedged shard answer in full, while
@@ -296,7 +296,7 @@
 	f.Apply(0, []Share{{Name: "A", Slots: 4}, {Name: "B", Slots: 4}})
 	upstreams := f.resolve([][]string{{"A", "B"}})[0]
 	for _, u := range upstreams {
-		u.latency.samples = warmSamples
+		u.latency.samples = slowStartSamples
 	}
 	c := config.DefaultClass()
 	c.Admission = "None"
--- a/tier/policy/slots.go
+++ b/tier/policy/slots.go
@@ -2,7 +2,7 @@
 
 // warmSamples is the number of calls that an upstream must have answered before it gets
 // more than one at a time.
-const warmSamples = 10
+const slowStartSamples = 10
 
 // slots counts the calls that this host has in progress at an upstream, and those that
 // wait for a slot.
@@ -23,23 +23,25 @@
 
 func (s *slots) set(share, ceiling int) {
 	s.share, s.ceiling = share, max(ceiling, share)
-	s.borrowing.borrowed = min(s.borrowing.borrowed, s.room())
+	s.borrowing.borrowed = min(s.borrowing.borrowed, s.borrowable())
 }
 
-func (s *slots) room() int { return s.ceiling - s.share }
+func (s *slots) borrowable() int { return s.ceiling - s.share }
 
-func (s *slots) divided() int { return s.share + s.borrowing.borrowed }
+func (s *slots) withBorrowed() int { return s.share + s.borrowing.borrowed }
 
 // allowed is how many calls this host may have in progress now, but for the slow start.
 func (s *slots) allowed() int {
 	if s.limit.known() {
-		return min(s.divided(), s.limit.calls)
+		return min(s.withBorrowed(), s.limit.calls)
 	}
-	return s.divided()
+	return s.withBorrowed()
 }
 
 // ahead is how many calls a new one finds there, for each slot of the share.
-func (s *slots) ahead() float64 { return float64(s.inUse+s.queue.Len()) / float64(max(s.share, 1)) }
+func (s *slots) queuedPerSlot() float64 {
+	return float64(s.inUse+s.queue.Len()) / float64(max(s.share, 1))
+}
 
 // excess is how many calls have to end before a new one gets a slot of the share.
 func (s *slots) excess() int { return max(s.inUse+s.queue.Len()-s.share+1, 0) }
--- a/tier/policy/stall.go
+++ b/tier/policy/stall.go
@@ -8,10 +8,10 @@
 	// considered unresponsive.
 	stalledFactor = 2
 	// stalledLeast is the least such time; it also holds while the latency is not known.
-	stalledLeast = 10 * time.Millisecond
+	minStallTime = 10 * time.Millisecond
 	// stalledFor is how long an upstream is considered unresponsive while no call of this
 	// host waits there that could show otherwise. Pauses of upstreams take some 100 ms.
-	stalledFor = 100 * time.Millisecond
+	assumedStallDuration = 100 * time.Millisecond
 	// LingerDuration is how long a call goes on whose answer is not wanted any more; longer than
 	// upstreams pause, so that it shows the end of a pause without a probe. Without
 	// lingering calls worth falls by up to 0.011.
@@ -37,7 +37,7 @@
 	}
 }
 
-func (s *stall) assume(now time.Duration) { s.until = now + stalledFor }
+func (s *stall) assumeStalled(now time.Duration) { s.until = now + assumedStallDuration }
 
 // answered notes an answer; pending is true if other calls wait for theirs.
 func (s *stall) answered(now time.Duration, pending bool) {
@@ -51,5 +51,5 @@
 	if now < s.until {
 		return true
 	}
-	return s.unansweredSince > 0 && now-s.unansweredSince > max(stalledFactor*latency, stalledLeast)
+	return s.unansweredSince > 0 && now-s.unansweredSince > max(stalledFactor*latency, minStallTime)
 }
--- a/tier/policy/stall_test.go
+++ b/tier/policy/stall_test.go
@@ -22,12 +22,12 @@
 		{"nothing sent", func(*stall) {}, 20 * ms, 0, 0},
 		{"two latencies without an answer", func(s *stall) { s.sent(now) }, 20 * ms, 40*ms + 1, time.Hour},
 		{"the first of two calls counts", func(s *stall) { s.sent(now); s.sent(now + 30*ms) }, 20 * ms, 40*ms + 1, time.Hour},
-		{"a short latency", func(s *stall) { s.sent(now) }, ms, stalledLeast + 1, time.Hour},
-		{"an unknown latency", func(s *stall) { s.sent(now) }, 0, stalledLeast + 1, time.Hour},
+		{"a short latency", func(s *stall) { s.sent(now) }, ms, minStallTime + 1, time.Hour},
+		{"an unknown latency", func(s *stall) { s.sent(now) }, 0, minStallTime + 1, time.Hour},
 		{"an answer", func(s *stall) { s.sent(now); s.answered(now, false) }, 20 * ms, 0, 0},
 		{"an answer while another is pending", func(s *stall) { s.sent(now - 30*ms); s.answered(now, true) }, 20 * ms, 40*ms + 1, time.Hour},
-		{"assumed", func(s *stall) { s.assume(now) }, 20 * ms, 0, stalledFor},
-		{"assumed, then an answer", func(s *stall) { s.assume(now); s.answered(now, false) }, 20 * ms, 0, 0},
+		{"assumed", func(s *stall) { s.assumeStalled(now) }, 20 * ms, 0, assumedStallDuration},
+		{"assumed, then an answer", func(s *stall) { s.assumeStalled(now); s.answered(now, false) }, 20 * ms, 0, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/tier/policy/suspects.go
+++ b/tier/policy/suspects.go
@@ -10,9 +10,9 @@
 const (
 	// suspectsMost is the number of requests that are remembered: with crashReportsMost
 	// each, they take about 1 MB.
-	suspectsMost = 1024
+	maxSuspects = 1024
 	// crashReportsMost is the number of crash reports that are remembered of a request.
-	crashReportsMost = 8
+	maxCrashReports = 8
 	// MaxReports is the number of requests that hosts report to each other at once:
 	// 3 KB, less when compressed.
 	MaxReports = 16
@@ -47,7 +47,7 @@
 
 // report takes in a crash that this host saw.
 func (q *quarantine) report(now time.Duration, of RequestIdentity, c CrashReport) {
-	c.Remaining, c.Caller = crashReportLife, of.Caller
+	c.Remaining, c.Caller = crashReportTTL, of.Caller
 	q.merge(now, &SuspectReport{Fingerprint: of.Fingerprint, Crashes: []CrashReport{c}})
 }
 
@@ -60,12 +60,12 @@
 		same := c.Caller == of.Caller
 		s.unsent = c.learn(same, !same) || s.unsent
 	}
-	q.notifyOf(s, false)
+	q.notifyIfUnsent(s, false)
 }
 
 func (q *quarantine) merge(now time.Duration, r *SuspectReport) {
 	s := q.suspect(r.Fingerprint)
-	before, changed := s.worst(now), false
+	before, changed := s.worstVerdict(now), false
 	for i := range r.Crashes {
 		changed = s.add(now, &r.Crashes[i]) || changed
 	}
@@ -73,15 +73,15 @@
 		return
 	}
 	if q.suspects[r.Fingerprint] == nil {
-		q.makeRoom(now)
+		q.evictIfFull(now)
 		q.suspects[r.Fingerprint] = s
 	}
 	s.unsent = true
-	q.notifyOf(s, before != VerdictQuarantined && s.worst(now) == VerdictQuarantined)
+	q.notifyIfUnsent(s, before != VerdictQuarantined && s.worstVerdict(now) == VerdictQuarantined)
 }
 
 // notifyOf has other hosts be sent what is known of a request, if they were not yet.
-func (q *quarantine) notifyOf(s *suspect, urgent bool) {
+func (q *quarantine) notifyIfUnsent(s *suspect, urgent bool) {
 	if s.unsent && q.notify != nil {
 		q.notify(urgent)
 	}
@@ -89,7 +89,7 @@
 
 // add takes one crash report in, and reports whether it was new.
 func (s *suspect) add(now time.Duration, c *CrashReport) bool {
-	left := min(c.Remaining, crashReportLife)
+	left := min(c.Remaining, crashReportTTL)
 	i := slices.IndexFunc(s.crashes, func(o crash) bool { return o.ID == c.ID })
 	switch {
 	case i >= 0:
@@ -98,8 +98,8 @@
 		return false
 	}
 	s.crashes = slices.DeleteFunc(s.crashes, func(o crash) bool { return now >= o.until })
-	if len(s.crashes) >= crashReportsMost {
-		least := s.least(now)
+	if len(s.crashes) >= maxCrashReports {
+		least := s.leastRelevant(now)
 		s.crashes = slices.DeleteFunc(s.crashes, func(o crash) bool { return o.ID == least.ID })
 	}
 	s.crashes = append(s.crashes, crash{CrashReport: *c, until: now + left})
@@ -107,7 +107,7 @@
 }
 
 // least is the crash report that matters least, and of such the oldest.
-func (s *suspect) least(now time.Duration) crash {
+func (s *suspect) leastRelevant(now time.Duration) crash {
 	return slices.MinFunc(s.crashes, func(a, b crash) int {
 		return cmp.Or(cmp.Compare(a.weight(now), b.weight(now)), cmp.Compare(a.until, b.until))
 	})
@@ -145,8 +145,8 @@
 // makeRoom forgets the request that matters least, if there are as many as may be
 // remembered: one without reports that count, then one without an isolated crash, then
 // the one whose reports are oldest.
-func (q *quarantine) makeRoom(now time.Duration) {
-	if len(q.suspects) < suspectsMost {
+func (q *quarantine) evictIfFull(now time.Duration) {
+	if len(q.suspects) < maxSuspects {
 		return
 	}
 	known := slices.Collect(maps.Keys(q.suspects))
--- a/tier/policy/suspicion.go
+++ b/tier/policy/suspicion.go
@@ -15,7 +15,7 @@
 type suspicion struct {
 	// subject is what the request is remembered by; where its fingerprint is empty
 	// it is never suspected.
-	subject RequestIdentity
+	identity RequestIdentity
 	// reported is true if the request had crash reports before the run.
 	reported bool
 	// crashes counts the upstreams that crashed under the run; lastCrashed is the last.
@@ -33,9 +33,9 @@
 
 // open reports whether the request may still turn out to crash upstreams: it can be
 // remembered, and none has answered it.
-func (s *suspicion) open() bool { return s.subject.Fingerprint != "" && !s.cleared }
+func (s *suspicion) open() bool { return s.identity.Fingerprint != "" && !s.cleared }
 
-func (s *suspicion) count(u *Upstream) {
+func (s *suspicion) countCrash(u *Upstream) {
 	s.crashes++
 	s.lastCrashed = u.Name
 }
@@ -48,19 +48,19 @@
 }
 
 // noteAnswer notes that an upstream has answered: the request crashes none.
-func (r *Run) noteAnswer() {
+func (r *Run) recordAnswer() {
 	if !r.suspicion.open() {
 		return
 	}
 	r.suspicion.cleared = true
-	r.fleet.quarantine.clear(r.suspicion.subject)
+	r.fleet.quarantine.clear(r.suspicion.identity)
 }
 
 // noteCrash notes that an upstream crashed while it may have run the request, and reports
 // whether the run is to end: the upstream ran nothing else of it.
-func (r *Run) noteCrash(now time.Duration, a *attempt) bool {
+func (r *Run) recordCrash(now time.Duration, a *attempt) bool {
 	s := &r.suspicion
-	s.count(a.upstream)
+	s.countCrash(a.upstream)
 	if !s.open() {
 		return false
 	}
@@ -73,14 +73,14 @@
 // noteLateCrash notes that an upstream crashed under a call that is not wanted any more.
 // A run may end before any upstream does, where too few shards are left to be asked;
 // without this nothing would be learnt of its request then.
-func (r *Run) noteLateCrash(now time.Duration, a *attempt) {
+func (r *Run) recordLateCrash(now time.Duration, a *attempt) {
 	s := &r.suspicion
 	if !s.open() {
 		return
 	}
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
-	s.count(a.upstream)
+	s.countCrash(a.upstream)
 	if s.attemptID == 0 {
 		r.reportCrash(now, false)
 	}
@@ -100,7 +100,7 @@
 	if s.attemptID == 0 {
 		s.attemptID = r.fleet.uniqueID()
 	}
-	r.fleet.quarantine.report(now, s.subject, CrashReport{
+	r.fleet.quarantine.report(now, s.identity, CrashReport{
 		ID: r.fleet.uniqueID(), Attempt: s.attemptID, Isolated: isolated, Upstream: s.lastCrashed,
 	})
 }
--- a/tier/policy/suspicion_test.go
+++ b/tier/policy/suspicion_test.go
@@ -122,11 +122,11 @@
 		f.quarantine.report(0, RequestIdentity{Fingerprint: "F"}, CrashReport{ID: uint64(id), Attempt: uint64(id), Isolated: true, Upstream: u})
 	}
 	r, _ := routedRun(t, f, 0, 6, 2, 1, true)
-	r.suspicion.subject, r.finished = RequestIdentity{Fingerprint: "F"}, false
+	r.suspicion.identity, r.finished = RequestIdentity{Fingerprint: "F"}, false
 	_, err := r.Begin(time.Second)
 	var refusal *Refusal
 	assert.Assert(t, errors.As(err, &refusal), "%v", err)
-	assert.Equal(t, refusal.RetryAfter, quarantineGrowth*quarantineFirst-time.Second)
+	assert.Equal(t, refusal.RetryAfter, quarantineGrowth*initialQuarantine-time.Second)
 }
 
 // TestResetConnectionsAreNoCrash has upstreams reset connections, as they also do when
@@ -154,7 +154,7 @@
 		actions := r.Wake(now)
 		sent += len(sends(actions))
 		if finished(actions) {
-			assert.Equal(t, sent, isolatedTimeoutsMost)
+			assert.Equal(t, sent, maxIsolatedTimeouts)
 			return
 		}
 	}
--- a/tier/policy/upstream.go
+++ b/tier/policy/upstream.go
@@ -11,7 +11,7 @@
 	Name string
 	// born is when its process started, as of Share; 0 if that is not known. A later one
 	// of the same name is another Upstream.
-	born int64
+	startedMillis int64
 	// kind is what the two kinds of upstream do differently; never nil once Apply has
 	// registered the upstream.
 	kind *kind
@@ -45,7 +45,7 @@
 
 func (u *Upstream) hasSlot() bool {
 	limit := u.slots.allowed()
-	if u.kind.slowStart && u.latency.samples < warmSamples {
+	if u.kind.slowStart && u.latency.samples < slowStartSamples {
 		limit = min(limit, 1)
 	}
 	return u.slots.inUse < limit
@@ -55,7 +55,7 @@
 
 // linger reports whether a call whose answer is not wanted may go on, and notes that it
 // does; one does at a time, and none where calls queue.
-func (u *Upstream) linger() bool {
+func (u *Upstream) tryLinger() bool {
 	if !u.kind.lingers || u.stall.lingering || u.load.perSlot > 0 {
 		return false
 	}
@@ -80,5 +80,5 @@
 	if s.share == 0 || s.excess() == 0 {
 		return 0
 	}
-	return u.latency.or(p.median()) * time.Duration(s.excess()) / time.Duration(s.share)
+	return u.latency.orDefault(p.median()) * time.Duration(s.excess()) / time.Duration(s.share)
 }
--- a/tier/policy/upstream_test.go
+++ b/tier/policy/upstream_test.go
@@ -24,7 +24,7 @@
 		{"cold", Upstream{cold: cold{until: later}}, true},
 		{"throttled", Upstream{cold: cold{until: later, entry: Cold{CallLimit: 5}}}, false},
 		{"unresponsive", Upstream{stall: stall{until: later}}, true},
-		{"slower than its like", Upstream{condition: condition{slowness: 9, faults: 0.9, seenAt: now}}, true},
+		{"slower than its like", Upstream{condition: condition{slowness: 9, faults: 0.9, observedAt: now}}, true},
 	}
 	for _, tt := range tests {
 		assert.Equal(t, tt.upstream.eligible(now), tt.want, "%s", tt.name)
@@ -39,8 +39,8 @@
 		want    int
 	}{
 		{"new and declared", &declaredKind, 0, 1},
-		{"not yet warm", &declaredKind, warmSamples - 1, 1},
-		{"warm", &declaredKind, warmSamples, 4},
+		{"not yet warm", &declaredKind, slowStartSamples - 1, 1},
+		{"warm", &declaredKind, slowStartSamples, 4},
 		{"listed", &listedKind, 0, 4},
 	}
 	for _, tt := range tests {
@@ -69,7 +69,7 @@
 		{"a free slot", slots{share: 2, inUse: 1}, 8 * ms, 0},
 		{"all in use", slots{share: 2, inUse: 2}, 8 * ms, 4 * ms},
 		{"one waits", slots{share: 2, inUse: 2, queue: waiters{{}}}, 8 * ms, 8 * ms},
-		{"latency not known", slots{share: 2, inUse: 2}, 0, poolFallback / 2},
+		{"latency not known", slots{share: 2, inUse: 2}, 0, defaultMedian / 2},
 	}
 	for _, tt := range tests {
 		u := Upstream{slots: tt.slots, latency: latency{smoothed: tt.latency}}
@@ -89,7 +89,7 @@
 		{"calls queue there", Upstream{kind: &listedKind, load: queueReport{perSlot: 0.25}}, false},
 	}
 	for _, tt := range tests {
-		assert.Equal(t, tt.upstream.linger(), tt.want, "%s", tt.name)
+		assert.Equal(t, tt.upstream.tryLinger(), tt.want, "%s", tt.name)
 		assert.Equal(t, tt.upstream.stall.lingering, tt.want || tt.name == "one lingers", "%s", tt.name)
 	}
 }
