--- a/tier/policy/cold_test.go
+++ b/tier/policy/cold_test.go
@@ -18,14 +18,14 @@
 		{0, 1.5, 5, 0}, {1, 1.5, 5, 6}, {4, 1.5, 5, 11}, {40, 1.5, 5, 65}, {0.1, 1, 0, 1}, {-1, 1.5, 5, 0},
 	}
 	for _, tt := range tests {
-		assert.Equal(t, ColdCalls(tt.rate, tt.factor, tt.slack), tt.want, "%+v", tt)
+		assert.Equal(t, ColdCallLimit(tt.rate, tt.factor, tt.slack), tt.want, "%+v", tt)
 	}
 }
 
 // coldFleet is a fleet with one cold upstream of this host's hall.
 func coldFleet(calls int) (*Fleet, *Upstream) {
 	f := NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(1, 2))})
-	share := Share{Name: "U", Slots: 100, Listed: true, Hall: "A", Near: true, Cold: Cold{Remaining: 10 * time.Second, Revision: 1, Calls: calls}}
+	share := Share{Name: "U", Slots: 100, Listed: true, Hall: "A", Near: true, Cold: Cold{Remaining: 10 * time.Second, Revision: 1, CallLimit: calls}}
 	f.Apply(time.Minute, []Share{share})
 	return f, f.Find("U")
 }
@@ -54,8 +54,8 @@
 			sent = append(sent, now)
 		}
 	}
-	assert.Equal(t, mostWithin(sent, time.Second), 11/coldOwners)
-	assert.Assert(t, len(sent) >= 9*(11/coldOwners)-1, "%d sent", len(sent))
+	assert.Equal(t, mostWithin(sent, time.Second), 11/maxColdOwners)
+	assert.Assert(t, len(sent) >= 9*(11/maxColdOwners)-1, "%d sent", len(sent))
 }
 
 // mostWithin is the largest number of times within any span; they are in order.
@@ -194,7 +194,7 @@
 			used := float64(len(sent)) / lasts.Seconds() / bound
 			t.Logf("%4d hosts, %-10s: at most %2d in a second of %d allowed, %.2f of the bound used", hosts, name, most, bound, used)
 			if name == "owner" {
-				assert.Assert(t, most <= bound/coldOwners && used > 0.4)
+				assert.Assert(t, most <= bound/maxColdOwners && used > 0.4)
 			}
 		}
 	}
--- a/tier/policy/coldowner.go
+++ b/tier/policy/coldowner.go
@@ -20,7 +20,7 @@
 		return ""
 	}
 	return slices.MinFunc(hosts, func(a, b Candidate) int {
-		return cmp.Compare(Affinity(upstream, a.Host), Affinity(upstream, b.Host))
+		return cmp.Compare(RendezvousHash(upstream, a.Host), RendezvousHash(upstream, b.Host))
 	}).Host
 }
 
@@ -37,7 +37,7 @@
 
 // noteCold keeps cold up to date after the share of an upstream was set; the fleet is
 // locked.
-func (f *Fleet) noteCold(now time.Duration, u *Upstream) {
+func (f *Fleet) trackCold(now time.Duration, u *Upstream) {
 	if u.cold.throttled(now) {
 		f.cold[u.Name] = u
 		return
@@ -46,8 +46,8 @@
 	delete(f.cold, u.Name)
 }
 
-// ThrottledCold names the upstreams that are throttled, with their halls.
-func (f *Fleet) ThrottledCold(now time.Duration) map[string]string {
+// ThrottledUpstreams names the upstreams that are throttled, with their halls.
+func (f *Fleet) ThrottledUpstreams(now time.Duration) map[string]string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := map[string]string{}
@@ -85,13 +85,13 @@
 	if !u.cold.throttled(now) {
 		return true
 	}
-	if !f.owns(u) || !u.cold.admits(now) {
+	if !f.ownsCold(u) || !u.cold.allows(now) {
 		return false
 	}
-	u.cold.sent(now)
+	u.cold.recordSent(now)
 	return true
 }
 
 // owns reports whether this host makes the calls to a throttled upstream; the fleet is
 // locked.
-func (f *Fleet) owns(u *Upstream) bool { return u.cold.owner != "" && u.cold.owner == f.self }
+func (f *Fleet) ownsCold(u *Upstream) bool { return u.cold.owner != "" && u.cold.owner == f.self }
--- a/tier/policy/crashreport.go
+++ b/tier/policy/crashreport.go
@@ -10,9 +10,9 @@
 const (
 	// crashReportLife is how long a crash report counts: people mend what a request
 	// crashes, which takes hours.
-	crashReportLife = 24 * time.Hour
+	crashReportTTL = 24 * time.Hour
 	// restartLeast is less than an upstream takes to start again and to crash once more.
-	restartLeast = time.Second
+	minRestartTime = time.Second
 )
 
 // CrashReport is evidence that a request crashes the upstreams that run it: some crashed
@@ -34,8 +34,8 @@
 	// CallerOnly is true once an upstream has answered the request to another caller:
 	// the report counts for its own caller only.
 	CallerOnly bool `json:"Narrow,omitempty"`
-	// Left is how long the report still counts.
-	Left time.Duration
+	// Remaining is how long the report still counts.
+	Remaining time.Duration `json:"Left"`
 }
 
 // SuspectReport is all crash reports of one request, as hosts exchange them.
@@ -89,7 +89,7 @@
 	})
 	n := 0
 	for i, c := range reports {
-		if i == 0 || reports[i-1].Upstream != c.Upstream || c.until-reports[i-1].until >= restartLeast {
+		if i == 0 || reports[i-1].Upstream != c.Upstream || c.until-reports[i-1].until >= minRestartTime {
 			n++
 		}
 	}
--- a/tier/policy/fingerprint.go
+++ b/tier/policy/fingerprint.go
@@ -13,7 +13,7 @@
 	fingerprintBytes = 8
 	// fingerprintBody is how much of a body counts, besides its length, so that a
 	// body of a megabyte costs no more than one of 64 KiB (about 0.05 ms).
-	fingerprintBody = 64 << 10
+	maxFingerprintBody = 64 << 10
 )
 
 // Fingerprint is the same for a request and all its repeats, at whichever host, and
@@ -21,20 +21,20 @@
 // address is no part of it: a caller may have several.
 type Fingerprint string
 
-// Content is what a request and its repeats have in common.
-type Content struct {
+// RequestContent is what a request and its repeats have in common.
+type RequestContent struct {
 	// Method, HostName and Target are of the request line; Target has the query.
 	Method, HostName, Target string
 	Body                     []byte
 }
 
 // Fingerprint returns the fingerprint of the request.
-func (c *Content) Fingerprint() Fingerprint {
+func (c *RequestContent) Fingerprint() Fingerprint {
 	h := sha256.New()
 	for _, text := range []string{c.Method, c.HostName, c.Target} {
 		writeField(h, len(text), []byte(text))
 	}
-	writeField(h, len(c.Body), c.Body[:min(len(c.Body), fingerprintBody)])
+	writeField(h, len(c.Body), c.Body[:min(len(c.Body), maxFingerprintBody)])
 	return Fingerprint(hex.EncodeToString(h.Sum(nil)[:fingerprintBytes]))
 }
 
--- a/tier/policy/hedge.go
+++ b/tier/policy/hedge.go
@@ -9,7 +9,7 @@
 
 const (
 	// hedgeLeast is the least time after which a call is hedged.
-	hedgeLeast = 500 * time.Microsecond
+	minHedgeDelay = 500 * time.Microsecond
 	// hedgeRecheckDivisor divides the hedge delay: a hedge that was not possible is
 	// considered again after that part of it.
 	hedgeRecheckDivisor = 4
@@ -20,22 +20,22 @@
 	batchHedgeDivisor = 2
 )
 
-// HedgeObstacle says what kept a call from being hedged.
-type HedgeObstacle string
+// HedgeSkipReason says what kept a call from being hedged.
+type HedgeSkipReason string
 
 const (
 	// HedgeNoUpstream means that no other upstream of the part may be asked.
-	HedgeNoUpstream HedgeObstacle = "NoUpstream"
+	HedgeNoUpstream HedgeSkipReason = "NoUpstream"
 	// HedgeNoSlot means that this host's share of the other upstream is in use.
-	HedgeNoSlot HedgeObstacle = "NoSlot"
+	HedgeNoSlot HedgeSkipReason = "NoSlot"
 	// HedgeCold means that the other upstream has not warmed up.
-	HedgeCold HedgeObstacle = "Cold"
+	HedgeCold HedgeSkipReason = "Cold"
 	// HedgeNoBudget means that the retry budget is spent, or that no further
 	// attempt is allowed.
-	HedgeNoBudget HedgeObstacle = "NoBudget"
+	HedgeNoBudget HedgeSkipReason = "NoBudget"
 	// HedgeSuspected means that the request may be one that crashes upstreams, or that
 	// no upstream has answered it and another call is hedged already.
-	HedgeSuspected HedgeObstacle = "Doubted"
+	HedgeSuspected HedgeSkipReason = "Doubted"
 )
 
 // hedge makes a second call for a part whose first is slow, or notes why not.
@@ -47,12 +47,12 @@
 		return out
 	}
 	p.hedged = true
-	return r.enter(now, i, u, out)
+	return r.addAttempt(now, i, u, out)
 }
 
 // decideHedge decides whether a part gets a second call, and at which upstream, or says
 // why not. The hedge is taken from its budget. There is none into a queue.
-func (r *Run) decideHedge(now time.Duration, i int) (*Upstream, HedgeObstacle) {
+func (r *Run) decideHedge(now time.Duration, i int) (*Upstream, HedgeSkipReason) {
 	if r.suspected() || r.hedgesOneAtATime() && r.hedgeInProgress() {
 		return nil, HedgeSuspected
 	}
@@ -77,7 +77,7 @@
 	if u := r.pick(now, i, onlyEligible); u != nil && u.hasSlot() {
 		return u
 	}
-	if u := r.attempts[r.parts[i].live[0]].upstream; r.rules.hedgesAtSame() && u.hasSlot() && u.eligible(now) {
+	if u := r.attempts[r.parts[i].active[0]].upstream; r.rules.hedgesSameUpstream() && u.hasSlot() && u.eligible(now) {
 		return u
 	}
 	return r.pick(now, i, anyUpstream)
@@ -91,7 +91,7 @@
 func (r *Run) hedgesOneAtATime() bool { return r.suspicion.open() && len(r.parts) > 1 }
 
 func (r *Run) hedgeInProgress() bool {
-	return slices.ContainsFunc(r.parts, func(p part) bool { return p.hedged && len(p.live) > 0 })
+	return slices.ContainsFunc(r.parts, func(p part) bool { return p.hedged && len(p.active) > 0 })
 }
 
 func (r *Run) hedges() bool {
@@ -99,10 +99,10 @@
 }
 
 func (r *Run) hedgeDue(now time.Duration, p *part) bool {
-	if p.hedged || len(p.live) == 0 || !r.hedges() {
+	if p.hedged || len(p.active) == 0 || !r.hedges() {
 		return false
 	}
-	a := &r.attempts[p.live[0]]
+	a := &r.attempts[p.active[0]]
 	return a.phase != phaseQueued && now-a.sentAt >= a.hedgeAge
 }
 
@@ -115,24 +115,24 @@
 	if a.phase == phaseSent && first > now {
 		return first
 	}
-	return now + max(a.hedgeAge/hedgeRecheckDivisor, hedgeLeast)
+	return now + max(a.hedgeAge/hedgeRecheckDivisor, minHedgeDelay)
 }
 
 // probe asks an outlier besides the chosen replica, so that its recovery is seen without
 // anybody waiting for it. Only declared upstreams are outliers: the class pays.
 func (r *Run) probe(now time.Duration, i int, out []Action) []Action {
-	if !r.hedges() || len(r.parts[i].live) == 0 {
+	if !r.hedges() || len(r.parts[i].active) == 0 {
 		return out
 	}
 	for _, u := range r.parts[i].replicas {
 		if !u.outlier.probeDue(now) || u.leaving || u.ejection.active(now) || !u.hasSlot() {
 			continue
 		}
-		if u == r.attempts[r.parts[i].live[0]].upstream || !r.fleet.class(r.request.Class.Name).hedges.take() {
+		if u == r.attempts[r.parts[i].active[0]].upstream || !r.fleet.class(r.request.Class.Name).hedges.take() {
 			continue
 		}
 		u.outlier.probed(now)
-		return r.enter(now, i, u, out)
+		return r.addAttempt(now, i, u, out)
 	}
 	return out
 }
@@ -144,8 +144,8 @@
 	a.hedgeAge += a.hedgeAge/batchHedgeDivisor + batchHedgeDelay
 }
 
-// Overdue hedges attempts now that are known to take long.
-func (r *Run) Overdue(now time.Duration, attempts []int) []Action {
+// HedgeNow hedges attempts now that are known to take long.
+func (r *Run) HedgeNow(now time.Duration, attempts []int) []Action {
 	if r.finished {
 		return nil
 	}
