--- a/tier/pass/host_test.go
+++ b/tier/pass/host_test.go
@@ -254,7 +254,7 @@
 		Fleet: policy.NewFleet(policy.FleetConfig{Random: rand.New(rand.NewPCG(1, 2))}),
 	})
 	k.Peers = c.peers
-	stopStrikes := peers.ServeStrikes(k)
+	stopStrikes := peers.ServeCrashReports(k)
 	e, closeEngine := newEngine(k, names)
 	h := &host{t: t, kernel: k, engine: e, server: httptest.NewServer(e), revision: 1}
 	if w, ok := c.peers.(*cable); ok && w.sender == nil {
--- a/tier/peers/announcement.go
+++ b/tier/peers/announcement.go
@@ -18,21 +18,21 @@
 
 const (
 	// announceEvery is the time between announcements if nothing changes.
-	announceEvery = 400 * time.Millisecond
+	announceInterval = 400 * time.Millisecond
 	// announceGap is the least time between two announcements without a change, so that the
 	// regular one is left out after one of a change.
-	announceGap = announceEvery / 2
+	minAnnounceInterval = announceInterval / 2
 	// announceFresher is by how much fresher a read is announced at once. A read takes a
 	// second where something has just changed: announced a regular time later, and passed
 	// on by another host still later, it looks as if the reader had lost the platform, and
 	// hosts of all halls take over from it.
-	announceFresher = 500 * time.Millisecond
+	freshReadThreshold = 500 * time.Millisecond
 	// announceBound is how long a call that announces may take.
-	announceBound = time.Second
+	announceTimeout = time.Second
 )
 
 // errStaleSource is the reason of a platform that counts as lost without a failed read.
-var errStaleSource = errors.New("no answer for some time")
+var errStaleRead = errors.New("no answer for some time")
 
 // announcement reports what is published: a host that announces sends it to its own
 // hall, and if it reads the platform to one host of each other hall, which announces it
@@ -101,7 +101,7 @@
 }
 
 func (a *announcer) loop(ctx context.Context) {
-	a.kernel.DoEvery(ctx, announceEvery, a.announce)
+	a.kernel.DoEvery(ctx, announceInterval, a.announce)
 }
 
 // announce sends an announcement if something changed or it is time; it runs on
@@ -114,7 +114,7 @@
 	m := newAnnouncement(a.kernel, s, now)
 	if m.Lost && s.Reading {
 		// The read under way may take longer still to fail.
-		markFeedDown(a.kernel, s, errStaleSource)
+		markPlatformDown(a.kernel, s, errStaleRead)
 	}
 	if !a.isDue(&m, now) {
 		return
@@ -122,7 +122,7 @@
 	// Hosts that this one has not told before, or not lately, know the directory from
 	// others. Those that lack something fetch it, packed once. Without it, a host that
 	// takes over sends all that is listed to each host of its hall.
-	if m.Directory != a.directory.Digest() && a.directory != nil && now-a.sentAt <= announceLost {
+	if m.Directory != a.directory.Digest() && a.directory != nil && now-a.sentAt <= announcerTimeout {
 		change := s.Directory.Since(a.directory)
 		m.Change = &change
 	}
@@ -135,7 +135,7 @@
 	// platform turns away, and that relies on what others read, would be taken for
 	// the reader again and again.
 	m.Age = now - s.OwnReadAt
-	m.Lost = s.OwnReadAt == 0 || m.Age > staleAfter(&a.kernel.Settings)
+	m.Lost = s.OwnReadAt == 0 || m.Age > maxReadAge(&a.kernel.Settings)
 	for _, host := range otherHalls {
 		go a.send(host, m)
 	}
@@ -153,7 +153,7 @@
 	age, edition := now-s.AnnouncedReadAt, s.Edition()
 	return announcement{
 		Host: k.Settings.Host, Peer: k.Settings.Peer, Hall: k.Settings.Hall,
-		Age: age, Lost: age > staleAfter(&k.Settings), Confirmed: s.Confirmed,
+		Age: age, Lost: age > maxReadAge(&k.Settings), Confirmed: s.Confirmed,
 		Version: edition.Version, Era: edition.Era, Revision: edition.Revision,
 		Directory: s.Directory.Digest(), DirectoryEra: s.Directory.Era, DirectoryRevision: s.Directory.Revision,
 		DirectorySettled: s.Directory.Settled,
@@ -165,8 +165,8 @@
 // announced, else at regular times.
 func (a *announcer) isDue(m *announcement, now time.Duration) bool {
 	changed := m.Directory != a.directory.Digest() || m.edition() != a.edition
-	fresher := now-m.Age-a.sentReadAt >= announceFresher
-	return (changed || fresher) && !m.Lost || now-a.sentAt >= announceGap
+	fresher := now-m.Age-a.sentReadAt >= freshReadThreshold
+	return (changed || fresher) && !m.Lost || now-a.sentAt >= minAnnounceInterval
 }
 
 // recipients decides who gets an announcement: the live hosts of this hall that stay,
@@ -184,7 +184,7 @@
 }
 
 func (a *announcer) send(host string, m announcement) {
-	ctx, cancel := context.WithTimeout(context.Background(), announceBound)
+	ctx, cancel := context.WithTimeout(context.Background(), announceTimeout)
 	defer cancel()
 	var reply announceReply
 	if err := a.kernel.Peers.Call(ctx, host, methodAnnounce, m, &reply); err != nil {
@@ -192,13 +192,13 @@
 		return
 	}
 	if other := reply.Announcement; other != nil {
-		a.kernel.Do(func(s *kernel.State) { noteAnnouncer(a.kernel, s, other) })
+		a.kernel.Do(func(s *kernel.State) { recordAnnouncer(a.kernel, s, other) })
 	}
 }
 
 type announcementServer struct {
 	kernel  *kernel.Kernel
-	fetches *fetches
+	fetcher *fetcher
 }
 
 func (a *announcementServer) onAnnouncement(ctx context.Context, m *announcement) (any, error) {
@@ -206,7 +206,7 @@
 		return nil, fmt.Errorf("bad announcement: host %q tells no address", m.Host)
 	}
 	return kernel.Ask(ctx, a.kernel, func(s *kernel.State) any {
-		a.learn(s, m)
+		a.apply(s, m)
 		return a.reply(s, m)
 	})
 }
@@ -222,9 +222,9 @@
 
 // learn takes in an announcement. What is still missing then is fetched whole. It runs
 // on the control thread.
-func (a *announcementServer) learn(s *kernel.State, m *announcement) {
+func (a *announcementServer) apply(s *kernel.State, m *announcement) {
 	now := a.kernel.Now()
-	noteAnnouncer(a.kernel, s, m)
+	recordAnnouncer(a.kernel, s, m)
 	// A change is no directory: a host that has none yet would have a few upstreams
 	// at a high revision, and those that fetch its whole directory would take all
 	// others for removed.
@@ -235,7 +235,7 @@
 	// compared. The sender knows all up to its revision.
 	a.compareDirectory(s, m, now)
 	if m.edition().Newer(s.Edition()) {
-		a.fetches.fetchDocument(m.Peer)
+		a.fetcher.fetchDocument(m.Peer)
 	} else if m.Confirmed {
 		s.Confirm(now - max(m.Age, 0))
 	}
@@ -247,10 +247,10 @@
 	at, known := config.Position{Era: m.DirectoryEra, Revision: m.DirectoryRevision}, s.Directory.Position()
 	switch {
 	case s.Directory == nil:
-		a.fetches.fetchDirectoryAgain(now, m.Peer)
+		a.fetcher.fetchDirectoryThrottled(now, m.Peer)
 	case m.Directory != s.Directory.Digest():
 		if at.Compare(known) >= 0 {
-			a.fetches.fetchDirectoryAgain(now, m.Peer)
+			a.fetcher.fetchDirectoryThrottled(now, m.Peer)
 		}
 	case at.Era > known.Era || m.DirectorySettled > s.Directory.Settled:
 		s.List(&config.DirectoryChange{Era: at.Era, Revision: at.Revision, Settled: m.DirectorySettled})
@@ -258,9 +258,9 @@
 }
 
 // noteAnnouncer notes who announces, and whether the platform answers it.
-func noteAnnouncer(k *kernel.Kernel, s *kernel.State, m *announcement) {
+func recordAnnouncer(k *kernel.Kernel, s *kernel.State, m *announcement) {
 	now := k.Now()
-	lost := m.Lost || m.Age > staleAfter(&k.Settings)
+	lost := m.Lost || m.Age > maxReadAge(&k.Settings)
 	readAt := now - max(m.Age, 0)
 	if m.Hall == k.Settings.Hall {
 		s.HallAnnouncers[m.Host] = s.HallAnnouncers[m.Host].Next(now, lost)
--- a/tier/peers/announcement_test.go
+++ b/tier/peers/announcement_test.go
@@ -16,7 +16,7 @@
 )
 
 // newHallKernel makes a kernel of a host in hall A.
-func newHallKernel(t *testing.T, host string) *kernel.Kernel {
+func newTestKernel(t *testing.T, host string) *kernel.Kernel {
 	k, stop := kernel.New(kernel.Config{
 		Settings: kernel.Settings{Host: host, Hall: "A"}, Log: zerolog.Nop(), Started: time.Now(),
 		Fleet: policy.NewFleet(policy.FleetConfig{}),
@@ -26,17 +26,17 @@
 }
 
 // serverWithoutFetches takes in announcements of a host that fetches nothing.
-func serverWithoutFetches(k *kernel.Kernel) *announcementServer {
-	return &announcementServer{kernel: k, fetches: &fetches{kernel: k, document: true, directory: true}}
+func newServerWithoutFetches(k *kernel.Kernel) *announcementServer {
+	return &announcementServer{kernel: k, fetcher: &fetcher{kernel: k, fetchingDocument: true, fetchingDirectory: true}}
 }
 
 // TestReaderTellsOneHostOfEachOtherHall looks at whom a reader tells, and whom a
 // host that only passes news on.
-func TestReaderTellsOneHostOfEachOtherHall(t *testing.T) {
+func TestReaderAnnouncesToOneHostOfEachOtherHall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := newHallKernel(t, "Self")
+		k := newTestKernel(t, "Self")
 		s := &kernel.State{ReadingState: kernel.ReadingState{Reading: true}, Members: map[string]kernel.Member{}}
-		for i, n := range ranked(9) {
+		for i, n := range rankedHosts(9) {
 			hall := string(rune('A' + i%3))
 			s.Members[n] = kernel.Member{Host: n, Hall: hall, Live: true, Leaving: i == 1}
 		}
@@ -53,42 +53,42 @@
 
 // TestNewsOfAnotherHallAreToldOn has a host hear from the reader in another hall:
 // it tells its own hall at once, and does not read itself.
-func TestNewsOfAnotherHallAreToldOn(t *testing.T) {
+func TestAnnouncementOfAnotherHallIsForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		names := ranked(2)
-		k := newHallKernel(t, names[1])
-		told := &peerRecorder{}
+		names := rankedHosts(2)
+		k := newTestKernel(t, names[1])
+		told := &announcementCounter{}
 		k.Peers = told
 		tl := &announcer{kernel: k}
 		k.OnView(tl.onView)
-		server := serverWithoutFetches(k)
+		server := newServerWithoutFetches(k)
 		change := &config.DirectoryChange{Revision: 5, Listed: []config.Listing{{Name: "U1", Group: "G", Hall: "A", Slots: 1, Revision: 5}}}
 		time.Sleep(time.Second)
 		k.Do(func(s *kernel.State) {
 			s.Directory, _ = s.Directory.With(&config.DirectoryChange{Revision: 1})
 			s.Members["Mate"] = kernel.Member{Host: "Mate", Hall: "A", Live: true}
 			s.Announcing = true
-			server.learn(s, &announcement{Host: names[0], Hall: "B", Age: 100 * time.Millisecond, Change: change, DirectoryRevision: 5})
+			server.apply(s, &announcement{Host: names[0], Hall: "B", Age: 100 * time.Millisecond, Change: change, DirectoryRevision: 5})
 		})
 		synctest.Wait()
 		assert.Assert(t, told.hosts["Mate"])
 		assert.DeepEqual(t, listedNames(k), []string{"U1"})
 		reads := make(chan bool, 1)
 		k.Do(func(s *kernel.State) {
-			tells, r := roleOf(k, s)
+			tells, r := decideRole(k, s)
 			assert.Assert(t, tells)
 			reads <- r
 		})
 		assert.Assert(t, !<-reads)
-		time.Sleep(announceLost + takeoverStep*spreadSteps)
-		k.Do(func(s *kernel.State) { _, r := roleOf(k, s); reads <- r })
+		time.Sleep(announcerTimeout + takeoverStep*announcerSpreadSteps)
+		k.Do(func(s *kernel.State) { _, r := decideRole(k, s); reads <- r })
 		assert.Assert(t, <-reads, "the reader is gone")
 	})
 }
 
 // TestHolesInTheDirectoryAreFilled has a host that lacks an upstream hear of a
 // change of another one: it gets the whole list from the sender.
-func TestHolesInTheDirectoryAreFilled(t *testing.T) {
+func TestMissingDirectoryEntriesAreFetched(t *testing.T) {
 	listings := func(names ...string) *config.DirectoryChange {
 		c := &config.DirectoryChange{Revision: 3}
 		for i, n := range names {
@@ -97,16 +97,16 @@
 		return c
 	}
 	teller, _, at := newTestNode(t)
-	serveFetches(teller, nil, nil)
+	newFetcher(teller, nil, nil)
 	teller.Do(func(s *kernel.State) { s.List(listings("U1", "U2", "U3")) })
 	lacking, n, _ := newTestNode(t)
-	server := &announcementServer{kernel: lacking, fetches: serveFetches(lacking, n, nil)}
+	server := &announcementServer{kernel: lacking, fetcher: newFetcher(lacking, n, nil)}
 	lacking.Do(func(s *kernel.State) {
 		first := listings("U1")
 		first.Revision = 1
 		s.List(first)
 		change := &config.DirectoryChange{Revision: 3, Listed: listings("U1", "U2", "U3").Listed[2:]}
-		server.learn(s, &announcement{Host: "T", Peer: at, Directory: teller.View().Directory.Digest(), DirectoryRevision: 3, Change: change})
+		server.apply(s, &announcement{Host: "T", Peer: at, Directory: teller.View().Directory.Digest(), DirectoryRevision: 3, Change: change})
 	})
 	for end := time.Now().Add(20 * time.Second); lacking.View().Directory.Size() < 3; time.Sleep(time.Millisecond) {
 		assert.Assert(t, time.Now().Before(end), "%v", listedNames(lacking))
@@ -116,7 +116,7 @@
 
 // announcementRecorder keeps the last announcement to each host.
 type announcementRecorder struct {
-	peerRecorder
+	announcementCounter
 	last map[string]announcement
 }
 
@@ -131,9 +131,9 @@
 // TestReaderThatIsTurnedAwaySaysSo has the host that ranks first hear from other
 // halls what is published while the platform turns it away: its own hall hears
 // fresh news from it, other halls do not take it for a reader.
-func TestReaderThatIsTurnedAwaySaysSo(t *testing.T) {
+func TestRefusedReaderReportsPlatformLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := newHallKernel(t, "Self")
+		k := newTestKernel(t, "Self")
 		k.Settings.WatchWait = time.Second
 		sent := &announcementRecorder{last: map[string]announcement{}}
 		k.Peers = sent
@@ -146,7 +146,7 @@
 		s.Members["Mate"] = kernel.Member{Host: "Mate", Hall: "A", Live: true}
 		s.Members["Other"] = kernel.Member{Host: "Other", Hall: "B", Live: true}
 		announce := func() {
-			time.Sleep(announceEvery)
+			time.Sleep(announceInterval)
 			(&announcer{kernel: k}).announce(s)
 			synctest.Wait()
 		}
@@ -182,9 +182,9 @@
 // TestHostThatTakesOverSendsChangesOnly has a host with many upstreams begin to announce,
 // go on, stop for a while and begin again: what it sends is what changed since it last
 // did, and never all that is listed.
-func TestHostThatTakesOverSendsChangesOnly(t *testing.T) {
+func TestHostThatTakesOverAnnouncesChangesOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := newHallKernel(t, "Self")
+		k := newTestKernel(t, "Self")
 		s, announceToMate := newAnnouncerWithMate(k)
 		revision := uint64(0)
 		list := func(upstreams int) {
@@ -199,13 +199,13 @@
 		list(500)
 		first := announceToMate()
 		assert.Assert(t, first.Change == nil && first.Directory == s.Directory.Digest(), "it sends what others know from others")
-		time.Sleep(announceEvery)
+		time.Sleep(announceInterval)
 		list(2)
 		assert.Equal(t, len(announceToMate().Change.Listed), 2)
-		time.Sleep(2 * announceLost)
+		time.Sleep(2 * announcerTimeout)
 		list(3)
 		assert.Assert(t, announceToMate().Change == nil)
-		time.Sleep(announceEvery)
+		time.Sleep(announceInterval)
 		list(1)
 		assert.Equal(t, len(announceToMate().Change.Listed), 1)
 	})
@@ -230,7 +230,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			var d *config.Directory
 			now := readAt + tt.after
-			a := &announcer{sentAt: now - announceGap/2, sentReadAt: readAt}
+			a := &announcer{sentAt: now - minAnnounceInterval/2, sentReadAt: readAt}
 			assert.Equal(t, a.isDue(&announcement{Directory: d.Digest(), Lost: tt.lost}, now), tt.want)
 		})
 	}
@@ -238,8 +238,8 @@
 
 // TestStartingHostReadsAndDoesNotAnnounce has a host that knows nothing read the platform.
 func TestStartingHostReadsAndDoesNotAnnounce(t *testing.T) {
-	k := newHallKernel(t, "Self")
-	announces, reads := roleOf(k, &kernel.State{})
+	k := newTestKernel(t, "Self")
+	announces, reads := decideRole(k, &kernel.State{})
 	assert.Assert(t, reads && !announces)
 }
 
@@ -248,18 +248,18 @@
 // directory.
 func TestEvacuationIsAnnounced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := newHallKernel(t, "Self")
+		k := newTestKernel(t, "Self")
 		s, announceToMate := newAnnouncerWithMate(k)
 		s.List(&config.DirectoryChange{Revision: 1, Whole: true})
 		mate := &kernel.State{ReadingState: kernel.ReadingState{
 			HallAnnouncers: map[string]kernel.AnnouncerReport{}, OtherReaders: map[string]kernel.AnnouncerReport{},
 		}}
-		server := serverWithoutFetches(k)
+		server := newServerWithoutFetches(k)
 		told := func(c *config.DirectoryChange) *config.Directory {
 			time.Sleep(10 * time.Millisecond)
 			s.List(c)
 			n := announceToMate()
-			server.learn(mate, &n)
+			server.apply(mate, &n)
 			return mate.Directory
 		}
 		// Each host has read the platform at its start.
--- a/tier/peers/bench_test.go
+++ b/tier/peers/bench_test.go
@@ -17,7 +17,7 @@
 
 // BenchmarkBeat is the size of a heartbeat and the cost of making and taking
 // one in, by the number of hosts of the hall.
-func BenchmarkBeat(b *testing.B) {
+func BenchmarkHeartbeat(b *testing.B) {
 	for _, n := range []int{2, 8, 24, 60, 117} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
 			t := newMemberTable(memberTableConfig{Self: memberEntry{Host: "H0", Incarnation: "18ed705c791cc212192c"}, Interval: time.Second, Random: rand.New(rand.NewPCG(1, 0))})
--- a/tier/peers/compare.go
+++ b/tier/peers/compare.go
@@ -19,10 +19,10 @@
 	era := s.Directory.Position().Era
 	switch {
 	case s.FeedDown:
-		g.fetches.fetchDirectory(from)
+		g.fetcher.fetchDirectory(from)
 	case era == 0 || h.DirectoryEra == 0 || h.DirectoryEra == era:
 	case h.DirectoryEra > era || s.Directory.Unsettled():
-		g.fetches.fetchDirectoryAgain(now, from)
+		g.fetcher.fetchDirectoryThrottled(now, from)
 	}
 }
 
@@ -47,5 +47,5 @@
 	if g.kernel.Settings.Adapter == "" {
 		return !h.edition().Newer(s.Edition())
 	}
-	return h.Confirmed && h.ConfirmedAge <= confirmFresh && h.edition() == s.Edition()
+	return h.Confirmed && h.ConfirmedAge <= maxConfirmedAge && h.edition() == s.Edition()
 }
--- a/tier/peers/confirm_test.go
+++ b/tier/peers/confirm_test.go
@@ -13,7 +13,7 @@
 )
 
 // documentOf is the index of a document of a version.
-func documentOf(version uint64) *config.Index {
+func newTestIndex(version uint64) *config.Index {
 	return &config.Index{Edition: config.Edition{Version: version, Position: config.Position{Revision: version}}, Document: &config.Document{}}
 }
 
@@ -30,17 +30,17 @@
 		want      bool
 	}{
 		{"another that starts", "Test", 5, false, 0, false},
-		{"knew long ago", "Test", 5, true, confirmFresh + time.Second, false},
+		{"knew long ago", "Test", 5, true, maxConfirmedAge + time.Second, false},
 		{"knows of an older one only", "Test", 2, true, 0, false},
 		{"knows from the platform", "Test", 5, true, time.Second, true},
 		{"own protocol: no newer one", "", 5, false, 0, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			k := newHallKernel(t, "Self")
+			k := newTestKernel(t, "Self")
 			k.Settings.Adapter = tt.adapter
 			g := &gossip{kernel: k}
-			s := &kernel.State{DocumentState: kernel.DocumentState{Index: documentOf(5)}}
+			s := &kernel.State{DocumentState: kernel.DocumentState{Index: newTestIndex(5)}}
 			h := heartbeat{Version: tt.version, Revision: tt.version, Confirmed: tt.confirmed, ConfirmedAge: tt.age}
 			g.compareEdition(s, time.Minute, &h)
 			assert.Equal(t, s.Confirmed, tt.want)
@@ -49,7 +49,7 @@
 }
 
 // TestHostThatHearsNothingAsks looks at whom a host of a hall asks for an announcement.
-func TestHostThatHearsNothingAsks(t *testing.T) {
+func TestHostWithoutAnnouncementsAsksForOne(t *testing.T) {
 	const hosts = 97
 	settings := kernel.Settings{Host: "host-50", Hall: "A", Cores: 0.2}
 	members := map[string]kernel.Member{}
@@ -75,8 +75,8 @@
 		announcing bool
 		asks       bool
 	}{
-		{"hears the announcer", heard(announceEvery), false, false},
-		{"hears it no more", heard(seekAfter), false, true},
+		{"hears the announcer", heard(announceInterval), false, false},
+		{"hears it no more", heard(discoveryTimeout), false, true},
 		{"has never heard one", nil, false, true},
 		{"announces itself", nil, true, false},
 	}
@@ -86,15 +86,15 @@
 				HallAnnouncers: tt.announcers, Announcing: tt.announcing, AnnouncedReadAt: time.Second,
 			}}
 			asked := map[netip.AddrPort]bool{}
-			for i := range 2 * seekAmong {
-				to := seekFrom(s, &settings, now, i)
+			for i := range 2 * discoveryCandidates {
+				to := discoveryTarget(s, &settings, now, i)
 				assert.Equal(t, to.IsValid(), tt.asks)
 				if to.IsValid() {
 					assert.Assert(t, strong[to], "a weak host was asked")
 					asked[to] = true
 				}
 			}
-			assert.Equal(t, len(asked) == seekAmong, tt.asks)
+			assert.Equal(t, len(asked) == discoveryCandidates, tt.asks)
 		})
 	}
 }
@@ -102,8 +102,8 @@
 // TestAnnouncerAnswersWithItsAnnouncement has hosts send a heartbeat and an announcement
 // to one that announces and does not know them: they hear its announcement, and it knows
 // the sender of the heartbeat.
-func TestAnnouncerAnswersWithItsAnnouncement(t *testing.T) {
-	k := newHallKernel(t, "Announcer")
+func TestAnnouncerRepliesWithItsAnnouncement(t *testing.T) {
+	k := newTestKernel(t, "Announcer")
 	k.Settings.Adapter, k.Settings.Beat = "Test", time.Second
 	g := newGossip(k, nil, nil)
 	s := &kernel.State{Members: map[string]kernel.Member{}, ReadingState: kernel.ReadingState{
@@ -111,12 +111,12 @@
 	}}
 	s.Directory, _ = s.Directory.With(&config.DirectoryChange{Revision: 1})
 	in := heartbeat{Hall: "A", Members: []memberEntry{{Host: "Started", Incarnation: "2", Hall: "A", Peer: netip.MustParseAddrPort("10.0.0.9:1")}}}
-	g.learn(s, netip.AddrPort{}, &in)
+	g.apply(s, netip.AddrPort{}, &in)
 	reply := g.reply(s, &in)
 	assert.Equal(t, reply.Announcement.Host, "Announcer")
 	assert.Assert(t, s.Members["Started"].Live)
 
-	server := serverWithoutFetches(k)
+	server := newServerWithoutFetches(k)
 	answer := server.reply(s, &announcement{Host: "Other", Hall: "A"})
 	assert.Equal(t, answer.Announcement.Host, "Announcer")
 	assert.Assert(t, server.reply(s, &announcement{Host: "Reader", Hall: "B"}).Announcement == nil)
--- a/tier/peers/conn.go
+++ b/tier/peers/conn.go
@@ -23,12 +23,12 @@
 	// writeBound is how long a peer may leave what is written unread. Without it an
 	// unresponsive peer would hold up all callers of its connection, since each write waits
 	// for the one before.
-	writeBound = 2 * time.Second
+	writeTimeout = 2 * time.Second
 	// silentBound is how long a peer may leave calls unanswered until its connection is
 	// replaced: longer than an answer takes on a busy host (up to 100 ms). Without it a
 	// connection that has gone silent, without a reset, keeps its host out of reach,
 	// though a new one to the same host may work.
-	silentBound = 300 * time.Millisecond
+	unresponsiveTimeout = 300 * time.Millisecond
 )
 
 // peerConn is a connection to a peer. It counts bytes and notes for how long the peer
@@ -39,20 +39,20 @@
 
 	// awaitingSince is when the first call was sent since bytes last came, in nanoseconds
 	// of now; 0 if none was.
-	awaitingSince atomic.Int64
+	unansweredSince atomic.Int64
 }
 
 func (c *peerConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	bytesIn.Add(n)
 	if n > 0 {
-		c.awaitingSince.Store(0)
+		c.unansweredSince.Store(0)
 	}
 	return n, err
 }
 
 func (c *peerConn) Write(b []byte) (int, error) {
-	if err := c.SetWriteDeadline(time.Now().Add(writeBound)); err != nil {
+	if err := c.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Write(b)
@@ -61,13 +61,13 @@
 }
 
 func (c *peerConn) callSent() {
-	c.awaitingSince.CompareAndSwap(0, max(int64(c.now()), 1)) // 0 is none
+	c.unansweredSince.CompareAndSwap(0, max(int64(c.now()), 1)) // 0 is none
 }
 
 // silentFor returns for how long nothing has come since the first unanswered
 // call; 0 if no call is unanswered.
-func (c *peerConn) silentFor() time.Duration {
-	since := c.awaitingSince.Load()
+func (c *peerConn) unansweredFor() time.Duration {
+	since := c.unansweredSince.Load()
 	if since == 0 {
 		return 0
 	}
@@ -98,29 +98,29 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.calls += n
-	o.closeIfDone()
+	o.closeIfIdle()
 }
 
 func (o *outgoing) replace() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.replaced = true
-	o.closeIfDone()
+	o.closeIfIdle()
 }
 
 // closeIfDone is used with mu locked.
-func (o *outgoing) closeIfDone() {
+func (o *outgoing) closeIfIdle() {
 	if o.replaced && o.calls == 0 {
 		go func() { _ = o.rpc.Close() }()
 	}
 }
 
 // connected returns the connection to an address; nil if there is none that answers.
-func (n *node) connected(to netip.AddrPort) *outgoing {
+func (n *node) responsiveConn(to netip.AddrPort) *outgoing {
 	n.mu.Lock()
 	o := n.conns[to]
 	n.mu.Unlock()
-	if o == nil || o.raw.silentFor() < silentBound {
+	if o == nil || o.raw.unansweredFor() < unresponsiveTimeout {
 		return o
 	}
 	n.unregister(to, o)
@@ -131,7 +131,7 @@
 
 // dial returns a connection to an address, made if there is none.
 func (n *node) dial(ctx context.Context, to netip.AddrPort) (*outgoing, error) {
-	if o := n.connected(to); o != nil {
+	if o := n.responsiveConn(to); o != nil {
 		return o, nil
 	}
 	raw, err := dialer.DialContext(ctx, "tcp", to.String())
--- a/tier/peers/conn_test.go
+++ b/tier/peers/conn_test.go
@@ -14,25 +14,25 @@
 
 // silentFirst passes connections on to an address, but for the first: that one
 // is held open and says nothing.
-type silentFirst struct {
+type stallingProxy struct {
 	listener net.Listener
 	accepted atomic.Int32
 }
 
-func newSilentFirst(t *testing.T, to netip.AddrPort) *silentFirst {
+func newStallingProxy(t *testing.T, to netip.AddrPort) *stallingProxy {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
-	s := &silentFirst{listener: l}
+	s := &stallingProxy{listener: l}
 	go s.serve(t, to)
 	return s
 }
 
-func (s *silentFirst) address() netip.AddrPort {
+func (s *stallingProxy) address() netip.AddrPort {
 	return s.listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-func (s *silentFirst) serve(t *testing.T, to netip.AddrPort) {
+func (s *stallingProxy) serve(t *testing.T, to netip.AddrPort) {
 	for {
 		in, err := s.listener.Accept()
 		if err != nil {
@@ -67,13 +67,13 @@
 // TestSilentConnectionIsReplaced has a connection to a peer go silent without a
 // reset: calls that give it up must find the peer again on another one, though
 // no heartbeat goes there.
-func TestSilentConnectionIsReplaced(t *testing.T) {
+func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	_, n, _ := newTestNode(t)
 	k, _, at := newTestNode(t)
 	k.Handle("Echo", func(context.Context, json.RawMessage) (any, error) { return struct{}{}, nil })
-	proxy := newSilentFirst(t, at)
+	proxy := newStallingProxy(t, at)
 	call := func() error {
-		ctx, cancel := context.WithTimeout(context.Background(), silentBound/2)
+		ctx, cancel := context.WithTimeout(context.Background(), unresponsiveTimeout/2)
 		defer cancel()
 		var none struct{}
 		return n.callAddress(ctx, proxy.address(), "Echo", struct{}{}, &none)
@@ -87,11 +87,11 @@
 
 // TestFetchSurvivesASilentConnection has a host fetch from a peer on a connection
 // that has gone silent: it must not wait for the whole bound of a call and fail.
-func TestFetchSurvivesASilentConnection(t *testing.T) {
+func TestFetchSurvivesUnresponsiveConnection(t *testing.T) {
 	_, n, _ := newTestNode(t)
 	k, _, at := newTestNode(t)
 	k.Handle("Echo", func(context.Context, json.RawMessage) (any, error) { return struct{}{}, nil })
-	proxy := newSilentFirst(t, at)
+	proxy := newStallingProxy(t, at)
 	var none struct{}
 	assert.NilError(t, n.fetch(proxy.address(), "Echo", &none))
 }
@@ -99,7 +99,7 @@
 // TestSlowAnswerOutlivesItsConnection has a peer answer later than the bound of
 // silence, while another call has a new connection made: the first call must
 // still get its answer.
-func TestSlowAnswerOutlivesItsConnection(t *testing.T) {
+func TestSlowAnswerArrivesOnReplacedConnection(t *testing.T) {
 	_, n, _ := newTestNode(t)
 	k, _, at := newTestNode(t)
 	release := make(chan struct{})
@@ -116,8 +116,8 @@
 		slow <- n.callAddress(ctx, at, "Slow", struct{}{}, &none)
 	}()
 	before := firstConnection(n, at)
-	for n.connected(at) == before {
-		time.Sleep(silentBound / 10)
+	for n.responsiveConn(at) == before {
+		time.Sleep(unresponsiveTimeout / 10)
 	}
 	var none struct{}
 	assert.NilError(t, n.callAddress(ctx, at, "Echo", struct{}{}, &none))
@@ -128,7 +128,7 @@
 // firstConnection waits until there is a connection to an address.
 func firstConnection(n *node, at netip.AddrPort) *outgoing {
 	for {
-		if o := n.connected(at); o != nil {
+		if o := n.responsiveConn(at); o != nil {
 			return o
 		}
 		time.Sleep(time.Millisecond)
--- a/tier/peers/strikes.go
+++ b/tier/peers/crash_reports.go
@@ -20,10 +20,10 @@
 // parameters of both are a strikesMessage.
 const (
 	// methodStrikes reports new strikes; there is no answer.
-	methodStrikes = "Strikes"
+	methodCrashReports = "Strikes"
 	// methodKnownStrikes reports the strikes known here, and is answered by those known
 	// there.
-	methodKnownStrikes = "KnownStrikes"
+	methodExchangeCrashReports = "KnownStrikes"
 )
 
 const (
@@ -32,48 +32,48 @@
 	// 3,000 strikes within a second, uncompressed (virtual time). The first goes at
 	// once, since callers repeat a request within some 10 ms, and so does one by which a
 	// request is refused.
-	strikesGap = 250 * time.Millisecond
+	crashReportInterval = 250 * time.Millisecond
 	// strikesInHall is how many hosts of this hall new strikes are reported to; whoever
 	// learns from a report reports to as many others. With 8, one host in 3,000 is left
 	// out (e to the power of -8), and then learns by exchange.
-	strikesInHall = 8
+	hallReportTargets = 8
 	// strikesElsewhere is how many hosts of each other hall new strikes are reported to.
-	strikesElsewhere = 2
+	otherHallReportTargets = 2
 	// strikesTargets is the most hosts that one report goes to, whatever the halls.
-	strikesTargets = 16
+	maxReportTargets = 16
 	// exchangeEvery is how often a host that knows of strikes exchanges them with
 	// another, so that a host that was cut off, or has started, learns of them within
 	// seconds.
-	exchangeEvery = time.Second
+	exchangeInterval = time.Second
 	// exchangeElsewhere has every so many exchanges go to another hall.
-	exchangeElsewhere = 3
+	otherHallExchangeEvery = 3
 	// exchangePartners is how many hosts an exchange is made with.
 	exchangePartners = 1
 	// startExchanges is how many hosts a host that starts asks.
 	startExchanges = 2
 	// maxFingerprint is the most bytes of a fingerprint in a message.
-	maxFingerprint = 64
+	maxFingerprintBytes = 64
 	// maxReportedStrikes is the most strikes of one request in a message. A host remembers
 	// fewer.
-	maxReportedStrikes = 64
+	maxCrashesPerRequest = 64
 )
 
 // errBadStrikes is wrapped when a message of another host cannot be one of strikes.
-var errBadStrikes = errors.New("bad strikes")
+var errInvalidCrashReports = errors.New("bad strikes")
 
-type strikesMessage struct {
+type crashReportsMessage struct {
 	Reports []policy.SuspectReport
 }
 
-func (m *strikesMessage) check() error {
+func (m *crashReportsMessage) check() error {
 	if len(m.Reports) > policy.ReportsMost {
-		return fmt.Errorf("%w: %d requests: send %d at most", errBadStrikes, len(m.Reports), policy.ReportsMost)
+		return fmt.Errorf("%w: %d requests: send %d at most", errInvalidCrashReports, len(m.Reports), policy.ReportsMost)
 	}
 	for i := range m.Reports {
 		r := &m.Reports[i]
-		if r.Fingerprint == "" || len(r.Fingerprint) > maxFingerprint || len(r.Crashes) > maxReportedStrikes {
+		if r.Fingerprint == "" || len(r.Fingerprint) > maxFingerprintBytes || len(r.Crashes) > maxCrashesPerRequest {
 			return fmt.Errorf("%w: fingerprint of %d bytes with %d strikes: send 1 to %d bytes and %d strikes at most",
-				errBadStrikes, len(r.Fingerprint), len(r.Crashes), maxFingerprint, maxReportedStrikes)
+				errInvalidCrashReports, len(r.Fingerprint), len(r.Crashes), maxFingerprintBytes, maxCrashesPerRequest)
 		}
 	}
 	return nil
@@ -81,19 +81,19 @@
 
 // strikeReporter reports strikes to other hosts and takes in their reports. It decides
 // nothing about requests: the fleet holds the strikes and the rules.
-type strikeReporter struct {
+type crashReporter struct {
 	kernel *kernel.Kernel
 	// pending holds one item while there are new strikes to report, urgent one while
 	// they must not wait.
 	pending, urgent chan struct{}
 }
 
-// ServeStrikes shares what this host knows of requests that crash upstreams. The
+// ServeCrashReports shares what this host knows of requests that crash upstreams. The
 // clean-up function ends that.
-func ServeStrikes(k *kernel.Kernel) func() {
-	s := &strikeReporter{kernel: k, pending: make(chan struct{}, 1), urgent: make(chan struct{}, 1)}
-	k.Handle(methodStrikes, s.onStrikes)
-	k.Handle(methodKnownStrikes, s.onKnownStrikes)
+func ServeCrashReports(k *kernel.Kernel) func() {
+	s := &crashReporter{kernel: k, pending: make(chan struct{}, 1), urgent: make(chan struct{}, 1)}
+	k.Handle(methodCrashReports, s.onCrashReports)
+	k.Handle(methodExchangeCrashReports, s.onExchange)
 	k.Fleet.OnCrashReports(s.notify)
 	stop := kernel.RunLoops(context.Background(), s.loop)
 	return func() {
@@ -103,7 +103,7 @@
 }
 
 // notify has new strikes reported; it does not block.
-func (s *strikeReporter) notify(urgent bool) {
+func (s *crashReporter) notify(urgent bool) {
 	to := s.pending
 	if urgent {
 		to = s.urgent
@@ -114,8 +114,8 @@
 	}
 }
 
-func (s *strikeReporter) loop(ctx context.Context) {
-	tick := time.Tick(exchangeEvery)
+func (s *crashReporter) loop(ctx context.Context) {
+	tick := time.Tick(exchangeInterval)
 	started := false
 	for rounds := 0; ; {
 		select {
@@ -125,7 +125,7 @@
 			s.reportNew(ctx)
 		case <-s.pending:
 			s.reportNew(ctx)
-			s.waitGap(ctx)
+			s.waitInterval(ctx)
 		case <-tick:
 			rounds++
 			switch {
@@ -135,23 +135,23 @@
 				s.exchangeAll(ctx, hosts)
 				started = len(hosts) > 0
 			case s.kernel.Fleet.HasSuspects():
-				s.exchangeAll(ctx, s.partners(rounds%exchangeElsewhere == 0, exchangePartners))
+				s.exchangeAll(ctx, s.partners(rounds%otherHallExchangeEvery == 0, exchangePartners))
 			}
 		}
 	}
 }
 
 // waitGap waits the least time between two reports, but for an urgent one.
-func (s *strikeReporter) waitGap(ctx context.Context) {
+func (s *crashReporter) waitInterval(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-s.urgent:
 		s.reportNew(ctx)
-	case <-time.After(strikesGap):
+	case <-time.After(crashReportInterval):
 	}
 }
 
-func (s *strikeReporter) reportNew(ctx context.Context) {
+func (s *crashReporter) reportNew(ctx context.Context) {
 	k := s.kernel
 	reports := k.Fleet.UnsentReports(k.Now())
 	if len(reports) == 0 {
@@ -163,19 +163,19 @@
 	for i := range reports {
 		s.logReport(&reports[i])
 	}
-	m := strikesMessage{Reports: reports}
+	m := crashReportsMessage{Reports: reports}
 	for _, host := range s.targets() {
 		go s.send(ctx, host, &m)
 	}
 }
 
-func (s *strikeReporter) logReport(r *policy.SuspectReport) {
+func (s *crashReporter) logReport(r *policy.SuspectReport) {
 	k := s.kernel
 	verdict := k.Fleet.Worst(k.Now(), r.Fingerprint)
 	metrics.GetOrCreateCounter(`loomgap_suspects_total{Verdict="` + string(verdict) + `"}`).Inc()
 	var upstreams, callers []string
-	for _, strike := range r.Crashes {
-		upstreams, callers = append(upstreams, strike.Upstream), append(callers, strike.Caller.String())
+	for _, crash := range r.Crashes {
+		upstreams, callers = append(upstreams, crash.Upstream), append(callers, crash.Caller.String())
 	}
 	line := k.Decisions.Info()
 	if verdict == policy.VerdictQuarantined {
@@ -187,79 +187,79 @@
 
 // targets decides which hosts new strikes are reported to: some of this hall and of
 // each other, drawn at random among the live ones.
-func (s *strikeReporter) targets() []string {
+func (s *crashReporter) targets() []string {
 	near, far := s.others()
-	out := sample(rand.Perm, near, strikesInHall)
+	out := sample(rand.Perm, near, hallReportTargets)
 	for _, hosts := range far {
-		out = append(out, sample(rand.Perm, hosts, strikesElsewhere)...)
+		out = append(out, sample(rand.Perm, hosts, otherHallReportTargets)...)
 	}
-	return out[:min(len(out), strikesTargets)]
+	return out[:min(len(out), maxReportTargets)]
 }
 
 // partners decides which n hosts strikes are exchanged with, of other halls or of this
 // one, drawn at random among the live ones.
-func (s *strikeReporter) partners(elsewhere bool, n int) []string {
+func (s *crashReporter) partners(otherHalls bool, n int) []string {
 	near, far := s.others()
 	all := slices.Concat(slices.Collect(maps.Values(far))...)
-	if !elsewhere && len(near) > 0 || len(all) == 0 {
+	if !otherHalls && len(near) > 0 || len(all) == 0 {
 		all = near
 	}
 	return sample(rand.Perm, all, n)
 }
 
-func (s *strikeReporter) others() (near []string, far map[string][]string) {
+func (s *crashReporter) others() (near []string, far map[string][]string) {
 	return byHall(s.kernel.View().Members, s.kernel.Settings.Hall, (*kernel.Member).Callable)
 }
 
-func (s *strikeReporter) send(ctx context.Context, host string, m *strikesMessage) {
-	ctx, cancel := context.WithTimeout(ctx, callBound)
+func (s *crashReporter) send(ctx context.Context, host string, m *crashReportsMessage) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := s.kernel.Peers.Notify(ctx, host, methodStrikes, m); err != nil {
+	if err := s.kernel.Peers.Notify(ctx, host, methodCrashReports, m); err != nil {
 		s.kernel.Log.Info().Err(err).Str("Peer", host).Msg("strikes not told")
 	}
 }
 
-func (s *strikeReporter) onStrikes(_ context.Context, params json.RawMessage) (any, error) {
-	return struct{}{}, s.decode(params)
+func (s *crashReporter) onCrashReports(_ context.Context, params json.RawMessage) (any, error) {
+	return struct{}{}, s.decodeAndApply(params)
 }
 
-func (s *strikeReporter) exchangeAll(ctx context.Context, hosts []string) {
-	m := strikesMessage{Reports: s.kernel.Fleet.Reports(s.kernel.Now())}
+func (s *crashReporter) exchangeAll(ctx context.Context, hosts []string) {
+	m := crashReportsMessage{Reports: s.kernel.Fleet.Reports(s.kernel.Now())}
 	for _, host := range hosts {
 		go s.exchange(ctx, host, &m)
 	}
 }
 
 // exchange reports the strikes known here to a host and takes in those known there.
-func (s *strikeReporter) exchange(ctx context.Context, host string, m *strikesMessage) {
-	ctx, cancel := context.WithTimeout(ctx, callBound)
+func (s *crashReporter) exchange(ctx context.Context, host string, m *crashReportsMessage) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	var reply strikesMessage
-	err := s.kernel.Peers.Call(ctx, host, methodKnownStrikes, m, &reply)
+	var reply crashReportsMessage
+	err := s.kernel.Peers.Call(ctx, host, methodExchangeCrashReports, m, &reply)
 	if err == nil {
-		err = s.learn(&reply)
+		err = s.apply(&reply)
 	}
 	if err != nil {
 		s.kernel.Log.Info().Err(err).Str("Peer", host).Msg("strikes not exchanged")
 	}
 }
 
-func (s *strikeReporter) onKnownStrikes(_ context.Context, params json.RawMessage) (any, error) {
-	if err := s.decode(params); err != nil {
+func (s *crashReporter) onExchange(_ context.Context, params json.RawMessage) (any, error) {
+	if err := s.decodeAndApply(params); err != nil {
 		return nil, err
 	}
-	return strikesMessage{Reports: s.kernel.Fleet.Reports(s.kernel.Now())}, nil
+	return crashReportsMessage{Reports: s.kernel.Fleet.Reports(s.kernel.Now())}, nil
 }
 
-func (s *strikeReporter) decode(params json.RawMessage) error {
-	var m strikesMessage
+func (s *crashReporter) decodeAndApply(params json.RawMessage) error {
+	var m crashReportsMessage
 	if err := json.Unmarshal(params, &m); err != nil {
-		return fmt.Errorf("%w: %w", errBadStrikes, err)
+		return fmt.Errorf("%w: %w", errInvalidCrashReports, err)
 	}
-	return s.learn(&m)
+	return s.apply(&m)
 }
 
-func (s *strikeReporter) learn(m *strikesMessage) error {
+func (s *crashReporter) apply(m *crashReportsMessage) error {
 	if err := m.check(); err != nil {
 		return err
 	}
--- a/tier/peers/strikes_test.go
+++ b/tier/peers/crash_reports_test.go
@@ -22,20 +22,20 @@
 )
 
 // strikeNet joins hosts in memory; each message takes strikeHop.
-type strikeNet struct {
-	mu       sync.Mutex
-	kernels  map[string]*kernel.Kernel
-	cut      map[string]bool
-	messages int
-	bytes    int
+type crashReportNetwork struct {
+	mu           sync.Mutex
+	kernels      map[string]*kernel.Kernel
+	disconnected map[string]bool
+	messages     int
+	bytes        int
 }
 
-const strikeHop = 8 * time.Millisecond
+const messageDelay = 8 * time.Millisecond
 
-var _ kernel.PeerCaller = (*strikeNet)(nil)
+var _ kernel.PeerCaller = (*crashReportNetwork)(nil)
 
 // Call implements kernel.PeerCaller.
-func (n *strikeNet) Call(ctx context.Context, host, method string, params, result any) error {
+func (n *crashReportNetwork) Call(ctx context.Context, host, method string, params, result any) error {
 	in, err := json.Marshal(params)
 	if err != nil {
 		return err
@@ -43,12 +43,12 @@
 	n.mu.Lock()
 	n.messages++
 	n.bytes += len(in)
-	to, cut := n.kernels[host], n.cut[host]
+	to, disconnected := n.kernels[host], n.disconnected[host]
 	n.mu.Unlock()
-	if to == nil || cut {
+	if to == nil || disconnected {
 		return ErrNoPeer
 	}
-	time.Sleep(strikeHop)
+	time.Sleep(messageDelay)
 	out, err := to.Handler(method)(ctx, in)
 	if err != nil {
 		return err
@@ -61,30 +61,30 @@
 }
 
 // Notify implements kernel.PeerCaller.
-func (n *strikeNet) Notify(ctx context.Context, host, method string, params any) error {
+func (n *crashReportNetwork) Notify(ctx context.Context, host, method string, params any) error {
 	var none any
 	return n.Call(ctx, host, method, params, &none)
 }
 
 // Connect implements kernel.PeerCaller.
-func (n *strikeNet) Connect(context.Context, string) error { return nil }
+func (n *crashReportNetwork) Connect(context.Context, string) error { return nil }
 
-func (n *strikeNet) sent() (messages, bytes int) {
+func (n *crashReportNetwork) sent() (messages, bytes int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.messages, n.bytes
 }
 
 // cutOff has a host neither reach others nor be reached, or ends that.
-func (n *strikeNet) cutOff(host string, cut bool) {
+func (n *crashReportNetwork) disconnect(host string, disconnected bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[host] = cut
+	n.disconnected[host] = disconnected
 }
 
 // newStrikeNet makes hosts of three halls that know each other.
-func newStrikeNet(t *testing.T, hosts int) *strikeNet {
-	n := &strikeNet{kernels: map[string]*kernel.Kernel{}, cut: map[string]bool{}}
+func newCrashReportNetwork(t *testing.T, hosts int) *crashReportNetwork {
+	n := &crashReportNetwork{kernels: map[string]*kernel.Kernel{}, disconnected: map[string]bool{}}
 	// Messages on their way end before the test does.
 	t.Cleanup(func() { time.Sleep(time.Second) })
 	members := map[string]kernel.Member{}
@@ -99,7 +99,7 @@
 }
 
 // add starts host i, which knows some members.
-func (n *strikeNet) add(t *testing.T, i int, members map[string]kernel.Member) *kernel.Kernel {
+func (n *crashReportNetwork) add(t *testing.T, i int, members map[string]kernel.Member) *kernel.Kernel {
 	name := fmt.Sprint("H", i)
 	k, stop := kernel.New(kernel.Config{
 		Settings: kernel.Settings{Host: name, Hall: fmt.Sprint("Hall", i%3)}, Log: zerolog.Nop(),
@@ -107,9 +107,9 @@
 		Fleet: policy.NewFleet(policy.FleetConfig{Random: rand.New(rand.NewPCG(uint64(i), 1))}),
 	})
 	k.Peers = n
-	stopStrikes := ServeStrikes(k)
+	stopCrashReports := ServeCrashReports(k)
 	t.Cleanup(func() {
-		stopStrikes()
+		stopCrashReports()
 		stop()
 	})
 	k.Do(func(s *kernel.State) {
@@ -127,7 +127,7 @@
 }
 
 // suspected counts the hosts that suspect or refuse a request.
-func (n *strikeNet) suspected(f policy.Fingerprint) int {
+func (n *crashReportNetwork) suspected(f policy.Fingerprint) int {
 	count := 0
 	for _, k := range n.kernels {
 		if k.Fleet.Worst(k.Now(), f) != policy.VerdictSound {
@@ -138,7 +138,7 @@
 }
 
 // seeStrike has a host see a strike, as if told of it by itself.
-func seeStrike(k *kernel.Kernel, f policy.Fingerprint, id uint64) {
+func addCrash(k *kernel.Kernel, f policy.Fingerprint, id uint64) {
 	k.Fleet.TakeReports(k.Now(), []policy.SuspectReport{{Fingerprint: f, Crashes: []policy.CrashReport{{
 		ID: id, Attempt: id, Upstream: "U", Left: time.Hour,
 	}}}})
@@ -147,17 +147,17 @@
 // TestStrikesReachAllHosts has one host see a strike: all know of it within 100 ms, for
 // some 12 messages of each host, whatever the size of the fleet.
 func TestStrikesReachAllHosts(t *testing.T) {
-	for _, hosts := range slices.Compact([]int{2, 7, 60, manyHosts}) {
+	for _, hosts := range slices.Compact([]int{2, 7, 60, maxFleetHosts}) {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				n := newStrikeNet(t, hosts)
+				n := newCrashReportNetwork(t, hosts)
 				time.Sleep(2500 * time.Millisecond)
 				before, _ := n.sent()
-				seeStrike(n.kernels["H0"], "F", 1)
+				addCrash(n.kernels["H0"], "F", 1)
 				time.Sleep(100 * time.Millisecond)
 				messages, bytes := n.sent()
 				assert.Assert(t, n.suspected("F") >= hosts-hosts/50, "%d of %d know", n.suspected("F"), hosts)
-				assert.Assert(t, messages-before <= strikesTargets*hosts, "%d messages", messages-before)
+				assert.Assert(t, messages-before <= maxReportTargets*hosts, "%d messages", messages-before)
 				t.Logf("%d hosts: %d know after 100 ms, %d messages, %d bytes", hosts, n.suspected("F"), messages-before, bytes)
 				time.Sleep(3 * time.Second)
 				assert.Equal(t, n.suspected("F"), hosts)
@@ -170,16 +170,16 @@
 // (60 and 600 with the race detector) within a second, as when all upstreams end: what each sends stays below 100 KB a
 // second.
 func TestManyStrikesCostBoundedBytes(t *testing.T) {
-	const hosts = manyHosts
+	const hosts = maxFleetHosts
 	synctest.Test(t, func(t *testing.T) {
-		n := newStrikeNet(t, hosts)
+		n := newCrashReportNetwork(t, hosts)
 		time.Sleep(2500 * time.Millisecond)
 		_, before := n.sent()
 		id := uint64(0)
 		for range 100 {
 			for i := range hosts / 10 {
 				id++
-				seeStrike(n.kernels[fmt.Sprint("H", (int(id)*7+i)%hosts)], policy.Fingerprint(fmt.Sprintf("%016d", id)), id)
+				addCrash(n.kernels[fmt.Sprint("H", (int(id)*7+i)%hosts)], policy.Fingerprint(fmt.Sprintf("%016d", id)), id)
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -194,13 +194,13 @@
 // strike is told of: both know of it three seconds after they are back.
 func TestHostThatWasAwayLearnsOfStrikes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newStrikeNet(t, 7)
-		n.cutOff("H3", true)
-		seeStrike(n.kernels["H0"], "F", 1)
+		n := newCrashReportNetwork(t, 7)
+		n.disconnect("H3", true)
+		addCrash(n.kernels["H0"], "F", 1)
 		time.Sleep(time.Second)
 		away := n.kernels["H3"]
 		assert.Equal(t, away.Fleet.Worst(away.Now(), "F"), policy.VerdictSound)
-		n.cutOff("H3", false)
+		n.disconnect("H3", false)
 		started := n.add(t, 7, n.kernels["H0"].View().Members)
 		time.Sleep(3 * time.Second)
 		for _, k := range []*kernel.Kernel{away, started} {
@@ -225,21 +225,21 @@
 		{"no object", `[]`, false},
 		{"cut off", `{"Reports":[`, false},
 		{"no fingerprint", `{"Reports":[{"Strikes":[]}]}`, false},
-		{"a long fingerprint", `{"Reports":[{"Fingerprint":"` + strings.Repeat("F", maxFingerprint+1) + `"}]}`, false},
+		{"a long fingerprint", `{"Reports":[{"Fingerprint":"` + strings.Repeat("F", maxFingerprintBytes+1) + `"}]}`, false},
 		{"too many requests", `{"Reports":[` + many(policy.ReportsMost+1, report) + `]}`, false},
-		{"too many strikes", `{"Reports":[{"Fingerprint":"F","Strikes":[` + many(maxReportedStrikes+1, `{"ID":1,"Left":1000}`) + `]}]}`, false},
+		{"too many strikes", `{"Reports":[{"Fingerprint":"F","Strikes":[` + many(maxCrashesPerRequest+1, `{"ID":1,"Left":1000}`) + `]}]}`, false},
 		{"a caller that is none", `{"Reports":[{"Fingerprint":"F","Strikes":[{"ID":1,"Caller":"nobody"}]}]}`, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				k := newStrikeNet(t, 1).kernels["H0"]
-				_, err := k.Handler(methodKnownStrikes)(t.Context(), json.RawMessage(tt.text))
+				k := newCrashReportNetwork(t, 1).kernels["H0"]
+				_, err := k.Handler(methodExchangeCrashReports)(t.Context(), json.RawMessage(tt.text))
 				if tt.good {
 					assert.NilError(t, err)
 					return
 				}
-				assert.ErrorIs(t, err, errBadStrikes)
+				assert.ErrorIs(t, err, errInvalidCrashReports)
 				assert.Equal(t, k.Fleet.Worst(k.Now(), "F"), policy.VerdictSound)
 			})
 		})
--- a/tier/peers/detection_test.go
+++ b/tier/peers/detection_test.go
@@ -13,53 +13,53 @@
 const (
 	modelHalls = 6
 	// modelLost is the part of the heartbeats between live hosts that get no answer.
-	modelLost = 0.05
+	modelLossRate = 0.05
 	// modelStep is the precision of the model's time; it divides an interval.
 	modelStep = 50 * time.Millisecond
 )
 
 // model is a fleet of hosts in six halls in virtual time. Each has its table, and sends
 // heartbeats as gossip does where another host of its hall reads the platform.
-type model struct {
+type fleetModel struct {
 	random *rand.Rand
 	now    time.Duration
-	hosts  []*modelHost
+	hosts  []*fleetModelHost
 	// failing are the heartbeats that were sent and get no answer.
 	failing []failing
 }
 
-type modelHost struct {
+type fleetModelHost struct {
 	table *memberTable
 	name  string
 	hall  int
 	// phase is when within an interval it sends heartbeats.
-	phase time.Duration
-	beats int
+	offset     time.Duration
+	heartbeats int
 	// hurryAt is when an extra heartbeat is due; 0 for never.
-	hurryAt time.Duration
+	urgentAt time.Duration
 	// dead is true once it has lost its power; pausedUntil is when a pause ends.
 	dead        bool
 	pausedUntil time.Duration
 }
 
 type failing struct {
-	by, to *modelHost
+	by, to *fleetModelHost
 	// sentAt is when the first heartbeat was sent, dueAt when the last one fails.
 	sentAt, dueAt time.Duration
-	again         bool
+	retried       bool
 }
 
 // newModel makes hosts that know one another, or only the first three.
-func newModel(hosts int, met bool) *model {
-	m := &model{random: rand.New(rand.NewPCG(7, 0)), now: time.Hour}
+func newFleetModel(hosts int, met bool) *fleetModel {
+	m := &fleetModel{random: rand.New(rand.NewPCG(7, 0)), now: time.Hour}
 	var all []memberEntry
 	for i := range hosts {
-		e := memberOf(i, 1)
+		e := newTestEntry(i, 1)
 		e.Host, e.Hall = fmt.Sprintf("host-%d", i), fmt.Sprint("hall-", i%modelHalls)
 		all = append(all, e)
 		table := newMemberTable(memberTableConfig{Self: e, Interval: time.Second, Random: m.random})
-		phase := time.Duration(m.random.Int64N(int64(time.Second/modelStep))) * modelStep
-		m.hosts = append(m.hosts, &modelHost{table: table, name: e.Host, hall: i % modelHalls, phase: phase})
+		offset := time.Duration(m.random.Int64N(int64(time.Second/modelStep))) * modelStep
+		m.hosts = append(m.hosts, &fleetModelHost{table: table, name: e.Host, hall: i % modelHalls, offset: offset})
 	}
 	known := all
 	if !met {
@@ -67,69 +67,69 @@
 	}
 	for _, h := range m.hosts {
 		h.table.merge(m.now, slices.Clone(known))
-		h.table.news = nil
+		h.table.updates = nil
 		for _, r := range h.table.order {
-			r.untold = 0
+			r.transmitsLeft = 0
 		}
 	}
 	return m
 }
 
-func (m *model) paused(h *modelHost) bool { return m.now < h.pausedUntil }
+func (m *fleetModel) paused(h *fleetModelHost) bool { return m.now < h.pausedUntil }
 
 // run plays some time, and calls each at the end of each step.
-func (m *model) run(d time.Duration, each func()) {
+func (m *fleetModel) run(d time.Duration, each func()) {
 	for until := m.now + d; m.now < until; {
 		m.now += modelStep
 		for _, h := range m.hosts {
 			if h.dead || m.paused(h) {
 				continue
 			}
-			if (m.now-h.phase)%time.Second == 0 {
-				m.beat(h)
+			if (m.now-h.offset)%time.Second == 0 {
+				m.sendHeartbeats(h)
 			}
-			m.hurry(h)
+			m.sendUrgent(h)
 		}
 		due := m.failing
 		m.failing = nil
 		for _, f := range due {
-			m.fail(f)
+			m.handleFailure(f)
 		}
 		each()
 	}
 }
 
 // fail asks again, or raises a suspicion, when a heartbeat fails.
-func (m *model) fail(f failing) {
+func (m *fleetModel) handleFailure(f failing) {
 	switch {
 	case m.now < f.dueAt:
 		m.failing = append(m.failing, f)
 	case f.by.dead || m.paused(f.by):
-	case f.again:
-		f.by.table.unanswered(m.now, f.to.name, f.sentAt)
+	case f.retried:
+		f.by.table.recordUnanswered(m.now, f.to.name, f.sentAt)
 	default:
 		m.exchange(f.by, f.to, f.sentAt, true)
 	}
 }
 
-func (m *model) beat(h *modelHost) {
-	h.beats++
+func (m *fleetModel) sendHeartbeats(h *fleetModelHost) {
+	h.heartbeats++
 	h.table.tick(m.now, 1)
 	hall, silent, other := m.sort(h)
 	partners := m.partnersAmong(h, hall)
 	announces := m.announcer(h.hall) == h
-	every := otherHallEvery * otherHallRarer
+	every := otherHallEvery * nonAnnouncerFactor
 	if announces {
 		every = otherHallEvery
 	}
 	switch {
-	case announces && (h.beats <= meetHeartbeats || h.table.suspecting(m.now)):
+	case announces && (h.heartbeats <= introductionHeartbeats || h.table.hasRecentSuspicions(m.now)):
 		partners = append(partners, m.oneOfEachHall(other)...)
-	case h.beats%every == 0:
+	case h.heartbeats%every == 0:
 		partners = append(partners, sample(m.random.Perm, other, otherHallPartners)...)
 	}
-	if h.beats%silentEvery == 0 {
-		partners = append(partners, sample(m.random.Perm, silent, silentPartners)...)
+	if h.heartbeats%unresponsiveEvery == 0 {
+		partners = append(partners, sample(m.random.Perm, silent, unresponsivePartners)...)
 	}
 	for _, to := range partners {
 		m.exchange(h, to, m.now, false)
@@ -137,14 +137,14 @@
 }
 
 // hurry sends the extra heartbeats of a host.
-func (m *model) hurry(h *modelHost) {
-	if h.hurryAt == 0 && h.table.takeUrgent() {
-		h.hurryAt = m.now + urgentGap
+func (m *fleetModel) sendUrgent(h *fleetModelHost) {
+	if h.urgentAt == 0 && h.table.takeUrgent() {
+		h.urgentAt = m.now + urgentDelay
 	}
-	if h.hurryAt == 0 || m.now < h.hurryAt {
+	if h.urgentAt == 0 || m.now < h.urgentAt {
 		return
 	}
-	h.hurryAt = 0
+	h.urgentAt = 0
 	hall, _, _ := m.sort(h)
 	for _, to := range m.partnersAmong(h, hall) {
 		m.exchange(h, to, m.now, false)
@@ -152,7 +152,7 @@
 }
 
 // sort divides the hosts that a host knows as gossip does.
-func (m *model) sort(h *modelHost) (hall, silent, other []*modelHost) {
+func (m *fleetModel) sort(h *fleetModelHost) (hall, silent, other []*fleetModelHost) {
 	for _, r := range h.table.order {
 		to := m.hosts[numberOf(r.Host)]
 		switch {
@@ -167,8 +167,8 @@
 	return hall, silent, other
 }
 
-func (m *model) partnersAmong(h *modelHost, hall []*modelHost) []*modelHost {
-	var suspects []*modelHost
+func (m *fleetModel) partnersAmong(h *fleetModelHost, hall []*fleetModelHost) []*fleetModelHost {
+	var suspects []*fleetModelHost
 	for _, n := range h.table.suspected(h.table.Self.Hall) {
 		suspects = append(suspects, m.hosts[numberOf(n)])
 	}
@@ -176,38 +176,38 @@
 }
 
 // announcer is the first live host of a hall.
-func (m *model) announcer(hall int) *modelHost {
-	i := slices.IndexFunc(m.hosts, func(h *modelHost) bool { return h.hall == hall && !h.dead })
+func (m *fleetModel) announcer(hall int) *fleetModelHost {
+	i := slices.IndexFunc(m.hosts, func(h *fleetModelHost) bool { return h.hall == hall && !h.dead })
 	return m.hosts[i]
 }
 
-func (m *model) oneOfEachHall(other []*modelHost) []*modelHost {
-	var out []*modelHost
+func (m *fleetModel) oneOfEachHall(other []*fleetModelHost) []*fleetModelHost {
+	var out []*fleetModelHost
 	for hall := range modelHalls {
-		of := slices.DeleteFunc(slices.Clone(other), func(o *modelHost) bool { return o.hall != hall })
+		of := slices.DeleteFunc(slices.Clone(other), func(o *fleetModelHost) bool { return o.hall != hall })
 		out = append(out, sample(m.random.Perm, of, 1)...)
 	}
 	return out
 }
 
-func (m *model) exchange(from, to *modelHost, sentAt time.Duration, again bool) {
+func (m *fleetModel) exchange(from, to *fleetModelHost, sentAt time.Duration, retried bool) {
 	// A host that pauses answers when it wakes.
-	if to.dead || to.pausedUntil > m.now+heartbeatBound || m.random.Float64() < modelLost {
+	if to.dead || to.pausedUntil > m.now+heartbeatTimeout || m.random.Float64() < modelLossRate {
 		if to.hall == from.hall {
-			m.failing = append(m.failing, failing{by: from, to: to, sentAt: sentAt, dueAt: m.now + heartbeatBound, again: again})
+			m.failing = append(m.failing, failing{by: from, to: to, sentAt: sentAt, dueAt: m.now + heartbeatTimeout, retried: retried})
 		}
 		return
 	}
 	known := len(from.table.order)
 	m.deliver(to, from.table.entries(m.now), from.table.suspicions(m.now))
 	reply := to.table.entries(m.now)
-	if to.table.handsOverTo(known) {
-		reply = to.table.handover(m.now)
+	if to.table.needsFullSync(known) {
+		reply = to.table.fullSync(m.now)
 	}
 	m.deliver(from, reply, to.table.suspicions(m.now))
 }
 
-func (m *model) deliver(to *modelHost, entries []memberEntry, suspicions []suspicion) {
+func (m *fleetModel) deliver(to *fleetModelHost, entries []memberEntry, suspicions []suspicion) {
 	to.table.merge(m.now, entries)
 	to.table.mergeSuspicions(m.now, suspicions)
 }
@@ -222,7 +222,7 @@
 
 // knownLive is the part of the pairs of one live host, and another that picks, of which
 // the first takes the second for live.
-func (m *model) knownLive(picks func(by, of *modelHost) bool) float64 {
+func (m *fleetModel) liveRatio(picks func(by, of *fleetModelHost) bool) float64 {
 	live, pairs := 0, 0
 	for _, by := range m.hosts {
 		if by.dead {
@@ -242,7 +242,7 @@
 }
 
 func modelSizes() []int {
-	return slices.DeleteFunc([]int{60, 300, 584}, func(n int) bool { return n > modelMost })
+	return slices.DeleteFunc([]int{60, 300, 584}, func(n int) bool { return n > maxModelHosts })
 }
 
 // TestDeadHostsAreFoundAtAnySize takes a sixth of the hosts, and all the strong ones
@@ -251,7 +251,7 @@
 func TestDeadHostsAreFoundAtAnySize(t *testing.T) {
 	for _, hosts := range modelSizes() {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
-			m := newModel(hosts, true)
+			m := newFleetModel(hosts, true)
 			m.run(5*time.Second, func() {})
 			for i := range hosts / 6 {
 				m.hosts[i].dead = true
@@ -259,10 +259,10 @@
 			died := m.now
 			var inHall, anywhere time.Duration
 			m.run(15*time.Second, func() {
-				if inHall == 0 && m.knownLive(func(by, of *modelHost) bool { return of.dead && by.hall == of.hall }) <= 0.01 {
+				if inHall == 0 && m.liveRatio(func(by, of *fleetModelHost) bool { return of.dead && by.hall == of.hall }) <= 0.01 {
 					inHall = m.now - died
 				}
-				if anywhere == 0 && m.knownLive(func(_, of *modelHost) bool { return of.dead }) <= 0.01 {
+				if anywhere == 0 && m.liveRatio(func(_, of *fleetModelHost) bool { return of.dead }) <= 0.01 {
 					anywhere = m.now - died
 				}
 			})
@@ -279,7 +279,7 @@
 func TestLiveHostsStayLiveAtAnySize(t *testing.T) {
 	for _, hosts := range modelSizes() {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
-			m := newModel(hosts, true)
+			m := newFleetModel(hosts, true)
 			m.run(5*time.Second, func() {})
 			silentSince := map[*memberRecord]time.Duration{}
 			longest, inHall, step := time.Duration(0), time.Duration(0), 0
@@ -314,11 +314,11 @@
 func TestHostsMeetAtAnySize(t *testing.T) {
 	for _, hosts := range modelSizes() {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
-			m := newModel(hosts, false)
+			m := newFleetModel(hosts, false)
 			m.run(5*time.Second, func() {})
-			inHall := m.knownLive(func(by, of *modelHost) bool { return by.hall == of.hall })
+			inHall := m.liveRatio(func(by, of *fleetModelHost) bool { return by.hall == of.hall })
 			m.run(10*time.Second, func() {})
-			anywhere := m.knownLive(func(_, _ *modelHost) bool { return true })
+			anywhere := m.liveRatio(func(_, _ *fleetModelHost) bool { return true })
 			t.Logf("known of the hall %.3f after 5 s, of all %.3f after 15 s", inHall, anywhere)
 			assert.Assert(t, inHall >= 0.99, "known of the hall: %.3f", inHall)
 			assert.Assert(t, anywhere >= 0.99, "known of all: %.3f", anywhere)
--- a/tier/peers/seek.go
+++ b/tier/peers/discovery.go
@@ -19,23 +19,23 @@
 
 const (
 	// seekEvery is how often a host checks whether it hears announcements.
-	seekEvery = 400 * time.Millisecond
+	discoveryInterval = 400 * time.Millisecond
 	// seekAfter is how long a host hears none before it asks: long enough before
 	// announceLost that an answer comes before it takes over.
-	seekAfter = announceLost / 2
+	discoveryTimeout = announcerTimeout / 2
 	// seekAmong is how many hosts, the first by rank, are asked in turn.
-	seekAmong = 3
+	discoveryCandidates = 3
 )
 
-func (g *gossip) seekLoop(ctx context.Context) {
-	g.kernel.DoEvery(ctx, seekEvery, g.seek)
+func (g *gossip) discoveryLoop(ctx context.Context) {
+	g.kernel.DoEvery(ctx, discoveryInterval, g.discoverAnnouncer)
 }
 
 // seek asks for an announcement if this host needs one; it runs on the control thread.
-func (g *gossip) seek(s *kernel.State) {
+func (g *gossip) discoverAnnouncer(s *kernel.State) {
 	now := g.kernel.Now()
-	if to := seekFrom(s, &g.kernel.Settings, now, g.asked); to.IsValid() {
-		g.asked++
+	if to := discoveryTarget(s, &g.kernel.Settings, now, g.announcementRequests); to.IsValid() {
+		g.announcementRequests++
 		message := g.message(s, now)
 		go g.send(to, now, &message)
 	}
@@ -44,9 +44,9 @@
 // seekFrom decides whom a host asks for an announcement; nobody if it has heard one lately, if
 // it announces itself, or if no live host of its hall ranks before it. It asks the first
 // ones in turn, beginning anywhere, so that all hosts of a hall that starts do not ask one.
-func seekFrom(s *kernel.State, settings *kernel.Settings, now time.Duration, asked int) netip.AddrPort {
+func discoveryTarget(s *kernel.State, settings *kernel.Settings, now time.Duration, asked int) netip.AddrPort {
 	for _, a := range s.HallAnnouncers {
-		if now-a.At < seekAfter {
+		if now-a.At < discoveryTimeout {
 			return netip.AddrPort{}
 		}
 	}
@@ -54,16 +54,16 @@
 		return netip.AddrPort{}
 	}
 	r := newReaderRanking(s, settings)
-	var first []string
+	var candidates []string
 	for n, m := range s.Members {
-		if m.Callable() && m.Hall == settings.Hall && r.isBefore(n) {
-			first = append(first, n)
+		if m.Callable() && m.Hall == settings.Hall && r.ranksBefore(n) {
+			candidates = append(candidates, n)
 		}
 	}
-	if len(first) == 0 {
+	if len(candidates) == 0 {
 		return netip.AddrPort{}
 	}
-	slices.SortFunc(first, r.compare)
-	turn := xxhash.Sum64String(settings.Host)%seekAmong + uint64(asked)
-	return s.Members[first[turn%uint64(min(seekAmong, len(first)))]].Peer
+	slices.SortFunc(candidates, r.compare)
+	turn := xxhash.Sum64String(settings.Host)%discoveryCandidates + uint64(asked)
+	return s.Members[candidates[turn%uint64(min(discoveryCandidates, len(candidates)))]].Peer
 }
--- a/tier/peers/feed.go
+++ b/tier/peers/feed.go
@@ -13,9 +13,9 @@
 
 const (
 	// changePause is the pause after a change, so that a burst of changes costs one read.
-	changePause = 300 * time.Millisecond
+	changeDebounce = 300 * time.Millisecond
 	// rolePause is how often a host that does not read checks whether it is to.
-	rolePause = 200 * time.Millisecond
+	roleCheckInterval = 200 * time.Millisecond
 )
 
 type feedPlugin struct{}
@@ -58,20 +58,20 @@
 	// nothing yet. It only says where to read on.
 	position config.Position
 	// exact is true if the next whole read must not be an old one.
-	exact bool
+	consistentRead bool
 	// watched is true once a watch has shown that nothing newer was missed.
-	watched bool
+	caughtUp bool
 	// goneAt is when the platform last no longer had the history after position.
-	goneAt  time.Duration
-	outage  outage
-	lapse   lapse
-	restore restore
+	historyGoneAt time.Duration
+	outage        outage
+	removalHold   removalHold
+	eraTracker    eraTracker
 }
 
 func (f *feed) loop(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !f.isReader() {
-			kernel.Sleep(ctx, rolePause)
+			kernel.Sleep(ctx, roleCheckInterval)
 			continue
 		}
 		metrics.GetOrCreateCounter("loomgap_platform_reads_total").Inc()
@@ -83,13 +83,13 @@
 			f.failed(ctx, err)
 			continue
 		}
-		confirms := !f.watched
-		f.take(published)
+		confirms := !f.caughtUp
+		f.apply(published)
 		if confirms || published.Directory.Whole {
 			continue // the host is not ready before a watch has confirmed the read
 		}
 		if len(published.Directory.Listed)+len(published.Directory.Removed) > 0 || published.Document != nil {
-			kernel.Sleep(ctx, changePause)
+			kernel.Sleep(ctx, changeDebounce)
 		}
 	}
 }
@@ -110,42 +110,42 @@
 func (f *feed) next(ctx context.Context) (*kernel.Published, error) {
 	now := f.kernel.Now()
 	if f.position == (config.Position{}) {
-		return f.source.Read(ctx, f.exact)
+		return f.source.Read(ctx, f.consistentRead)
 	}
-	if !f.watched {
+	if !f.caughtUp {
 		// The first read may have been an old one.
 		return f.source.Watch(ctx, f.position, 0)
 	}
-	if f.restore.begin(now) {
+	if f.eraTracker.begin(now) {
 		return f.source.Read(ctx, true)
 	}
-	return f.source.Watch(ctx, f.position, f.restore.wait(now, f.lapse.wait(now, f.kernel.Settings.WatchWait)))
+	return f.source.Watch(ctx, f.position, f.eraTracker.wait(now, f.removalHold.wait(now, f.kernel.Settings.WatchWait)))
 }
 
 func (f *feed) failed(ctx context.Context, err error) {
 	now := f.kernel.Now()
-	f.restore.failed()
+	f.eraTracker.failed()
 	if errors.Is(err, kernel.ErrHistoryGone) {
 		f.kernel.Log.Info().Err(err).Uint64("DirectoryEra", f.position.Era).Uint64("DirectoryRevision", f.position.Revision).
 			Msg("history is gone, reading everything")
-		f.position, f.exact, f.watched = config.Position{}, true, false
-		if f.goneAt > 0 && now-f.goneAt < changePause {
+		f.position, f.consistentRead, f.caughtUp = config.Position{}, true, false
+		if f.historyGoneAt > 0 && now-f.historyGoneAt < changeDebounce {
 			// A platform that forgets at once would be read without end.
-			kernel.Sleep(ctx, changePause)
+			kernel.Sleep(ctx, changeDebounce)
 		}
-		f.goneAt = now
+		f.historyGoneAt = now
 		return
 	}
 	f.outage.failed(now)
-	if f.outage.isAway(now, staleAfter(&f.kernel.Settings)) {
-		f.kernel.Do(func(s *kernel.State) { markFeedDown(f.kernel, s, err) })
+	if f.outage.isUnavailable(now, maxReadAge(&f.kernel.Settings)) {
+		f.kernel.Do(func(s *kernel.State) { markPlatformDown(f.kernel, s, err) })
 	}
-	kernel.Sleep(ctx, f.outage.nextPause())
+	kernel.Sleep(ctx, f.outage.nextDelay())
 }
 
 // markFeedDown notes that this host has to learn from peers what is published; it runs
 // on the control thread.
-func markFeedDown(k *kernel.Kernel, s *kernel.State, err error) {
+func markPlatformDown(k *kernel.Kernel, s *kernel.State, err error) {
 	if s.FeedDown {
 		return
 	}
@@ -154,24 +154,24 @@
 }
 
 // take hands what was read to the control thread and waits until it is in force.
-func (f *feed) take(p *kernel.Published) {
+func (f *feed) apply(p *kernel.Published) {
 	now := f.kernel.Now()
 	for _, err := range p.Problems {
 		f.kernel.Log.Error().Err(err).Msg("entry of the platform not understood, left out")
 		metrics.GetOrCreateCounter("loomgap_platform_entries_refused_total").Inc()
 	}
-	away := f.outage.isAway(now, staleAfter(&f.kernel.Settings))
+	wasUnavailable := f.outage.isUnavailable(now, maxReadAge(&f.kernel.Settings))
 	f.outage.succeeded(now)
-	f.exact = false
+	f.consistentRead = false
 	// A whole read may be an old one; the watch that follows shows.
-	f.watched = !p.Directory.Whole
+	f.caughtUp = !p.Directory.Whole
 	f.position = p.Position
 	f.kernel.DoAndWait(func(s *kernel.State) {
-		if f.restore.follow(f.kernel, s, p, now) {
-			f.lapse.historyReturned(now)
+		if f.eraTracker.observe(f.kernel, s, p, now) {
+			f.removalHold.historyReturned(now)
 		}
-		f.install(s, p, now, away)
-		if f.watched {
+		f.install(s, p, now, wasUnavailable)
+		if f.caughtUp {
 			s.Confirm(now)
 		}
 	})
@@ -179,10 +179,10 @@
 
 // install puts what was read in force; it runs on the control thread while the feed
 // waits.
-func (f *feed) install(s *kernel.State, p *kernel.Published, now time.Duration, away bool) {
+func (f *feed) install(s *kernel.State, p *kernel.Published, now time.Duration, wasUnavailable bool) {
 	// If others read the platform all the while, nothing lapsed.
-	if away && now-s.PlatformReadAt > staleAfter(&f.kernel.Settings) {
-		f.lapse.platformReturned(now)
+	if wasUnavailable && now-s.PlatformReadAt > maxReadAge(&f.kernel.Settings) {
+		f.removalHold.platformReturned(now)
 	}
 	s.PlatformReadAt, s.AnnouncedReadAt, s.OwnReadAt = now, now, now
 	if s.FeedDown {
@@ -200,13 +200,13 @@
 func (f *feed) applyDirectory(s *kernel.State, p *kernel.Published, now time.Duration) {
 	change := p.Directory
 	s.Index.DropUnboundWarmups(change.Listed)
-	f.lapse.hold(now, s.Directory, &change)
+	f.removalHold.hold(now, s.Directory, &change)
 	before := s.Directory.Digest()
 	if change.Settled > 0 {
 		logSettled(f.kernel, s, &change)
 	}
 	s.List(&change)
-	if due := f.lapse.release(now); len(due) > 0 {
+	if due := f.removalHold.release(now); len(due) > 0 {
 		s.List(&config.DirectoryChange{Removed: due})
 	}
 	if s.Directory.Digest() != before {
--- a/tier/peers/feed_test.go
+++ b/tier/peers/feed_test.go
@@ -20,10 +20,10 @@
 	"loomgap/tier/policy"
 )
 
-var errAway = errors.New("platform is away")
+var errUnavailable = errors.New("platform is away")
 
 // published is a platform in memory: a list of changes, each of its revision.
-type published struct {
+type fakePlatform struct {
 	mu sync.Mutex
 	// era is named in all that is read; 0 for none.
 	era      uint64
@@ -33,21 +33,21 @@
 	changes []config.DirectoryChange
 	// counts are the upstreams' own counts of their reports; a return does not touch
 	// them.
-	counts map[string]uint64
-	away   bool
+	counts      map[string]uint64
+	unavailable bool
 	// stale is how many revisions an old read is behind.
 	stale uint64
 	reads []bool
 	// watches counts the watches.
 	watches int
-	moved   chan struct{}
+	changed chan struct{}
 }
 
-func newPublished() *published {
-	return &published{counts: map[string]uint64{}, moved: make(chan struct{})}
+func newFakePlatform() *fakePlatform {
+	return &fakePlatform{counts: map[string]uint64{}, changed: make(chan struct{})}
 }
 
-func (p *published) change(c config.DirectoryChange) {
+func (p *fakePlatform) change(c config.DirectoryChange) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.revision++
@@ -67,22 +67,22 @@
 		c.Resumed[i].Era, c.Resumed[i].Revision = p.era, p.revision
 	}
 	p.changes = append(p.changes, c)
-	close(p.moved)
-	p.moved = make(chan struct{})
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
 // restore has the platform come back from a copy made at a revision.
-func (p *published) restore(revision uint64) {
+func (p *fakePlatform) restore(revision uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.era++
 	p.revision = revision
 	p.changes = slices.DeleteFunc(p.changes, func(c config.DirectoryChange) bool { return c.Revision > revision })
-	close(p.moved)
-	p.moved = make(chan struct{})
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
-func (p *published) list(names ...string) {
+func (p *fakePlatform) list(names ...string) {
 	c := config.DirectoryChange{}
 	for _, n := range names {
 		c.Listed = append(c.Listed, config.Listing{Name: n, Group: "G", Address: netip.MustParseAddrPort("127.0.0.1:1"), Slots: 1})
@@ -90,7 +90,7 @@
 	p.change(c)
 }
 
-func (p *published) remove(names ...string) {
+func (p *fakePlatform) remove(names ...string) {
 	c := config.DirectoryChange{}
 	for _, n := range names {
 		c.Removed = append(c.Removed, config.Removal{Name: n})
@@ -98,20 +98,20 @@
 	p.change(c)
 }
 
-func (p *published) evacuate(hall string) {
+func (p *fakePlatform) evacuate(hall string) {
 	p.change(config.DirectoryChange{Evacuated: []config.Evacuation{{Hall: hall}}})
 }
 
-func (p *published) resume(hall string) {
+func (p *fakePlatform) resume(hall string) {
 	p.change(config.DirectoryChange{Resumed: []config.Removal{{Name: hall}}})
 }
 
 // Read implements kernel.Source.
-func (p *published) Read(_ context.Context, exact bool) (*kernel.Published, error) {
+func (p *fakePlatform) Read(_ context.Context, exact bool) (*kernel.Published, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.away {
-		return nil, errAway
+	if p.unavailable {
+		return nil, errUnavailable
 	}
 	p.reads = append(p.reads, exact)
 	upTo := p.revision
@@ -136,7 +136,7 @@
 }
 
 // Watch implements kernel.Source.
-func (p *published) Watch(ctx context.Context, after config.Position, wait time.Duration) (*kernel.Published, error) {
+func (p *fakePlatform) Watch(ctx context.Context, after config.Position, wait time.Duration) (*kernel.Published, error) {
 	p.set(func() { p.watches++ })
 	out, moved, err := p.since(after)
 	if err != nil || out.Position.Revision > after.Revision || wait == 0 {
@@ -152,11 +152,11 @@
 	return out, err
 }
 
-func (p *published) since(after config.Position) (*kernel.Published, chan struct{}, error) {
+func (p *fakePlatform) since(after config.Position) (*kernel.Published, chan struct{}, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.away {
-		return nil, nil, errAway
+	if p.unavailable {
+		return nil, nil, errUnavailable
 	}
 	if after.Revision < p.from || after.Era != p.era {
 		return nil, nil, kernel.ErrHistoryGone
@@ -172,25 +172,25 @@
 			out.Directory.Resumed = append(out.Directory.Resumed, c.Resumed...)
 		}
 	}
-	return out, p.moved, nil
+	return out, p.changed, nil
 }
 
 // set changes how the platform does.
-func (p *published) set(change func()) {
+func (p *fakePlatform) set(change func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change()
 }
 
 // fed runs a test of a feed in virtual time.
-func fed(t *testing.T, test func(p *published, k *kernel.Kernel)) {
+func runFeed(t *testing.T, test func(p *fakePlatform, k *kernel.Kernel)) {
 	synctest.Test(t, func(t *testing.T) {
 		k, stop := kernel.New(kernel.Config{
 			Settings: kernel.Settings{Host: "H1", Hall: "A", WatchWait: 3 * time.Second}, Log: zerolog.Nop(), Started: time.Now(),
 			Fleet: policy.NewFleet(policy.FleetConfig{Random: rand.New(rand.NewPCG(1, 2))}),
 		})
 		defer stop()
-		p := newPublished()
+		p := newFakePlatform()
 		p.list("U1", "U2")
 		ctx, cancel := context.WithCancel(t.Context())
 		f := &feed{kernel: k, source: p, announcer: &announcer{kernel: k}}
@@ -199,14 +199,14 @@
 			defer close(done)
 			f.loop(ctx)
 		}()
-		settle(time.Second)
+		advance(time.Second)
 		test(p, k)
 		cancel()
 		<-done
 	})
 }
 
-func settle(d time.Duration) {
+func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
@@ -220,12 +220,12 @@
 }
 
 func TestFeedFollowsChanges(t *testing.T) {
-	fed(t, func(p *published, k *kernel.Kernel) {
+	runFeed(t, func(p *fakePlatform, k *kernel.Kernel) {
 		assert.DeepEqual(t, listedNames(k), []string{"U1", "U2"})
 		assert.Assert(t, k.View().Confirmed)
 		p.list("U3")
 		p.remove("U1")
-		settle(time.Second)
+		advance(time.Second)
 		assert.DeepEqual(t, listedNames(k), []string{"U2", "U3"})
 		p.set(func() { assert.DeepEqual(t, p.reads, []bool{false}) })
 	})
@@ -234,11 +234,11 @@
 // TestFeedReadsWholeAfterLostHistory has an old read besides: after a loss of
 // history it must be exact, or it would bring back what is gone.
 func TestFeedReadsWholeAfterLostHistory(t *testing.T) {
-	fed(t, func(p *published, k *kernel.Kernel) {
+	runFeed(t, func(p *fakePlatform, k *kernel.Kernel) {
 		p.set(func() { p.stale, p.from = 3, p.revision+2 })
 		p.remove("U1")
 		p.list("U3")
-		settle(5 * time.Second)
+		advance(5 * time.Second)
 		assert.DeepEqual(t, listedNames(k), []string{"U2", "U3"})
 		p.set(func() { assert.DeepEqual(t, p.reads, []bool{false, true}) })
 	})
@@ -246,68 +246,68 @@
 
 // TestFeedKeepsWhatLapsedWhileThePlatformWasAway has both upstreams lapse; one
 // of them lists itself again.
-func TestFeedKeepsWhatLapsedWhileThePlatformWasAway(t *testing.T) {
-	fed(t, func(p *published, k *kernel.Kernel) {
-		p.set(func() { p.away = true })
+func TestFeedKeepsRemovedUpstreamsAfterOutage(t *testing.T) {
+	runFeed(t, func(p *fakePlatform, k *kernel.Kernel) {
+		p.set(func() { p.unavailable = true })
 		p.remove("U1", "U2")
-		settle(5 * time.Second)
+		advance(5 * time.Second)
 		assert.DeepEqual(t, listedNames(k), []string{"U1", "U2"})
-		p.set(func() { p.away = false })
-		settle(time.Second + retryMost)
+		p.set(func() { p.unavailable = false })
+		advance(time.Second + maxRetryDelay)
 		assert.DeepEqual(t, listedNames(k), []string{"U1", "U2"})
 		p.list("U2")
-		settle(lapseHold + time.Second)
+		advance(removalHoldTime + time.Second)
 		assert.DeepEqual(t, listedNames(k), []string{"U2"})
 	})
 }
 
 // TestFeedHoldsNothingThatOthersHeard has the platform be away for this host alone,
 // which hears from others meanwhile: what is removed then is gone.
-func TestFeedHoldsNothingThatOthersHeard(t *testing.T) {
-	fed(t, func(p *published, k *kernel.Kernel) {
-		p.set(func() { p.away = true })
+func TestFeedAppliesRemovalsThatOtherHostsRead(t *testing.T) {
+	runFeed(t, func(p *fakePlatform, k *kernel.Kernel) {
+		p.set(func() { p.unavailable = true })
 		for range 10 {
-			settle(500 * time.Millisecond)
+			advance(500 * time.Millisecond)
 			k.Do(func(s *kernel.State) { s.PlatformReadAt = k.Now() })
 		}
 		p.remove("U1")
-		p.set(func() { p.away = false })
-		settle(time.Second + retryMost/2)
+		p.set(func() { p.unavailable = false })
+		advance(time.Second + maxRetryDelay/2)
 		assert.DeepEqual(t, listedNames(k), []string{"U2"})
 	})
 }
 
 // TestFeedKeepsWhatThePlatformRemovesJustAfterItsReturn is the same with the
 // removal coming a little later than the return.
-func TestFeedKeepsWhatThePlatformRemovesJustAfterItsReturn(t *testing.T) {
-	fed(t, func(p *published, k *kernel.Kernel) {
-		p.set(func() { p.away = true })
-		settle(5 * time.Second)
-		p.set(func() { p.away = false })
-		settle(retryMost + 100*time.Millisecond)
+func TestFeedKeepsUpstreamsRemovedJustAfterOutage(t *testing.T) {
+	runFeed(t, func(p *fakePlatform, k *kernel.Kernel) {
+		p.set(func() { p.unavailable = true })
+		advance(5 * time.Second)
+		p.set(func() { p.unavailable = false })
+		advance(maxRetryDelay + 100*time.Millisecond)
 		p.remove("U1", "U2")
-		settle(time.Second)
+		advance(time.Second)
 		assert.DeepEqual(t, listedNames(k), []string{"U1", "U2"})
 		p.list("U2")
-		settle(lapseHold + time.Second)
+		advance(removalHoldTime + time.Second)
 		assert.DeepEqual(t, listedNames(k), []string{"U2"})
 	})
 }
 
-func TestFeedTellsThatItHasToLearnFromPeers(t *testing.T) {
-	fed(t, func(p *published, k *kernel.Kernel) {
+func TestFeedMarksPlatformDown(t *testing.T) {
+	runFeed(t, func(p *fakePlatform, k *kernel.Kernel) {
 		down := func() bool {
 			out := make(chan bool, 1)
 			k.Do(func(s *kernel.State) { out <- s.FeedDown })
 			return <-out
 		}
 		assert.Assert(t, !down())
-		p.set(func() { p.away = true })
+		p.set(func() { p.unavailable = true })
 		p.list("U3")
-		settle(5 * time.Second)
+		advance(5 * time.Second)
 		assert.Assert(t, down())
-		p.set(func() { p.away = false })
-		settle(3 * time.Second)
+		p.set(func() { p.unavailable = false })
+		advance(3 * time.Second)
 		assert.Assert(t, !down())
 		assert.DeepEqual(t, listedNames(k), []string{"U1", "U2", "U3"})
 	})
@@ -315,14 +315,14 @@
 
 // TestReaderWithoutAnswersSaysSo has a read hang: long before it fails, the
 // host learns from peers and tells its hall nothing.
-func TestReaderWithoutAnswersSaysSo(t *testing.T) {
+func TestReaderWithoutAnswersMarksFeedDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k, stop := kernel.New(kernel.Config{
 			Settings: kernel.Settings{Host: "H1", Hall: "A"}, Log: zerolog.Nop(), Started: time.Now(),
 			Fleet: policy.NewFleet(policy.FleetConfig{Random: rand.New(rand.NewPCG(1, 2))}),
 		})
 		defer stop()
-		told := &peerRecorder{}
+		told := &announcementCounter{}
 		k.Peers = told
 		k.Do(func(s *kernel.State) {
 			s.Reading, s.Announcing, s.AnnouncedReadAt = true, true, k.Now()+time.Nanosecond
@@ -332,11 +332,11 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go (&announcer{kernel: k}).loop(ctx)
-		settle(announceEvery + time.Millisecond)
+		advance(announceInterval + time.Millisecond)
 		assert.Assert(t, told.count() > 0)
-		settle(staleAfter(&k.Settings))
+		advance(maxReadAge(&k.Settings))
 		before := told.count()
-		settle(time.Second)
+		advance(time.Second)
 		assert.Equal(t, told.count(), before)
 		done := make(chan bool, 1)
 		k.Do(func(s *kernel.State) { done <- s.FeedDown })
@@ -346,20 +346,20 @@
 
 // peerRecorder counts the announcements of a host that hears the platform, and keeps
 // the hosts that got them.
-type peerRecorder struct {
+type announcementCounter struct {
 	mu    sync.Mutex
 	calls int
 	hosts map[string]bool
 }
 
-func (p *peerRecorder) count() int {
+func (p *announcementCounter) count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls
 }
 
 // Call implements kernel.PeerCaller.
-func (p *peerRecorder) Call(_ context.Context, host, _ string, params, _ any) error {
+func (p *announcementCounter) Call(_ context.Context, host, _ string, params, _ any) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if news, ok := params.(announcement); ok && news.Lost {
@@ -374,44 +374,44 @@
 }
 
 // Connect implements kernel.PeerCaller.
-func (*peerRecorder) Connect(context.Context, string) error {
+func (*announcementCounter) Connect(context.Context, string) error {
 	return nil
 }
 
 // Notify implements kernel.PeerCaller.
-func (p *peerRecorder) Notify(context.Context, string, string, any) error { return nil }
+func (p *announcementCounter) Notify(context.Context, string, string, any) error { return nil }
 
 // TestFeedFollowsEvacuations has a hall evacuated and taken back: by changes, while
 // the platform forgets its history, and while it is away.
 func TestFeedFollowsEvacuations(t *testing.T) {
-	forget := func(p *published) { p.set(func() { p.from = p.revision }) }
+	forget := func(p *fakePlatform) { p.set(func() { p.from = p.revision }) }
 	tests := []struct {
 		name   string
-		before func(p *published)
-		after  func(p *published)
+		before func(p *fakePlatform)
+		after  func(p *fakePlatform)
 	}{
-		{"told at once", func(*published) {}, func(*published) {}},
-		{"history forgotten", func(*published) {}, forget},
-		{"platform away", func(p *published) { p.set(func() { p.away = true }); settle(5 * time.Second) }, func(p *published) { p.set(func() { p.away = false }) }},
+		{"told at once", func(*fakePlatform) {}, func(*fakePlatform) {}},
+		{"history forgotten", func(*fakePlatform) {}, forget},
+		{"platform away", func(p *fakePlatform) { p.set(func() { p.unavailable = true }); advance(5 * time.Second) }, func(p *fakePlatform) { p.set(func() { p.unavailable = false }) }},
 		{
 			"platform away, and history forgotten",
-			func(p *published) { p.set(func() { p.away = true }); settle(5 * time.Second) },
-			func(p *published) { forget(p); p.set(func() { p.away = false }) },
+			func(p *fakePlatform) { p.set(func() { p.unavailable = true }); advance(5 * time.Second) },
+			func(p *fakePlatform) { forget(p); p.set(func() { p.unavailable = false }) },
 		},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			fed(t, func(p *published, k *kernel.Kernel) {
+			runFeed(t, func(p *fakePlatform, k *kernel.Kernel) {
 				for range 2 {
 					tt.before(p)
 					p.evacuate("A")
 					tt.after(p)
-					settle(2 * time.Second)
+					advance(2 * time.Second)
 					assert.DeepEqual(t, k.View().Directory.EvacuatedHalls(), []string{"A"})
 					tt.before(p)
 					p.resume("A")
 					tt.after(p)
-					settle(2 * time.Second)
+					advance(2 * time.Second)
 					assert.Equal(t, len(k.View().Directory.EvacuatedHalls()), 0)
 				}
 			})
@@ -422,10 +422,10 @@
 // TestWarmupsSpreadOnlyWhereTheyBound has an upstream say with each heartbeat how much
 // longer it is cold: that changes the directory only if its group bounds what a cold
 // one gets.
-func TestWarmupsSpreadOnlyWhereTheyBound(t *testing.T) {
+func TestWarmupsSpreadOnlyWhereGroupLimitsThem(t *testing.T) {
 	for _, rate := range []float64{0, 4} {
 		t.Run(fmt.Sprint("ColdRate=", rate), func(t *testing.T) {
-			fed(t, func(p *published, k *kernel.Kernel) {
+			runFeed(t, func(p *fakePlatform, k *kernel.Kernel) {
 				k.Do(func(s *kernel.State) {
 					k.AcceptDocument(s, &config.Document{Groups: []config.Group{{Name: "G", Connections: 1, ColdRate: rate}}}, config.Edition{Position: config.Position{Revision: 1}})
 				})
@@ -433,7 +433,7 @@
 					p.change(config.DirectoryChange{Listed: []config.Listing{{
 						Name: "U3", Group: "G", Address: netip.MustParseAddrPort("127.0.0.1:1"), Slots: 1, Warmup: config.Duration(left),
 					}}})
-					settle(time.Second)
+					advance(time.Second)
 				}
 				cold(3 * time.Second)
 				first := k.View().Directory.Digest()
--- a/tier/peers/fetch.go
+++ b/tier/peers/fetch.go
@@ -24,13 +24,13 @@
 
 const (
 	// maxDirectory is the most bytes of text that a directory of a peer may have.
-	maxDirectory = 8 << 20
+	maxDirectoryBytes = 8 << 20
 	// directoryAgain is how long a host waits, after it asked for the directory on an
 	// announcement, until it does so again.
-	directoryAgain = 500 * time.Millisecond
+	directoryFetchInterval = 500 * time.Millisecond
 	// firstFetchBound is how long the first try of a fetch may take. A change must be in
 	// force within seconds, also at a host whose connections have all gone silent.
-	firstFetchBound = 500 * time.Millisecond
+	firstFetchTimeout = 500 * time.Millisecond
 )
 
 // errEmptyDirectory is the answer of a peer that has no directory itself.
@@ -38,26 +38,26 @@
 
 // fetches gets documents and directories from other hosts, one of each at a time, and
 // serves them to others.
-type fetches struct {
+type fetcher struct {
 	kernel *kernel.Kernel
 	node   *node
 	// document and directory are true while one is being fetched; directoryAt is when
 	// a directory was last fetched on an announcement, 0 for never. They are used on
 	// the control thread.
-	document, directory bool
-	directoryAt         time.Duration
+	fetchingDocument, fetchingDirectory bool
+	directoryFetchedAt                  time.Duration
 	// newer is called on the control thread once a fetched document is in force.
-	newer func(*kernel.State)
+	onNewDocument func(*kernel.State)
 
 	// documents and directories hold what was last packed for a peer: where many hosts
 	// start, each asks for the same.
-	documents   packing[*config.Index]
-	directories packing[*config.Directory]
+	documentCache  packCache[*config.Index]
+	directoryCache packCache[*config.Directory]
 }
 
 // packing is the packed form of what was last sent to a peer. It is safe for concurrent
 // use.
-type packing[T comparable] struct {
+type packCache[T comparable] struct {
 	mu     sync.Mutex
 	from   T
 	packed wire.PackedDocument
@@ -65,7 +65,7 @@
 
 // pack returns the packed form of a value, which it makes unless the value is the same as
 // the last time.
-func (p *packing[T]) pack(from T, make func(T) (wire.PackedDocument, error)) (wire.PackedDocument, error) {
+func (p *packCache[T]) pack(from T, make func(T) (wire.PackedDocument, error)) (wire.PackedDocument, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.from == from {
@@ -79,8 +79,8 @@
 	return packed, nil
 }
 
-func serveFetches(k *kernel.Kernel, n *node, newer func(*kernel.State)) *fetches {
-	f := &fetches{kernel: k, node: n, newer: newer}
+func newFetcher(k *kernel.Kernel, n *node, onNewDocument func(*kernel.State)) *fetcher {
+	f := &fetcher{kernel: k, node: n, onNewDocument: onNewDocument}
 	k.Handle(methodDocument, f.onDocument)
 	k.Handle(methodDirectory, f.onDirectory)
 	return f
@@ -88,32 +88,32 @@
 
 // fetchDocument gets the document in force at a peer, unless one is being fetched. It
 // runs on the control thread and does not wait.
-func (f *fetches) fetchDocument(from netip.AddrPort) {
-	if f.document {
+func (f *fetcher) fetchDocument(from netip.AddrPort) {
+	if f.fetchingDocument {
 		return
 	}
-	f.document = true
+	f.fetchingDocument = true
 	go func() {
 		text, edition, err := f.read(from, methodDocument, config.MaxBytes)
 		if err != nil {
 			f.kernel.Log.Warn().Err(err).Msg("document not fetched")
 		}
 		f.kernel.Do(func(s *kernel.State) {
-			f.document = false
+			f.fetchingDocument = false
 			if err != nil {
 				return
 			}
 			before := s.Index
 			f.kernel.Accept(s, text, edition)
 			if s.Index != before {
-				f.newer(s)
+				f.onNewDocument(s)
 			}
 		})
 	}()
 }
 
 // read gets a text of at most limit bytes from a peer.
-func (f *fetches) read(from netip.AddrPort, method string, limit int64) (text string, edition config.Edition, err error) {
+func (f *fetcher) read(from netip.AddrPort, method string, limit int64) (text string, edition config.Edition, err error) {
 	var packed wire.PackedDocument
 	if err := f.node.fetch(from, method, &packed); err != nil {
 		return "", config.Edition{}, err
@@ -123,12 +123,12 @@
 	return text, config.Edition{Version: packed.Version, Position: at}, err
 }
 
-func (f *fetches) onDocument(context.Context, json.RawMessage) (any, error) {
+func (f *fetcher) onDocument(context.Context, json.RawMessage) (any, error) {
 	x := f.kernel.View().Index
 	if x == nil {
 		return wire.PackedDocument{}, nil
 	}
-	return f.documents.pack(x, func(x *config.Index) (wire.PackedDocument, error) {
+	return f.documentCache.pack(x, func(x *config.Index) (wire.PackedDocument, error) {
 		p, err := wire.Pack(x.Revision, x.Text)
 		p.Version, p.Era = x.Version, x.Era
 		return p, err
@@ -137,18 +137,18 @@
 
 // fetchDirectory gets the directory of a peer, unless one is being fetched. It runs on
 // the control thread and does not wait.
-func (f *fetches) fetchDirectory(from netip.AddrPort) {
-	if f.directory {
+func (f *fetcher) fetchDirectory(from netip.AddrPort) {
+	if f.fetchingDirectory {
 		return
 	}
-	f.directory = true
+	f.fetchingDirectory = true
 	go func() {
 		change, err := f.readDirectory(from)
 		if err != nil {
 			f.kernel.Log.Info().Err(err).Stringer("Peer", from).Msg("directory not fetched")
 		}
 		f.kernel.Do(func(s *kernel.State) {
-			f.directory = false
+			f.fetchingDirectory = false
 			// A host that reads the platform itself knows better, unless the platform
 			// may have come back from a copy that is older than what the peer knows.
 			if err == nil && (s.FeedDown || !s.Reading || s.Directory.Unsettled()) {
@@ -161,16 +161,16 @@
 }
 
 // fetchDirectoryAgain is fetchDirectory, but not again within directoryAgain.
-func (f *fetches) fetchDirectoryAgain(now time.Duration, from netip.AddrPort) {
-	if f.directory || f.directoryAt > 0 && now-f.directoryAt < directoryAgain {
+func (f *fetcher) fetchDirectoryThrottled(now time.Duration, from netip.AddrPort) {
+	if f.fetchingDirectory || f.directoryFetchedAt > 0 && now-f.directoryFetchedAt < directoryFetchInterval {
 		return
 	}
-	f.directoryAt = now
+	f.directoryFetchedAt = now
 	f.fetchDirectory(from)
 }
 
-func (f *fetches) readDirectory(from netip.AddrPort) (*config.DirectoryChange, error) {
-	text, _, err := f.read(from, methodDirectory, maxDirectory)
+func (f *fetcher) readDirectory(from netip.AddrPort) (*config.DirectoryChange, error) {
+	text, _, err := f.read(from, methodDirectory, maxDirectoryBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -184,13 +184,13 @@
 	return &change, nil
 }
 
-func (f *fetches) onDirectory(context.Context, json.RawMessage) (any, error) {
+func (f *fetcher) onDirectory(context.Context, json.RawMessage) (any, error) {
 	var d *config.Directory
 	f.kernel.DoAndWait(func(s *kernel.State) { d = s.Directory })
 	if d == nil {
 		return packDirectory(nil)
 	}
-	return f.directories.pack(d, packDirectory)
+	return f.directoryCache.pack(d, packDirectory)
 }
 
 func packDirectory(d *config.Directory) (wire.PackedDocument, error) {
@@ -204,9 +204,9 @@
 // fetch calls a method without parameters. If the first try gets no answer, its
 // connection may have gone silent: the second is then made on another.
 func (n *node) fetch(from netip.AddrPort, method string, result any) error {
-	err := n.callWithin(firstFetchBound, from, method, struct{}{}, result)
+	err := n.callWithin(firstFetchTimeout, from, method, struct{}{}, result)
 	if errors.Is(err, context.DeadlineExceeded) {
-		err = n.callWithin(callBound, from, method, struct{}{}, result)
+		err = n.callWithin(callTimeout, from, method, struct{}{}, result)
 	}
 	return err
 }
--- a/tier/peers/heartbeat.go
+++ b/tier/peers/heartbeat.go
@@ -19,7 +19,7 @@
 const (
 	// handoverShare is the part of a host's live members that another knows at most, to
 	// which it hands them all over.
-	handoverShare = 0.98
+	fullSyncThreshold = 0.98
 	// startInterval is the time between the heartbeats of a host that starts, when it knows
 	// nobody: all hosts may have been started at once.
 	startInterval = 200 * time.Millisecond
@@ -27,10 +27,10 @@
 	startHeartbeats = 8
 	// confirmFresh is how long ago a document must have been the newest one, for a
 	// heartbeat to confirm it.
-	confirmFresh = 2 * announceLost
+	maxConfirmedAge = 2 * announcerTimeout
 	// heartbeatBound is how long a heartbeat may take. A host of the same hall that has
 	// not answered by then is asked once more, and suspected if it does not answer that.
-	heartbeatBound = 500 * time.Millisecond
+	heartbeatTimeout = 500 * time.Millisecond
 	// maxMembers is the most members that are known without a document, so that what a peer
 	// makes up does not fill the memory.
 	maxMembers = 16_384
@@ -60,7 +60,7 @@
 	DirectoryEra      uint64 `json:",omitempty"`
 	DirectoryRevision uint64 `json:",omitempty"`
 	// Leaving are upstreams of the hall that are known to leave.
-	Leaving []leavingSign `json:",omitempty"`
+	Leaving []leavingReport `json:",omitempty"`
 	// Suspicions are hosts that did not answer heartbeats.
 	Suspicions []suspicion `json:",omitempty"`
 	// Known is how many members the sender knows, silent ones included: one that has found
@@ -79,7 +79,7 @@
 	return config.Edition{Version: h.Version, Position: config.Position{Era: h.Era, Revision: h.Revision}}
 }
 
-type leavingSign struct {
+type leavingReport struct {
 	Upstream string
 	// Age is how long ago the sign was given.
 	Age time.Duration
@@ -89,7 +89,7 @@
 type gossip struct {
 	kernel  *kernel.Kernel
 	node    *node
-	fetches *fetches
+	fetcher *fetcher
 	// announcements takes in what replies announce; nil where no adapter is set.
 	announcements *announcementServer
 	table         *memberTable
@@ -97,13 +97,13 @@
 	// sent counts the rounds of heartbeats sent.
 	sent int
 	// asked counts how often this host asked for an announcement.
-	asked int
+	announcementRequests int
 	// hurrying is true while an extra heartbeat is due.
-	hurrying bool
+	urgentScheduled bool
 	// pauses is how many pauses of this process were taken into account.
-	pauses int
+	seenPauses int
 	// index is the document that the control state's members were last made with.
-	index *config.Index
+	memberIndex *config.Index
 }
 
 // newGossip makes what exchanges heartbeats; its fetches are still to be set.
@@ -143,9 +143,9 @@
 
 func (g *gossip) sendAll(s *kernel.State) {
 	now := g.kernel.Now()
-	if s.Pauses != g.pauses {
-		g.pauses = s.Pauses
-		g.table.restartSilence(now)
+	if s.Pauses != g.seenPauses {
+		g.seenPauses = s.Pauses
+		g.table.resetTimers(now)
 	}
 	g.sent++
 	g.table.tick(now, s.Edition().Revision)
@@ -158,14 +158,14 @@
 }
 
 // hurry sends an extra heartbeat in a moment, if something is to be passed on at once.
-func (g *gossip) hurry() {
-	if g.hurrying || !g.table.takeUrgent() {
+func (g *gossip) scheduleUrgent() {
+	if g.urgentScheduled || !g.table.takeUrgent() {
 		return
 	}
-	g.hurrying = true
-	time.AfterFunc(urgentGap, func() {
+	g.urgentScheduled = true
+	time.AfterFunc(urgentDelay, func() {
 		g.kernel.Do(func(s *kernel.State) {
-			g.hurrying = false
+			g.urgentScheduled = false
 			now := g.kernel.Now()
 			message := g.message(s, now)
 			for _, to := range g.hallPartners(s) {
@@ -189,37 +189,37 @@
 		h.Version, h.Era, h.Revision, h.Digest = s.Index.Version, s.Index.Era, s.Index.Revision, s.Index.Digest
 	}
 	for u, at := range s.Leaving {
-		h.Leaving = append(h.Leaving, leavingSign{Upstream: u, Age: now - at})
+		h.Leaving = append(h.Leaving, leavingReport{Upstream: u, Age: now - at})
 	}
 	return h
 }
 
 func (g *gossip) send(to netip.AddrPort, sentAt time.Duration, message *heartbeat) {
 	var reply heartbeat
-	err := g.node.callWithin(heartbeatBound, to, methodHeartbeat, message, &reply)
+	err := g.node.callWithin(heartbeatTimeout, to, methodHeartbeat, message, &reply)
 	if err != nil {
 		// The connection may have gone silent, or have been lost with a process that
 		// was started again.
-		err = g.node.callWithin(heartbeatBound, to, methodHeartbeat, message, &reply)
+		err = g.node.callWithin(heartbeatTimeout, to, methodHeartbeat, message, &reply)
 	}
 	if err != nil {
 		g.kernel.Log.Debug().Err(err).Msg("heartbeat not answered")
-		g.kernel.Do(func(s *kernel.State) { g.unanswered(s, to, sentAt) })
+		g.kernel.Do(func(s *kernel.State) { g.recordUnanswered(s, to, sentAt) })
 		return
 	}
-	g.kernel.Do(func(s *kernel.State) { g.learn(s, to, &reply) })
+	g.kernel.Do(func(s *kernel.State) { g.apply(s, to, &reply) })
 }
 
 // unanswered notes that a host did not answer a heartbeat. One of another hall is not
 // suspected: it may be the way to its hall that is cut.
-func (g *gossip) unanswered(s *kernel.State, to netip.AddrPort, sentAt time.Duration) {
+func (g *gossip) recordUnanswered(s *kernel.State, to netip.AddrPort, sentAt time.Duration) {
 	for n, m := range s.Members {
 		if m.Peer == to && m.Hall == g.kernel.Settings.Hall {
-			g.table.unanswered(g.kernel.Now(), n, sentAt)
+			g.table.recordUnanswered(g.kernel.Now(), n, sentAt)
 		}
 	}
 	g.updateMembers(s)
-	g.hurry()
+	g.scheduleUrgent()
 }
 
 func (g *gossip) onHeartbeat(ctx context.Context, in *heartbeat) (any, error) {
@@ -231,7 +231,7 @@
 		if s.Index != nil && s.Index.Host(in.Members[0].Host) != nil {
 			from = s.Index.Host(in.Members[0].Host).Peer
 		}
-		g.learn(s, from, in)
+		g.apply(s, from, in)
 		return g.reply(s, in)
 	})
 }
@@ -240,8 +240,8 @@
 func (g *gossip) reply(s *kernel.State, in *heartbeat) heartbeat {
 	now := g.kernel.Now()
 	out := g.message(s, now)
-	if g.table.handsOverTo(in.Known) {
-		out.Members = g.table.handover(now)
+	if g.table.needsFullSync(in.Known) {
+		out.Members = g.table.fullSync(now)
 	}
 	if in.Hall == g.kernel.Settings.Hall && canAnnounce(s) {
 		m := newAnnouncement(g.kernel, s, now)
@@ -251,32 +251,32 @@
 }
 
 // learn takes in a heartbeat, or the reply to one, of the host at an address.
-func (g *gossip) learn(s *kernel.State, from netip.AddrPort, h *heartbeat) {
+func (g *gossip) apply(s *kernel.State, from netip.AddrPort, h *heartbeat) {
 	now := g.kernel.Now()
-	g.table.merge(now, g.credible(s, h.Members))
+	g.table.merge(now, g.filterEntries(s, h.Members))
 	g.table.mergeSuspicions(now, h.Suspicions)
 	g.updateMembers(s)
 	if h.Hall == g.kernel.Settings.Hall {
 		s.PlatformReadAt = max(s.PlatformReadAt, now-max(h.PlatformAge, 0))
-		g.learnLeaving(s, now, h.Leaving)
+		g.applyLeaving(s, now, h.Leaving)
 	}
 	s.NotePublished(config.Position{Era: h.PublishedEra, Revision: h.Published}, h.Refused)
 	if h.Announcement != nil && g.announcements != nil {
-		g.announcements.learn(s, h.Announcement)
+		g.announcements.apply(s, h.Announcement)
 	}
-	g.hurry()
+	g.scheduleUrgent()
 	g.compareEdition(s, now, h)
 	if !from.IsValid() {
 		return
 	}
 	g.compareDirectory(s, now, from, h)
 	if h.edition().Newer(s.Edition()) {
-		g.fetches.fetchDocument(from)
+		g.fetcher.fetchDocument(from)
 	}
 }
 
 // learnLeaving takes in signs of leaving, of upstreams of the document only.
-func (g *gossip) learnLeaving(s *kernel.State, now time.Duration, signs []leavingSign) {
+func (g *gossip) applyLeaving(s *kernel.State, now time.Duration, signs []leavingReport) {
 	for _, u := range signs {
 		if s.Index != nil && s.Index.Upstream(u.Upstream) != nil {
 			s.MarkLeaving(u.Upstream, now-max(u.Age, 0))
@@ -287,7 +287,7 @@
 // credible returns the entries of hosts of the document, so that what a peer makes up
 // does not fill the memory. Before there is a document all count, and where the
 // platform lists no hosts, those with an address, up to maxMembers.
-func (g *gossip) credible(s *kernel.State, entries []memberEntry) []memberEntry {
+func (g *gossip) filterEntries(s *kernel.State, entries []memberEntry) []memberEntry {
 	if g.kernel.Settings.Adapter != "" {
 		return slices.DeleteFunc(entries, func(e memberEntry) bool {
 			_, known := s.Members[e.Host]
--- a/tier/peers/members.go
+++ b/tier/peers/members.go
@@ -16,16 +16,16 @@
 	heartbeatEntries = 24
 	// newsEntries is how many of these are members of which something changed. The rest
 	// are drawn from all, so that no member's entry stays out for long.
-	newsEntries = 12
+	updateEntries = 12
 	// handoverEntries is the most members that are listed for a host that knows few.
-	handoverEntries = 1024
+	fullSyncEntries = 1024
 	// silentHeartbeats is after how many intervals between heartbeats without a newer
 	// entry a member is silent; as many again for each heartbeatEntries of members,
 	// since news of one member is rarer in a large fleet. A suspicion is much faster.
-	silentHeartbeats = 6
+	unresponsiveIntervals = 6
 	// forgetHeartbeats is after how many intervals a member without a newer entry is
 	// forgotten, and never before it was silent for as long as it took to be silent.
-	forgetHeartbeats = 120
+	forgetIntervals = 120
 )
 
 // memberEntry is what heartbeats report of one entry host.
@@ -63,14 +63,14 @@
 type memberRecord struct {
 	memberEntry
 	// risenAt is when a newer entry last came.
-	risenAt time.Duration
-	suspect suspect
+	updatedAt    time.Duration
+	suspectState suspectState
 	// live is whether it counted as live when that was last worked out.
 	live bool
 	// place is its index in the table's order.
-	place int
+	orderIndex int
 	// untold is in how many messages it is still listed as news.
-	untold int
+	transmitsLeft int
 }
 
 type memberTableConfig struct {
@@ -91,17 +91,17 @@
 	records map[string]*memberRecord
 	order   []*memberRecord
 	// news are those with untold above 0.
-	news []*memberRecord
+	updates []*memberRecord
 	// suspects are those that are suspected, or were a moment ago.
 	suspects []*memberRecord
 	// urgent is true while there is something to pass on at once.
 	urgent bool
 	// endedAt is when a suspicion last ended; 0 for never.
-	endedAt time.Duration
+	refutedAt time.Duration
 	// lives counts the records that are live.
-	lives int
+	liveCount int
 	// touched are the names of members that changed since changes was last called.
-	touched []string
+	changedHosts []string
 }
 
 func newMemberTable(c memberTableConfig) *memberTable {
@@ -113,9 +113,9 @@
 func (t *memberTable) tick(now time.Duration, revision uint64) {
 	t.Self.Counter++
 	t.Self.Revision = revision
-	forgetAfter := max(forgetHeartbeats*t.Interval, 2*t.silentAfter())
+	forgetAfter := max(forgetIntervals*t.Interval, 2*t.unresponsiveAfter())
 	for _, r := range slices.Clone(t.order) {
-		if now-r.risenAt > forgetAfter {
+		if now-r.updatedAt > forgetAfter {
 			t.forget(r)
 			continue
 		}
@@ -125,15 +125,15 @@
 
 func (t *memberTable) forget(r *memberRecord) {
 	last := t.order[len(t.order)-1]
-	t.order[r.place], last.place = last, r.place
+	t.order[r.orderIndex], last.orderIndex = last, r.orderIndex
 	t.order = t.order[:len(t.order)-1]
-	t.news = removeFirst(t.news, r)
+	t.updates = removeFirst(t.updates, r)
 	t.suspects = removeFirst(t.suspects, r)
 	delete(t.records, r.Host)
 	if r.live {
-		t.lives--
+		t.liveCount--
 	}
-	t.touched = append(t.touched, r.Host)
+	t.changedHosts = append(t.changedHosts, r.Host)
 }
 
 func (t *memberTable) leave() {
@@ -156,31 +156,31 @@
 	e.Age = 0
 	r := t.records[e.Host]
 	if r == nil {
-		r = &memberRecord{memberEntry: *e, risenAt: now, suspect: suspect{heardAt: heardAt}, live: true, place: len(t.order)}
+		r = &memberRecord{memberEntry: *e, updatedAt: now, suspectState: suspectState{heardAt: heardAt}, live: true, orderIndex: len(t.order)}
 		t.records[e.Host], t.order = r, append(t.order, r)
-		t.lives++
-		t.tell(r)
-		t.touched = append(t.touched, e.Host)
+		t.liveCount++
+		t.queueUpdate(r)
+		t.changedHosts = append(t.changedHosts, e.Host)
 		return
 	}
 	if !e.newerThan(&r.memberEntry) {
 		return
 	}
 	e.Leaving = e.Leaving || r.Leaving && e.Incarnation == r.Incarnation
-	isNews := !e.sameAs(&r.memberEntry)
-	changed := isNews || e.Revision != r.Revision
-	r.memberEntry, r.risenAt = *e, now
+	isUpdate := !e.sameAs(&r.memberEntry)
+	changed := isUpdate || e.Revision != r.Revision
+	r.memberEntry, r.updatedAt = *e, now
 	switch {
-	case r.suspect.heard(heardAt):
+	case r.suspectState.heard(heardAt):
 		t.suspects = removeFirst(t.suspects, r)
-		t.endedAt = now
-		t.tellFirst(r)
-		t.hurry(r)
-	case isNews:
-		t.tell(r)
+		t.refutedAt = now
+		t.queueUpdateFirst(r)
+		t.markUrgent(r)
+	case isUpdate:
+		t.queueUpdate(r)
 	}
 	if changed {
-		t.touched = append(t.touched, e.Host)
+		t.changedHosts = append(t.changedHosts, e.Host)
 	}
 	t.updateLive(now, r)
 }
@@ -190,11 +190,11 @@
 	if live := t.isLive(now, r); live != r.live {
 		r.live = live
 		if live {
-			t.lives++
+			t.liveCount++
 		} else {
-			t.lives--
+			t.liveCount--
 		}
-		t.touched = append(t.touched, r.Host)
+		t.changedHosts = append(t.changedHosts, r.Host)
 	}
 }
 
@@ -202,23 +202,23 @@
 // long, and its newest entry came no longer ago than silentHeartbeats intervals, in a
 // large fleet more.
 func (t *memberTable) isLive(now time.Duration, r *memberRecord) bool {
-	if t.confirmed(now, r) {
+	if t.suspicionExpired(now, r) {
 		return false
 	}
-	return now-r.risenAt <= t.silentAfter()
+	return now-r.updatedAt <= t.unresponsiveAfter()
 }
 
 // silentAfter is how long no newer entry of a member may come until it is silent, if
 // nobody suspects it.
-func (t *memberTable) silentAfter() time.Duration {
-	return silentHeartbeats * t.Interval * time.Duration(1+len(t.records)/heartbeatEntries)
+func (t *memberTable) unresponsiveAfter() time.Duration {
+	return unresponsiveIntervals * t.Interval * time.Duration(1+len(t.records)/heartbeatEntries)
 }
 
 // restartSilence counts the silence of all members from now on: after a pause of this
 // process their silence shows nothing, nor that they did not answer it.
-func (t *memberTable) restartSilence(now time.Duration) {
+func (t *memberTable) resetTimers(now time.Duration) {
 	for _, r := range t.order {
-		r.risenAt, r.suspect = now, suspect{heardAt: now}
+		r.updatedAt, r.suspectState = now, suspectState{heardAt: now}
 		t.updateLive(now, r)
 	}
 	t.suspects = nil
@@ -226,20 +226,20 @@
 
 // timesTold is how many messages list a member that is news. It grows with the logarithm
 // of the fleet, as the time does in which news reaches all.
-func (t *memberTable) timesTold() int { return 2 * bits.Len(uint(len(t.records))) }
+func (t *memberTable) maxTransmits() int { return 2 * bits.Len(uint(len(t.records))) }
 
 // tell has the next messages list a member.
-func (t *memberTable) tell(r *memberRecord) {
-	if r.untold == 0 {
-		t.news = append(t.news, r)
+func (t *memberTable) queueUpdate(r *memberRecord) {
+	if r.transmitsLeft == 0 {
+		t.updates = append(t.updates, r)
 	}
-	r.untold = t.timesTold()
+	r.transmitsLeft = t.maxTransmits()
 }
 
 // tellFirst is tell before all other news, for a member that others may take for silent.
-func (t *memberTable) tellFirst(r *memberRecord) {
-	t.news = slices.Insert(removeFirst(t.news, r), 0, r)
-	r.untold = t.timesTold()
+func (t *memberTable) queueUpdateFirst(r *memberRecord) {
+	t.updates = slices.Insert(removeFirst(t.updates, r), 0, r)
+	r.transmitsLeft = t.maxTransmits()
 }
 
 // entries returns the entries for one heartbeat: this host, then members of which
@@ -247,38 +247,38 @@
 func (t *memberTable) entries(now time.Duration) []memberEntry {
 	out := append(make([]memberEntry, 0, heartbeatEntries), t.Self)
 	if len(t.order) < heartbeatEntries {
-		return t.draw(now, heartbeatEntries, nil, out)
+		return t.appendRandom(now, heartbeatEntries, nil, out)
 	}
 	listed := map[*memberRecord]bool{}
-	for _, r := range slices.Clone(t.news[:min(newsEntries, len(t.news))]) {
+	for _, r := range slices.Clone(t.updates[:min(updateEntries, len(t.updates))]) {
 		listed[r] = true
-		t.news = t.news[1:]
-		if r.untold--; r.untold > 0 {
-			t.news = append(t.news, r)
+		t.updates = t.updates[1:]
+		if r.transmitsLeft--; r.transmitsLeft > 0 {
+			t.updates = append(t.updates, r)
 		}
 		if t.isLive(now, r) {
 			out = append(out, r.entry(now))
 		}
 	}
-	return t.draw(now, heartbeatEntries, listed, out)
+	return t.appendRandom(now, heartbeatEntries, listed, out)
 }
 
 // handsOverTo reports whether a host that knows so many members is to get many.
-func (t *memberTable) handsOverTo(known int) bool {
-	return t.lives > heartbeatEntries && float64(known) < handoverShare*float64(t.lives)
+func (t *memberTable) needsFullSync(known int) bool {
+	return t.liveCount > heartbeatEntries && float64(known) < fullSyncThreshold*float64(t.liveCount)
 }
 
 // handover returns the entries for a host that knows few members: as many live ones as
 // one message may have. Without it, a host that starts in a large fleet meets the others
 // one heartbeat at a time.
-func (t *memberTable) handover(now time.Duration) []memberEntry {
-	return t.draw(now, handoverEntries, nil, []memberEntry{t.Self})
+func (t *memberTable) fullSync(now time.Duration) []memberEntry {
+	return t.appendRandom(now, fullSyncEntries, nil, []memberEntry{t.Self})
 }
 
 // draw appends live members that are not listed yet, drawn at random, up to a number.
-func (t *memberTable) draw(now time.Duration, most int, listed map[*memberRecord]bool, out []memberEntry) []memberEntry {
-	drawsAll := len(t.order) < most
-	for i := 0; i < len(t.order) && len(out) < most; i++ {
+func (t *memberTable) appendRandom(now time.Duration, limit int, listed map[*memberRecord]bool, out []memberEntry) []memberEntry {
+	drawsAll := len(t.order) < limit
+	for i := 0; i < len(t.order) && len(out) < limit; i++ {
 		if !drawsAll {
 			t.swap(i, i+t.Random.IntN(len(t.order)-i))
 		}
@@ -291,21 +291,21 @@
 
 func (t *memberTable) swap(i, j int) {
 	t.order[i], t.order[j] = t.order[j], t.order[i]
-	t.order[i].place, t.order[j].place = i, j
+	t.order[i].orderIndex, t.order[j].orderIndex = i, j
 }
 
 // entry is what a message sent now reports of a member.
 func (r *memberRecord) entry(now time.Duration) memberEntry {
 	e := r.memberEntry
-	e.Age = (now - r.suspect.heardAt).Truncate(agePrecision)
+	e.Age = (now - r.suspectState.heardAt).Truncate(agePrecision)
 	return e
 }
 
 // changes returns the names of the members that changed since it was last called, some
 // of them twice.
-func (t *memberTable) changes() []string {
-	out := t.touched
-	t.touched = nil
+func (t *memberTable) takeChanges() []string {
+	out := t.changedHosts
+	t.changedHosts = nil
 	return out
 }
 
--- a/tier/peers/members_test.go
+++ b/tier/peers/members_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-func table(host string) *memberTable {
+func newTestTable(host string) *memberTable {
 	return newMemberTable(memberTableConfig{Self: memberEntry{Host: host, Incarnation: "1"}, Interval: time.Second, Random: rand.New(rand.NewPCG(1, 0))})
 }
 
@@ -36,17 +36,17 @@
 // addresses has addresses compared by their value.
 var addresses = cmpopts.EquateComparable(netip.AddrPort{})
 
-func TestTableBelievesTheNewest(t *testing.T) {
-	b := table("A")
+func TestTableKeepsNewestEntry(t *testing.T) {
+	b := newTestTable("A")
 	b.merge(0, []memberEntry{{Host: "B", Incarnation: "2", Counter: 5}})
 	b.merge(time.Second, []memberEntry{{Host: "B", Incarnation: "1", Counter: 9}, {Host: "A", Incarnation: "9", Counter: 99}})
 	b.merge(time.Second, []memberEntry{{Host: "B", Incarnation: "2", Counter: 5, Leaving: true}})
 	m := b.members(time.Second)
 	assert.Equal(t, len(m), 1)
 	assert.DeepEqual(t, m[0], knownMember{Entry: memberEntry{Host: "B", Incarnation: "2", Counter: 5}, Live: true}, addresses)
-	assert.Assert(t, !b.members((silentHeartbeats + 1) * time.Second)[0].Live)
-	b.restartSilence((silentHeartbeats + 1) * time.Second)
-	assert.Assert(t, b.members((silentHeartbeats + 1) * time.Second)[0].Live)
+	assert.Assert(t, !b.members((unresponsiveIntervals + 1) * time.Second)[0].Live)
+	b.resetTimers((unresponsiveIntervals + 1) * time.Second)
+	assert.Assert(t, b.members((unresponsiveIntervals + 1) * time.Second)[0].Live)
 }
 
 // TestTableMergesInAnyOrder holds merging to the same result whatever the order
@@ -61,7 +61,7 @@
 			}
 		})
 		news := rapid.SliceOfN(entry, 1, 12).Draw(t, "news")
-		one, other := table("A"), table("A")
+		one, other := newTestTable("A"), newTestTable("A")
 		one.merge(0, news)
 		for _, e := range rapid.Permutation(append(news, news...)).Draw(t, "order") {
 			other.merge(0, []memberEntry{e})
@@ -123,7 +123,7 @@
 		}
 	}
 	assert.Equal(t, steady, watched, "a live host was taken for silent")
-	for range 10 * silentHeartbeats {
+	for range 10 * unresponsiveIntervals {
 		beat(3)
 	}
 	for i, a := range all {
--- a/tier/peers/node.go
+++ b/tier/peers/node.go
@@ -21,18 +21,18 @@
 
 const (
 	// dialBound is how long making a connection to a peer may take.
-	dialBound = time.Second
+	dialTimeout = time.Second
 	// callBound is how long a heartbeat, a fetch or an exchange of strikes may take.
-	callBound = 2 * time.Second
+	callTimeout = 2 * time.Second
 	// acceptPause is the pause after a connection could not be accepted: shorter than
 	// silentBound, at which callers replace the connection.
-	acceptPause = 100 * time.Millisecond
+	acceptRetryDelay = 100 * time.Millisecond
 	// codeHandlerFailed is the JSON-RPC error code of a handler's own error: the first
 	// of those that JSON-RPC 2.0 leaves to servers.
 	codeHandlerFailed = -32000
 )
 
-var dialer = net.Dialer{Timeout: dialBound}
+var dialer = net.Dialer{Timeout: dialTimeout}
 
 // node serves and calls the peer protocol.
 type node struct {
@@ -42,7 +42,7 @@
 	// conns holds the outgoing connection of each address; used with mu locked.
 	conns map[netip.AddrPort]*outgoing
 	// serving holds the incoming connections; used with mu locked.
-	serving map[*jsonrpc2.Conn]bool
+	incoming map[*jsonrpc2.Conn]bool
 }
 
 var _ kernel.PeerCaller = (*node)(nil)
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("listen for peers: %w: free the address or set -Peer", err)
 	}
-	n := &node{kernel: k, listener: l, conns: map[netip.AddrPort]*outgoing{}, serving: map[*jsonrpc2.Conn]bool{}}
+	n := &node{kernel: k, listener: l, conns: map[netip.AddrPort]*outgoing{}, incoming: map[*jsonrpc2.Conn]bool{}}
 	go n.accept()
 	return n, n.close, nil
 }
@@ -64,7 +64,7 @@
 	for _, o := range n.conns {
 		all = append(all, o.rpc)
 	}
-	for c := range n.serving {
+	for c := range n.incoming {
 		all = append(all, c)
 	}
 	n.mu.Unlock()
@@ -84,17 +84,17 @@
 		}
 		if err != nil {
 			n.kernel.Log.Warn().Err(err).Msg("connection of a peer not accepted")
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		conn := n.serveOn(&peerConn{Conn: c, now: n.kernel.Now})
 		n.mu.Lock()
-		n.serving[conn] = true
+		n.incoming[conn] = true
 		n.mu.Unlock()
 		go func() {
 			<-conn.DisconnectNotify()
 			n.mu.Lock()
-			delete(n.serving, conn)
+			delete(n.incoming, conn)
 			n.mu.Unlock()
 		}()
 	}
--- a/tier/peers/node_test.go
+++ b/tier/peers/node_test.go
@@ -37,7 +37,7 @@
 
 // TestHandlerTellsItsCallerMore has a handler tell its caller something before it
 // answers; it comes back on the caller's own connection.
-func TestHandlerTellsItsCallerMore(t *testing.T) {
+func TestHandlerPushesToItsCaller(t *testing.T) {
 	served, _, at := newTestNode(t)
 	served.Handle("Work", func(ctx context.Context, _ json.RawMessage) (any, error) {
 		for i := range 3 {
@@ -82,7 +82,7 @@
 
 // TestAcceptGoesOnAfterAFailure has a host without file descriptors accept peers again
 // once it has some, say why it did not, and end when its listener is closed.
-func TestAcceptGoesOnAfterAFailure(t *testing.T) {
+func TestAcceptContinuesAfterFailure(t *testing.T) {
 	const failures = 3
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -93,7 +93,7 @@
 	t.Cleanup(closeKernel)
 	n := &node{
 		kernel: served, listener: &failingListener{Listener: l, failures: failures},
-		conns: map[netip.AddrPort]*outgoing{}, serving: map[*jsonrpc2.Conn]bool{},
+		conns: map[netip.AddrPort]*outgoing{}, incoming: map[*jsonrpc2.Conn]bool{},
 	}
 	t.Cleanup(n.close)
 	served.Handle("Work", func(context.Context, json.RawMessage) (any, error) { return 1, nil })
@@ -104,12 +104,12 @@
 	}()
 	_, caller, _ := newTestNode(t)
 	var answer int
-	assert.NilError(t, caller.callWithin(callBound, netip.MustParseAddrPort(l.Addr().String()), "Work", struct{}{}, &answer))
+	assert.NilError(t, caller.callWithin(callTimeout, netip.MustParseAddrPort(l.Addr().String()), "Work", struct{}{}, &answer))
 	assert.Equal(t, answer, 1)
 	assert.NilError(t, l.Close())
 	select {
 	case <-ended:
-	case <-time.After(callBound):
+	case <-time.After(callTimeout):
 		t.Fatal("accept goes on though its listener is closed")
 	}
 	assert.Equal(t, strings.Count(log.String(), "too many open files"), failures, log.String())
--- a/tier/peers/norace_test.go
+++ b/tier/peers/norace_test.go
@@ -3,7 +3,7 @@
 package peers
 
 // manyHosts is the largest number of hosts of a test in virtual time.
-const manyHosts = 300
+const maxFleetHosts = 300
 
 // modelMost is the largest fleet of which each host's table is modelled.
-const modelMost = 584
+const maxModelHosts = 584
--- a/tier/peers/partners.go
+++ b/tier/peers/partners.go
@@ -20,18 +20,18 @@
 	otherHallPartners = 1
 	// meetHeartbeats is for how many heartbeats a host that announces has them go to all
 	// halls, after those of its start.
-	meetHeartbeats = 15
+	introductionHeartbeats = 15
 	// silentPartners is how many silent hosts a heartbeat that goes to one is sent to.
-	silentPartners = 1
+	unresponsivePartners = 1
 	// seedPartners is how many seeds a heartbeat that goes to seeds is sent to.
 	seedPartners = 2
 	// otherHallEvery has every so many heartbeats go to another hall too.
 	otherHallEvery = 3
 	// otherHallRarer is how many times more rarely those of a host go there whose hall has
 	// a reader, which sends them: bytes between halls are dear.
-	otherHallRarer = 5
+	nonAnnouncerFactor = 5
 	// silentEvery has every so many heartbeats go to a silent host too.
-	silentEvery = 2
+	unresponsiveEvery = 2
 	// seedEvery has every so many heartbeats go to seeds that are no members: so a host
 	// that was cut off finds the others again.
 	seedEvery = 5
@@ -41,20 +41,20 @@
 // size of the fleet. Its inputs are the members (live or silent, by the last
 // heartbeats), the document's hosts, the seeds and the count of heartbeats sent.
 func (g *gossip) partners(s *kernel.State) []netip.AddrPort {
-	hall, silent, other := g.sortHosts(s)
+	hall, unresponsive, other := g.sortHosts(s)
 	out := g.partnersAmong(s, hall)
 	if len(hall) == 0 {
 		// Nobody is left whose heartbeats would show that a silent host is back.
-		out = g.sample(silent, hallPartners)
+		out = g.sample(unresponsive, hallPartners)
 	}
 	switch {
-	case s.Announcing && (g.meets() || g.table.suspecting(g.kernel.Now())):
+	case s.Announcing && (g.recentlyStarted() || g.table.hasRecentSuspicions(g.kernel.Now())):
 		out = append(out, g.oneOfEachHall(s)...)
-	case g.crosses(s):
+	case g.sendsToOtherHall(s):
 		out = append(out, g.sample(other, otherHallPartners)...)
 	}
-	if g.sent%silentEvery == 0 {
-		out = append(out, g.sample(silent, silentPartners)...)
+	if g.sent%unresponsiveEvery == 0 {
+		out = append(out, g.sample(unresponsive, unresponsivePartners)...)
 	}
 	if len(out) == 0 || g.sent%seedEvery == 0 {
 		out = append(out, g.sample(g.unknownSeeds(s), seedPartners)...)
@@ -83,9 +83,9 @@
 
 // meets reports whether this host has started lately, and not so lately that all hosts of
 // a hall that starts still take themselves for the one that announces.
-func (g *gossip) meets() bool {
+func (g *gossip) recentlyStarted() bool {
 	sent := g.sent - startHeartbeats
-	return sent > 0 && sent <= meetHeartbeats
+	return sent > 0 && sent <= introductionHeartbeats
 }
 
 // oneOfEachHall draws a live host of each other hall. The host that announces has its
@@ -103,33 +103,33 @@
 
 // sortHosts divides the other hosts into those of this hall, silent ones, and those of
 // other halls. With an adapter the silent ones are of any hall, else of this hall only.
-func (g *gossip) sortHosts(s *kernel.State) (hall, silent, other []netip.AddrPort) {
+func (g *gossip) sortHosts(s *kernel.State) (hall, unresponsive, other []netip.AddrPort) {
 	for _, h := range g.hosts(s) {
 		m, known := s.Members[h.Name]
-		isSilent := known && !m.Live
+		isUnresponsive := known && !m.Live
 		switch {
-		case isSilent && g.kernel.Settings.Adapter != "":
-			silent = append(silent, h.Peer)
+		case isUnresponsive && g.kernel.Settings.Adapter != "":
+			unresponsive = append(unresponsive, h.Peer)
 		case h.Hall != g.kernel.Settings.Hall:
 			other = append(other, h.Peer)
-		case isSilent:
-			silent = append(silent, h.Peer)
+		case isUnresponsive:
+			unresponsive = append(unresponsive, h.Peer)
 		default:
 			hall = append(hall, h.Peer)
 		}
 	}
-	return hall, silent, other
+	return hall, unresponsive, other
 }
 
 // crosses reports whether this heartbeat goes to another hall too. Where one host of a
 // hall reads the platform, that one informs the other halls. A host that has to learn
 // from peers asks there each time.
-func (g *gossip) crosses(s *kernel.State) bool {
+func (g *gossip) sendsToOtherHall(s *kernel.State) bool {
 	switch {
 	case s.FeedDown:
 		return true
 	case g.kernel.Settings.Adapter != "" && !s.Announcing:
-		return g.sent%(otherHallEvery*otherHallRarer) == 0
+		return g.sent%(otherHallEvery*nonAnnouncerFactor) == 0
 	default:
 		return g.sent%otherHallEvery == 0
 	}
@@ -166,11 +166,11 @@
 
 // byHall lists the members that a test picks: those of one hall, and those of each
 // other.
-func byHall(members map[string]kernel.Member, hall string, picks func(*kernel.Member) bool) (near []string, far map[string][]string) {
+func byHall(members map[string]kernel.Member, hall string, match func(*kernel.Member) bool) (near []string, far map[string][]string) {
 	far = map[string][]string{}
 	for n, m := range members {
 		switch {
-		case !picks(&m):
+		case !match(&m):
 		case m.Hall == hall:
 			near = append(near, n)
 		default:
@@ -181,11 +181,11 @@
 }
 
 // hostsOf lists the hosts of a document but one; none if there is no document.
-func hostsOf(x *config.Index, but string) []config.Host {
+func hostsOf(x *config.Index, except string) []config.Host {
 	if x == nil {
 		return nil
 	}
-	return slices.DeleteFunc(slices.Clone(x.Document.Hosts), func(h config.Host) bool { return h.Name == but })
+	return slices.DeleteFunc(slices.Clone(x.Document.Hosts), func(h config.Host) bool { return h.Name == except })
 }
 
 // sample returns at most n items of a list, as a permutation draws them.
--- a/tier/peers/partners_test.go
+++ b/tier/peers/partners_test.go
@@ -20,9 +20,9 @@
 		announcing, down          bool
 		hall, other, silent, seed int
 	}{
-		{"another host of the hall announces", false, false, 2 * rounds, rounds / (otherHallEvery * otherHallRarer), rounds / silentEvery, rounds / seedEvery},
-		{"this host announces", true, false, 2 * rounds, rounds / otherHallEvery, rounds / silentEvery, rounds / seedEvery},
-		{"the platform does not answer", true, true, 2 * rounds, rounds, rounds / silentEvery, rounds / seedEvery},
+		{"another host of the hall announces", false, false, 2 * rounds, rounds / (otherHallEvery * nonAnnouncerFactor), rounds / unresponsiveEvery, rounds / seedEvery},
+		{"this host announces", true, false, 2 * rounds, rounds / otherHallEvery, rounds / unresponsiveEvery, rounds / seedEvery},
+		{"the platform does not answer", true, true, 2 * rounds, rounds, rounds / unresponsiveEvery, rounds / seedEvery},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/tier/peers/plugin.go
+++ b/tier/peers/plugin.go
@@ -36,19 +36,19 @@
 	}
 	k.Peers = n
 	g := newGossip(k, n, rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 0)))
-	g.fetches = serveFetches(k, n, g.sendAll)
-	server := &announcementServer{kernel: k, fetches: g.fetches}
+	g.fetcher = newFetcher(k, n, g.sendAll)
+	server := &announcementServer{kernel: k, fetcher: g.fetcher}
 	kernel.HandleMessage(k, methodAnnounce, "announcement", server.onAnnouncement)
 	kernel.HandleMessage(k, methodHeartbeat, "heartbeat", g.onHeartbeat)
-	stopStrikes := ServeStrikes(k)
+	stopCrashReports := ServeCrashReports(k)
 	loops := []func(context.Context){g.loop}
 	if k.Settings.Adapter != "" {
 		g.announcements = server
-		loops = append(loops, g.seekLoop)
+		loops = append(loops, g.discoveryLoop)
 	}
 	stopHeartbeats := kernel.RunLoops(ctx, loops...)
 	return func() {
-		stopStrikes()
+		stopCrashReports()
 		stopHeartbeats()
 		closeNode()
 	}, nil
--- a/tier/peers/reader.go
+++ b/tier/peers/reader.go
@@ -28,43 +28,43 @@
 	// announceLost is how long a host goes without announcements before another takes over:
 	// three lost messages. A change must be in force within seconds though the reader is
 	// gone.
-	announceLost = 1300 * time.Millisecond
+	announcerTimeout = 1300 * time.Millisecond
 	// takeoverStep is how long each host of a hall waits for each one ranked before it,
 	// once nobody announces any more. Without it, all hosts of a hall take over at once
 	// and hold up requests by announcing to one another.
 	takeoverStep = 50 * time.Millisecond
 	// takeoverStepsMost is the most steps that a host waits: a second.
-	takeoverStepsMost = 20
+	maxTakeoverSteps = 20
 	// spreadSteps is over how many steps the announcers of several halls are spread: they
 	// do not know how they rank among one another.
-	spreadSteps = 5
+	announcerSpreadSteps = 5
 	// failedReadersMost is how many hosts of a hall, or halls, try to read a platform that
 	// does not answer: it may turn some hosts away and serve others.
-	failedReadersMost = 3
+	maxFailedReaders = 3
 	// secondReadLeast is the least age of a starting host at which it may read the
 	// platform beyond its first read, which may be an old one since an old one costs a
 	// tenth: by then hosts have met, in three heartbeats. Without this wait each of 295
 	// hosts that start together asks the platform whether its first read was old, some
 	// 295 calls a start.
-	secondReadLeast = 300 * time.Millisecond
+	minSecondReadAge = 300 * time.Millisecond
 	// secondReadSpread is over how long the second reads of starting hosts are spread; it
 	// ends before a change is due.
 	secondReadSpread = 1200 * time.Millisecond
 	// slowAnswer is how long the answer to a watch may take beyond the time that the
 	// watch waits: that of a platform 60 times slower than its 4 ms, and a busy host.
-	slowAnswer = 500 * time.Millisecond
+	maxAnswerDelay = 500 * time.Millisecond
 )
 
 // watchKey is what hosts are ranked for by rendezvous hashing.
 const watchKey = "watch"
 
 // staleAfter is the age of a reader's last read from which on it does not count as one.
-func staleAfter(s *kernel.Settings) time.Duration { return s.WatchWait + slowAnswer }
+func maxReadAge(s *kernel.Settings) time.Duration { return s.WatchWait + maxAnswerDelay }
 
 // updateRole decides anew whether this host announces and reads, and logs a change; it
 // returns true if there was one. It runs on the control thread.
 func updateRole(k *kernel.Kernel, s *kernel.State) bool {
-	announces, reads := roleOf(k, s)
+	announces, reads := decideRole(k, s)
 	changed := announces != s.Announcing || reads != s.Reading
 	if changed {
 		s.Announcing, s.Reading = announces, reads
@@ -84,7 +84,7 @@
 // announcement of each host that announces, and the age of this process. A host that
 // knows of nothing yet reads at once, and announces nothing: others know more. It runs on
 // the control thread.
-func roleOf(k *kernel.Kernel, s *kernel.State) (announces, reads bool) {
+func decideRole(k *kernel.Kernel, s *kernel.State) (announces, reads bool) {
 	if s.Directory == nil {
 		return false, true
 	}
@@ -93,17 +93,17 @@
 		return false, false
 	}
 	r := newReaderRanking(s, &k.Settings)
-	if !r.isFirst(now, s.HallAnnouncers, r.hostsBefore(s)) {
+	if !r.isFirst(now, s.HallAnnouncers, r.countRankedBefore(s)) {
 		return false, false
 	}
-	spread := int(xxhash.Sum64String(k.Settings.Host) % spreadSteps)
+	spread := int(xxhash.Sum64String(k.Settings.Host) % announcerSpreadSteps)
 	return true, r.isFirst(now, s.OtherReaders, spread)
 }
 
 // secondReadAt is the age from which on a host may read the platform beyond its first
 // read. The one whose time comes first announces to the others before theirs comes.
 func secondReadAt(host string) time.Duration {
-	return secondReadLeast + time.Duration(xxhash.Sum64String("start "+host)%uint64(secondReadSpread))
+	return minSecondReadAge + time.Duration(xxhash.Sum64String("start "+host)%uint64(secondReadSpread))
 }
 
 // readerRanking orders hosts for reading the platform and announcing what was read:
@@ -127,7 +127,7 @@
 // compare orders two hosts, the better first.
 func (r *readerRanking) compare(a, b string) int {
 	return cmp.Or(
-		cmp.Compare(r.weakness(a), r.weakness(b)),
+		cmp.Compare(r.capacityClass(a), r.capacityClass(b)),
 		cmp.Compare(policy.Affinity(watchKey, a), policy.Affinity(watchKey, b)),
 		cmp.Compare(a, b),
 	)
@@ -135,7 +135,7 @@
 
 // weakness is 0 for a strong host and 1 for another. One that is not known counts as
 // strong as this one.
-func (r *readerRanking) weakness(host string) int {
+func (r *readerRanking) capacityClass(host string) int {
 	capacity := cmp.Or(r.members[host].Capacity, r.settings.Capacity())
 	if policy.IsCoordinator(capacity, r.strongest) {
 		return 0
@@ -143,15 +143,15 @@
 	return 1
 }
 
-func (r *readerRanking) isBefore(host string) bool { return r.compare(host, r.settings.Host) < 0 }
+func (r *readerRanking) ranksBefore(host string) bool { return r.compare(host, r.settings.Host) < 0 }
 
 // hostsBefore counts the live hosts of the hall that rank before this one and have
 // never announced: each has its time to take over before.
-func (r *readerRanking) hostsBefore(s *kernel.State) int {
+func (r *readerRanking) countRankedBefore(s *kernel.State) int {
 	n := 0
 	for host, m := range s.Members {
 		_, announced := s.HallAnnouncers[host]
-		if m.Staying() && m.Hall == r.settings.Hall && !announced && r.isBefore(host) {
+		if m.Staying() && m.Hall == r.settings.Hall && !announced && r.ranksBefore(host) {
 			n++
 		}
 	}
@@ -166,12 +166,12 @@
 	failing := 0
 	vacantAt := time.Duration(0)
 	for host, a := range announcers {
-		if !r.isBefore(host) {
+		if !r.ranksBefore(host) {
 			continue
 		}
 		switch {
-		case now-a.At >= announceLost:
-			vacantAt = max(vacantAt, a.At+announceLost)
+		case now-a.At >= announcerTimeout:
+			vacantAt = max(vacantAt, a.At+announcerTimeout)
 		case a.Lost:
 			failing++
 			vacantAt = max(vacantAt, a.Since)
@@ -179,6 +179,6 @@
 			return false
 		}
 	}
-	wait := time.Duration(min(steps, takeoverStepsMost)) * takeoverStep
-	return failing < failedReadersMost && now-vacantAt >= wait
+	wait := time.Duration(min(steps, maxTakeoverSteps)) * takeoverStep
+	return failing < maxFailedReaders && now-vacantAt >= wait
 }
--- a/tier/peers/reader_test.go
+++ b/tier/peers/reader_test.go
@@ -14,7 +14,7 @@
 )
 
 // ranked returns names of hosts in their order for reading the platform.
-func ranked(n int) []string {
+func rankedHosts(n int) []string {
 	var names []string
 	for i := range n {
 		names = append(names, fmt.Sprint("H", i))
@@ -24,10 +24,10 @@
 
 // TestIsFirst has a host hear of others that rank before or after it.
 func TestIsFirst(t *testing.T) {
-	names := ranked(6)
+	names := rankedHosts(6)
 	const now = time.Minute
 	fresh := kernel.AnnouncerReport{At: now, Since: now - time.Second}
-	silent := kernel.AnnouncerReport{At: now - announceLost, Since: 1}
+	silent := kernel.AnnouncerReport{At: now - announcerTimeout, Since: 1}
 	inVain := kernel.AnnouncerReport{At: now, Lost: true, Since: now - time.Second}
 	tests := []struct {
 		name string
@@ -47,7 +47,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				k := newHallKernel(t, names[4])
+				k := newTestKernel(t, names[4])
 				time.Sleep(now)
 				heard := map[string]kernel.AnnouncerReport{}
 				for place, h := range tt.heard {
@@ -62,21 +62,21 @@
 
 // hall is a data hall in virtual time whose hosts hear of one another a while
 // after something was announced.
-type hall struct {
-	hosts []*hallHost
+type hallModel struct {
+	hosts []*hallModelHost
 	delay time.Duration
 }
 
-type hallHost struct {
+type hallModelHost struct {
 	settings kernel.Settings
 	state    *kernel.State
 	// tells is true while it announces, tried once it has.
-	tells, tried bool
+	announcing, tookOver bool
 }
 
 // newHall makes hosts that know of one another, of which some are strong.
-func newHall(hosts, strong int, delay time.Duration) *hall {
-	h := &hall{delay: delay}
+func newHallModel(hosts, strong int, delay time.Duration) *hallModel {
+	h := &hallModel{delay: delay}
 	members := map[string]kernel.Member{}
 	for i := range hosts {
 		s := kernel.Settings{Host: fmt.Sprint("H", i), Hall: "A", Cores: 0.2}
@@ -84,7 +84,7 @@
 			s.Cores = 0.8
 		}
 		members[s.Host] = kernel.Member{Host: s.Host, Hall: "A", Live: true, Capacity: s.Capacity()}
-		h.hosts = append(h.hosts, &hallHost{settings: s})
+		h.hosts = append(h.hosts, &hallModelHost{settings: s})
 	}
 	for _, o := range h.hosts {
 		mine := maps.Clone(members)
@@ -95,7 +95,7 @@
 }
 
 // hear has all hosts but one hear an announcement of it.
-func (h *hall) hear(from string, sent, now time.Duration, lost bool) {
+func (h *hallModel) deliver(from string, sent, now time.Duration, lost bool) {
 	for _, o := range h.hosts {
 		if o.settings.Host != from {
 			o.state.HallAnnouncers[from] = o.state.HallAnnouncers[from].Next(max(now, sent+h.delay), lost)
@@ -105,7 +105,7 @@
 
 // play has the hall decide who announces, from a time on, while the platform
 // answers nobody, and returns how many hosts took over.
-func (h *hall) play(from, until time.Duration) int {
+func (h *hallModel) run(from, until time.Duration) int {
 	type sent struct {
 		by string
 		at time.Duration
@@ -114,23 +114,23 @@
 	const step = 10 * time.Millisecond
 	for now := from; now < until; now += step {
 		for len(under) > 0 && now >= under[0].at+h.delay {
-			h.hear(under[0].by, under[0].at, now, true)
+			h.deliver(under[0].by, under[0].at, now, true)
 			under = under[1:]
 		}
 		for i, o := range h.hosts {
 			r := newReaderRanking(o.state, &o.settings)
-			tells := r.isFirst(now, o.state.HallAnnouncers, r.hostsBefore(o.state))
+			announcing := r.isFirst(now, o.state.HallAnnouncers, r.countRankedBefore(o.state))
 			// Each announces when it takes over, and then at its own times.
-			due := (now+time.Duration(i)*step)%announceEvery < step
-			if tells && (!o.tells || due) {
+			due := (now+time.Duration(i)*step)%announceInterval < step
+			if announcing && (!o.announcing || due) {
 				under = append(under, sent{o.settings.Host, now})
 			}
-			o.tells, o.tried = tells, o.tried || tells
+			o.announcing, o.tookOver = announcing, o.tookOver || announcing
 		}
 	}
 	n := 0
 	for _, o := range h.hosts {
-		if o.tried {
+		if o.tookOver {
 			n++
 		}
 	}
@@ -145,7 +145,7 @@
 		for _, delay := range []time.Duration{0, 20 * time.Millisecond, 40 * time.Millisecond} {
 			for _, lost := range []bool{true, false} {
 				t.Run(fmt.Sprintf("%d hosts, %s, lost %t", hosts, delay, lost), func(t *testing.T) {
-					h := newHall(hosts, min(3, hosts), delay)
+					h := newHallModel(hosts, min(3, hosts), delay)
 					names := make([]string, 0, hosts)
 					for _, o := range h.hosts {
 						names = append(names, o.settings.Host)
@@ -154,12 +154,12 @@
 					for _, o := range h.hosts {
 						o.state.HallAnnouncers[first] = kernel.AnnouncerReport{At: now - time.Millisecond, Since: now - time.Millisecond, Lost: lost}
 						if !lost {
-							o.state.HallAnnouncers[first] = kernel.AnnouncerReport{At: now - announceLost, Since: 1}
+							o.state.HallAnnouncers[first] = kernel.AnnouncerReport{At: now - announcerTimeout, Since: 1}
 						}
 					}
-					tried := h.play(now, now+5*time.Second)
+					tried := h.run(now, now+5*time.Second)
 					assert.Assert(t, tried >= min(2, hosts-1), "%d took over", tried)
-					assert.Assert(t, tried <= failedReadersMost+2, "%d took over", tried)
+					assert.Assert(t, tried <= maxFailedReaders+2, "%d took over", tried)
 				})
 			}
 		}
--- a/tier/peers/refused_test.go
+++ b/tier/peers/refused_test.go
@@ -21,8 +21,8 @@
 
 // fleetOf are hosts in virtual time that read one platform and announce to one
 // another; a message takes a millisecond.
-type fleetOf struct {
-	platform *published
+type testFleet struct {
+	platform *fakePlatform
 	kernels  map[string]*kernel.Kernel
 
 	mu sync.Mutex
@@ -31,7 +31,7 @@
 }
 
 // Call implements kernel.PeerCaller.
-func (f *fleetOf) Call(ctx context.Context, host, method string, params, _ any) error {
+func (f *testFleet) Call(ctx context.Context, host, method string, params, _ any) error {
 	time.Sleep(time.Millisecond)
 	text, err := json.Marshal(params)
 	if err != nil {
@@ -42,37 +42,37 @@
 }
 
 // Notify implements kernel.PeerCaller.
-func (f *fleetOf) Notify(ctx context.Context, host, method string, params any) error {
+func (f *testFleet) Notify(ctx context.Context, host, method string, params any) error {
 	return f.Call(ctx, host, method, params, nil)
 }
 
 // Connect implements kernel.PeerCaller.
-func (f *fleetOf) Connect(context.Context, string) error { return nil }
+func (f *testFleet) Connect(context.Context, string) error { return nil }
 
 // refuse has the platform turn a host away, or serve it again.
-func (f *fleetOf) refuse(host string, refused bool) {
+func (f *testFleet) refuse(host string, refused bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.refused[host] = refused
 }
 
 // sourceOf is the platform as one host reads it.
-type sourceOf struct {
-	fleet *fleetOf
+type hostSource struct {
+	fleet *testFleet
 	host  string
 }
 
-func (s *sourceOf) err() error {
+func (s *hostSource) err() error {
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
 	if s.fleet.refused[s.host] {
-		return errAway
+		return errUnavailable
 	}
 	return nil
 }
 
 // Read implements kernel.Source.
-func (s *sourceOf) Read(ctx context.Context, exact bool) (*kernel.Published, error) {
+func (s *hostSource) Read(ctx context.Context, exact bool) (*kernel.Published, error) {
 	if err := s.err(); err != nil {
 		return nil, err
 	}
@@ -81,7 +81,7 @@
 
 // Watch implements kernel.Source; a watch under way when the host is turned away
 // ends in vain.
-func (s *sourceOf) Watch(ctx context.Context, after config.Position, wait time.Duration) (*kernel.Published, error) {
+func (s *hostSource) Watch(ctx context.Context, after config.Position, wait time.Duration) (*kernel.Published, error) {
 	if err := s.err(); err != nil {
 		return nil, err
 	}
@@ -93,8 +93,8 @@
 }
 
 // newFleetOf starts hosts of two halls that know one another.
-func newFleetOf(t *testing.T, ctx context.Context, hosts int) *fleetOf {
-	f := &fleetOf{platform: newPublished(), kernels: map[string]*kernel.Kernel{}, refused: map[string]bool{}}
+func newTestFleet(t *testing.T, ctx context.Context, hosts int) *testFleet {
+	f := &testFleet{platform: newFakePlatform(), kernels: map[string]*kernel.Kernel{}, refused: map[string]bool{}}
 	f.platform.list("U0")
 	members := map[string]kernel.Member{}
 	at := netip.MustParseAddrPort("127.0.0.1:1")
@@ -108,7 +108,7 @@
 	}
 	for host, k := range f.kernels {
 		// What is announced is enough: nothing is fetched.
-		kernel.HandleMessage(k, methodAnnounce, "announcement", serverWithoutFetches(k).onAnnouncement)
+		kernel.HandleMessage(k, methodAnnounce, "announcement", newServerWithoutFetches(k).onAnnouncement)
 		k.Do(func(s *kernel.State) {
 			for n, m := range members {
 				if n != host {
@@ -116,7 +116,7 @@
 				}
 			}
 		})
-		r := &feed{kernel: k, source: &sourceOf{fleet: f, host: host}, announcer: &announcer{kernel: k}}
+		r := &feed{kernel: k, source: &hostSource{fleet: f, host: host}, announcer: &announcer{kernel: k}}
 		k.OnView(r.announcer.onView)
 		go r.loop(ctx)
 		go r.announcer.loop(ctx)
@@ -125,7 +125,7 @@
 }
 
 // reader is the host that reads the platform for all; empty for none or several.
-func (f *fleetOf) reader() string {
+func (f *testFleet) reader() string {
 	found := ""
 	for n, k := range f.kernels {
 		if k.View().Reading {
@@ -139,7 +139,7 @@
 }
 
 // knownBy reports whether all hosts list an upstream.
-func (f *fleetOf) knownBy(name string) bool {
+func (f *testFleet) knownBy(name string) bool {
 	for _, k := range f.kernels {
 		if !slices.Contains(listedNames(k), name) {
 			return false
@@ -152,7 +152,7 @@
 // for 20 s and publish something each second: all hosts know each within 2.2 s, the
 // time to notice a reader that hears nothing, once. Where a host that is turned
 // away is taken for the reader again by what it hears from others, the gaps recur.
-func TestNewsArriveWhileTheReaderIsTurnedAway(t *testing.T) {
+func TestChangesArriveWhileTheReaderIsRefused(t *testing.T) {
 	const (
 		bound = 2200 * time.Millisecond
 		look  = 50 * time.Millisecond
@@ -161,7 +161,7 @@
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
-				f := newFleetOf(t, ctx, hosts)
+				f := newTestFleet(t, ctx, hosts)
 				time.Sleep(5 * time.Second)
 				first := f.reader()
 				assert.Assert(t, first != "", "not one reader")
@@ -174,7 +174,7 @@
 					for ; !f.knownBy(name) && took < 10*time.Second; took += look {
 						time.Sleep(look)
 					}
-					if took > 2*announceEvery {
+					if took > 2*announceInterval {
 						late++
 					}
 					assert.Check(t, took <= bound, "%s after %s", name, took)
--- a/tier/peers/lapse.go
+++ b/tier/peers/removal_hold.go
@@ -10,33 +10,35 @@
 	// lapseHold is how long an upstream stays listed that was gone when the platform came
 	// back: its entry may have lapsed meanwhile, and it lists itself again within about two
 	// seconds.
-	lapseHold = 2500 * time.Millisecond
+	removalHoldTime = 2500 * time.Millisecond
 	// lapseLate is how long after its return the platform may still remove what lapsed
 	// while it was away.
-	lapseLate = time.Second
+	lateRemovalWindow = time.Second
 )
 
 // lapse holds removals of upstreams back that the platform's own absence may have
 // caused. All times are since the process started.
-type lapse struct {
+type removalHold struct {
 	// until is when removals that come are no longer held back.
-	until time.Duration
+	holdUntil time.Duration
 	// removals are held back until due.
 	removals []config.Removal
 	due      time.Duration
 }
 
-func (l *lapse) platformReturned(now time.Duration) { l.until = now + lapseLate }
+func (l *removalHold) platformReturned(now time.Duration) { l.holdUntil = now + lateRemovalWindow }
 
 // historyReturned is platformReturned for a platform that came back with another history:
 // what was held for the one before is decided by this one.
-func (l *lapse) historyReturned(now time.Duration) { *l = lapse{until: now + lapseLate} }
+func (l *removalHold) historyReturned(now time.Duration) {
+	*l = removalHold{holdUntil: now + lateRemovalWindow}
+}
 
 // hold takes the removals out of a change of a directory and keeps them, if the
 // platform was away a moment ago. What an operator has written does not lapse, so an
 // evacuation that a whole directory lacks has ended.
-func (l *lapse) hold(now time.Duration, d *config.Directory, c *config.DirectoryChange) {
-	if now >= l.until {
+func (l *removalHold) hold(now time.Duration, d *config.Directory, c *config.DirectoryChange) {
+	if now >= l.holdUntil {
 		return
 	}
 	l.removals = append(l.removals, c.Removed...)
@@ -45,13 +47,13 @@
 		c.Resumed = append(c.Resumed, d.LackingEvacuations(c)...)
 	}
 	if len(l.removals) > 0 && l.due <= now {
-		l.due = now + lapseHold
+		l.due = now + removalHoldTime
 	}
 	c.Removed, c.Whole = nil, false
 }
 
 // release returns the removals that are due and holds them no longer.
-func (l *lapse) release(now time.Duration) []config.Removal {
+func (l *removalHold) release(now time.Duration) []config.Removal {
 	if now < l.due {
 		return nil
 	}
@@ -62,9 +64,9 @@
 
 // wait shortens the time that a read may take so that held removals are released in
 // time.
-func (l *lapse) wait(now, most time.Duration) time.Duration {
+func (l *removalHold) wait(now, limit time.Duration) time.Duration {
 	if len(l.removals) == 0 {
-		return most
+		return limit
 	}
-	return min(most, max(l.due-now, 0))
+	return min(limit, max(l.due-now, 0))
 }
--- a/tier/peers/lapse_test.go
+++ b/tier/peers/removal_hold_test.go
@@ -11,7 +11,7 @@
 
 // TestLapseHoldsRemovalsAfterAnAbsence has changes come a while after the platform
 // returned.
-func TestLapseHoldsRemovalsAfterAnAbsence(t *testing.T) {
+func TestRemovalsAreHeldAfterOutage(t *testing.T) {
 	const returned = time.Minute
 	var listed *config.Directory
 	listed, _ = listed.With(&config.DirectoryChange{
@@ -29,29 +29,29 @@
 		resumed int
 	}{
 		{"a removal at once", 0, removal, removal.Removed, 0},
-		{"a removal late", lapseLate - 1, removal, removal.Removed, 0},
-		{"a removal later", lapseLate, removal, nil, 0},
+		{"a removal late", lateRemovalWindow - 1, removal, removal.Removed, 0},
+		{"a removal later", lateRemovalWindow, removal, nil, 0},
 		{"a whole directory that lacks one", 0, whole, removal.Removed, 1},
-		{"a whole directory later", lapseLate, whole, nil, 0},
+		{"a whole directory later", lateRemovalWindow, whole, nil, 0},
 		{"nothing removed", 0, config.DirectoryChange{Revision: 4}, nil, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			l, c, now := lapse{}, tt.change, returned+tt.after
+			l, c, now := removalHold{}, tt.change, returned+tt.after
 			l.platformReturned(returned)
 			l.hold(now, listed, &c)
 			assert.DeepEqual(t, l.removals, tt.held)
 			assert.Equal(t, len(c.Resumed), tt.resumed)
 			if tt.held == nil {
 				assert.Equal(t, l.wait(now, time.Hour), time.Hour)
-				assert.Equal(t, len(l.release(now+lapseHold)), 0)
+				assert.Equal(t, len(l.release(now+removalHoldTime)), 0)
 				return
 			}
 			assert.Assert(t, c.Removed == nil && !c.Whole)
-			assert.Equal(t, l.wait(now, time.Hour), lapseHold)
-			assert.Equal(t, len(l.release(now+lapseHold-1)), 0)
-			assert.DeepEqual(t, l.release(now+lapseHold), tt.held)
-			assert.Equal(t, len(l.release(now+lapseHold)), 0, "it is released once")
+			assert.Equal(t, l.wait(now, time.Hour), removalHoldTime)
+			assert.Equal(t, len(l.release(now+removalHoldTime-1)), 0)
+			assert.DeepEqual(t, l.release(now+removalHoldTime), tt.held)
+			assert.Equal(t, len(l.release(now+removalHoldTime)), 0, "it is released once")
 		})
 	}
 }
--- a/tier/peers/restore.go
+++ b/tier/peers/restore.go
@@ -24,7 +24,7 @@
 
 // restore follows the eras of the platform for the host that reads it. All times are
 // since the process started.
-type restore struct {
+type eraTracker struct {
 	// era is that of the last read; 0 for none.
 	era uint64
 	// settleAt is when the platform is read once more, so that the era is settled; 0 if
@@ -35,26 +35,26 @@
 }
 
 // begin reports whether it is time for the read that settles the era.
-func (r *restore) begin(now time.Duration) bool {
+func (r *eraTracker) begin(now time.Duration) bool {
 	r.settling = r.settleAt > 0 && now >= r.settleAt
 	return r.settling
 }
 
 // failed notes that a read failed, so that it settles nothing.
-func (r *restore) failed() { r.settling = false }
+func (r *eraTracker) failed() { r.settling = false }
 
 // wait shortens the time that a read may take so that the era is settled in time.
-func (r *restore) wait(now, most time.Duration) time.Duration {
+func (r *eraTracker) wait(now, limit time.Duration) time.Duration {
 	if r.settleAt == 0 {
-		return most
+		return limit
 	}
-	return min(most, max(r.settleAt-now, 0))
+	return min(limit, max(r.settleAt-now, 0))
 }
 
 // follow notes the era of what was read, and marks in it what may come from the copy
 // that the era began with. It reports whether the platform has come back with another
 // history than the one known here. It runs on the control thread.
-func (r *restore) follow(k *kernel.Kernel, s *kernel.State, p *kernel.Published, now time.Duration) (returned bool) {
+func (r *eraTracker) observe(k *kernel.Kernel, s *kernel.State, p *kernel.Published, now time.Duration) (returned bool) {
 	era, known := p.Position.Era, s.Directory.Position()
 	settles := r.settling && era == r.era
 	r.settling = false
@@ -62,7 +62,7 @@
 		r.era, r.settleAt = era, now+settleAfter
 	}
 	if returned = known.Era > 0 && era > known.Era; returned {
-		logReturn(k, s, p.Position)
+		logRestored(k, s, p.Position)
 	}
 	switch {
 	case era == 0 || !s.Directory.Unsettled() && s.Directory.Position().Era == era:
@@ -70,17 +70,17 @@
 	case settles:
 		r.settleAt = 0
 		p.Directory.Settled = era
-		doubtDocument(p)
+		backdateDocument(p)
 	case p.Directory.Whole:
 		p.Directory.MarkCopied()
-		doubtDocument(p)
+		backdateDocument(p)
 	}
 	return returned
 }
 
 // doubtDocument has a document that was read whole count as one of the era before, if its
 // author gave it no number: it may come from the copy.
-func doubtDocument(p *kernel.Published) {
+func backdateDocument(p *kernel.Published) {
 	if p.Document != nil && p.Edition.Version == 0 && p.Edition.Era > 1 {
 		p.Edition.Era--
 	}
@@ -88,7 +88,7 @@
 
 // logReturn notes that the platform came back with another history, and what was known of
 // the one before: until when, and up to where.
-func logReturn(k *kernel.Kernel, s *kernel.State, at config.Position) {
+func logRestored(k *kernel.Kernel, s *kernel.State, at config.Position) {
 	known := s.Directory.Position()
 	metrics.GetOrCreateCounter("loomgap_platform_returns_total").Inc()
 	k.Log.Warn().Uint64("DirectoryEra", at.Era).Uint64("DirectoryRevision", at.Revision).
--- a/tier/peers/restore_test.go
+++ b/tier/peers/restore_test.go
@@ -14,15 +14,15 @@
 )
 
 // settleMost is by when an era is settled: the platform is read within retryMost.
-const settleMost = settleAfter + retryMost + time.Second
+const maxSettleTime = settleAfter + maxRetryDelay + time.Second
 
 // report has an upstream report itself.
-func (p *published) report(name string, leaving bool) {
+func (p *fakePlatform) report(name string, leaving bool) {
 	p.change(config.DirectoryChange{Listed: []config.Listing{{Name: name, Group: "G", Slots: 1, Leaving: leaving}}})
 }
 
 // now is the platform's revision.
-func (p *published) now() uint64 {
+func (p *fakePlatform) now() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.revision
@@ -39,33 +39,33 @@
 }
 
 // returned runs a test of a feed whose platform names eras from the start.
-func returned(t *testing.T, test func(p *published, k *kernel.Kernel)) {
-	fed(t, func(p *published, k *kernel.Kernel) {
+func runFeedWithEras(t *testing.T, test func(p *fakePlatform, k *kernel.Kernel)) {
+	runFeed(t, func(p *fakePlatform, k *kernel.Kernel) {
 		p.set(func() {
 			p.era = 1
 			for i := range p.changes {
 				p.changes[i].Era = 1
 			}
 		})
-		settle(2 * settleMost) // until the first era is settled
+		advance(2 * maxSettleTime) // until the first era is settled
 		test(p, k)
 	})
 }
 
 // TestFeedKeepsWhatACopyLacks has the platform lose an upstream that lives, which lists
 // itself again late, and one that has ended meanwhile.
-func TestFeedKeepsWhatACopyLacks(t *testing.T) {
-	returned(t, func(p *published, k *kernel.Kernel) {
+func TestFeedKeepsWhatABackupLacks(t *testing.T) {
+	runFeedWithEras(t, func(p *fakePlatform, k *kernel.Kernel) {
 		old := p.now()
 		p.list("U3", "U4")
-		settle(time.Second)
+		advance(time.Second)
 		p.restore(old)
-		settle(2 * time.Second)
+		advance(2 * time.Second)
 		assert.DeepEqual(t, listedNames(k), []string{"U1", "U2", "U3", "U4"})
 		p.list("U3")
-		settle(time.Second)
+		advance(time.Second)
 		assert.DeepEqual(t, listedNames(k), []string{"U1", "U2", "U3"}) // lapseHold has passed
-		settle(settleMost)
+		advance(maxSettleTime)
 		assert.DeepEqual(t, listedNames(k), []string{"U1", "U2", "U3"})
 	})
 }
@@ -73,21 +73,21 @@
 // TestFeedDoesNotTakeBackWhatHasLeft has a copy list one upstream that has left and call
 // one ready that leaves: the store drops the first after its silent status reports, and
 // the second says again that it leaves.
-func TestFeedDoesNotTakeBackWhatHasLeft(t *testing.T) {
-	returned(t, func(p *published, k *kernel.Kernel) {
+func TestFeedDoesNotRelistWhatHasLeft(t *testing.T) {
+	runFeedWithEras(t, func(p *fakePlatform, k *kernel.Kernel) {
 		old := p.now()
 		p.remove("U1")
 		p.report("U2", true)
-		settle(time.Second)
+		advance(time.Second)
 		p.restore(old)
 		for range 35 {
-			settle(100 * time.Millisecond)
+			advance(100 * time.Millisecond)
 			assert.DeepEqual(t, listedNames(k), []string{"U2"})
 			assert.DeepEqual(t, leavingNames(k), []string{"U2"})
 		}
 		p.report("U2", true)
 		p.remove("U1")
-		settle(settleMost)
+		advance(maxSettleTime)
 		assert.DeepEqual(t, listedNames(k), []string{"U2"})
 		assert.DeepEqual(t, leavingNames(k), []string{"U2"})
 	})
@@ -96,35 +96,35 @@
 // TestFeedTakesWhatStandsOnceSettled has a copy list an upstream that was taken for gone
 // and lives: the platform still lists it when its silent status reports would have ended
 // its entry.
-func TestFeedTakesWhatStandsOnceSettled(t *testing.T) {
-	returned(t, func(p *published, k *kernel.Kernel) {
+func TestFeedAcceptsPlatformStateOnceSettled(t *testing.T) {
+	runFeedWithEras(t, func(p *fakePlatform, k *kernel.Kernel) {
 		old := p.now()
 		p.remove("U1")
-		settle(time.Second)
+		advance(time.Second)
 		p.restore(old)
-		settle(settleMost)
+		advance(maxSettleTime)
 		assert.DeepEqual(t, listedNames(k), []string{"U1", "U2"})
 	})
 }
 
 // TestFeedTakesChangesAtRevisionsGivenOutAgain has changes of the new history get the
 // revisions that hosts have seen for others: after the first read, and before it.
-func TestFeedTakesChangesAtRevisionsGivenOutAgain(t *testing.T) {
+func TestFeedAppliesChangesAtReusedRevisions(t *testing.T) {
 	for _, name := range []string{"read before they are made", "read after they are made"} {
 		t.Run(name, func(t *testing.T) {
-			returned(t, func(p *published, k *kernel.Kernel) {
+			runFeedWithEras(t, func(p *fakePlatform, k *kernel.Kernel) {
 				old := p.now()
 				for range 5 {
 					p.report("U1", false)
 				}
-				settle(time.Second)
+				advance(time.Second)
 				p.restore(old)
 				if name == "read before they are made" {
-					settle(time.Second)
+					advance(time.Second)
 				}
 				p.list("U3")
 				p.report("U2", true)
-				settle(time.Second)
+				advance(time.Second)
 				assert.DeepEqual(t, listedNames(k), []string{"U1", "U2", "U3"})
 				assert.DeepEqual(t, leavingNames(k), []string{"U2"})
 			})
@@ -134,68 +134,68 @@
 
 // TestFeedMissesNothingWhenTheRevisionIsReachedAgain has the new history pass the revision
 // that the host would read on from, before the host asks.
-func TestFeedMissesNothingWhenTheRevisionIsReachedAgain(t *testing.T) {
-	returned(t, func(p *published, k *kernel.Kernel) {
+func TestFeedMissesNothingWhenRevisionIsReused(t *testing.T) {
+	runFeedWithEras(t, func(p *fakePlatform, k *kernel.Kernel) {
 		old := p.now()
 		p.report("U1", false)
-		p.set(func() { p.away = true })
-		settle(4 * time.Second)
+		p.set(func() { p.unavailable = true })
+		advance(4 * time.Second)
 		p.restore(old)
 		p.list("U3")
 		for range 5 {
 			p.report("U1", false)
 		}
-		p.set(func() { p.away = false })
-		settle(retryMost + 500*time.Millisecond)
+		p.set(func() { p.unavailable = false })
+		advance(maxRetryDelay + 500*time.Millisecond)
 		assert.DeepEqual(t, listedNames(k), []string{"U1", "U2", "U3"})
 	})
 }
 
 // TestFeedReadsAnewAtOnce has a platform come back: the host reads it whole within its
 // next read, once, and once more when the era is settled.
-func TestFeedReadsAnewAtOnce(t *testing.T) {
-	returned(t, func(p *published, k *kernel.Kernel) {
+func TestFeedRereadsAtOnceAfterRestore(t *testing.T) {
+	runFeedWithEras(t, func(p *fakePlatform, k *kernel.Kernel) {
 		var before int
 		p.set(func() { before = len(p.reads) })
 		old := p.now()
 		p.list("U3")
-		settle(time.Second)
+		advance(time.Second)
 		p.restore(old)
 		p.list("U4")
-		settle(100 * time.Millisecond)
+		advance(100 * time.Millisecond)
 		assert.DeepEqual(t, listedNames(k), []string{"U1", "U2", "U3", "U4"})
-		settle(settleMost)
+		advance(maxSettleTime)
 		p.set(func() { assert.DeepEqual(t, p.reads[before:], []bool{true, true}) })
 	})
 }
 
 // TestFeedFollowsEvacuationsAcrossAReturn has a copy lack an evacuation that began and
 // hold one that ended; each is written again, or is not.
-func TestFeedFollowsEvacuationsAcrossAReturn(t *testing.T) {
+func TestFeedFollowsEvacuationsAcrossRestore(t *testing.T) {
 	for _, again := range []bool{true, false} {
 		name := "not written again"
 		if again {
 			name = "written again"
 		}
 		t.Run(name, func(t *testing.T) {
-			returned(t, func(p *published, k *kernel.Kernel) {
+			runFeedWithEras(t, func(p *fakePlatform, k *kernel.Kernel) {
 				p.evacuate("Ended")
 				old := p.now()
 				p.resume("Ended")
 				p.evacuate("Begun")
-				settle(time.Second)
+				advance(time.Second)
 				p.restore(old)
-				settle(3 * time.Second)
+				advance(3 * time.Second)
 				assert.DeepEqual(t, k.View().Directory.EvacuatedHalls(), []string{"Begun"})
 				want := []string{"Ended"}
 				if again {
 					p.evacuate("Begun")
 					p.resume("Ended")
-					settle(time.Second)
+					advance(time.Second)
 					want = []string{"Begun"}
 					assert.DeepEqual(t, k.View().Directory.EvacuatedHalls(), want)
 				}
-				settle(settleMost)
+				advance(maxSettleTime)
 				assert.DeepEqual(t, k.View().Directory.EvacuatedHalls(), want)
 			})
 		})
@@ -204,29 +204,29 @@
 
 // TestFeedFollowsASecondReturn has the platform come back twice before the first return
 // is over, and be away before and after.
-func TestFeedFollowsASecondReturn(t *testing.T) {
-	returned(t, func(p *published, k *kernel.Kernel) {
+func TestFeedFollowsSecondRestore(t *testing.T) {
+	runFeedWithEras(t, func(p *fakePlatform, k *kernel.Kernel) {
 		old := p.now()
 		p.remove("U1")
 		p.list("U3")
-		settle(time.Second)
-		p.set(func() { p.away = true })
-		settle(2 * time.Second)
+		advance(time.Second)
+		p.set(func() { p.unavailable = true })
+		advance(2 * time.Second)
 		p.restore(old)
-		p.set(func() { p.away = false })
-		settle(retryMost + 500*time.Millisecond)
+		p.set(func() { p.unavailable = false })
+		advance(maxRetryDelay + 500*time.Millisecond)
 		assert.DeepEqual(t, listedNames(k), []string{"U2", "U3"})
 		p.list("U4")
-		settle(300 * time.Millisecond) // less than lapseHold since the return
-		p.set(func() { p.away = true })
+		advance(300 * time.Millisecond) // less than lapseHold since the return
+		p.set(func() { p.unavailable = true })
 		p.restore(old)
-		settle(3 * time.Second)
-		p.set(func() { p.away = false })
-		settle(retryMost + 500*time.Millisecond)
+		advance(3 * time.Second)
+		p.set(func() { p.unavailable = false })
+		advance(maxRetryDelay + 500*time.Millisecond)
 		assert.DeepEqual(t, listedNames(k), []string{"U2", "U3", "U4"})
 		p.remove("U1")
 		p.list("U3", "U4")
-		settle(settleMost)
+		advance(maxSettleTime)
 		assert.DeepEqual(t, listedNames(k), []string{"U2", "U3", "U4"})
 	})
 }
@@ -236,7 +236,7 @@
 // at revisions given out before, is known to all within the 3 s in which it is due, the
 // first included. The platform is asked for everything by few, and no more often than one
 // host that reads on asks and some that look whether it is back.
-func TestChangesAfterAReturnReachAllHosts(t *testing.T) {
+func TestChangesAfterRestoreReachAllHosts(t *testing.T) {
 	const (
 		bound   = 3 * time.Second
 		look    = 50 * time.Millisecond
@@ -246,20 +246,20 @@
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
-				f := newFleetOf(t, ctx, hosts)
+				f := newTestFleet(t, ctx, hosts)
 				p := f.platform
 				p.set(func() { p.era = 1 })
-				time.Sleep(2 * settleMost)
+				time.Sleep(2 * maxSettleTime)
 				old := p.now()
 				for i := range 2 * changes {
 					p.list(fmt.Sprint("Lost", i))
 				}
 				time.Sleep(time.Second)
-				p.set(func() { p.away = true })
+				p.set(func() { p.unavailable = true })
 				time.Sleep(2 * time.Second)
 				p.restore(old)
 				var reads, watches int
-				p.set(func() { p.away, reads, watches = false, len(p.reads), p.watches })
+				p.set(func() { p.unavailable, reads, watches = false, len(p.reads), p.watches })
 				began := time.Now()
 				for i := range changes {
 					name := fmt.Sprint("New", i)
@@ -272,8 +272,8 @@
 				}
 				seconds := int(time.Since(began).Seconds()) + 1
 				p.set(func() {
-					assert.Check(t, len(p.reads)-reads <= 2*failedReadersMost+1, "%d whole reads", len(p.reads)-reads)
-					assert.Check(t, p.watches-watches <= 2*2*failedReadersMost+4*seconds, "%d watches in %d s", p.watches-watches, seconds)
+					assert.Check(t, len(p.reads)-reads <= 2*maxFailedReaders+1, "%d whole reads", len(p.reads)-reads)
+					assert.Check(t, p.watches-watches <= 2*2*maxFailedReaders+4*seconds, "%d watches in %d s", p.watches-watches, seconds)
 				})
 				cancel()
 				time.Sleep(5 * time.Second)
@@ -284,12 +284,12 @@
 
 // TestStartingReaderLearnsWhatTheCopyLacks has a host start after the platform came back,
 // read its copy and then meet a host that knows the era before, which announces nothing.
-func TestStartingReaderLearnsWhatTheCopyLacks(t *testing.T) {
-	returned(t, func(p *published, k *kernel.Kernel) {
+func TestStartingReaderLearnsWhatTheBackupLacks(t *testing.T) {
+	runFeedWithEras(t, func(p *fakePlatform, k *kernel.Kernel) {
 		old := p.now()
 		p.remove("U1")
 		p.list("U3")
-		settle(time.Second)
+		advance(time.Second)
 		knowing := k.View().Directory.Whole()
 		p.restore(old)
 		fresh, _ := (*config.Directory)(nil).With(&config.DirectoryChange{Era: 2, Revision: old, Whole: true})
@@ -305,19 +305,19 @@
 
 // TestDocumentWithoutANumberDoesNotGoBack has documents whose author gives no version: one
 // that a copy holds is not put in force, and one that is written after the return is.
-func TestDocumentWithoutANumberDoesNotGoBack(t *testing.T) {
-	k := newHallKernel(t, "Self")
+func TestDocumentWithoutVersionIsNotRolledBack(t *testing.T) {
+	k := newTestKernel(t, "Self")
 	done := make(chan struct{})
 	k.Do(func(s *kernel.State) {
 		defer close(done)
-		r := &restore{}
+		r := &eraTracker{}
 		read := func(era, revision uint64, whole bool) {
 			at := config.Position{Era: era, Revision: revision}
 			p := &kernel.Published{
 				Position: at, Document: &config.Document{}, Edition: config.Edition{Position: at},
 				Directory: config.DirectoryChange{Era: era, Revision: revision, Whole: whole},
 			}
-			r.follow(k, s, p, k.Now())
+			r.observe(k, s, p, k.Now())
 			s.List(&p.Directory)
 			k.AcceptDocument(s, p.Document, p.Edition)
 		}
--- a/tier/peers/roster.go
+++ b/tier/peers/roster.go
@@ -10,9 +10,9 @@
 
 // updateMembers writes what changed of the members into the control state.
 func (g *gossip) updateMembers(s *kernel.State) {
-	changed := g.table.changes()
-	if s.Index != g.index {
-		g.index = s.Index
+	changed := g.table.takeChanges()
+	if s.Index != g.memberIndex {
+		g.memberIndex = s.Index
 		changed = slices.AppendSeq(changed, maps.Keys(g.table.records))
 	}
 	for _, n := range changed {
--- a/tier/peers/shares.go
+++ b/tier/peers/shares.go
@@ -56,12 +56,12 @@
 // divide gives each host its part of a number of slots. The parts of all hosts add up
 // to the slots exactly, if they see the same hosts.
 func divide(key string, slots int, hosts []string, host string) int {
-	place := slices.Index(Rank(key, hosts), host)
-	if place < 0 {
+	position := slices.Index(Rank(key, hosts), host)
+	if position < 0 {
 		return 0
 	}
 	n := slots / len(hosts)
-	if place < slots%len(hosts) {
+	if position < slots%len(hosts) {
 		n++
 	}
 	return n
--- a/tier/peers/shares_test.go
+++ b/tier/peers/shares_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestDivideGivesEachSlotOnce(t *testing.T) {
+func TestDivideAssignsEachSlotOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := rapid.SliceOfNDistinct(rapid.StringMatching(`[A-Z]{1,3}`), 1, 9, rapid.ID).Draw(t, "hosts")
 		slots := rapid.IntRange(1, 12).Draw(t, "slots")
--- a/tier/peers/start_test.go
+++ b/tier/peers/start_test.go
@@ -14,20 +14,20 @@
 
 // known is what a starting host knows. The fields may become true in any order,
 // since they come from the platform, from other hosts and from callers.
-type known struct {
+type startState struct {
 	announcing, reading, source, directory, document, member, feedDown bool
 }
 
 // combination returns the n-th combination of what may be known.
-func combination(n int) known {
+func startStateOf(n int) startState {
 	has := func(bit int) bool { return n>>bit&1 == 1 }
-	return known{has(0), has(1), has(2), has(3), has(4), has(5), has(6)}
+	return startState{has(0), has(1), has(2), has(3), has(4), has(5), has(6)}
 }
 
-const combinations = 1 << 7
+const startStates = 1 << 7
 
 // state makes the control state of a host that knows so much.
-func (n known) state() *kernel.State {
+func (n startState) state() *kernel.State {
 	s := &kernel.State{
 		Members: map[string]kernel.Member{},
 		ReadingState: kernel.ReadingState{
@@ -52,13 +52,13 @@
 
 // TestStartingHostSurvivesWhatItLacks has a host announce, hear an announcement
 // and send a heartbeat in every state that a start can pass through.
-func TestStartingHostSurvivesWhatItLacks(t *testing.T) {
-	for i := range combinations {
-		n := combination(i)
+func TestStartingHostHandlesMissingState(t *testing.T) {
+	for i := range startStates {
+		n := startStateOf(i)
 		t.Run(fmt.Sprintf("%+v", n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				k := newHallKernel(t, "Self")
-				k.Peers = &peerRecorder{}
+				k := newTestKernel(t, "Self")
+				k.Peers = &announcementCounter{}
 				time.Sleep(time.Second)
 				s := n.state()
 				tl := &announcer{kernel: k}
@@ -68,11 +68,11 @@
 					table:  newMemberTable(memberTableConfig{Self: memberEntry{Host: "Self"}, Interval: time.Second}),
 				}
 				g.message(s, k.Now())
-				serverWithoutFetches(k).learn(s, &announcement{Host: "Other", Hall: "B", Age: time.Millisecond, Revision: 7, DirectoryRevision: 1})
+				newServerWithoutFetches(k).apply(s, &announcement{Host: "Other", Hall: "B", Age: time.Millisecond, Revision: 7, DirectoryRevision: 1})
 				tl.announce(s)
-				roleOf(k, s)
+				decideRole(k, s)
 				synctest.Wait()
-				told := k.Peers.(*peerRecorder).hosts["Mate"]
+				told := k.Peers.(*announcementCounter).hosts["Mate"]
 				assert.Assert(t, !told || n.directory, "a host without a directory announced one")
 			})
 		})
@@ -81,21 +81,21 @@
 
 // TestChangeIsNoDirectory has a starting host hear what changed before it has read
 // anything, and its mate hear from it: the mate keeps what it lists.
-func TestChangeIsNoDirectory(t *testing.T) {
+func TestChangeDoesNotReplaceDirectory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		listing := func(name string, revision uint64) config.Listing {
 			return config.Listing{Name: name, Group: "G", Hall: "A", Slots: 1, Revision: revision}
 		}
-		k := newHallKernel(t, "Starting")
+		k := newTestKernel(t, "Starting")
 		told := &announcementRecorder{last: map[string]announcement{}}
 		k.Peers = told
 		time.Sleep(time.Second)
-		starting := combination(0).state()
+		starting := startStateOf(0).state()
 		starting.Announcing = true
 		starting.Members["Mate"] = kernel.Member{Host: "Mate", Hall: "A", Live: true}
-		server := serverWithoutFetches(k)
+		server := newServerWithoutFetches(k)
 		change := &config.DirectoryChange{Revision: 9, Listed: []config.Listing{listing("U9", 9)}}
-		server.learn(starting, &announcement{Host: "Reader", Hall: "B", DirectoryRevision: 9, Directory: 1, Change: change})
+		server.apply(starting, &announcement{Host: "Reader", Hall: "B", DirectoryRevision: 9, Directory: 1, Change: change})
 		(&announcer{kernel: k}).announce(starting)
 		synctest.Wait()
 		_, announced := told.last["Mate"]
@@ -103,7 +103,7 @@
 		assert.Equal(t, starting.Directory.Whole().Revision, uint64(0), "it would give others a directory of one upstream")
 
 		whole := &config.DirectoryChange{Revision: 9, Whole: true, Listed: []config.Listing{listing("U1", 1), listing("U9", 9)}}
-		server.learn(starting, &announcement{Host: "Reader", Hall: "B", DirectoryRevision: 9, Directory: 1, Change: whole})
+		server.apply(starting, &announcement{Host: "Reader", Hall: "B", DirectoryRevision: 9, Directory: 1, Change: whole})
 		assert.Equal(t, starting.Directory.Size(), 2)
 	})
 }
--- a/tier/peers/suspicion.go
+++ b/tier/peers/suspicion.go
@@ -22,61 +22,61 @@
 	// suspectHeartbeats is for how many intervals a suspicion stands before its host is
 	// silent. Others tell it meanwhile that the host lives: one that pauses for an
 	// interval has sent heartbeats again by then.
-	suspectHeartbeats = 2
+	suspicionTimeoutIntervals = 2
 	// awayHeartbeats is for how many intervals more it stands for a host of another hall,
 	// where it takes longer to hear that the host lives.
-	awayHeartbeats = 2
+	otherHallExtraIntervals = 2
 	// suspicionHeartbeats is for how many intervals a suspicion is passed on.
-	suspicionHeartbeats = 10
+	suspicionSpreadIntervals = 10
 	// endedHeartbeats is for how many intervals other halls are told that one has ended.
-	endedHeartbeats = 3
+	refutationSpreadIntervals = 3
 	// suspicionEntries is the most suspicions that one heartbeat lists.
-	suspicionEntries = 64
+	maxSuspicionEntries = 64
 	// urgentGap is how long a host waits before it passes on at once what it learnt of a
 	// suspicion, so that what comes meanwhile goes with it.
-	urgentGap = 150 * time.Millisecond
+	urgentDelay = 150 * time.Millisecond
 	// agePrecision is that of the ages that entries report, so that they are short.
 	agePrecision = 10 * time.Millisecond
 )
 
 // suspect is whether one member is suspected. All times are since the process started.
-type suspect struct {
+type suspectState struct {
 	// heardAt is when the member itself was last heard, by any host as far as is known.
 	heardAt time.Duration
 	// since is when a heartbeat was sent that it did not answer; 0 for none. It is
 	// later than heardAt.
-	since time.Duration
+	unansweredSince time.Duration
 }
 
 // heard notes that the member was heard, and reports whether that ends a suspicion.
-func (s *suspect) heard(at time.Duration) bool {
+func (s *suspectState) heard(at time.Duration) bool {
 	s.heardAt = max(s.heardAt, at)
-	if s.since == 0 || s.heardAt <= s.since {
+	if s.unansweredSince == 0 || s.heardAt <= s.unansweredSince {
 		return false
 	}
-	s.since = 0
+	s.unansweredSince = 0
 	return true
 }
 
 // raise notes a heartbeat without an answer, and reports whether it begins a suspicion.
-func (s *suspect) raise(sentAt time.Duration) bool {
+func (s *suspectState) raise(sentAt time.Duration) bool {
 	if sentAt <= s.heardAt {
 		return false
 	}
-	first := s.since == 0
-	if first || sentAt < s.since {
-		s.since = sentAt
+	first := s.unansweredSince == 0
+	if first || sentAt < s.unansweredSince {
+		s.unansweredSince = sentAt
 	}
 	return first
 }
 
 // confirmed reports whether a suspicion has stood for so long that the member is silent.
-func (t *memberTable) confirmed(now time.Duration, r *memberRecord) bool {
-	stands := suspectHeartbeats * t.Interval
+func (t *memberTable) suspicionExpired(now time.Duration, r *memberRecord) bool {
+	timeout := suspicionTimeoutIntervals * t.Interval
 	if r.Hall != t.Self.Hall {
-		stands += awayHeartbeats * t.Interval
+		timeout += otherHallExtraIntervals * t.Interval
 	}
-	return r.suspect.since > 0 && now-r.suspect.since >= stands
+	return r.suspectState.unansweredSince > 0 && now-r.suspectState.unansweredSince >= timeout
 }
 
 // suspicion is what heartbeats report of a member that did not answer.
@@ -89,22 +89,22 @@
 }
 
 // unanswered notes that a member answered no heartbeat since one was sent.
-func (t *memberTable) unanswered(now time.Duration, host string, sentAt time.Duration) {
+func (t *memberTable) recordUnanswered(now time.Duration, host string, sentAt time.Duration) {
 	if r := t.records[host]; r != nil {
 		t.raise(now, r, sentAt)
 	}
 }
 
 func (t *memberTable) raise(now time.Duration, r *memberRecord, sentAt time.Duration) {
-	if r.suspect.raise(sentAt) {
+	if r.suspectState.raise(sentAt) {
 		t.suspects = append(t.suspects, r)
-		t.hurry(r)
+		t.markUrgent(r)
 	}
 	t.updateLive(now, r)
 }
 
 // hurry has what is known of a suspect passed on at once, if it is of this hall.
-func (t *memberTable) hurry(r *memberRecord) { t.urgent = t.urgent || r.Hall == t.Self.Hall }
+func (t *memberTable) markUrgent(r *memberRecord) { t.urgent = t.urgent || r.Hall == t.Self.Hall }
 
 // takeUrgent reports whether there is something to pass on at once, and that it will be.
 func (t *memberTable) takeUrgent() bool {
@@ -129,8 +129,8 @@
 			continue
 		}
 		sentAt := now - max(s.Age, 0)
-		if r.suspect.heardAt >= sentAt {
-			t.tellFirst(r)
+		if r.suspectState.heardAt >= sentAt {
+			t.queueUpdateFirst(r)
 			continue
 		}
 		t.raise(now, r, sentAt)
@@ -144,10 +144,10 @@
 	for range t.suspects {
 		r := t.suspects[0]
 		t.suspects = append(t.suspects[1:], r)
-		if age := now - r.suspect.since; age <= suspicionHeartbeats*t.Interval {
+		if age := now - r.suspectState.unansweredSince; age <= suspicionSpreadIntervals*t.Interval {
 			out = append(out, suspicion{Host: r.Host, Incarnation: r.Incarnation, Age: age.Truncate(agePrecision)})
 		}
-		if len(out) == suspicionEntries {
+		if len(out) == maxSuspicionEntries {
 			break
 		}
 	}
@@ -155,12 +155,12 @@
 }
 
 // suspecting reports whether other halls are to hear of suspicions, or of the end of some.
-func (t *memberTable) suspecting(now time.Duration) bool {
-	if t.endedAt > 0 && now-t.endedAt <= endedHeartbeats*t.Interval {
+func (t *memberTable) hasRecentSuspicions(now time.Duration) bool {
+	if t.refutedAt > 0 && now-t.refutedAt <= refutationSpreadIntervals*t.Interval {
 		return true
 	}
 	return slices.ContainsFunc(t.suspects, func(r *memberRecord) bool {
-		return now-r.suspect.since <= suspicionHeartbeats*t.Interval
+		return now-r.suspectState.unansweredSince <= suspicionSpreadIntervals*t.Interval
 	})
 }
 
--- a/tier/peers/watch.go
+++ b/tier/peers/watch.go
@@ -17,23 +17,23 @@
 
 const (
 	// readBound is how long an answer may take beside the time that the read waits.
-	readBound = 2 * time.Second
+	readTimeout = 2 * time.Second
 	// readPause is the pause of a host that does not watch, and after a live list that did
 	// not change; after a failed read the pause is once to twice as long.
-	readPause = 500 * time.Millisecond
+	readInterval = 500 * time.Millisecond
 	// watchersPerHall is how many hosts of a hall watch the platform.
 	watchersPerHall = 2
 	// moreWatchers is how many more hosts of a hall watch at most while the platform does
 	// not answer it.
-	moreWatchers = 2
+	maxExtraWatchers = 2
 	// silentTurn is how long beyond WatchWait the hall reads nothing before one more host
 	// watches, each time again.
-	silentTurn = 5 * time.Second
+	extraWatcherInterval = 5 * time.Second
 	// defaultWatchWait is how long a read waits for a change if the settings give nothing.
 	defaultWatchWait = 10 * time.Second
 	// replyFactor is how many times the bytes of the largest document a reply may have: the
 	// document is a string in JSON there, which is longer.
-	replyFactor = 2
+	replySizeFactor = 2
 )
 
 // watchPlugin reads what the platform publishes by loomgap's own protocol.
@@ -82,13 +82,13 @@
 func (w *watcher) loop(ctx context.Context, read func(context.Context) error, atStart bool) {
 	for ctx.Err() == nil {
 		if !w.isWatcher(atStart) {
-			kernel.Sleep(ctx, readPause)
+			kernel.Sleep(ctx, readInterval)
 			continue
 		}
 		metrics.GetOrCreateCounter("loomgap_platform_reads_total").Inc()
 		if err := read(ctx); err != nil {
 			w.kernel.Log.Debug().Err(err).Msg("platform not read")
-			kernel.Sleep(ctx, readPause+rand.N(readPause))
+			kernel.Sleep(ctx, readInterval+rand.N(readInterval))
 		}
 	}
 }
@@ -97,9 +97,9 @@
 // first watchersPerHall by rendezvous hashing are, and one more for each silent turn, up
 // to moreWatchers. A silent turn is a time of WatchWait and silentTurn in which the hall
 // read nothing.
-func watches(hosts []string, host string, silentTurns int) bool {
+func shouldWatch(hosts []string, host string, missedReads int) bool {
 	ranked := Rank(watchKey, hosts)
-	n := min(watchersPerHall+min(silentTurns, moreWatchers), len(ranked))
+	n := min(watchersPerHall+min(missedReads, maxExtraWatchers), len(ranked))
 	return slices.Contains(ranked[:n], host)
 }
 
@@ -111,8 +111,8 @@
 	if v.Index == nil {
 		return atStart
 	}
-	silentTurns := int((w.kernel.Now() - v.PlatformReadAt) / (w.kernel.Settings.WatchWait + silentTurn))
-	watching := watches(w.hosts(v), w.kernel.Settings.Host, silentTurns)
+	missedReads := int((w.kernel.Now() - v.PlatformReadAt) / (w.kernel.Settings.WatchWait + extraWatcherInterval))
+	watching := shouldWatch(w.hosts(v), w.kernel.Settings.Host, missedReads)
 	if watching != v.Reading {
 		w.kernel.Do(func(s *kernel.State) {
 			s.Reading = watching
@@ -126,7 +126,7 @@
 // few live ones, and counts all of the document as live: else each of a hall that comes
 // back would watch.
 func (w *watcher) hosts(v *kernel.View) []string {
-	if w.kernel.Now() > silentHeartbeats*w.kernel.Settings.Beat {
+	if w.kernel.Now() > unresponsiveIntervals*w.kernel.Settings.Beat {
 		return v.Hall(&w.kernel.Settings)
 	}
 	out := []string{w.kernel.Settings.Host}
@@ -143,7 +143,7 @@
 	if w.kernel.View().Index == nil {
 		wait = 0
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait+readBound)
+	ctx, cancel := context.WithTimeout(ctx, wait+readTimeout)
 	defer cancel()
 	url := fmt.Sprintf("http://%s%s?After=%d&WaitMillis=%d", w.kernel.Settings.Platform, path, after.Revision, wait.Milliseconds())
 	if after.Era > 0 {
@@ -161,7 +161,7 @@
 	if reply.StatusCode != http.StatusOK {
 		return fmt.Errorf("platform answered %s", reply.Status)
 	}
-	return wire.Decode(reply.Body, replyFactor*config.MaxBytes, out)
+	return wire.Decode(reply.Body, replySizeFactor*config.MaxBytes, out)
 }
 
 func (w *watcher) readDocument(ctx context.Context) error {
@@ -199,7 +199,7 @@
 	}
 	at := config.Position{Era: l.Era, Revision: l.Version}
 	if at == w.live {
-		kernel.Sleep(ctx, readPause)
+		kernel.Sleep(ctx, readInterval)
 	}
 	returned := at.Era != w.live.Era
 	w.live = at
@@ -208,14 +208,14 @@
 			// The list is a copy: one that it calls live may have begun to leave since.
 			clear(w.listed)
 		}
-		w.learnLive(s, l.Entries)
+		w.applyLiveList(s, l.Entries)
 	})
 	return nil
 }
 
 // learnLive takes in the live list. Only a change from leaving to live shows that an
 // upstream is back, since the list lags.
-func (w *watcher) learnLive(s *kernel.State, entries []wire.LiveEntry) {
+func (w *watcher) applyLiveList(s *kernel.State, entries []wire.LiveEntry) {
 	now := w.kernel.Now()
 	for _, e := range entries {
 		if s.Index == nil || s.Index.Upstream(e.Name) == nil {
--- a/tier/peers/watch_test.go
+++ b/tier/peers/watch_test.go
@@ -20,10 +20,10 @@
 	}
 	for _, tt := range tests {
 		t.Run(fmt.Sprintf("%d hosts, %d silent turns", tt.hosts, tt.silentTurns), func(t *testing.T) {
-			names := ranked(tt.hosts)
+			names := rankedHosts(tt.hosts)
 			watching := 0
 			for _, n := range names {
-				if watches(names, n, tt.silentTurns) {
+				if shouldWatch(names, n, tt.silentTurns) {
 					watching++
 				}
 			}
--- a/tier/peers/wire_test.go
+++ b/tier/peers/wire_test.go
@@ -66,14 +66,14 @@
 
 // TestMessagesKeepTheirForm compares every message between hosts with its text in
 // testdata, with every field set and with none, and reads that text back.
-func TestMessagesKeepTheirForm(t *testing.T) {
+func TestMessageFormatIsStable(t *testing.T) {
 	tests := []struct {
 		name    string
 		message any
 	}{
 		{"heartbeat", &heartbeat{}},
 		{"announcement", &announcement{}},
-		{"strikes", &strikesMessage{}},
+		{"strikes", &crashReportsMessage{}},
 		{"packed-document", &wire.PackedDocument{}},
 		{"directory", &config.DirectoryChange{}},
 	}
@@ -98,7 +98,7 @@
 
 // TestMessagesOfTheVersionBefore reads what hosts sent that knew no eras, and writes it
 // again: whatever they do not know is left out, so that they read what they know.
-func TestMessagesOfTheVersionBefore(t *testing.T) {
+func TestMessagesOfPreviousVersion(t *testing.T) {
 	for name, message := range map[string]any{
 		"heartbeat": &heartbeat{}, "announcement": &announcement{}, "packed-document": &wire.PackedDocument{}, "directory": &config.DirectoryChange{},
 	} {
@@ -114,29 +114,29 @@
 
 // TestMethodsKeepTheirNames compares the methods that hosts call with their names on
 // the wire.
-func TestMethodsKeepTheirNames(t *testing.T) {
+func TestMethodNamesAreStable(t *testing.T) {
 	assert.Equal(t, methodHeartbeat, "Beat")
 	assert.Equal(t, methodDocument, "Document")
 	assert.Equal(t, methodDirectory, "Directory")
 	assert.Equal(t, methodAnnounce, "Announce")
-	assert.Equal(t, methodStrikes, "Strikes")
-	assert.Equal(t, methodKnownStrikes, "KnownStrikes")
+	assert.Equal(t, methodCrashReports, "Strikes")
+	assert.Equal(t, methodExchangeCrashReports, "KnownStrikes")
 	assert.Equal(t, codeHandlerFailed, -32000)
 }
 
 // TestDictionaryKeepsItsText compares the text that both ends of a connection compress
 // with.
-func TestDictionaryKeepsItsText(t *testing.T) {
+func TestDictionaryIsStable(t *testing.T) {
 	golden.Assert(t, string(dictionary), "dictionary.txt")
 }
 
 // outside finds what operators read: names of metrics with their labels, log lines and
 // the fields of these.
-var outside = regexp.MustCompile(`loomgap_\w+(?:\{\w+)?|\.Msg\("[^"]+"\)|\b(?:Str|Strs|Stringer|Int|Int64|Uint64|Bool|Dur|Interface)\("[A-Z]\w+"`)
+var operatorFacing = regexp.MustCompile(`loomgap_\w+(?:\{\w+)?|\.Msg\("[^"]+"\)|\b(?:Str|Strs|Stringer|Int|Int64|Uint64|Bool|Dur|Interface)\("[A-Z]\w+"`)
 
 // TestOperatorsReadTheSameWords compares the metrics, log lines and log fields of this
 // package and of the kernel with those in testdata.
-func TestOperatorsReadTheSameWords(t *testing.T) {
+func TestOperatorFacingNamesAreStable(t *testing.T) {
 	var found []string
 	for _, folder := range []string{".", "../kernel"} {
 		files, err := os.ReadDir(folder)
@@ -147,7 +147,7 @@
 			}
 			text, err := os.ReadFile(folder + "/" + f.Name())
 			assert.NilError(t, err)
-			found = append(found, outside.FindAllString(string(text), -1)...)
+			found = append(found, operatorFacing.FindAllString(string(text), -1)...)
 		}
 	}
 	slices.Sort(found)
