--- a/tier/pass/admit.go
+++ b/tier/pass/admit.go
@@ -12,7 +12,7 @@
 // admits reports whether a call may be sent to an upstream now. Every call is checked
 // here just before it is sent, whichever host planned it and whenever.
 func (e *engine) admits(now time.Duration, c *call, u *policy.Upstream) bool {
-	reason := e.barrier(c.route, u.Name)
+	reason := e.barReason(c.route, u.Name)
 	// The request may have been quarantined since the call was planned.
 	if verdict, _ := e.kernel.Fleet.Judge(now, c.subject); verdict == policy.VerdictQuarantined {
 		reason = query.ReasonQuarantined
@@ -32,7 +32,7 @@
 // barrier returns why an upstream may get no call of a route now; empty if it may. It
 // uses the newest view: the request that the call belongs to, or the host that sent the
 // call, may have been planned before a hall was evacuated or the homes changed.
-func (e *engine) barrier(route, upstream string) query.Reason {
+func (e *engine) barReason(route, upstream string) query.Reason {
 	v := e.kernel.View()
 	l, listed := v.Directory.Find(upstream)
 	if !listed {
--- a/tier/pass/admit_test.go
+++ b/tier/pass/admit_test.go
@@ -16,33 +16,33 @@
 )
 
 // eastAndWest are the regions of the halls of these tests.
-var eastAndWest = config.Regions{"A": "East", "B": "West"}
+var eastWestRegions = config.Regions{"A": "East", "B": "West"}
 
 // placed is a host in each of two halls, with an upstream of each shard in both.
-type placed struct {
+type twoHallSetup struct {
 	east, west *host
-	upstreams  [][]*upstream
+	upstreams  [][]*fakeUpstream
 }
 
 // newPlaced joins the hosts; the one in the east can reach the other.
-func newPlaced(t *testing.T, reply func(shard, replica int) replyFunc) *placed {
-	w := newCable()
-	p := &placed{
-		east: newHost(t, hostConfig{name: "East1", hall: "A", peers: w, regions: eastAndWest}),
-		west: newHost(t, hostConfig{name: "West1", hall: "B", peers: w, regions: eastAndWest}),
+func newTwoHallSetup(t *testing.T, reply func(shard, replica int) replyFunc) *twoHallSetup {
+	w := newNetwork()
+	p := &twoHallSetup{
+		east: newHost(t, hostConfig{name: "East1", hall: "A", peers: w, regions: eastWestRegions}),
+		west: newHost(t, hostConfig{name: "West1", hall: "B", peers: w, regions: eastWestRegions}),
 	}
 	w.hosts["West1"] = p.west
-	p.upstreams = gatherers(t, p.east, [2]string{"A", "B"}, reply)
+	p.upstreams = newShardUpstreams(t, p.east, [2]string{"A", "B"}, reply)
 	p.west.do(func(s *kernel.State) {
 		whole := p.east.kernel.View().Directory.Whole()
 		s.List(&whole)
 	})
-	p.east.member(p.west)
+	p.east.addMember(p.west)
 	return p
 }
 
 // placedDoc is a gather of all shards and a route to the first, with homes.
-func placedDoc(homes ...string) config.Document {
+func homesDoc(homes ...string) config.Document {
 	d := gatherDoc(0.5, 15)
 	d.Routes[0].Homes = homes
 	d.Routes = append(d.Routes, config.Route{
@@ -53,14 +53,14 @@
 }
 
 // leastCovered is the same with a gather that one shard is enough for.
-func leastCovered(homes ...string) config.Document {
-	d := placedDoc(homes...)
+func lowCoverageDoc(homes ...string) config.Document {
+	d := homesDoc(homes...)
 	d.Routes[0].Gather.Coverage = 0.1
 	return d
 }
 
 // total counts the calls of all requests in one hall.
-func (p *placed) total(replica int) int {
+func (p *twoHallSetup) total(replica int) int {
 	n := 0
 	for _, us := range p.upstreams {
 		n += us[replica].total()
@@ -84,36 +84,36 @@
 
 // TestHomesBindEveryCall has the upstreams at home fail in each way that has others
 // asked in their place: none that is not at home ever gets a call.
-func TestHomesBindEveryCall(t *testing.T) {
+func TestHomesApplyToEveryCall(t *testing.T) {
 	tests := []struct {
 		name   string
 		reply  func(shard int) replyFunc
 		single int
 	}{
-		{"well", func(s int) replyFunc { return good(part(s)) }, http.StatusOK},
+		{"well", func(s int) replyFunc { return good(shardRecords(s)) }, http.StatusOK},
 		{"silent", func(s int) replyFunc {
 			if s%2 == 0 {
 				return silent
 			}
-			return good(part(s))
+			return good(shardRecords(s))
 		}, http.StatusGatewayTimeout},
-		{"shed", func(int) replyFunc { return failing(http.StatusServiceUnavailable, true) }, http.StatusServiceUnavailable},
-		{"fail", func(int) replyFunc { return failing(http.StatusInternalServerError, false) }, http.StatusInternalServerError},
+		{"shed", func(int) replyFunc { return fail(http.StatusServiceUnavailable, true) }, http.StatusServiceUnavailable},
+		{"fail", func(int) replyFunc { return fail(http.StatusInternalServerError, false) }, http.StatusInternalServerError},
 		{"reset", func(int) replyFunc { return reset }, http.StatusBadGateway},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			p := newPlaced(t, func(s, replica int) replyFunc {
+			p := newTwoHallSetup(t, func(s, replica int) replyFunc {
 				if replica == 0 {
 					return tt.reply(s)
 				}
-				return good(part(s))
+				return good(shardRecords(s))
 			})
-			d := placedDoc("East")
-			p.east.accept(d)
-			p.west.accept(d)
-			p.east.ask(http.MethodGet, "/find/x", "gather", 900, "")
-			r := p.east.ask(http.MethodPost, "/one/x", "single", 900, "an order")
+			d := homesDoc("East")
+			p.east.applyDocument(d)
+			p.west.applyDocument(d)
+			p.east.send(http.MethodGet, "/find/x", "gather", 900, "")
+			r := p.east.send(http.MethodPost, "/one/x", "single", 900, "an order")
 			assert.NilError(t, r.err)
 			assert.Equal(t, r.status, tt.single, r.body)
 			assert.Equal(t, p.total(1), 0, "calls to upstreams that are not at home")
@@ -136,11 +136,11 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			p := newPlaced(t, func(s, _ int) replyFunc { return good(part(s)) })
-			p.east.accept(placedDoc(tt.homes...))
+			p := newTwoHallSetup(t, func(s, _ int) replyFunc { return good(shardRecords(s)) })
+			p.east.applyDocument(homesDoc(tt.homes...))
 			tt.change(p.east)
 			for _, path := range []string{"/find/x", "/one/x"} {
-				r := p.east.ask(http.MethodGet, path, path, 900, "")
+				r := p.east.send(http.MethodGet, path, path, 900, "")
 				assert.NilError(t, r.err)
 				assert.Equal(t, r.status, http.StatusServiceUnavailable)
 				after, err := strconv.ParseFloat(r.header.Get("Retry-After"), 64)
@@ -155,63 +155,63 @@
 // newer homes, or of an evacuation: the relay makes none of them, and the shards are
 // asked elsewhere. With the least coverage, the request is not over before the relay
 // has told of all calls.
-func TestRelayKeepsWhatItKnowsOfPlaces(t *testing.T) {
+func TestRelayAppliesItsOwnPlacement(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(west *host)
 	}{
-		{"homes", func(west *host) { west.accept(leastCovered("East")) }},
-		{"evacuation", func(west *host) { west.accept(leastCovered()); west.evacuate("B") }},
+		{"homes", func(west *host) { west.applyDocument(lowCoverageDoc("East")) }},
+		{"evacuation", func(west *host) { west.applyDocument(lowCoverageDoc()); west.evacuate("B") }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			p := newPlaced(t, func(s, _ int) replyFunc { return good(part(s)) })
-			p.east.accept(leastCovered())
+			p := newTwoHallSetup(t, func(s, _ int) replyFunc { return good(shardRecords(s)) })
+			p.east.applyDocument(lowCoverageDoc())
 			tt.change(p.west)
 			// Nothing of the east hall can be asked by itself first.
 			p.east.evacuate("A")
-			r := p.east.ask(http.MethodGet, "/find/x", "one", 900, "")
+			r := p.east.send(http.MethodGet, "/find/x", "one", 900, "")
 			assert.NilError(t, r.err)
 			assert.Equal(t, r.status, http.StatusServiceUnavailable, r.body)
 			p.east.resume("A")
-			r = p.east.ask(http.MethodGet, "/find/x", "two", 900, "")
+			r = p.east.send(http.MethodGet, "/find/x", "two", 900, "")
 			assert.Equal(t, r.status, http.StatusOK, r.body)
-			assert.Equal(t, len(stampsOf(r)), shards)
+			assert.Equal(t, len(sortedStamps(r)), shards)
 			assert.Equal(t, p.total(1), 0, "calls that the relay should not have made")
 		})
 	}
 }
 
 // TestEvacuatedHallGetsNothing evacuates a hall and takes it back.
-func TestEvacuatedHallGetsNothing(t *testing.T) {
-	p := newPlaced(t, func(s, _ int) replyFunc { return good(part(s)) })
-	p.east.accept(placedDoc())
-	p.west.accept(placedDoc())
+func TestEvacuatedHallGetsNoCalls(t *testing.T) {
+	p := newTwoHallSetup(t, func(s, _ int) replyFunc { return good(shardRecords(s)) })
+	p.east.applyDocument(homesDoc())
+	p.west.applyDocument(homesDoc())
 	p.east.evacuate("A")
 	p.west.evacuate("A")
 	for i := range 5 {
-		r := p.east.ask(http.MethodGet, "/find/x", fmt.Sprint("away", i), 900, "")
+		r := p.east.send(http.MethodGet, "/find/x", fmt.Sprint("away", i), 900, "")
 		assert.Equal(t, r.status, http.StatusOK, r.body)
 	}
 	assert.Equal(t, p.total(0), 0)
 	p.east.resume("A")
 	p.east.evacuate("B")
-	r := p.east.ask(http.MethodGet, "/find/x", "back", 900, "")
+	r := p.east.send(http.MethodGet, "/find/x", "back", 900, "")
 	assert.Equal(t, r.status, http.StatusOK, r.body)
 	assert.Equal(t, p.total(0), shards)
 }
 
 // TestEvacuationBindsCallsThatWait has calls wait for the slots of an upstream while
 // its hall is evacuated: none of them goes there afterwards.
-func TestEvacuationBindsCallsThatWait(t *testing.T) {
+func TestEvacuationAppliesToQueuedCalls(t *testing.T) {
 	h := newHost(t, hostConfig{name: "H1", hall: "A"})
 	release := make(chan struct{})
-	u := newUpstream(t, "U1", func(u *upstream, c net.Conn, r *http.Request) bool {
+	u := newFakeUpstream(t, "U1", func(u *fakeUpstream, c net.Conn, r *http.Request) bool {
 		<-release
 		return good("held")(u, c, r)
 	})
-	h.list("G", "A", u, false)
-	h.accept(config.Document{
+	h.listUpstream("G", "A", u, false)
+	h.applyDocument(config.Document{
 		Groups: []config.Group{{Name: "G", Connections: 1}},
 		Routes: []config.Route{{
 			Name: "One", HostName: "shop.example", Prefix: "/one/", MaxAttempts: 2,
@@ -220,7 +220,7 @@
 	})
 	var all sync.WaitGroup
 	for i := range 20 {
-		all.Go(func() { h.ask(http.MethodPost, "/one/x", fmt.Sprint(i), 4000, "") })
+		all.Go(func() { h.send(http.MethodPost, "/one/x", fmt.Sprint(i), 4000, "") })
 	}
 	eventually(t, "one call is there and others wait", func() bool { return u.total() == 1 && h.kernel.Fleet.State(h.kernel.Now())[0].Queued > 0 })
 	h.evacuate("A")
@@ -231,7 +231,7 @@
 
 // TestForwardingStaysAtHome has a weak host hand gathers to a strong one of its hall
 // only if the hall is at home.
-func TestForwardingStaysAtHome(t *testing.T) {
+func TestForwardingRespectsHomes(t *testing.T) {
 	tests := []struct {
 		homes     []string
 		forwarded bool
@@ -240,29 +240,29 @@
 	}
 	for _, tt := range tests {
 		t.Run(fmt.Sprint(tt.homes), func(t *testing.T) {
-			f := newForwarding(t, wellReplied)
-			f.weak.kernel.Settings.Regions, f.strong.kernel.Settings.Regions = eastAndWest, eastAndWest
+			f := newForwardSetup(t, replyWithPart)
+			f.weak.kernel.Settings.Regions, f.strong.kernel.Settings.Regions = eastWestRegions, eastWestRegions
 			d := gatherDoc(0.8, 15)
 			d.Routes[0].Homes = tt.homes
-			f.weak.accept(d)
-			f.strong.accept(d)
-			f.weak.ask(http.MethodGet, "/find/x", "one", 900, "")
-			assert.Equal(t, f.cable.called(methodCoordinate) > 0, tt.forwarded)
+			f.weak.applyDocument(d)
+			f.strong.applyDocument(d)
+			f.weak.send(http.MethodGet, "/find/x", "one", 900, "")
+			assert.Equal(t, f.network.callCount(methodCoordinate) > 0, tt.forwarded)
 		})
 	}
 }
 
 // fragile is an upstream that falls over once it gets more requests within a second
 // than it bears, and fails all from then on.
-type fragile struct {
-	bears int
+type overloadable struct {
+	limit int
 	mu    sync.Mutex
 	at    []time.Time
 	// fallen is true once it got too much.
-	fallen bool
+	overloaded bool
 }
 
-func (f *fragile) arrive() bool {
+func (f *overloadable) arrive() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
@@ -273,46 +273,46 @@
 			n++
 		}
 	}
-	f.fallen = f.fallen || n > f.bears
-	return !f.fallen
+	f.overloaded = f.overloaded || n > f.limit
+	return !f.overloaded
 }
 
-func (f *fragile) fell() bool {
+func (f *overloadable) isOverloaded() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.fallen
+	return f.overloaded
 }
 
-func (f *fragile) reply(body string) replyFunc {
-	return func(u *upstream, c net.Conn, r *http.Request) bool {
+func (f *overloadable) reply(body string) replyFunc {
+	return func(u *fakeUpstream, c net.Conn, r *http.Request) bool {
 		if f.arrive() {
 			return good(body)(u, c, r)
 		}
-		return failing(http.StatusInternalServerError, false)(u, c, r)
+		return fail(http.StatusInternalServerError, false)(u, c, r)
 	}
 }
 
 // TestColdUpstreamsBearTheirCalls has two hosts of a hall gather from upstreams that
 // are all cold: none gets more within a second than it bears, the calls of both hosts
 // reach them, through the owner, and what they do not bear is left out or refused.
-func TestColdUpstreamsBearTheirCalls(t *testing.T) {
-	const bears = 8
-	var all [shards][2]*fragile
-	w := newCable()
+func TestColdUpstreamsStayWithinTheirRate(t *testing.T) {
+	const limit = 8
+	var all [shards][2]*overloadable
+	w := newNetwork()
 	hosts := []*host{
-		newHost(t, hostConfig{name: "H1", hall: "A", peers: w, regions: eastAndWest}),
-		newHost(t, hostConfig{name: "H2", hall: "A", peers: w, regions: eastAndWest}),
+		newHost(t, hostConfig{name: "H1", hall: "A", peers: w, regions: eastWestRegions}),
+		newHost(t, hostConfig{name: "H2", hall: "A", peers: w, regions: eastWestRegions}),
 	}
 	w.hosts["H1"], w.hosts["H2"] = hosts[0], hosts[1]
-	hosts[0].member(hosts[1])
-	hosts[1].member(hosts[0])
-	gatherers(t, hosts[0], [2]string{"A", "A"}, func(s, r int) replyFunc {
-		all[s][r] = &fragile{bears: bears}
-		return all[s][r].reply(part(s))
+	hosts[0].addMember(hosts[1])
+	hosts[1].addMember(hosts[0])
+	newShardUpstreams(t, hosts[0], [2]string{"A", "A"}, func(s, r int) replyFunc {
+		all[s][r] = &overloadable{limit: limit}
+		return all[s][r].reply(shardRecords(s))
 	})
 	d := gatherDoc(0.5, 15)
 	for i := range d.Groups {
-		d.Groups[i].Warmup, d.Groups[i].ColdRate = 60000*millisecond, bears
+		d.Groups[i].Warmup, d.Groups[i].ColdRate = 60000*millisecond, limit
 	}
 	for _, h := range hosts {
 		h.do(func(s *kernel.State) {
@@ -323,7 +323,7 @@
 			}
 			s.List(&cold)
 		})
-		h.accept(d)
+		h.applyDocument(d)
 	}
 	served := [2]int{}
 	var mu sync.Mutex
@@ -331,7 +331,7 @@
 	for i := range 60 {
 		asking.Go(func() {
 			time.Sleep(time.Duration(i) * 20 * time.Millisecond)
-			r := hosts[i%2].ask(http.MethodGet, "/find/x", fmt.Sprint("r", i), 900, "")
+			r := hosts[i%2].send(http.MethodGet, "/find/x", fmt.Sprint("r", i), 900, "")
 			mu.Lock()
 			defer mu.Unlock()
 			if r.status == http.StatusOK {
@@ -342,7 +342,7 @@
 	asking.Wait()
 	for s := range all {
 		for r, f := range all[s] {
-			assert.Assert(t, !f.fell(), "upstream %d of shard %d got more than it bears", r, s)
+			assert.Assert(t, !f.isOverloaded(), "upstream %d of shard %d got more than it bears", r, s)
 		}
 	}
 	assert.Assert(t, served[0] > 0 && served[1] > 0, "%v", served)
--- a/tier/pass/answer.go
+++ b/tier/pass/answer.go
@@ -10,31 +10,31 @@
 	"loomgap/tier/policy"
 )
 
-func (q *request) answerSingle(w http.ResponseWriter, r *policy.Result) {
-	a := q.answers.single
-	if a == nil {
-		a = q.answers.failure
+func (q *request) respondSingle(w http.ResponseWriter, r *policy.Result) {
+	resp := q.responses.single
+	if resp == nil {
+		resp = q.responses.failure
 	}
 	switch {
-	case a != nil && !promisesNotRun(a.status):
+	case resp != nil && !meansNotRun(resp.status):
 		o := outcomeServed
-		if a.status >= http.StatusInternalServerError {
+		if resp.status >= http.StatusInternalServerError {
 			o = outcomeFailed
 		}
-		q.log(o, a.status).Int("Calls", r.Attempts).Msg("request answered")
-		q.write(w, a.status, a.header, a.body)
-	case r.Ran == 0 && !r.Unknown && q.answers.failure == nil:
-		q.refuse(w, "no upstream took it: "+string(r.Reasons[0]), q.retryUpstream())
+		q.log(o, resp.status).Int("Calls", r.Attempts).Msg("request answered")
+		q.write(w, resp.status, resp.header, resp.body)
+	case r.Ran == 0 && !r.Unknown && q.responses.failure == nil:
+		q.refuse(w, "no upstream took it: "+string(r.Reasons[0]), q.retryAfterUpstreams())
 	default:
 		q.fail(w, outcomeUnknown, r)
 	}
 }
 
 // answerGathered gives the caller the merged answer, if it covers enough.
-func (q *request) answerGathered(ctx context.Context, w http.ResponseWriter, r *policy.Result) {
-	q.complete(ctx)
+func (q *request) respondGathered(ctx context.Context, w http.ResponseWriter, r *policy.Result) {
+	q.fetchOmittedRecords(ctx)
 	total := len(q.plan.groups)
-	records, stamps := q.answers.parts.merge(q.route.Gather.Top, q.engine.headers.Stamp)
+	records, stamps := q.responses.parts.merge(q.route.Gather.Top, q.engine.headers.Stamp)
 	missing := total - len(stamps)
 	switch {
 	case len(stamps) > 0 && float64(len(stamps)) >= q.class.Coverage*float64(total):
@@ -48,20 +48,20 @@
 		h.Set(q.engine.headers.Parts, strings.Join(stamps, ", "))
 		h.Set(q.engine.headers.Missing, strconv.Itoa(missing))
 		q.log(o, http.StatusOK).Int("Calls", r.Attempts).Int("Missing", missing).
-			Strs("Lacking", q.lacking(r)).Msg("request answered")
+			Strs("Lacking", q.describeMissing(r)).Msg("request answered")
 		q.write(w, http.StatusOK, h, records)
 	case r.Ran == 0:
-		q.refuse(w, "no upstream took it", q.retryUpstream())
+		q.refuse(w, "no upstream took it", q.retryAfterUpstreams())
 	default:
 		q.fail(w, outcomeBelowCoverage, r)
 	}
 }
 
 // write gives headers and body to the caller, with no header added.
-func (q *request) write(w http.ResponseWriter, status int, from http.Header, body []byte) {
-	strip(from)
+func (q *request) write(w http.ResponseWriter, status int, src http.Header, body []byte) {
+	stripConnectionHeaders(src)
 	h := w.Header()
-	maps.Copy(h, from)
+	maps.Copy(h, src)
 	h.Del("Content-Length")
 	for _, name := range []string{"Content-Type", "Date"} {
 		if _, ok := h[name]; !ok {
@@ -70,7 +70,7 @@
 	}
 	if q.in.method != http.MethodHead {
 		h.Set("Content-Length", strconv.Itoa(len(body)))
-	} else if n := from.Get("Content-Length"); n != "" {
+	} else if n := src.Get("Content-Length"); n != "" {
 		h.Set("Content-Length", n)
 	}
 	w.WriteHeader(status)
@@ -87,12 +87,12 @@
 		o, status = outcomeLate, http.StatusGatewayTimeout
 	}
 	q.log(o, status).Int("Calls", r.Attempts).Int("Ran", r.Ran).
-		Int("Included", r.Included).Strs("Lacking", q.lacking(r)).Msg("request failed")
-	http.Error(w, noAnswer(o), status)
+		Int("Included", r.Included).Strs("Lacking", q.describeMissing(r)).Msg("request failed")
+	http.Error(w, noResponseText(o), status)
 }
 
 // noAnswer is the text for a caller whose request may have run and has no answer.
-func noAnswer(o outcome) string { return "no answer: " + string(o) }
+func noResponseText(o outcome) string { return "no answer: " + string(o) }
 
 // reject answers what is wrong with the request itself.
 func (q *request) reject(w http.ResponseWriter, status int, o outcome, problem string) {
--- a/tier/pass/backoff.go
+++ b/tier/pass/backoff.go
@@ -6,9 +6,9 @@
 	// backoffFirst is how long a host or hall that did not answer gets nothing. Each
 	// attempt to use a host that is cut off costs the calls of a batch. The gain of
 	// backoffs is with hallUnresponsiveAfter.
-	backoffFirst = 2 * time.Second
+	backoffInitial = 2 * time.Second
 	// backoffMost bounds the time, which doubles with each failure in a row.
-	backoffMost = 16 * time.Second
+	backoffMax = 16 * time.Second
 )
 
 // backoff keeps a host or hall that does not answer from being asked, for twice as long
@@ -21,7 +21,7 @@
 }
 
 func (b *backoff) begin(now time.Duration) {
-	b.last = min(max(2*b.last, backoffFirst), backoffMost)
+	b.last = min(max(2*b.last, backoffInitial), backoffMax)
 	b.until = now + b.last
 }
 
--- a/tier/pass/backoff_test.go
+++ b/tier/pass/backoff_test.go
@@ -12,7 +12,7 @@
 	var b backoff
 	assert.Assert(t, !b.active(0))
 	now := time.Minute
-	for _, want := range []time.Duration{backoffFirst, 2 * backoffFirst, 4 * backoffFirst, backoffMost, backoffMost} {
+	for _, want := range []time.Duration{backoffInitial, 2 * backoffInitial, 4 * backoffInitial, backoffMax, backoffMax} {
 		b.begin(now)
 		assert.Assert(t, b.active(now+want-1), "%s", want)
 		now += want
@@ -20,5 +20,5 @@
 	}
 	b = backoff{}
 	b.begin(now)
-	assert.Assert(t, !b.active(now+backoffFirst), "it begins anew after an answer")
+	assert.Assert(t, !b.active(now+backoffInitial), "it begins anew after an answer")
 }
--- a/tier/pass/bench_test.go
+++ b/tier/pass/bench_test.go
@@ -10,12 +10,12 @@
 // upstreams' own time is in it.
 func BenchmarkGather(b *testing.B) {
 	h := newHost(b, hostConfig{name: "H1", hall: "A"})
-	h.accept(gatherDoc(1, 50))
-	gatherers(b, h, [2]string{"A", "A"}, func(s, _ int) replyFunc { return good(part(s)) })
+	h.applyDocument(gatherDoc(1, 50))
+	newShardUpstreams(b, h, [2]string{"A", "A"}, func(s, _ int) replyFunc { return good(shardRecords(s)) })
 	i := 0
 	for b.Loop() {
 		i++
-		if r := h.ask(http.MethodGet, "/find/x", strconv.Itoa(i), 1500, ""); r.status != http.StatusOK {
+		if r := h.send(http.MethodGet, "/find/x", strconv.Itoa(i), 1500, ""); r.status != http.StatusOK {
 			b.Fatalf("answer %d: %v", r.status, r.err)
 		}
 	}
--- a/tier/pass/call.go
+++ b/tier/pass/call.go
@@ -23,22 +23,22 @@
 const (
 	// maxAnswer bounds the body of an upstream's answer, in bytes, so that a few of them
 	// fit into the memory of a small host.
-	maxAnswer = 8 << 20
+	maxResponseBytes = 8 << 20
 	// answersRead is how many answers are read for one call: a surplus answer to the
 	// request before may come first.
-	answersRead = 2
+	maxResponsesRead = 2
 	// eagerBody is the largest body, in bytes, that is written before the answer is read. A
 	// longer one is written meanwhile, since an upstream may answer early.
-	eagerBody = 8 << 10
+	maxSyncBodyBytes = 8 << 10
 	// ownHeaderBytes is about the size of the headers that differ between upstreams.
-	ownHeaderBytes = 128
+	perUpstreamHeaderBytes = 128
 )
 
 // errCrossed means that an answer is not that of the call it was read for.
-var errCrossed = errors.New("answer belongs to another request")
+var errResponseMismatch = errors.New("answer belongs to another request")
 
 // answer is an upstream's whole answer, or one part of a block.
-type answer struct {
+type response struct {
 	status int
 	header http.Header
 	body   []byte
@@ -60,22 +60,22 @@
 	// upstream is the name that the upstream must have to run the request.
 	upstream string
 	// left is the time until the deadline.
-	left time.Duration
+	timeLeft time.Duration
 	// unrepeatable is true for a request that goes on new connections only, or on one
 	// that was used a moment ago.
-	unrepeatable bool
+	nonRepeatable bool
 	// gathered is true for one part of a gather.
-	gathered bool
+	fromGather bool
 	// batched is true for a call of a batch: one that broke after it was cancelled
 	// counts as cancelled.
-	batched bool
+	fromBatch bool
 }
 
 // callUpstream makes a call within a span of its own, unless the upstream may not get it
 // now.
-func (e *engine) callUpstream(ctx context.Context, l *link, u *policy.Upstream, c *call) runner.Reply[*answer] {
+func (e *engine) callUpstream(ctx context.Context, l *connPool, u *policy.Upstream, c *call) runner.Reply[*response] {
 	if !e.admits(e.kernel.Now(), c, u) {
-		return runner.Reply[*answer]{Outcome: policy.CallBarred}
+		return runner.Reply[*response]{Outcome: policy.CallBarred}
 	}
 	ctx, span := e.kernel.Tracer.Start(ctx, "upstream", trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
@@ -89,34 +89,34 @@
 
 // call makes a call and judges the result. One that was cancelled while its connection
 // was being made is no evidence against the upstream.
-func (l *link) call(ctx context.Context, c *call) runner.Reply[*answer] {
-	out := l.do(ctx, c)
+func (l *connPool) call(ctx context.Context, c *call) runner.Reply[*response] {
+	out := l.send(ctx, c)
 	if out.Outcome == policy.CallUnreachable && ctx.Err() != nil {
 		out.Outcome = policy.CallNotSent
 	}
 	out.Outcome = runner.DetectCrash(ctx, out.Outcome, l.address)
-	if c.batched && out.Outcome == policy.CallBroken && ctx.Err() != nil {
+	if c.fromBatch && out.Outcome == policy.CallBroken && ctx.Err() != nil {
 		out.Outcome = policy.CallCancelled
 	}
 	return out
 }
 
-func (l *link) do(ctx context.Context, c *call) runner.Reply[*answer] {
-	n, err := l.get(ctx, c.unrepeatable)
+func (l *connPool) send(ctx context.Context, c *call) runner.Reply[*response] {
+	n, err := l.get(ctx, c.nonRepeatable)
 	if err != nil {
-		return runner.Reply[*answer]{Outcome: policy.CallUnreachable}
+		return runner.Reply[*response]{Outcome: policy.CallUnreachable}
 	}
 	// A cancelled call closes its connection: that is how the upstream learns of it.
 	stop := context.AfterFunc(ctx, func() { _ = n.Close() })
 	started := l.now()
-	a, keep, err := n.exchange(c)
-	out := judge(c, a, err)
-	if stop() && keep {
+	resp, reusable, err := n.roundTrip(c)
+	out := classify(c, resp, err)
+	if stop() && reusable {
 		l.put(n)
 		return out
 	}
 	_ = n.Close()
-	if err != nil && n.reused && l.now()-started >= silentCallBound {
+	if err != nil && n.reused && l.now()-started >= silentCallTimeout {
 		l.closeIdle(func(c *conn) bool { return c.idleSince < started })
 	}
 	out.Crowded = !n.reused && errors.Is(err, syscall.ECONNRESET)
@@ -125,61 +125,61 @@
 
 // exchange writes the request and reads its answer. The connection may be reused only if
 // keep is true.
-func (n *conn) exchange(c *call) (a *answer, keep bool, err error) {
-	if err := n.SetDeadline(time.Now().Add(c.left)); err != nil {
+func (n *conn) roundTrip(c *call) (resp *response, reusable bool, err error) {
+	if err := n.SetDeadline(time.Now().Add(c.timeLeft)); err != nil {
 		return nil, false, err
 	}
 	written := make(chan error, 1)
-	if len(c.body) <= eagerBody {
+	if len(c.body) <= maxSyncBodyBytes {
 		written <- n.write(c)
 	} else {
 		go func() { written <- n.write(c) }()
 	}
-	a, keep, err = n.read(c)
+	resp, reusable, err = n.readResponse(c)
 	if err != nil {
 		return nil, false, err
 	}
 	select {
 	case err := <-written:
-		return a, keep && err == nil, nil
+		return resp, reusable && err == nil, nil
 	default:
 		// The upstream answered before it had the whole body. What is not
 		// written yet must not be followed by another request.
-		return a, false, nil
+		return resp, false, nil
 	}
 }
 
 func (n *conn) write(c *call) error {
 	var b bytes.Buffer
-	b.Grow(len(c.head) + len(c.body) + ownHeaderBytes)
+	b.Grow(len(c.head) + len(c.body) + perUpstreamHeaderBytes)
 	b.Write(c.head)
-	fmt.Fprintf(&b, "%s: %d\r\n%s: %s\r\n\r\n", c.headers.DeadlineMillis, max(c.left.Milliseconds(), 1), c.headers.Upstream, c.upstream)
+	fmt.Fprintf(&b, "%s: %d\r\n%s: %s\r\n\r\n", c.headers.DeadlineMillis, max(c.timeLeft.Milliseconds(), 1), c.headers.Upstream, c.upstream)
 	b.Write(c.body)
 	_, err := n.Write(b.Bytes())
 	return err
 }
 
 // read reads the answer to a call; a surplus answer to the call before is skipped.
-func (n *conn) read(c *call) (a *answer, keep bool, err error) {
-	for range answersRead {
-		a, keep, err = n.readOne(c.method)
+func (n *conn) readResponse(c *call) (resp *response, reusable bool, err error) {
+	for range maxResponsesRead {
+		resp, reusable, err = n.readOneResponse(c.method)
 		if err != nil {
 			return nil, false, err
 		}
-		echoed := a.header.Get(c.headers.RequestID)
+		echoed := resp.header.Get(c.headers.RequestID)
 		if echoed == c.id {
-			n.lastID = c.id
-			return a, keep && n.reader.Buffered() == 0, nil
+			n.lastRequestID = c.id
+			return resp, reusable && n.reader.Buffered() == 0, nil
 		}
-		if echoed == "" || echoed != n.lastID || !keep {
-			return nil, false, errCrossed
+		if echoed == "" || echoed != n.lastRequestID || !reusable {
+			return nil, false, errResponseMismatch
 		}
 	}
-	return nil, false, errCrossed
+	return nil, false, errResponseMismatch
 }
 
 // readOne reads one answer; keep is false if nothing can follow it.
-func (n *conn) readOne(method string) (a *answer, keep bool, err error) {
+func (n *conn) readOneResponse(method string) (a *response, reusable bool, err error) {
 	r, err := http.ReadResponse(n.reader, &http.Request{Method: method})
 	for err == nil && r.StatusCode < http.StatusOK {
 		r, err = http.ReadResponse(n.reader, &http.Request{Method: method})
@@ -188,17 +188,17 @@
 		return nil, false, err
 	}
 	defer r.Body.Close()
-	body, err := wire.ReadBody(r, maxAnswer)
+	body, err := wire.ReadBody(r, maxResponseBytes)
 	if err != nil {
 		return nil, false, err
 	}
-	n.noteKeepAlive(r.Header)
-	keep = !r.Close && n.idleBound > 0
-	return &answer{status: r.StatusCode, header: r.Header, body: body}, keep, nil
+	n.updateIdleTimeout(r.Header)
+	reusable = !r.Close && n.idleTimeout > 0
+	return &response{status: r.StatusCode, header: r.Header, body: body}, reusable, nil
 }
 
 // noteKeepAlive takes in how long the upstream keeps an idle connection.
-func (n *conn) noteKeepAlive(h http.Header) {
+func (n *conn) updateIdleTimeout(h http.Header) {
 	_, after, found := strings.Cut(h.Get("Keep-Alive"), "timeout=")
 	if !found {
 		return
@@ -208,27 +208,27 @@
 	if err != nil || seconds < 0 {
 		return
 	}
-	n.idleBound = time.Duration(seconds)*time.Second - idleReserve
+	n.idleTimeout = time.Duration(seconds)*time.Second - idleTimeoutMargin
 }
 
 // judge says what the answer to a call that was sent means, or its error. A reply carries the answer only if it may
 // be given to the caller or merged.
-func judge(c *call, a *answer, err error) runner.Reply[*answer] {
+func classify(c *call, resp *response, err error) runner.Reply[*response] {
 	switch {
-	case errors.Is(err, errCrossed) || errors.Is(err, wire.ErrTooLarge):
-		return runner.Reply[*answer]{Outcome: policy.CallGarbage}
+	case errors.Is(err, errResponseMismatch) || errors.Is(err, wire.ErrTooLarge):
+		return runner.Reply[*response]{Outcome: policy.CallGarbage}
 	case err != nil:
-		return runner.Reply[*answer]{Outcome: policy.CallBroken}
+		return runner.Reply[*response]{Outcome: policy.CallBroken}
 	}
-	out := runner.Reply[*answer]{Load: loadOf(a.header.Get(c.headers.Load)), Part: a}
+	out := runner.Reply[*response]{Load: parseLoad(resp.header.Get(c.headers.Load)), Part: resp}
 	switch {
-	case a.status == http.StatusMisdirectedRequest:
+	case resp.status == http.StatusMisdirectedRequest:
 		out.Outcome = policy.CallMoved
-	case a.header.Get(c.headers.NotRun) != "":
+	case resp.header.Get(c.headers.NotRun) != "":
 		out.Outcome = policy.CallShed
-	case a.status < http.StatusMultipleChoices && a.header.Get(c.headers.Stamp) == "":
+	case resp.status < http.StatusMultipleChoices && resp.header.Get(c.headers.Stamp) == "":
 		out.Outcome, out.Part = policy.CallGarbage, nil
-	case a.status < http.StatusMultipleChoices || a.status < http.StatusInternalServerError && !c.gathered && !promisesNotRun(a.status):
+	case resp.status < http.StatusMultipleChoices || resp.status < http.StatusInternalServerError && !c.fromGather && !meansNotRun(resp.status):
 		out.Outcome = policy.CallOK
 	default:
 		out.Outcome = policy.CallFailed
@@ -237,7 +237,7 @@
 }
 
 // promisesNotRun reports whether a status promises that the request did not run.
-func promisesNotRun(status int) bool {
+func meansNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -246,16 +246,16 @@
 }
 
 // loadOf reads "running, waiting, slots"; zero if the text is not that.
-func loadOf(text string) policy.Load {
+func parseLoad(text string) policy.Load {
 	var counts [3]int
-	left := text
+	rest := text
 	for i := range counts {
-		field, more, _ := strings.Cut(left, ",")
+		field, more, _ := strings.Cut(rest, ",")
 		v, err := strconv.Atoi(strings.TrimSpace(field))
 		if err != nil || v < 0 {
 			return policy.Load{}
 		}
-		counts[i], left = v, more
+		counts[i], rest = v, more
 	}
 	return policy.Load{Running: counts[0], Waiting: counts[1], Slots: counts[2]}
 }
--- a/tier/pass/call_test.go
+++ b/tier/pass/call_test.go
@@ -11,28 +11,28 @@
 )
 
 // TestNoteKeepAlive reads how long an upstream keeps an idle connection.
-func TestNoteKeepAlive(t *testing.T) {
+func TestUpdateIdleTimeout(t *testing.T) {
 	tests := []struct {
 		header string
 		want   time.Duration
 	}{
-		{"", idleUnknown},
-		{"max=5", idleUnknown},
-		{"timeout=x", idleUnknown},
-		{"timeout=-1", idleUnknown},
-		{"timeout=5", 5*time.Second - idleReserve},
-		{"timeout= 5 , max=100", 5*time.Second - idleReserve},
-		{"timeout=0", -idleReserve},
+		{"", defaultIdleTimeout},
+		{"max=5", defaultIdleTimeout},
+		{"timeout=x", defaultIdleTimeout},
+		{"timeout=-1", defaultIdleTimeout},
+		{"timeout=5", 5*time.Second - idleTimeoutMargin},
+		{"timeout= 5 , max=100", 5*time.Second - idleTimeoutMargin},
+		{"timeout=0", -idleTimeoutMargin},
 	}
 	for _, tt := range tests {
-		n := &conn{idleBound: idleUnknown}
-		n.noteKeepAlive(http.Header{"Keep-Alive": {tt.header}})
-		assert.Equal(t, n.idleBound, tt.want, tt.header)
+		n := &conn{idleTimeout: defaultIdleTimeout}
+		n.updateIdleTimeout(http.Header{"Keep-Alive": {tt.header}})
+		assert.Equal(t, n.idleTimeout, tt.want, tt.header)
 	}
 }
 
 // TestLoadOf reads the load that an upstream reports.
-func TestLoadOf(t *testing.T) {
+func TestParseLoad(t *testing.T) {
 	tests := []struct {
 		text string
 		want policy.Load
@@ -45,6 +45,6 @@
 		{"a,b,c", policy.Load{}},
 	}
 	for _, tt := range tests {
-		assert.Equal(t, loadOf(tt.text), tt.want, tt.text)
+		assert.Equal(t, parseLoad(tt.text), tt.want, tt.text)
 	}
 }
--- a/tier/pass/conn.go
+++ b/tier/pass/conn.go
@@ -17,23 +17,23 @@
 const (
 	// upstreamDialBound is how long a connection to an upstream may take to make; hosts of
 	// one platform are milliseconds apart.
-	upstreamDialBound = 700 * time.Millisecond
+	upstreamDialTimeout = 700 * time.Millisecond
 	// idleUnknown is how long a connection may be idle if the upstream does not say how
 	// long it keeps one.
-	idleUnknown = 4 * time.Second
+	defaultIdleTimeout = 4 * time.Second
 	// idleReserve is taken off the time that an upstream says it keeps an idle connection,
 	// so that a request does not cross its close.
-	idleReserve = 500 * time.Millisecond
+	idleTimeoutMargin = 500 * time.Millisecond
 	// freshEnough is how long a connection may have been idle that carries a request which
 	// is not repeatable.
-	freshEnough = 500 * time.Millisecond
+	maxFreshIdle = 500 * time.Millisecond
 	// readBuffer is the size of a connection's buffer for answers, in bytes.
-	readBuffer = 4 << 10
+	readBufferBytes = 4 << 10
 	// silentCallBound is how long a call on a reused connection must go without an answer
 	// until the other idle connections are closed: longer than upstreams pause, and no
 	// longer than an unwanted call lingers that shows it. Without it, one request after
 	// another is sent on connections that have all gone silent without a reset.
-	silentCallBound = policy.LingerFor
+	silentCallTimeout = policy.LingerFor
 )
 
 // conn is one connection to an upstream. One request is on it at a time.
@@ -42,20 +42,20 @@
 	raw    syscall.RawConn
 	reader *bufio.Reader
 	// lastID is the request that was answered before on it.
-	lastID string
+	lastRequestID string
 	// idleSince is when it was put back, as time since the process started.
 	idleSince time.Duration
 	// idleBound is how long it may be idle.
-	idleBound time.Duration
+	idleTimeout time.Duration
 	// reused is true once the connection has been put back.
 	reused bool
 }
 
-type link struct {
+type connPool struct {
 	address netip.AddrPort
 	// born is when the process there started, as of config.Listing.
-	born int64
-	now  func() time.Duration
+	startedAt int64
+	now       func() time.Duration
 
 	mu   sync.Mutex
 	idle []*conn
@@ -64,25 +64,25 @@
 }
 
 // upstreamDialer makes the connections to upstreams.
-var upstreamDialer = net.Dialer{Timeout: upstreamDialBound, KeepAlive: -1}
+var upstreamDialer = net.Dialer{Timeout: upstreamDialTimeout, KeepAlive: -1}
 
 // get returns an idle connection that is still usable, or makes one. With fresh, only one
 // that was used a moment ago is taken.
-func (l *link) get(ctx context.Context, fresh bool) (*conn, error) {
+func (l *connPool) get(ctx context.Context, fresh bool) (*conn, error) {
 	for {
 		c := l.pop()
 		if c == nil {
 			return l.dial(ctx)
 		}
 		idle := l.now() - c.idleSince
-		if idle < c.idleBound && (!fresh || idle < freshEnough) && c.usable() {
+		if idle < c.idleTimeout && (!fresh || idle < maxFreshIdle) && c.usable() {
 			return c, nil
 		}
 		_ = c.Close()
 	}
 }
 
-func (l *link) pop() *conn {
+func (l *connPool) pop() *conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := len(l.idle)
@@ -94,7 +94,7 @@
 	return c
 }
 
-func (l *link) dial(ctx context.Context) (*conn, error) {
+func (l *connPool) dial(ctx context.Context) (*conn, error) {
 	c, err := upstreamDialer.DialContext(ctx, "tcp4", l.address.String())
 	if err != nil {
 		return nil, err
@@ -104,10 +104,10 @@
 		_ = c.Close()
 		return nil, err
 	}
-	return &conn{Conn: c, raw: raw, reader: bufio.NewReaderSize(c, readBuffer), idleBound: idleUnknown}, nil
+	return &conn{Conn: c, raw: raw, reader: bufio.NewReaderSize(c, readBufferBytes), idleTimeout: defaultIdleTimeout}, nil
 }
 
-func (l *link) put(c *conn) {
+func (l *connPool) put(c *conn) {
 	c.idleSince, c.reused = l.now(), true
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -118,17 +118,17 @@
 	l.idle = append(l.idle, c)
 }
 
-func (l *link) sweep() {
+func (l *connPool) closeExpired() {
 	now := l.now()
-	l.closeIdle(func(c *conn) bool { return now-c.idleSince >= c.idleBound })
+	l.closeIdle(func(c *conn) bool { return now-c.idleSince >= c.idleTimeout })
 }
 
 // closeIdle closes the idle connections that dropped picks.
-func (l *link) closeIdle(dropped func(c *conn) bool) {
+func (l *connPool) closeIdle(match func(c *conn) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.idle = slices.DeleteFunc(l.idle, func(c *conn) bool {
-		if !dropped(c) {
+		if !match(c) {
 			return false
 		}
 		_ = c.Close()
@@ -137,7 +137,7 @@
 }
 
 // close closes the idle connections; calls under way go on.
-func (l *link) close() {
+func (l *connPool) close() {
 	l.mu.Lock()
 	l.closed = true
 	l.mu.Unlock()
@@ -151,13 +151,13 @@
 		return false
 	}
 	var (
-		one    [1]byte
-		read   int
-		failed error
+		buf     [1]byte
+		read    int
+		recvErr error
 	)
 	err := n.raw.Read(func(fd uintptr) bool {
-		read, _, failed = syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		read, _, recvErr = syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		return true
 	})
-	return err == nil && read <= 0 && errors.Is(failed, syscall.EAGAIN)
+	return err == nil && read <= 0 && errors.Is(recvErr, syscall.EAGAIN)
 }
--- a/tier/pass/coordinate_messages.go
+++ b/tier/pass/coordinate_messages.go
@@ -11,7 +11,7 @@
 	methodCoordinate = "Forward"
 	// methodCoordinateSign is pushed to the sender of methodCoordinate, at once and
 	// every signEvery, while the coordinator works on the request.
-	methodCoordinateSign = "ForwardSign"
+	methodCoordinateHeartbeat = "ForwardSign"
 	// methodCoordinateBegin has the coordinator begin, once it has given its first
 	// sign. Until then it makes no call.
 	methodCoordinateBegin = "ForwardBegin"
--- a/tier/pass/coordinate_server.go
+++ b/tier/pass/coordinate_server.go
@@ -19,7 +19,7 @@
 
 // beginBound is how long a coordinator waits to be told to begin: longer than a message
 // takes to a busy host and back, and shorter than most objectives.
-const beginBound = 200 * time.Millisecond
+const beginTimeout = 200 * time.Millisecond
 
 // servedRequest is one request that this host carries out for another.
 type servedRequest struct {
@@ -32,7 +32,7 @@
 func (e *engine) handleCoordinate() {
 	const name = "name of a forwarded request"
 	kernel.HandleMessage(e.kernel, methodCoordinate, "forwarded request", e.onCoordinate)
-	kernel.HandleMessage(e.kernel, methodCoordinateSign, name, e.onCoordinateSign)
+	kernel.HandleMessage(e.kernel, methodCoordinateHeartbeat, name, e.onCoordinateHeartbeat)
 	kernel.HandleMessage(e.kernel, methodCoordinateBegin, name, e.onCoordinateBegin)
 	kernel.HandleMessage(e.kernel, methodCoordinateStop, name, e.onCoordinateStop)
 }
@@ -48,18 +48,18 @@
 	e.kernel.InFlight.Add(1)
 	defer e.kernel.InFlight.Add(-1)
 	metrics.GetOrCreateCounter("loomgap_carried_requests_total").Inc()
-	run, cancel := context.WithCancel(wire.TraceInto(context.Background(), in.Trace))
+	runCtx, cancel := context.WithCancel(wire.TraceInto(context.Background(), in.Trace))
 	defer cancel()
 	served := &servedRequest{begin: newStartGate(), cancel: cancel}
 	e.coordinate.served.add(in.ID, served)
 	defer e.coordinate.served.drop(in.ID)
 	started := e.kernel.Now()
-	go e.signWhile(ctx, run, in.ID, cancel)
-	if !served.begin.await(run, beginBound) {
+	go e.sendHeartbeats(ctx, runCtx, in.ID, cancel)
+	if !served.begin.await(runCtx, beginTimeout) {
 		return &coordinateReply{Declined: declineNotBegun}, nil
 	}
 	w := &recorder{header: http.Header{}}
-	q.serve(run, w)
+	q.serve(runCtx, w)
 	return w.reply(q.outcome, e.kernel.Now()-started), nil
 }
 
@@ -72,10 +72,10 @@
 	now := e.kernel.Now()
 	q := &request{
 		engine: e, view: e.kernel.View(),
-		in: inbound{id: in.RequestID, hostName: in.HostName, path: in.Path, method: in.Method, subject: policy.Subject{Caller: in.Caller}},
+		in: inboundRequest{id: in.RequestID, hostName: in.HostName, path: in.Path, method: in.Method, subject: policy.Subject{Caller: in.Caller}},
 		times: requestTimes{
-			begun:    now - max(time.Duration(in.SpentMicros)*time.Microsecond, 0),
-			deadline: now + time.Duration(in.LeftMillis)*time.Millisecond,
+			startedAt: now - max(time.Duration(in.SpentMicros)*time.Microsecond, 0),
+			deadline:  now + time.Duration(in.LeftMillis)*time.Millisecond,
 		},
 	}
 	q.in.setContent([]byte(in.Head), in.Body)
@@ -87,17 +87,17 @@
 }
 
 // signWhile tells the sender of a request that this host works on it, until it ends.
-func (e *engine) signWhile(ctx, run context.Context, id string, cancel context.CancelFunc) {
-	tick := time.NewTicker(signEvery)
+func (e *engine) sendHeartbeats(ctx, runCtx context.Context, id string, cancel context.CancelFunc) {
+	tick := time.NewTicker(heartbeatInterval)
 	defer tick.Stop()
 	for {
-		if err := kernel.Push(ctx, methodCoordinateSign, coordinateID{ID: id}); err != nil {
+		if err := kernel.Push(ctx, methodCoordinateHeartbeat, coordinateID{ID: id}); err != nil {
 			e.kernel.Decisions.Info().Err(err).Msg("sender of a request is gone")
 			cancel()
 			return
 		}
 		select {
-		case <-run.Done():
+		case <-runCtx.Done():
 			return
 		case <-tick.C:
 		}
--- a/tier/pass/coordinate_test.go
+++ b/tier/pass/coordinate_test.go
@@ -16,38 +16,38 @@
 )
 
 // forwarding is a weak host and a strong one of the same hall, with upstreams.
-type forwarding struct {
-	cable        *cable
+type forwardSetup struct {
+	network      *network
 	weak, strong *host
-	upstreams    [][]*upstream
+	upstreams    [][]*fakeUpstream
 }
 
-func newForwarding(t *testing.T, reply func(shard, replica int) replyFunc) *forwarding {
-	return newForwardingLogged(t, reply, nil)
+func newForwardSetup(t *testing.T, reply func(shard, replica int) replyFunc) *forwardSetup {
+	return newForwardSetupWithLog(t, reply, nil)
 }
 
 // newForwardingLogged is newForwarding with a log of the weak host.
-func newForwardingLogged(t *testing.T, reply func(shard, replica int) replyFunc, log io.Writer) *forwarding {
-	w := newCable()
-	f := &forwarding{
-		cable:  w,
-		weak:   newHost(t, hostConfig{name: "Weak", hall: "A", peers: w, cores: 0.2, log: log}),
-		strong: newHost(t, hostConfig{name: "Strong", hall: "A", peers: w}),
+func newForwardSetupWithLog(t *testing.T, reply func(shard, replica int) replyFunc, log io.Writer) *forwardSetup {
+	w := newNetwork()
+	f := &forwardSetup{
+		network: w,
+		weak:    newHost(t, hostConfig{name: "Weak", hall: "A", peers: w, cores: 0.2, log: log}),
+		strong:  newHost(t, hostConfig{name: "Strong", hall: "A", peers: w}),
 	}
 	// What is not the matter of a test does not depend on the machine's speed.
-	f.weak.engine.coordinate.times = signTimes{first: testBound, next: testBound}
+	f.weak.engine.coordinate.heartbeat = heartbeatTimeouts{first: testBound, next: testBound}
 	w.hosts["Strong"] = f.strong
-	f.upstreams = gatherers(t, f.weak, [2]string{"A", "A"}, reply)
+	f.upstreams = newShardUpstreams(t, f.weak, [2]string{"A", "A"}, reply)
 	d := gatherDoc(0.8, 15)
-	f.weak.accept(d)
+	f.weak.applyDocument(d)
 	f.strong.share(f.weak, d)
 	f.strong.kernel.SetPhase(kernel.PhaseReady)
-	f.weak.member(f.strong)
+	f.weak.addMember(f.strong)
 	return f
 }
 
 // asked counts the calls of each shard for a request.
-func (f *forwarding) asked(id string) []int {
+func (f *forwardSetup) callsPerShard(id string) []int {
 	var out []int
 	for _, us := range f.upstreams {
 		out = append(out, us[0].seen(id)+us[1].seen(id))
@@ -55,60 +55,63 @@
 	return out
 }
 
-func wellReplied(s, _ int) replyFunc { return good(part(s)) }
+func replyWithPart(s, _ int) replyFunc { return good(shardRecords(s)) }
 
 // TestGatherIsForwardedToAStrongerHost has a weak host ask a strong one, in each
 // state that this one can be in: the caller has the whole answer, and no shard is
 // asked twice.
-func TestGatherIsForwardedToAStrongerHost(t *testing.T) {
-	soon := signTimes{first: time.Millisecond, next: testBound}
+func TestGatherIsForwardedToStrongerHost(t *testing.T) {
+	soon := heartbeatTimeouts{first: time.Millisecond, next: testBound}
 	tests := []struct {
 		name   string
-		change func(f *forwarding)
+		change func(f *forwardSetup)
 		// begun is true if the strong host makes the calls.
 		begun bool
 	}{
-		{"well", func(*forwarding) {}, true},
-		{"cut off", func(f *forwarding) { f.cable.cut["Strong"] = true }, false},
-		{"frozen", func(f *forwarding) { f.cable.mute["Strong"] = true; f.weak.engine.coordinate.times = soon }, false},
-		{"its sign is lost", func(f *forwarding) { f.cable.pushes = 0; f.weak.engine.coordinate.times = soon }, false},
-		{"cannot be told to begin", func(f *forwarding) { f.cable.broken = map[string]bool{methodCoordinateBegin: true} }, false},
-		{"stopping", func(f *forwarding) { f.strong.kernel.SetPhase(kernel.PhaseDraining) }, false},
-		{"with an older route", func(f *forwarding) {
+		{"well", func(*forwardSetup) {}, true},
+		{"cut off", func(f *forwardSetup) { f.network.unreachable["Strong"] = true }, false},
+		{"frozen", func(f *forwardSetup) {
+			f.network.unresponsive["Strong"] = true
+			f.weak.engine.coordinate.heartbeat = soon
+		}, false},
+		{"its sign is lost", func(f *forwardSetup) { f.network.pushesLeft = 0; f.weak.engine.coordinate.heartbeat = soon }, false},
+		{"cannot be told to begin", func(f *forwardSetup) { f.network.failingMethods = map[string]bool{methodCoordinateBegin: true} }, false},
+		{"stopping", func(f *forwardSetup) { f.strong.kernel.SetPhase(kernel.PhaseDraining) }, false},
+		{"with an older route", func(f *forwardSetup) {
 			d := gatherDoc(0.8, 14)
-			f.strong.accept(d)
+			f.strong.applyDocument(d)
 		}, false},
-		{"with another document and the same route", func(f *forwarding) {
+		{"with another document and the same route", func(f *forwardSetup) {
 			d := gatherDoc(0.8, 15)
 			d.Routes = append(d.Routes, config.Route{
 				Name: "Idle", HostName: "other.example", Prefix: "/", Repeatable: true, MaxAttempts: 1,
 				TimeLimit: 1000 * millisecond, Objective: 100 * millisecond, Group: "S0",
 			})
-			f.strong.accept(d)
+			f.strong.applyDocument(d)
 		}, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			f := newForwarding(t, wellReplied)
+			f := newForwardSetup(t, replyWithPart)
 			tt.change(f)
-			r := f.weak.ask(http.MethodGet, "/find/x", "one", 15000, "")
+			r := f.weak.send(http.MethodGet, "/find/x", "one", 15000, "")
 			assert.NilError(t, r.err)
 			assert.Equal(t, r.status, http.StatusOK, r.body)
-			assert.Equal(t, r.body, greatest(15, 0, 1, 2, 3, 4, 5))
-			assert.Equal(t, len(stampsOf(r)), shards)
+			assert.Equal(t, r.body, topRecords(15, 0, 1, 2, 3, 4, 5))
+			assert.Equal(t, len(sortedStamps(r)), shards)
 			assert.Equal(t, r.header.Get(names.Missing), "0")
 			assert.Equal(t, r.header.Get(names.RequestID), "one")
-			assert.DeepEqual(t, f.asked("one"), []int{1, 1, 1, 1, 1, 1})
-			assert.Equal(t, f.cable.called(methodCoordinate), 1)
-			f.cable.mu.Lock()
-			defer f.cable.mu.Unlock()
-			assert.Equal(t, f.strong.carried(), tt.begun)
+			assert.DeepEqual(t, f.callsPerShard("one"), []int{1, 1, 1, 1, 1, 1})
+			assert.Equal(t, f.network.callCount(methodCoordinate), 1)
+			f.network.mu.Lock()
+			defer f.network.mu.Unlock()
+			assert.Equal(t, f.strong.madeCalls(), tt.begun)
 		})
 	}
 }
 
 // carried reports whether the host has made calls for a request.
-func (h *host) carried() bool {
+func (h *host) madeCalls() bool {
 	near, _ := h.kernel.Fleet.RoutedPools("Find")
 	return near.Count() > 0
 }
@@ -116,36 +119,36 @@
 // TestLostCoordinatorIsNotReplaced has a coordinator begin and fall silent: its
 // calls may have run, so the host makes none of its own and says so soon.
 func TestLostCoordinatorIsNotReplaced(t *testing.T) {
-	f := newForwarding(t, func(int, int) replyFunc { return silent })
-	f.cable.pushes = 1
-	f.weak.engine.coordinate.times.next = 300 * time.Millisecond
-	r := f.weak.ask(http.MethodGet, "/find/x", "one", 15000, "")
+	f := newForwardSetup(t, func(int, int) replyFunc { return silent })
+	f.network.pushesLeft = 1
+	f.weak.engine.coordinate.heartbeat.next = 300 * time.Millisecond
+	r := f.weak.send(http.MethodGet, "/find/x", "one", 15000, "")
 	assert.NilError(t, r.err)
 	assert.Equal(t, r.status, http.StatusBadGateway)
-	for _, n := range f.asked("one") {
+	for _, n := range f.callsPerShard("one") {
 		assert.Assert(t, n <= 2, "a shard is asked %d times", n)
 	}
 }
 
 // TestRefusalOfACoordinatorIsPassedOn has a coordinator refuse: the caller learns
 // that nothing ran, and when to come back.
-func TestRefusalOfACoordinatorIsPassedOn(t *testing.T) {
-	f := newForwarding(t, wellReplied)
+func TestCoordinatorRefusalIsPassedOn(t *testing.T) {
+	f := newForwardSetup(t, replyWithPart)
 	f.strong.do(func(s *kernel.State) {
 		s.List(&config.DirectoryChange{Revision: 1000, Whole: true})
 	})
-	r := f.weak.ask(http.MethodGet, "/find/x", "one", 15000, "")
+	r := f.weak.send(http.MethodGet, "/find/x", "one", 15000, "")
 	assert.NilError(t, r.err)
 	assert.Equal(t, r.status, http.StatusServiceUnavailable, r.body)
 	assert.Assert(t, r.header.Get("Retry-After") != "")
-	assert.DeepEqual(t, f.asked("one"), make([]int, shards))
+	assert.DeepEqual(t, f.callsPerShard("one"), make([]int, shards))
 }
 
 // TestForwardedRequestEndsWithItsCaller looks at the upstreams' connections.
 func TestForwardedRequestEndsWithItsCaller(t *testing.T) {
 	ended := make(chan struct{}, 100)
-	f := newForwarding(t, func(int, int) replyFunc {
-		return func(u *upstream, c net.Conn, r *http.Request) bool {
+	f := newForwardSetup(t, func(int, int) replyFunc {
+		return func(u *fakeUpstream, c net.Conn, r *http.Request) bool {
 			silent(u, c, r)
 			ended <- struct{}{}
 			return false
@@ -154,7 +157,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		eventually(t, "all shards are asked", func() bool {
-			for _, n := range f.asked("one") {
+			for _, n := range f.callsPerShard("one") {
 				if n == 0 {
 					return false
 				}
@@ -163,7 +166,7 @@
 		})
 		cancel()
 	}()
-	r := f.weak.askIn(ctx, http.MethodGet, "/find/x", "one", 500000, "")
+	r := f.weak.sendContext(ctx, http.MethodGet, "/find/x", "one", 500000, "")
 	assert.ErrorIs(t, r.err, context.Canceled)
 	for range shards {
 		<-ended
@@ -171,16 +174,16 @@
 }
 
 // TestHostsAlikeForwardNothing has two hosts of the same strength.
-func TestHostsAlikeForwardNothing(t *testing.T) {
-	w := newCable()
+func TestEqualHostsDoNotForward(t *testing.T) {
+	w := newNetwork()
 	h := newHost(t, hostConfig{name: "H1", hall: "A", peers: w})
 	mate := newHost(t, hostConfig{name: "H2", hall: "A", peers: w, cores: 1.9})
 	w.hosts["H2"] = mate
-	gatherers(t, h, [2]string{"A", "A"}, wellReplied)
-	h.accept(gatherDoc(1, 15))
-	h.member(mate)
+	newShardUpstreams(t, h, [2]string{"A", "A"}, replyWithPart)
+	h.applyDocument(gatherDoc(1, 15))
+	h.addMember(mate)
 	for i := range 5 {
-		assert.Equal(t, h.ask(http.MethodGet, "/find/x", fmt.Sprint(i), 15000, "").status, http.StatusOK)
+		assert.Equal(t, h.send(http.MethodGet, "/find/x", fmt.Sprint(i), 15000, "").status, http.StatusOK)
 	}
-	assert.Equal(t, w.called(methodCoordinate), 0)
+	assert.Equal(t, w.callCount(methodCoordinate), 0)
 }
--- a/tier/pass/coordinators.go
+++ b/tier/pass/coordinators.go
@@ -12,7 +12,7 @@
 // upstreamShare is the part of the upstreams of the hall with the most that a hall must
 // list for its hosts to be coordinators: elsewhere most calls would go to another hall
 // again.
-const upstreamShare = 0.5
+const minUpstreamShare = 0.5
 
 // coordinators are the hosts that may carry gathers out. It is changed on the control
 // thread and read by requests.
@@ -27,7 +27,7 @@
 
 // followHalls notes which halls have many upstreams, and reports whether they are others
 // than before; it runs on the control thread.
-func (c *coordinators) followHalls(d *config.Directory) bool {
+func (c *coordinators) updateHalls(d *config.Directory) bool {
 	if d == c.directory {
 		return false
 	}
@@ -37,7 +37,7 @@
 }
 
 // followMembers takes the candidates from a view; it runs on the control thread.
-func (c *coordinators) followMembers(v *kernel.View) {
+func (c *coordinators) updateMembers(v *kernel.View) {
 	all := liveHosts(v, func(hall string) bool { return c.halls[hall] })
 	c.candidates.Store(&all)
 }
@@ -45,13 +45,13 @@
 // hallsWithUpstreams names the halls that list many upstreams.
 func hallsWithUpstreams(d *config.Directory) map[string]bool {
 	listed := d.PerHall()
-	most := 0
+	largest := 0
 	for _, n := range listed {
-		most = max(most, n)
+		largest = max(largest, n)
 	}
 	out := map[string]bool{}
 	for h, n := range listed {
-		out[h] = float64(n) >= upstreamShare*float64(most)
+		out[h] = float64(n) >= minUpstreamShare*float64(largest)
 	}
 	return out
 }
--- a/tier/pass/crash_test.go
+++ b/tier/pass/crash_test.go
@@ -28,41 +28,41 @@
 // Times and counts of these tests.
 const (
 	// crashRepeats is how often the request comes, each crashGap once.
-	crashRepeats = 16
-	crashGap     = 100 * time.Millisecond
+	crashAttempts = 16
+	crashInterval = 100 * time.Millisecond
 	// crashDown is how long an upstream is away, less than a gap.
-	crashDown = 30 * time.Millisecond
+	crashDowntime = 30 * time.Millisecond
 	// crashLate is how long some requests run until their upstreams end: longer than
 	// until a call is hedged.
-	crashLate = 60 * time.Millisecond
+	lateCrashDelay = 60 * time.Millisecond
 	// crashReaching is how many of the attempts may reach upstreams: those that
 	// show what the request does, and some that were on their way meanwhile.
-	crashReaching = 6
+	maxReachingAttempts = 6
 )
 
 // crashable is a stand-in that crashes when it runs a marked request, and is back at
 // the same address after crashDown. A request marked as late runs for crashLate before,
 // whatever becomes of its call.
-func crashable(s int) replyFunc {
-	return func(u *upstream, c net.Conn, r *http.Request) bool {
+func crashOnMarked(s int) replyFunc {
+	return func(u *fakeUpstream, c net.Conn, r *http.Request) bool {
 		if !strings.Contains(r.RequestURI, "crash") {
-			return good(part(s))(u, c, r)
+			return good(shardRecords(s))(u, c, r)
 		}
 		if strings.Contains(r.RequestURI, "late") {
-			time.Sleep(crashLate)
+			time.Sleep(lateCrashDelay)
 		}
-		u.crash(crashDown)
+		u.crash(crashDowntime)
 		return false
 	}
 }
 
 // crash ends the upstream, with its connections, and starts it again in a while.
-func (u *upstream) crash(down time.Duration) {
+func (u *fakeUpstream) crash(down time.Duration) {
 	u.mu.Lock()
 	old := u.listener
 	u.mu.Unlock()
 	_ = old.Close()
-	u.forget()
+	u.resetConns()
 	time.AfterFunc(down, func() {
 		l, err := net.Listen("tcp", old.Addr().String())
 		if err != nil {
@@ -77,13 +77,13 @@
 }
 
 // crashSite is hosts that callers ask in turn, and the upstreams behind them.
-type crashSite struct {
+type crashSetup struct {
 	hosts     []*host
-	upstreams [][]*upstream
+	upstreams [][]*fakeUpstream
 }
 
 // reached reports whether an attempt reached any upstream.
-func (s *crashSite) reached(id string) bool {
+func (s *crashSetup) reached(id string) bool {
 	for _, us := range s.upstreams {
 		for _, u := range us {
 			if u.seen(id) > 0 {
@@ -104,33 +104,33 @@
 	return d
 }
 
-func crashReply(s, _ int) replyFunc { return crashable(s) }
+func crashReply(s, _ int) replyFunc { return crashOnMarked(s) }
 
 // share gives a host the directory of another and the document.
 func (h *host) share(from *host, d config.Document) {
 	whole := from.kernel.View().Directory.Whole()
 	h.do(func(s *kernel.State) { s.List(&whole) })
-	h.accept(d)
+	h.applyDocument(d)
 }
 
 // alikeSite has three hosts of the upstreams' hall.
-func alikeSite(t *testing.T) *crashSite {
-	w, s := newCable(), &crashSite{}
+func sameHallSetup(t *testing.T) *crashSetup {
+	w, s := newNetwork(), &crashSetup{}
 	for i := range 3 {
 		n := fmt.Sprint("H", i)
 		h := newHost(t, hostConfig{name: n, hall: "A", peers: w})
 		w.hosts[n] = h
 		s.hosts = append(s.hosts, h)
 	}
-	s.upstreams = gatherers(t, s.hosts[0], [2]string{"A", "A"}, crashReply)
-	s.hosts[0].accept(crashDoc())
+	s.upstreams = newShardUpstreams(t, s.hosts[0], [2]string{"A", "A"}, crashReply)
+	s.hosts[0].applyDocument(crashDoc())
 	for _, h := range s.hosts[1:] {
 		h.share(s.hosts[0], crashDoc())
 	}
 	for _, h := range s.hosts {
 		for _, o := range s.hosts {
 			if o != h {
-				h.member(o)
+				h.addMember(o)
 			}
 		}
 	}
@@ -138,27 +138,27 @@
 }
 
 // relayedSite has the upstreams in another hall, called by a host there.
-func relayedSite(t *testing.T) *crashSite {
-	w := newCable()
+func relayedSetup(t *testing.T) *crashSetup {
+	w := newNetwork()
 	h := newHost(t, hostConfig{name: "Near", hall: "A", peers: w})
 	relay := newHost(t, hostConfig{name: "Relay", hall: "B", peers: w})
 	w.hosts["Near"], w.hosts["Relay"] = h, relay
-	us := gatherers(t, h, [2]string{"B", "B"}, crashReply)
-	h.accept(crashDoc())
+	us := newShardUpstreams(t, h, [2]string{"B", "B"}, crashReply)
+	h.applyDocument(crashDoc())
 	relay.share(h, crashDoc())
-	h.member(relay)
-	relay.member(h)
-	return &crashSite{hosts: []*host{h}, upstreams: us}
+	h.addMember(relay)
+	relay.addMember(h)
+	return &crashSetup{hosts: []*host{h}, upstreams: us}
 }
 
 // forwardedSite has a weak host hand its gathers over to a strong one.
-func forwardedSite(t *testing.T) *crashSite {
-	f := newForwarding(t, crashReply)
-	f.cable.hosts["Weak"] = f.weak
-	f.weak.accept(crashDoc())
-	f.strong.accept(crashDoc())
-	f.strong.member(f.weak)
-	return &crashSite{hosts: []*host{f.weak}, upstreams: f.upstreams}
+func forwardedSetup(t *testing.T) *crashSetup {
+	f := newForwardSetup(t, crashReply)
+	f.network.hosts["Weak"] = f.weak
+	f.weak.applyDocument(crashDoc())
+	f.strong.applyDocument(crashDoc())
+	f.strong.addMember(f.weak)
+	return &crashSetup{hosts: []*host{f.weak}, upstreams: f.upstreams}
 }
 
 // TestCrashingRequestIsContained has a request that crashes its upstreams come again
@@ -167,35 +167,35 @@
 func TestCrashingRequestIsContained(t *testing.T) {
 	tests := []struct {
 		name, path string
-		site       func(t *testing.T) *crashSite
+		setup      func(t *testing.T) *crashSetup
 	}{
-		{"gather", "/find/", alikeSite},
-		{"gather, late", "/find/late/", alikeSite},
-		{"one upstream", "/look/", alikeSite},
-		{"one upstream, late", "/look/late/", alikeSite},
-		{"gather through a relay", "/find/", relayedSite},
-		{"gather at a coordinator", "/find/", forwardedSite},
+		{"gather", "/find/", sameHallSetup},
+		{"gather, late", "/find/late/", sameHallSetup},
+		{"one upstream", "/look/", sameHallSetup},
+		{"one upstream, late", "/look/late/", sameHallSetup},
+		{"gather through a relay", "/find/", relayedSetup},
+		{"gather at a coordinator", "/find/", forwardedSetup},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := tt.site(t)
-			var last got
+			s := tt.setup(t)
+			var last result
 			reached := 0
-			for i := range crashRepeats {
+			for i := range crashAttempts {
 				id := fmt.Sprint("crash-", i)
-				last = s.hosts[i%len(s.hosts)].ask(http.MethodGet, tt.path+"crash", id, 2000, "")
+				last = s.hosts[i%len(s.hosts)].send(http.MethodGet, tt.path+"crash", id, 2000, "")
 				assert.NilError(t, last.err)
 				if s.reached(id) {
 					reached++
 				}
-				time.Sleep(crashGap)
+				time.Sleep(crashInterval)
 			}
-			assert.Assert(t, reached <= crashReaching, "%d of %d attempts reached upstreams", reached, crashRepeats)
+			assert.Assert(t, reached <= maxReachingAttempts, "%d of %d attempts reached upstreams", reached, crashAttempts)
 			assert.Equal(t, last.status, http.StatusServiceUnavailable)
 			assert.Assert(t, last.header.Get("Retry-After") != "")
 			for i, h := range s.hosts {
 				eventually(t, "another request is served", func() bool {
-					return h.ask(http.MethodGet, tt.path+"sound", fmt.Sprint("sound-", i), 2000, "").status == http.StatusOK
+					return h.send(http.MethodGet, tt.path+"sound", fmt.Sprint("sound-", i), 2000, "").status == http.StatusOK
 				})
 			}
 		})
--- a/tier/pass/exchange.go
+++ b/tier/pass/exchange.go
@@ -12,19 +12,19 @@
 // This file has what the exchanges with relays and coordinators share.
 
 // stopBound is how long telling a host to stop may take.
-const stopBound = time.Second
+const stopTimeout = time.Second
 
 // notifyStop tells a host that the result of what it was sent is not wanted any more; the
 // context of the request has ended by then.
 func (e *engine) notifyStop(host, method string, message any) error {
-	ctx, cancel := context.WithTimeout(context.Background(), stopBound)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	return e.kernel.Peers.Notify(ctx, host, method, message)
 }
 
 // idBitsSpare is how many of 64 random bits the prefix of IDs does without: with 48
 // left, two of 1,000 hosts draw the same once in 500 million times.
-const idBitsSpare = 16
+const idBitsDropped = 16
 
 // idSource makes the IDs of what is sent to relays and coordinators. It is safe for
 // concurrent use.
@@ -35,7 +35,7 @@
 }
 
 func newIDSource() idSource {
-	return idSource{prefix: strconv.FormatUint(rand.Uint64()>>idBitsSpare, 36) + "-"}
+	return idSource{prefix: strconv.FormatUint(rand.Uint64()>>idBitsDropped, 36) + "-"}
 }
 
 // next returns an ID that nothing else sent by any host has.
@@ -49,7 +49,7 @@
 
 // open returns what is pushed about an ID, of which so many may wait, until it is
 // forgotten.
-func (s *inboxes[T]) open(id string, backlog int) (pushed <-chan T, forget func()) {
+func (s *inboxes[T]) open(id string, backlog int) (pushed <-chan T, release func()) {
 	c := make(chan T, backlog)
 	s.add(id, c)
 	return c, func() { s.drop(id) }
--- a/tier/pass/follow_test.go
+++ b/tier/pass/follow_test.go
@@ -13,7 +13,7 @@
 )
 
 // listingOf is an upstream of a fleet with groups of 12, as of a revision.
-func listingOf(i int, revision uint64) config.Listing {
+func testListing(i int, revision uint64) config.Listing {
 	return config.Listing{
 		Name: fmt.Sprintf("u-%d", i), Group: fmt.Sprintf("shard-%d", i/12), Hall: fmt.Sprintf("hall-%d", i%6),
 		Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 8104), Slots: 3, Revision: revision,
@@ -21,10 +21,10 @@
 }
 
 // knowFleet has a host know so many upstreams and other hosts, in six halls.
-func knowFleet(h *host, upstreams, members int) {
+func addFleet(h *host, upstreams, members int) {
 	change := config.DirectoryChange{Revision: 1, Whole: true}
 	for i := range upstreams {
-		change.Listed = append(change.Listed, listingOf(i, 1))
+		change.Listed = append(change.Listed, testListing(i, 1))
 	}
 	h.do(func(s *kernel.State) {
 		s.List(&change)
@@ -41,17 +41,17 @@
 
 // BenchmarkOneUpstreamFollowed is the cost for the control thread of a change of one
 // upstream, by the number of upstreams, in a fleet of 584 hosts.
-func BenchmarkOneUpstreamFollowed(b *testing.B) {
+func BenchmarkUpstreamChange(b *testing.B) {
 	for _, upstreams := range []int{545, 5448, 54_480} {
 		b.Run(fmt.Sprintf("upstreams=%d", upstreams), func(b *testing.B) {
-			h := newHost(b, hostConfig{name: "H1", hall: "hall-0", cores: 0.2, peers: newCable()})
-			h.accept(gatherDoc(1, 50))
-			knowFleet(h, upstreams, 583)
+			h := newHost(b, hostConfig{name: "H1", hall: "hall-0", cores: 0.2, peers: newNetwork()})
+			h.applyDocument(gatherDoc(1, 50))
+			addFleet(h, upstreams, 583)
 			revision, i := uint64(1), 0
 			for b.Loop() {
 				revision++
 				i = (i + 7) % upstreams
-				l := listingOf(i, revision)
+				l := testListing(i, revision)
 				l.Slots = 3 + int(revision%2)
 				h.do(func(s *kernel.State) {
 					s.List(&config.DirectoryChange{Revision: revision, Listed: []config.Listing{l}})
@@ -63,16 +63,16 @@
 
 // TestOneUpstreamFollowedCostsWhatChanged compares the memory that following a change of
 // one upstream takes in fleets ten times apart, and that its share and its link follow.
-func TestOneUpstreamFollowedCostsWhatChanged(t *testing.T) {
+func TestUpstreamChangeCostIsIndependentOfFleetSize(t *testing.T) {
 	const changes = 100
 	cost := func(upstreams int) uint64 {
-		h := newHost(t, hostConfig{name: "H1", hall: "hall-0", cores: 0.2, peers: newCable()})
-		h.accept(gatherDoc(1, 50))
-		knowFleet(h, upstreams, 100)
+		h := newHost(t, hostConfig{name: "H1", hall: "hall-0", cores: 0.2, peers: newNetwork()})
+		h.applyDocument(gatherDoc(1, 50))
+		addFleet(h, upstreams, 100)
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		for i := range changes {
-			l := listingOf(i*7%upstreams, uint64(i+2))
+			l := testListing(i*7%upstreams, uint64(i+2))
 			l.Leaving = true
 			h.do(func(s *kernel.State) {
 				s.List(&config.DirectoryChange{Revision: l.Revision, Listed: []config.Listing{l}})
@@ -86,12 +86,12 @@
 			}
 		}
 		assert.Equal(t, leaving, changes)
-		gone := listingOf(0, 1).Name
-		assert.Assert(t, h.engine.link(gone) != nil)
+		gone := testListing(0, 1).Name
+		assert.Assert(t, h.engine.connPool(gone) != nil)
 		h.do(func(s *kernel.State) {
 			s.List(&config.DirectoryChange{Revision: 1000, Removed: []config.Removal{{Name: gone, Revision: 1000}}})
 		})
-		assert.Assert(t, h.engine.link(gone) == nil && h.kernel.Fleet.Find(gone) == nil)
+		assert.Assert(t, h.engine.connPool(gone) == nil && h.kernel.Fleet.Find(gone) == nil)
 		return (after.TotalAlloc - before.TotalAlloc) / changes
 	}
 	small, large := cost(1000), cost(10_000)
--- a/tier/pass/gather_test.go
+++ b/tier/pass/gather_test.go
@@ -40,7 +40,7 @@
 }
 
 // part gives some records of a shard, in no order, with a rest that is none.
-func part(shard int) string {
+func shardRecords(shard int) string {
 	r := rand.New(rand.NewPCG(uint64(shard), 7))
 	var b strings.Builder
 	for range 10 {
@@ -50,10 +50,10 @@
 }
 
 // greatest is the answer that the parts of some shards make.
-func greatest(top int, parts ...int) string {
+func topRecords(top int, parts ...int) string {
 	var records []string
 	for _, p := range parts {
-		for text := part(p); len(text) >= recordBytes; text = text[recordBytes:] {
+		for text := shardRecords(p); len(text) >= recordBytes; text = text[recordBytes:] {
 			records = append(records, text[:recordBytes])
 		}
 	}
@@ -63,13 +63,13 @@
 }
 
 // gatherers starts two upstreams for each shard; reply tells what each does.
-func gatherers(t testing.TB, h *host, halls [2]string, reply func(shard, replica int) replyFunc) [][]*upstream {
-	var out [][]*upstream
+func newShardUpstreams(t testing.TB, h *host, halls [2]string, reply func(shard, replica int) replyFunc) [][]*fakeUpstream {
+	var out [][]*fakeUpstream
 	for s := range shards {
-		var us []*upstream
+		var us []*fakeUpstream
 		for r := range 2 {
-			u := newUpstream(t, fmt.Sprintf("U%d%d", s, r), reply(s, r))
-			h.list(fmt.Sprint("S", s), halls[r], u, false)
+			u := newFakeUpstream(t, fmt.Sprintf("U%d%d", s, r), reply(s, r))
+			h.listUpstream(fmt.Sprint("S", s), halls[r], u, false)
 			us = append(us, u)
 		}
 		out = append(out, us)
@@ -77,7 +77,7 @@
 	return out
 }
 
-func stampsOf(r got) []string {
+func sortedStamps(r result) []string {
 	out := strings.Split(r.header.Get(names.Parts), ", ")
 	slices.Sort(out)
 	return out
@@ -94,58 +94,58 @@
 		// most is the most arrivals at one shard.
 		most int
 	}{
-		{"all well", 1, func(s, _ int) replyFunc { return good(part(s)) }, 200, whole, 2},
+		{"all well", 1, func(s, _ int) replyFunc { return good(shardRecords(s)) }, 200, whole, 2},
 		{"one replica of each fails", 1, func(s, r int) replyFunc {
 			if r == 0 {
-				return failing(500, false)
+				return fail(500, false)
 			}
-			return good(part(s))
+			return good(shardRecords(s))
 		}, 200, whole, 2},
 		{"one replica of each sheds", 1, func(s, r int) replyFunc {
 			if r == 0 {
-				return failing(503, true)
+				return fail(503, true)
 			}
-			return good(part(s))
+			return good(shardRecords(s))
 		}, 200, whole, 4},
 		{"one shard is lost, coverage is met", 0.8, func(s, _ int) replyFunc {
 			if s == 3 {
 				return reset
 			}
-			return good(part(s))
+			return good(shardRecords(s))
 		}, 200, []int{0, 1, 2, 4, 5}, 2},
 		{"one shard is lost, coverage is not met", 0.9, func(s, _ int) replyFunc {
 			if s == 3 {
 				return reset
 			}
-			return good(part(s))
+			return good(shardRecords(s))
 		}, 502, nil, 2},
 		{"one shard is silent", 0.8, func(s, _ int) replyFunc {
 			if s == 3 {
 				return silent
 			}
-			return good(part(s))
+			return good(shardRecords(s))
 		}, 200, []int{0, 1, 2, 4, 5}, 2},
 		{"a failure with a stamp is no part", 0.8, func(s, _ int) replyFunc {
 			if s == 3 {
-				return failing(404, false)
+				return fail(404, false)
 			}
-			return good(part(s))
+			return good(shardRecords(s))
 		}, 200, []int{0, 1, 2, 4, 5}, 2},
 		{"an answer to another request is no part", 0.8, func(s, _ int) replyFunc {
 			if s == 3 {
-				return func(_ *upstream, c net.Conn, _ *http.Request) bool {
-					return answerWith(c, 200, map[string]string{names.RequestID: "other", names.Stamp: "s"}, part(s))
+				return func(_ *fakeUpstream, c net.Conn, _ *http.Request) bool {
+					return writeResponse(c, 200, map[string]string{names.RequestID: "other", names.Stamp: "s"}, shardRecords(s))
 				}
 			}
-			return good(part(s))
+			return good(shardRecords(s))
 		}, 200, []int{0, 1, 2, 4, 5}, 2},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			h := newHost(t, hostConfig{name: "H1", hall: "A"})
-			h.accept(gatherDoc(tt.coverage, 15))
-			us := gatherers(t, h, [2]string{"A", "A"}, tt.reply)
-			r := h.ask(http.MethodGet, "/find/x", "one", 1500, "")
+			h.applyDocument(gatherDoc(tt.coverage, 15))
+			us := newShardUpstreams(t, h, [2]string{"A", "A"}, tt.reply)
+			r := h.send(http.MethodGet, "/find/x", "one", 1500, "")
 			assert.NilError(t, r.err)
 			assert.Equal(t, r.status, tt.status)
 			for s := range us {
@@ -154,8 +154,8 @@
 			if tt.status != http.StatusOK {
 				return
 			}
-			assert.Equal(t, r.body, greatest(15, tt.in...))
-			assert.Equal(t, len(stampsOf(r)), len(tt.in))
+			assert.Equal(t, r.body, topRecords(15, tt.in...))
+			assert.Equal(t, len(sortedStamps(r)), len(tt.in))
 			assert.Equal(t, r.header.Get(names.Missing), fmt.Sprint(shards-len(tt.in)))
 		})
 	}
@@ -163,66 +163,66 @@
 
 // TestGatherThatAllShed says that nothing ran only if that is certain: a call
 // may still be under way when the coverage is out of reach.
-func TestGatherThatAllShed(t *testing.T) {
+func TestGatherAllShed(t *testing.T) {
 	h := newHost(t, hostConfig{name: "H1", hall: "A"})
-	h.accept(gatherDoc(0.5, 15))
-	gatherers(t, h, [2]string{"A", "A"}, func(int, int) replyFunc { return failing(503, true) })
-	r := h.ask(http.MethodGet, "/find/x", "one", 1500, "")
+	h.applyDocument(gatherDoc(0.5, 15))
+	newShardUpstreams(t, h, [2]string{"A", "A"}, func(int, int) replyFunc { return fail(503, true) })
+	r := h.send(http.MethodGet, "/find/x", "one", 1500, "")
 	assert.NilError(t, r.err)
 	assert.Assert(t, r.status == http.StatusServiceUnavailable || r.status == http.StatusBadGateway, "%d", r.status)
 }
 
 // TestGatherGoesThroughANearHost has all upstreams in another hall, where a
 // host makes the calls.
-func TestGatherGoesThroughANearHost(t *testing.T) {
+func TestGatherGoesThroughRelay(t *testing.T) {
 	tests := []struct {
 		name string
 		// change prepares the cable and the upstreams.
-		change func(w *cable, reply *func(int, int) replyFunc)
+		change func(w *network, reply *func(int, int) replyFunc)
 		status int
 		in     []int
 	}{
-		{"all well", func(*cable, *func(int, int) replyFunc) {}, 200, []int{0, 1, 2, 3, 4, 5}},
-		{"the near host cannot be reached", func(w *cable, _ *func(int, int) replyFunc) { w.cut["Far"] = true }, 200, []int{0, 1, 2, 3, 4, 5}},
-		{"the near host is silent", func(w *cable, _ *func(int, int) replyFunc) { w.mute["Far"] = true }, 200, []int{0, 1, 2, 3, 4, 5}},
-		{"a shard is silent", func(_ *cable, reply *func(int, int) replyFunc) {
+		{"all well", func(*network, *func(int, int) replyFunc) {}, 200, []int{0, 1, 2, 3, 4, 5}},
+		{"the near host cannot be reached", func(w *network, _ *func(int, int) replyFunc) { w.unreachable["Far"] = true }, 200, []int{0, 1, 2, 3, 4, 5}},
+		{"the near host is silent", func(w *network, _ *func(int, int) replyFunc) { w.unresponsive["Far"] = true }, 200, []int{0, 1, 2, 3, 4, 5}},
+		{"a shard is silent", func(_ *network, reply *func(int, int) replyFunc) {
 			*reply = func(s, _ int) replyFunc {
 				if s == 2 {
 					return silent
 				}
-				return good(part(s))
+				return good(shardRecords(s))
 			}
 		}, 200, []int{0, 1, 3, 4, 5}},
-		{"one replica of a shard is silent", func(_ *cable, reply *func(int, int) replyFunc) {
+		{"one replica of a shard is silent", func(_ *network, reply *func(int, int) replyFunc) {
 			*reply = func(s, r int) replyFunc {
 				if s == 2 && r == 0 {
 					return silent
 				}
-				return good(part(s))
+				return good(shardRecords(s))
 			}
 		}, 200, []int{0, 1, 2, 3, 4, 5}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newCable()
-			reply := func(s, _ int) replyFunc { return good(part(s)) }
+			w := newNetwork()
+			reply := func(s, _ int) replyFunc { return good(shardRecords(s)) }
 			tt.change(w, &reply)
 			h := newHost(t, hostConfig{name: "H1", hall: "A", peers: w})
 			far := newHost(t, hostConfig{name: "Far", hall: "B", peers: w})
 			w.hosts["Far"] = far
-			us := gatherers(t, h, [2]string{"B", "B"}, reply)
+			us := newShardUpstreams(t, h, [2]string{"B", "B"}, reply)
 			d := gatherDoc(0.8, 15)
 			// At the objective an answer with the least coverage is complete enough; it
 			// must be far enough away that a busy machine makes every call before.
 			d.Routes[0].Objective = 1000 * millisecond
-			h.accept(d)
+			h.applyDocument(d)
 			far.share(h, d)
-			h.member(far)
-			r := h.ask(http.MethodGet, "/find/x", "one", 1500, "")
+			h.addMember(far)
+			r := h.send(http.MethodGet, "/find/x", "one", 1500, "")
 			assert.NilError(t, r.err)
 			assert.Equal(t, r.status, tt.status, r.body)
-			assert.Equal(t, r.body, greatest(15, tt.in...))
-			assert.Equal(t, len(stampsOf(r)), len(tt.in))
+			assert.Equal(t, r.body, topRecords(15, tt.in...))
+			assert.Equal(t, len(sortedStamps(r)), len(tt.in))
 			arrivals := 0
 			for s := range us {
 				n := us[s][0].seen("one") + us[s][1].seen("one")
@@ -230,20 +230,20 @@
 				arrivals += n
 			}
 			assert.Assert(t, arrivals >= len(tt.in))
-			assert.Assert(t, w.called(methodBatch) > 0)
+			assert.Assert(t, w.callCount(methodBatch) > 0)
 		})
 	}
 }
 
 // TestBatchIsStoppedForACallerThatLeaves looks at the upstreams' connections.
-func TestBatchIsStoppedForACallerThatLeaves(t *testing.T) {
-	w := newCable()
+func TestBatchStopsWhenCallerLeaves(t *testing.T) {
+	w := newNetwork()
 	h := newHost(t, hostConfig{name: "H1", hall: "A", peers: w})
 	far := newHost(t, hostConfig{name: "Far", hall: "B", peers: w})
 	w.hosts["Far"] = far
 	ended := make(chan struct{}, 100)
-	us := gatherers(t, h, [2]string{"B", "B"}, func(int, int) replyFunc {
-		return func(u *upstream, c net.Conn, r *http.Request) bool {
+	us := newShardUpstreams(t, h, [2]string{"B", "B"}, func(int, int) replyFunc {
+		return func(u *fakeUpstream, c net.Conn, r *http.Request) bool {
 			silent(u, c, r)
 			ended <- struct{}{}
 			return false
@@ -251,9 +251,9 @@
 	})
 	d := gatherDoc(0.8, 15)
 	d.Routes[0].TimeLimit, d.Routes[0].Objective = 600000*millisecond, 600000*millisecond
-	h.accept(d)
+	h.applyDocument(d)
 	far.share(h, d)
-	h.member(far)
+	h.addMember(far)
 	ctx, cancel := context.WithCancel(t.Context())
 	arrived := func() int {
 		n := 0
@@ -266,24 +266,24 @@
 		eventually(t, "all shards are asked", func() bool { return arrived() >= shards })
 		cancel()
 	}()
-	r := h.askIn(ctx, http.MethodGet, "/find/x", "one", 500000, "")
+	r := h.sendContext(ctx, http.MethodGet, "/find/x", "one", 500000, "")
 	assert.ErrorIs(t, r.err, context.Canceled)
 	for range arrived() {
 		<-ended
 	}
 }
 
-func TestMergeChoosesEachPartOnce(t *testing.T) {
-	of := func(shard int) *answer {
+func TestMergeIncludesEachPartOnce(t *testing.T) {
+	of := func(shard int) *response {
 		h := http.Header{}
 		h.Set(names.Stamp, fmt.Sprint("s", shard))
-		return &answer{header: h, body: []byte(part(shard))}
+		return &response{header: h, body: []byte(shardRecords(shard))}
 	}
 	blockOf := func(parts ...int) *block {
 		m := merger{top: 15}
 		b := &block{stamps: map[int]string{}}
 		for _, p := range parts {
-			m.add([]byte(part(p)))
+			m.add([]byte(shardRecords(p)))
 			b.stamps[p] = fmt.Sprint("b", p)
 		}
 		b.records = m.result()
@@ -305,17 +305,17 @@
 		t.Run(tt.name, func(t *testing.T) {
 			var g gatheredParts
 			for _, p := range tt.single {
-				g.take(p, of(p))
+				g.collect(p, of(p))
 			}
 			for _, b := range tt.blocks {
 				x := blockOf(b...)
 				for _, p := range b {
-					g.take(p, &answer{block: x})
+					g.collect(p, &response{block: x})
 				}
 			}
 			records, stamps := g.merge(15, names.Stamp)
 			assert.Equal(t, len(stamps), len(tt.in))
-			assert.Equal(t, string(records), greatest(15, tt.in...))
+			assert.Equal(t, string(records), topRecords(15, tt.in...))
 		})
 	}
 }
@@ -334,7 +334,7 @@
 	})
 }
 
-func TestRelayRefusesBadMessages(t *testing.T) {
+func TestRelayRejectsBadMessages(t *testing.T) {
 	h := newHost(t, hostConfig{name: "H1", hall: "A"})
 	for _, text := range []string{`{`, `{}`, `{"Upstreams":["a"],"Top":0}`, `{"Upstreams":[],"Top":1}`} {
 		_, err := h.kernel.Handler(methodBatch)(t.Context(), []byte(text))
@@ -354,17 +354,17 @@
 func TestRelayedCallsHaveOneTrace(t *testing.T) {
 	spans := tracetest.NewInMemoryExporter()
 	tracer := sdk.NewTracerProvider(sdk.WithSyncer(spans)).Tracer("")
-	w := newCable()
+	w := newNetwork()
 	h := newHost(t, hostConfig{name: "H1", hall: "A", peers: w})
 	far := newHost(t, hostConfig{name: "Far", hall: "B", peers: w})
 	h.kernel.Tracer, far.kernel.Tracer = tracer, tracer
 	w.hosts["Far"] = far
-	gatherers(t, h, [2]string{"B", "B"}, func(s, _ int) replyFunc { return good(part(s)) })
+	newShardUpstreams(t, h, [2]string{"B", "B"}, func(s, _ int) replyFunc { return good(shardRecords(s)) })
 	d := gatherDoc(1, 15)
-	h.accept(d)
+	h.applyDocument(d)
 	far.share(h, d)
-	h.member(far)
-	assert.Equal(t, h.ask(http.MethodGet, "/find/x", "one", 1500, "").status, http.StatusOK)
+	h.addMember(far)
+	assert.Equal(t, h.send(http.MethodGet, "/find/x", "one", 1500, "").status, http.StatusOK)
 	hops := func() map[string]int {
 		out := map[string]int{}
 		for _, s := range spans.GetSpans() {
@@ -381,11 +381,11 @@
 
 // TestHostsOfOtherHallsAreMetAhead has a host learn of others: it connects to two
 // of each other hall, once.
-func TestHostsOfOtherHallsAreMetAhead(t *testing.T) {
-	w := newCable()
+func TestPreconnectToOtherHalls(t *testing.T) {
+	w := newNetwork()
 	h := newHost(t, hostConfig{name: "H1", hall: "A", peers: w})
-	h.accept(gatherDoc(1, 15))
-	gatherers(t, h, [2]string{"A", "B"}, func(s, _ int) replyFunc { return good(part(s)) })
+	h.applyDocument(gatherDoc(1, 15))
+	newShardUpstreams(t, h, [2]string{"A", "B"}, func(s, _ int) replyFunc { return good(shardRecords(s)) })
 	at := netip.MustParseAddrPort("127.0.0.1:1")
 	h.do(func(s *kernel.State) {
 		for _, m := range []kernel.Member{
@@ -401,12 +401,12 @@
 		}
 		s.Changed()
 	})
-	met := func() []string {
+	preconnected := func() []string {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		return slices.Sorted(slices.Values(w.met))
+		return slices.Sorted(slices.Values(w.preconnected))
 	}
-	eventually(t, "three are met", func() bool { return len(met()) == 3 })
+	eventually(t, "three are met", func() bool { return len(preconnected()) == 3 })
 	h.do(func(s *kernel.State) { s.Changed() })
-	assert.DeepEqual(t, met(), []string{"B1", "B2", "C1"})
+	assert.DeepEqual(t, preconnected(), []string{"B1", "B2", "C1"})
 }
--- a/tier/pass/golden_test.go
+++ b/tier/pass/golden_test.go
@@ -80,7 +80,7 @@
 func TestMethodsBetweenHosts(t *testing.T) {
 	methods := map[string]string{
 		methodBatch: "Gather", methodBatchProgress: "GatherProgress", methodBatchStop: "GatherStop", methodRecords: "GatherRecords",
-		methodCoordinate: "Forward", methodCoordinateSign: "ForwardSign", methodCoordinateBegin: "ForwardBegin", methodCoordinateStop: "ForwardStop",
+		methodCoordinate: "Forward", methodCoordinateHeartbeat: "ForwardSign", methodCoordinateBegin: "ForwardBegin", methodCoordinateStop: "ForwardStop",
 	}
 	h := newHost(t, hostConfig{name: "H1", hall: "A"})
 	for got, want := range methods {
@@ -90,7 +90,7 @@
 }
 
 // TestWordsOfOutcomes pins the words of logs, metrics and messages.
-func TestWordsOfOutcomes(t *testing.T) {
+func TestOutcomeNames(t *testing.T) {
 	assert.DeepEqual(t, []outcome{
 		outcomeServed, outcomePartial, outcomeFailed, outcomeNotRun, outcomeUnknown, outcomeLate, outcomeNoRoute,
 		outcomeInvalid, outcomeGivenUp, outcomeBelowCoverage, outcomeTooLarge,
@@ -102,21 +102,21 @@
 }
 
 // observed is what callers and log readers see of some requests.
-type observed struct {
+type observation struct {
 	answers strings.Builder
 	// logs holds the messages with the names of their fields.
 	logs map[string]bool
 }
 
 // answer notes the status, the names of the headers and the text of an answer.
-func (o *observed) answer(name string, r got) {
+func (o *observation) addResponse(name string, r result) {
 	body := r.body
 	if strings.HasPrefix(r.header.Get("Content-Type"), "application/octet-stream") {
 		body = fmt.Sprint(len(body), " bytes")
 	}
 	if r.header.Get(names.Parts) != "" {
 		// The stamps come as the calls end.
-		r.header.Set(names.Parts, fmt.Sprint(len(stampsOf(r)), " stamps"))
+		r.header.Set(names.Parts, fmt.Sprint(len(sortedStamps(r)), " stamps"))
 	}
 	var headers []string
 	for _, n := range slices.Sorted(maps.Keys(r.header)) {
@@ -129,7 +129,7 @@
 }
 
 // take notes the fields of the lines of a log, by message.
-func (o *observed) take(t *testing.T, log *lockedBuffer) {
+func (o *observation) addLog(t *testing.T, log *lockedBuffer) {
 	for _, text := range strings.Split(strings.TrimSpace(log.String()), "\n") {
 		var line map[string]any
 		assert.NilError(t, json.Unmarshal([]byte(text), &line))
@@ -146,121 +146,124 @@
 }
 
 // observeSingle has requests to one group meet each of their ends.
-func (o *observed) observeSingle(t *testing.T) {
+func (o *observation) observeSingle(t *testing.T) {
 	var log lockedBuffer
 	h := newHost(t, hostConfig{name: "H1", hall: "A", log: &log})
-	o.answer("no configuration", h.ask(http.MethodGet, "/read/", "early", 2000, ""))
-	h.accept(singles())
-	o.answer("no directory", h.ask(http.MethodGet, "/read/", "alone", 2000, ""))
-	u := newUpstream(t, "U1", good("well"))
-	h.list("Orders", "A", u, false)
-	o.answer("no upstream of the group", h.ask(http.MethodGet, "/read/deep/", "deep", 2000, ""))
-	ask := func(name string, reply replyFunc) {
+	o.addResponse("no configuration", h.send(http.MethodGet, "/read/", "early", 2000, ""))
+	h.applyDocument(singleDoc())
+	o.addResponse("no directory", h.send(http.MethodGet, "/read/", "alone", 2000, ""))
+	u := newFakeUpstream(t, "U1", good("well"))
+	h.listUpstream("Orders", "A", u, false)
+	o.addResponse("no upstream of the group", h.send(http.MethodGet, "/read/deep/", "deep", 2000, ""))
+	send := func(name string, reply replyFunc) {
 		u.mu.Lock()
 		u.reply = reply
 		u.mu.Unlock()
-		o.answer(name, h.ask(http.MethodPost, "/place/", name, 2000, "b"))
+		o.addResponse(name, h.send(http.MethodPost, "/place/", name, 2000, "b"))
 	}
-	ask("served", good("well"))
-	ask("failed", failing(500, false))
-	ask("shed", failing(503, true))
-	ask("promise-without-word", failing(503, false))
-	ask("reset", reset)
-	o.answer("no route", h.ask(http.MethodPost, "/none/", "no-route", 2000, "b"))
-	o.answer("no ID", h.ask(http.MethodPost, "/place/", "", 2000, "b"))
-	o.answer("bad deadline", h.ask(http.MethodPost, "/place/", "bad", 0, "b"))
-	o.answer("too large", h.ask(http.MethodPost, "/place/", "large", 2000, strings.Repeat("b", 1001)))
+	send("served", good("well"))
+	send("failed", fail(500, false))
+	send("shed", fail(503, true))
+	send("promise-without-word", fail(503, false))
+	send("reset", reset)
+	o.addResponse("no route", h.send(http.MethodPost, "/none/", "no-route", 2000, "b"))
+	o.addResponse("no ID", h.send(http.MethodPost, "/place/", "", 2000, "b"))
+	o.addResponse("bad deadline", h.send(http.MethodPost, "/place/", "bad", 0, "b"))
+	o.addResponse("too large", h.send(http.MethodPost, "/place/", "large", 2000, strings.Repeat("b", 1001)))
 	h.evacuate("A")
 	up := h.kernel.Fleet.Find("U1")
 	assert.Assert(t, !h.engine.admits(h.kernel.Now(), &call{route: "Read", id: "barred"}, up))
-	o.take(t, &log)
+	o.addLog(t, &log)
 }
 
 // unhurriedDoc is gatherDoc with an objective that a busy machine meets: before it, an
 // answer has all parts that there are.
-func unhurriedDoc(coverage float64, top int) config.Document {
+func longObjectiveDoc(coverage float64, top int) config.Document {
 	d := gatherDoc(coverage, top)
 	d.Routes[0].TimeLimit, d.Routes[0].Objective = 20000*millisecond, 10000*millisecond
 	return d
 }
 
 // observeForwarded has a gather handed over to a coordinator in each of its states.
-func (o *observed) observeForwarded(t *testing.T) {
-	soon := signTimes{first: time.Millisecond, next: testBound}
+func (o *observation) observeForwarded(t *testing.T) {
+	soon := heartbeatTimeouts{first: time.Millisecond, next: testBound}
 	cases := []struct {
 		name   string
-		change func(f *forwarding)
+		change func(f *forwardSetup)
 	}{
-		{"forwarded", func(*forwarding) {}},
-		{"forwarded, cut off", func(f *forwarding) { f.cable.cut["Strong"] = true }},
-		{"forwarded, frozen", func(f *forwarding) { f.cable.mute["Strong"] = true; f.weak.engine.coordinate.times = soon }},
-		{"forwarded, not told to begin", func(f *forwarding) { f.cable.broken = map[string]bool{methodCoordinateBegin: true} }},
-		{"forwarded, stopping", func(f *forwarding) { f.strong.kernel.SetPhase(kernel.PhaseDraining) }},
-		{"forwarded, refused", func(f *forwarding) {
+		{"forwarded", func(*forwardSetup) {}},
+		{"forwarded, cut off", func(f *forwardSetup) { f.network.unreachable["Strong"] = true }},
+		{"forwarded, frozen", func(f *forwardSetup) {
+			f.network.unresponsive["Strong"] = true
+			f.weak.engine.coordinate.heartbeat = soon
+		}},
+		{"forwarded, not told to begin", func(f *forwardSetup) { f.network.failingMethods = map[string]bool{methodCoordinateBegin: true} }},
+		{"forwarded, stopping", func(f *forwardSetup) { f.strong.kernel.SetPhase(kernel.PhaseDraining) }},
+		{"forwarded, refused", func(f *forwardSetup) {
 			f.strong.do(func(s *kernel.State) { s.List(&config.DirectoryChange{Revision: 1000, Whole: true}) })
 		}},
-		{"forwarded, lost", func(f *forwarding) {
+		{"forwarded, lost", func(f *forwardSetup) {
 			for _, us := range f.upstreams {
 				for _, u := range us {
 					u.reply = silent
 				}
 			}
-			f.cable.pushes = 1
-			f.weak.engine.coordinate.times.next = 300 * time.Millisecond
+			f.network.pushesLeft = 1
+			f.weak.engine.coordinate.heartbeat.next = 300 * time.Millisecond
 		}},
 	}
 	for _, c := range cases {
 		var log lockedBuffer
-		f := newForwardingLogged(t, wellReplied, &log)
-		f.weak.accept(unhurriedDoc(0.8, 15))
-		f.strong.accept(unhurriedDoc(0.8, 15))
+		f := newForwardSetupWithLog(t, replyWithPart, &log)
+		f.weak.applyDocument(longObjectiveDoc(0.8, 15))
+		f.strong.applyDocument(longObjectiveDoc(0.8, 15))
 		c.change(f)
-		o.answer(c.name, f.weak.ask(http.MethodGet, "/find/x", "one", 15000, ""))
-		o.take(t, &log)
+		o.addResponse(c.name, f.weak.send(http.MethodGet, "/find/x", "one", 15000, ""))
+		o.addLog(t, &log)
 	}
 }
 
 // observeRelayed has the calls of a gather made by a host of another hall.
-func (o *observed) observeRelayed(t *testing.T) {
+func (o *observation) observeRelayed(t *testing.T) {
 	cases := []struct {
 		name   string
-		change func(w *cable)
+		change func(w *network)
 	}{
-		{"relayed", func(*cable) {}},
-		{"relayed, cut off", func(w *cable) { w.cut["Far"] = true }},
-		{"relayed, records cut off", func(w *cable) { w.broken = map[string]bool{methodRecords: true} }},
+		{"relayed", func(*network) {}},
+		{"relayed, cut off", func(w *network) { w.unreachable["Far"] = true }},
+		{"relayed, records cut off", func(w *network) { w.failingMethods = map[string]bool{methodRecords: true} }},
 	}
 	for _, c := range cases {
 		var log lockedBuffer
-		w := newCable()
+		w := newNetwork()
 		h := newHost(t, hostConfig{name: "H1", hall: "A", peers: w, log: &log})
 		far := newHost(t, hostConfig{name: "Far", hall: "B", peers: w})
 		w.hosts["Far"] = far
 		c.change(w)
 		for s := range shards {
-			hall, text := "A", part(s)
+			hall, text := "A", shardRecords(s)
 			if s >= shards/2 {
-				hall, text = "B", strings.ReplaceAll(part(s), ".", "z")
+				hall, text = "B", strings.ReplaceAll(shardRecords(s), ".", "z")
 			}
-			if s >= shards/2 && w.broken != nil {
+			if s >= shards/2 && w.failingMethods != nil {
 				// The records of this hall come before all others.
 				text = regexp.MustCompile(".{16}").ReplaceAllStringFunc(text, func(r string) string { return "z" + r[1:] })
 			}
-			h.list(fmt.Sprint("S", s), hall, newUpstream(t, fmt.Sprint("U", s), good(text)), false)
+			h.listUpstream(fmt.Sprint("S", s), hall, newFakeUpstream(t, fmt.Sprint("U", s), good(text)), false)
 		}
-		d := unhurriedDoc(0.4, 25)
-		h.accept(d)
+		d := longObjectiveDoc(0.4, 25)
+		h.applyDocument(d)
 		far.share(h, d)
-		h.member(far)
-		o.answer(c.name, h.ask(http.MethodGet, "/find/x", "one", 15000, ""))
-		o.take(t, &log)
+		h.addMember(far)
+		o.addResponse(c.name, h.send(http.MethodGet, "/find/x", "one", 15000, ""))
+		o.addLog(t, &log)
 	}
 }
 
 // TestWhatCallersAndLogReadersSee pins the answers to callers with their headers,
 // the fields of the log lines of requests, and the metrics.
-func TestWhatCallersAndLogReadersSee(t *testing.T) {
-	o := &observed{logs: map[string]bool{}}
+func TestResponsesLogsAndMetrics(t *testing.T) {
+	o := &observation{logs: map[string]bool{}}
 	o.observeSingle(t)
 	o.observeForwarded(t)
 	o.observeRelayed(t)
--- a/tier/pass/host_test.go
+++ b/tier/pass/host_test.go
@@ -39,10 +39,10 @@
 const testBound = 20 * time.Second
 
 // replyFunc answers one request on a connection; false closes the connection.
-type replyFunc func(u *upstream, c net.Conn, r *http.Request) bool
+type replyFunc func(u *fakeUpstream, c net.Conn, r *http.Request) bool
 
 // upstream is a stand-in of an upstream. It counts what arrives.
-type upstream struct {
+type fakeUpstream struct {
 	t        testing.TB
 	name     string
 	listener net.Listener
@@ -53,17 +53,17 @@
 	arrivals map[string]int
 	requests map[string]*http.Request
 	bodies   map[string]string
-	dialed   int
+	accepted int
 	// carried counts the connections that brought a request.
-	carried int
-	reply   replyFunc
-	conns   []net.Conn
+	usedConns int
+	reply     replyFunc
+	conns     []net.Conn
 	// silenced is how many of conns, the first, never answer again.
-	silenced int
+	silencedConns int
 }
 
 // forget resets the connections that are there, without a word.
-func (u *upstream) forget() {
+func (u *fakeUpstream) resetConns() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, c := range u.conns {
@@ -76,29 +76,29 @@
 }
 
 // silence has the connections that are there never answer again; new ones work.
-func (u *upstream) silence() {
+func (u *fakeUpstream) silenceConns() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.silenced = len(u.conns)
+	u.silencedConns = len(u.conns)
 }
 
-func (u *upstream) connections() int {
+func (u *fakeUpstream) connections() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return len(u.conns)
 }
 
 // isSilenced reports whether a connection was there when they were silenced.
-func (u *upstream) isSilenced(c net.Conn) bool {
+func (u *fakeUpstream) isSilenced(c net.Conn) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return slices.Contains(u.conns[:min(u.silenced, len(u.conns))], c)
+	return slices.Contains(u.conns[:min(u.silencedConns, len(u.conns))], c)
 }
 
-func newUpstream(t testing.TB, name string, reply replyFunc) *upstream {
+func newFakeUpstream(t testing.TB, name string, reply replyFunc) *fakeUpstream {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	u := &upstream{
+	u := &fakeUpstream{
 		t: t, name: name, listener: l, reply: reply,
 		arrivals: map[string]int{}, requests: map[string]*http.Request{}, bodies: map[string]string{},
 	}
@@ -107,21 +107,21 @@
 	return u
 }
 
-func (u *upstream) serve(l net.Listener) {
+func (u *fakeUpstream) serve(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
 		u.mu.Lock()
-		u.dialed++
+		u.accepted++
 		u.conns = append(u.conns, c)
 		u.mu.Unlock()
-		go u.converse(c)
+		go u.serveConn(c)
 	}
 }
 
-func (u *upstream) converse(c net.Conn) {
+func (u *fakeUpstream) serveConn(c net.Conn) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for first := true; ; first = false {
@@ -131,7 +131,7 @@
 		}
 		if first {
 			u.mu.Lock()
-			u.carried++
+			u.usedConns++
 			u.mu.Unlock()
 		}
 		body, err := io.ReadAll(r.Body)
@@ -153,13 +153,13 @@
 	}
 }
 
-func (u *upstream) seen(id string) int {
+func (u *fakeUpstream) seen(id string) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.arrivals[id]
 }
 
-func (u *upstream) total() int {
+func (u *fakeUpstream) total() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	n := 0
@@ -170,7 +170,7 @@
 }
 
 // answerWith writes a whole answer.
-func answerWith(c net.Conn, status int, headers map[string]string, body string) bool {
+func writeResponse(c net.Conn, status int, headers map[string]string, body string) bool {
 	var b strings.Builder
 	fmt.Fprintf(&b, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n", status, len(body))
 	for n, v := range headers {
@@ -183,33 +183,33 @@
 
 // good answers as an upstream does that is well.
 func good(body string) replyFunc {
-	return func(u *upstream, c net.Conn, r *http.Request) bool {
+	return func(u *fakeUpstream, c net.Conn, r *http.Request) bool {
 		id := r.Header.Get(names.RequestID)
-		return answerWith(c, http.StatusOK, map[string]string{names.RequestID: id, names.Stamp: "stamp-" + u.name + "-" + id}, body)
+		return writeResponse(c, http.StatusOK, map[string]string{names.RequestID: id, names.Stamp: "stamp-" + u.name + "-" + id}, body)
 	}
 }
 
 // failing answers with a status and, with notRun, the word that it did not run.
-func failing(status int, notRun bool) replyFunc {
-	return func(u *upstream, c net.Conn, r *http.Request) bool {
+func fail(status int, notRun bool) replyFunc {
+	return func(u *fakeUpstream, c net.Conn, r *http.Request) bool {
 		h := map[string]string{names.RequestID: r.Header.Get(names.RequestID)}
 		if notRun {
 			h[names.NotRun] = "1"
 		} else {
 			h[names.Stamp] = "stamp-" + u.name
 		}
-		return answerWith(c, status, h, "failed")
+		return writeResponse(c, status, h, "failed")
 	}
 }
 
 // reset ends the connection with a reset.
-func reset(_ *upstream, c net.Conn, _ *http.Request) bool {
+func reset(_ *fakeUpstream, c net.Conn, _ *http.Request) bool {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	return false
 }
 
 // silent never answers.
-func silent(_ *upstream, c net.Conn, _ *http.Request) bool {
+func silent(_ *fakeUpstream, c net.Conn, _ *http.Request) bool {
 	_, _ = io.Copy(io.Discard, c)
 	return false
 }
@@ -225,10 +225,10 @@
 }
 
 type hostConfig struct {
-	name, hall string
-	peers      kernel.PeerCaller
-	repeats    kernel.RetryBudget
-	log        io.Writer
+	name, hall  string
+	peers       kernel.PeerCaller
+	retryBudget kernel.RetryBudget
+	log         io.Writer
 	// age is that of the process; 0 for a minute.
 	age time.Duration
 	// cores is the share of processors; 0 for one.
@@ -238,8 +238,8 @@
 }
 
 func newHost(t testing.TB, c hostConfig) *host {
-	if c.repeats == (kernel.RetryBudget{}) {
-		c.repeats = kernel.RetryBudget{Ratio: 1, Slack: 1000}
+	if c.retryBudget == (kernel.RetryBudget{}) {
+		c.retryBudget = kernel.RetryBudget{Ratio: 1, Slack: 1000}
 	}
 	if c.age == 0 {
 		c.age = time.Minute
@@ -249,7 +249,7 @@
 		log = zerolog.New(c.log)
 	}
 	k, stop := kernel.New(kernel.Config{
-		Settings: kernel.Settings{Host: c.name, Hall: c.hall, Incarnation: "1", Adapter: "Test", RetryBudget: c.repeats, Cores: c.cores, Regions: c.regions, ColdFactor: 1},
+		Settings: kernel.Settings{Host: c.name, Hall: c.hall, Incarnation: "1", Adapter: "Test", RetryBudget: c.retryBudget, Cores: c.cores, Regions: c.regions, ColdFactor: 1},
 		Log:      log, Tracer: noop.NewTracerProvider().Tracer(""), Started: time.Now().Add(-c.age),
 		Fleet: policy.NewFleet(policy.FleetConfig{Random: rand.New(rand.NewPCG(1, 2))}),
 	})
@@ -257,7 +257,7 @@
 	stopStrikes := peers.ServeStrikes(k)
 	e, closeEngine := newEngine(k, names)
 	h := &host{t: t, kernel: k, engine: e, server: httptest.NewServer(e), revision: 1}
-	if w, ok := c.peers.(*cable); ok && w.sender == nil {
+	if w, ok := c.peers.(*network); ok && w.sender == nil {
 		w.sender = h
 	}
 	t.Cleanup(func() {
@@ -278,7 +278,7 @@
 	}
 }
 
-func (h *host) accept(d config.Document) {
+func (h *host) applyDocument(d config.Document) {
 	h.revision++
 	h.do(func(s *kernel.State) {
 		h.kernel.AcceptDocument(s, &d, config.Edition{Position: config.Position{Revision: h.revision}})
@@ -288,7 +288,7 @@
 }
 
 // list puts an upstream into the directory.
-func (h *host) list(group, hall string, u *upstream, leaving bool) {
+func (h *host) listUpstream(group, hall string, u *fakeUpstream, leaving bool) {
 	h.revision++
 	l := config.Listing{
 		Name: u.name, Group: group, Hall: hall, Address: netip.MustParseAddrPort(u.listener.Addr().String()),
@@ -300,7 +300,7 @@
 }
 
 // member makes another host a live member.
-func (h *host) member(o *host) {
+func (h *host) addMember(o *host) {
 	h.do(func(s *kernel.State) {
 		n := o.kernel.Settings.Host
 		s.Members[n] = kernel.Member{Host: n, Hall: o.kernel.Settings.Hall, Peer: netip.MustParseAddrPort("127.0.0.1:1"), Live: true, Capacity: o.kernel.Settings.Capacity()}
@@ -308,7 +308,7 @@
 	})
 }
 
-type got struct {
+type result struct {
 	status int
 	header http.Header
 	body   string
@@ -316,13 +316,13 @@
 }
 
 // ask sends one request with an ID and a deadline in milliseconds.
-func (h *host) ask(method, path, id string, left int, body string) got {
+func (h *host) send(method, path, id string, left int, body string) result {
 	ctx, cancel := context.WithTimeout(h.t.Context(), testBound)
 	defer cancel()
-	return h.askIn(ctx, method, path, id, left, body)
+	return h.sendContext(ctx, method, path, id, left, body)
 }
 
-func (h *host) askIn(ctx context.Context, method, path, id string, left int, body string) got {
+func (h *host) sendContext(ctx context.Context, method, path, id string, left int, body string) result {
 	r, err := http.NewRequestWithContext(ctx, method, h.server.URL+path, strings.NewReader(body))
 	assert.NilError(h.t, err)
 	r.Host = "shop.example"
@@ -332,53 +332,53 @@
 	r.Header.Set(names.DeadlineMillis, strconv.Itoa(left))
 	answer, err := h.server.Client().Do(r)
 	if err != nil {
-		return got{err: err}
+		return result{err: err}
 	}
 	defer answer.Body.Close()
 	text, err := io.ReadAll(answer.Body)
-	return got{status: answer.StatusCode, header: answer.Header, body: string(text), err: err}
+	return result{status: answer.StatusCode, header: answer.Header, body: string(text), err: err}
 }
 
 // cable joins hosts: calls between them go through JSON, as over a connection.
-type cable struct {
+type network struct {
 	mu    sync.Mutex
 	hosts map[string]*host
 	// cut are hosts that cannot be reached, mute those that never answer.
-	cut, mute map[string]bool
+	unreachable, unresponsive map[string]bool
 	// broken are methods that no host can be reached for.
-	broken map[string]bool
+	failingMethods map[string]bool
 	// pushes is how many pushes arrive, the first ones; below 0 for all.
-	pushes int
-	calls  map[string]int
+	pushesLeft int
+	calls      map[string]int
 	// met are the hosts that were connected to ahead.
-	met []string
+	preconnected []string
 	// sender is the host that calls others: the first that was made.
 	sender *host
 }
 
-func newCable() *cable {
-	return &cable{pushes: -1, hosts: map[string]*host{}, cut: map[string]bool{}, mute: map[string]bool{}, calls: map[string]int{}}
+func newNetwork() *network {
+	return &network{pushesLeft: -1, hosts: map[string]*host{}, unreachable: map[string]bool{}, unresponsive: map[string]bool{}, calls: map[string]int{}}
 }
 
-func (w *cable) handler(to, method string) (kernel.Handler, bool, error) {
+func (w *network) handler(to, method string) (kernel.Handler, bool, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.calls[method]++
 	h := w.hosts[to]
-	if h == nil || w.cut[to] || w.broken[method] {
+	if h == nil || w.unreachable[to] || w.failingMethods[method] {
 		return nil, false, fmt.Errorf("host %s: %w", to, peers.ErrNoPeer)
 	}
-	return h.kernel.Handler(method), w.mute[to], nil
+	return h.kernel.Handler(method), w.unresponsive[to], nil
 }
 
-func (w *cable) called(method string) int {
+func (w *network) callCount(method string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.calls[method]
 }
 
 // Call implements kernel.PeerCaller.
-func (w *cable) Call(ctx context.Context, to, method string, params, result any) error {
+func (w *network) Call(ctx context.Context, to, method string, params, result any) error {
 	handler, mute, err := w.handler(to, method)
 	if err != nil {
 		return err
@@ -416,11 +416,11 @@
 }
 
 // push tells the sender something before the answer.
-func (w *cable) push(method string, params any) error {
+func (w *network) push(method string, params any) error {
 	w.mu.Lock()
-	lost := w.pushes == 0
-	if w.pushes > 0 {
-		w.pushes--
+	lost := w.pushesLeft == 0
+	if w.pushesLeft > 0 {
+		w.pushesLeft--
 	}
 	w.mu.Unlock()
 	if lost {
@@ -435,15 +435,15 @@
 }
 
 // Connect implements kernel.PeerCaller.
-func (w *cable) Connect(_ context.Context, host string) error {
+func (w *network) Connect(_ context.Context, host string) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.met = append(w.met, host)
+	w.preconnected = append(w.preconnected, host)
 	return nil
 }
 
 // Notify implements kernel.PeerCaller.
-func (w *cable) Notify(ctx context.Context, to, method string, params any) error {
+func (w *network) Notify(ctx context.Context, to, method string, params any) error {
 	var none any
 	return w.Call(ctx, to, method, params, &none)
 }
--- a/tier/pass/host_tracker.go
+++ b/tier/pass/host_tracker.go
@@ -17,7 +17,7 @@
 	// hallUnresponsiveAfter is how many different hosts of a hall in a row must leave
 	// a batch unanswered until the upstreams of the hall are called directly: this
 	// host may be cut off from the hosts there and not from the upstreams.
-	hallUnresponsiveAfter = 2
+	hallUnresponsiveThreshold = 2
 )
 
 // hostTracker knows which other hosts answer what this host sends them, as relays and
@@ -125,11 +125,11 @@
 }
 
 // observe notes how long a connection to a host of a hall took to make.
-func (t *hostTracker) observe(hall string, roundTrip time.Duration) {
+func (t *hostTracker) observeConnect(hall string, roundTrip time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h := t.hall(hall)
-	h.roundTrip = leastKnown(h.roundTrip, roundTrip)
+	h.roundTrip = minKnown(h.roundTrip, roundTrip)
 }
 
 // sent notes a batch or request, and when the first sign of it is due.
@@ -149,11 +149,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.host(host)
-	s.ended(now)
+	s.removePending(now)
 	s.backoff = backoff{}
-	s.roundTrip = leastKnown(s.roundTrip, roundTrip)
+	s.roundTrip = minKnown(s.roundTrip, roundTrip)
 	h := t.hall(hall)
-	*h = trackedHall{roundTrip: leastKnown(h.roundTrip, roundTrip)}
+	*h = trackedHall{roundTrip: minKnown(h.roundTrip, roundTrip)}
 }
 
 // unanswered notes a batch or request that ended without any sign. With overdue the
@@ -163,7 +163,7 @@
 	defer t.mu.Unlock()
 	s := t.host(host)
 	dueAt := s.dueAt
-	s.ended(now)
+	s.removePending(now)
 	if !overdue {
 		if s.pending > 0 {
 			s.dueAt = dueAt
@@ -176,7 +176,7 @@
 		h.unresponsive++
 		h.last = host
 	}
-	if h.unresponsive >= hallUnresponsiveAfter && !h.backoff.active(now) {
+	if h.unresponsive >= hallUnresponsiveThreshold && !h.backoff.active(now) {
 		h.backoff.begin(now)
 	}
 }
@@ -193,13 +193,13 @@
 }
 
 // host returns what is known of a host; mu is held.
-func (t *hostTracker) host(name string) *trackedHost { return tracked(t.hosts, name) }
+func (t *hostTracker) host(name string) *trackedHost { return getOrCreate(t.hosts, name) }
 
 // hall returns what is known of a hall; mu is held.
-func (t *hostTracker) hall(name string) *trackedHall { return tracked(t.halls, name) }
+func (t *hostTracker) hall(name string) *trackedHall { return getOrCreate(t.halls, name) }
 
 // tracked returns the item of a name, which is made when it is first asked for.
-func tracked[T any](items map[string]*T, name string) *T {
+func getOrCreate[T any](items map[string]*T, name string) *T {
 	if items[name] == nil {
 		items[name] = new(T)
 	}
@@ -213,7 +213,7 @@
 }
 
 // ended notes that a batch or request is not pending any more.
-func (h *trackedHost) ended(now time.Duration) {
+func (h *trackedHost) removePending(now time.Duration) {
 	h.pending--
 	h.dueAt = 0
 	if h.pending > 0 {
@@ -222,7 +222,7 @@
 }
 
 // leastKnown returns the lesser of two times; 0 stands for one that is not known.
-func leastKnown(a, b time.Duration) time.Duration {
+func minKnown(a, b time.Duration) time.Duration {
 	if a == 0 || b > 0 && b < a {
 		return b
 	}
--- a/tier/pass/host_tracker_test.go
+++ b/tier/pass/host_tracker_test.go
@@ -14,28 +14,28 @@
 
 // TestSilentHostRestsLongerEachTime has a host of another hall leave batches
 // unanswered, and then answer one.
-func TestSilentHostRestsLongerEachTime(t *testing.T) {
+func TestUnresponsiveHostBackoffGrows(t *testing.T) {
 	r := newHostTracker()
 	now := time.Minute
-	for _, rest := range []time.Duration{backoffFirst, 2 * backoffFirst, 4 * backoffFirst, backoffMost, backoffMost} {
+	for _, backoff := range []time.Duration{backoffInitial, 2 * backoffInitial, 4 * backoffInitial, backoffMax, backoffMax} {
 		r.sent("Far", now)
 		assert.Assert(t, r.responsive("Far", now+replyGrace-1))
 		assert.Assert(t, !r.responsive("Far", now+replyGrace))
 		r.unanswered("Far", "B", now, true)
-		assert.Assert(t, !r.responsive("Far", now+rest-1), "%s", rest)
-		now += rest
+		assert.Assert(t, !r.responsive("Far", now+backoff-1), "%s", backoff)
+		now += backoff
 		assert.Assert(t, r.responsive("Far", now))
 	}
 	r.sent("Far", now)
 	r.answered("Far", "B", now, time.Millisecond)
 	r.sent("Far", now)
 	r.unanswered("Far", "B", now, true)
-	assert.Assert(t, r.responsive("Far", now+backoffFirst))
+	assert.Assert(t, r.responsive("Far", now+backoffInitial))
 }
 
 // TestSilentHallIsCalledDirectly has a host be cut off from ten hosts of another
 // hall: after two batches it calls the upstreams there itself, for a while.
-func TestSilentHallIsCalledDirectly(t *testing.T) {
+func TestUnresponsiveHallIsCalledDirectly(t *testing.T) {
 	r := newHostTracker()
 	v := &kernel.View{Members: map[string]kernel.Member{}}
 	for i := range 10 {
@@ -54,10 +54,10 @@
 	assert.Equal(t, lost(), "B0")
 	assert.Equal(t, lost(), "B1")
 	assert.Equal(t, lost(), "")
-	now += backoffFirst
+	now += backoffInitial
 	assert.Equal(t, lost(), "B0", "one batch looks whether the way is back")
 	assert.Equal(t, lost(), "")
-	now += 2 * backoffFirst
+	now += 2 * backoffInitial
 	host := r.leastPending(v, "B", now, nil)
 	r.sent(host, now)
 	r.answered(host, "B", now, time.Millisecond)
@@ -65,11 +65,11 @@
 }
 
 // TestRoundTripIsTheLeastKnown notes how long connections and messages took.
-func TestRoundTripIsTheLeastKnown(t *testing.T) {
+func TestRoundTripIsMinimum(t *testing.T) {
 	r := newHostTracker()
 	assert.Equal(t, r.roundTrip("Far"), time.Duration(0))
-	r.observe("B", 30*time.Millisecond)
-	r.observe("B", 40*time.Millisecond)
+	r.observeConnect("B", 30*time.Millisecond)
+	r.observeConnect("B", 40*time.Millisecond)
 	far := []policy.Candidate{{Host: "Far", Hall: "B"}}
 	assert.Equal(t, r.candidates(far, 0, nil)[0].RoundTrip, 30*time.Millisecond)
 	for _, took := range []time.Duration{25, 20, 28} {
@@ -82,11 +82,11 @@
 }
 
 // TestHostThatStopsGetsNothing has hosts decline requests.
-func TestHostThatStopsGetsNothing(t *testing.T) {
+func TestStoppingHostBacksOff(t *testing.T) {
 	r := newHostTracker()
 	r.declined("Route", time.Minute, declineRoute)
 	r.declined("Stopping", time.Minute, declineStopping)
 	assert.Assert(t, r.responsive("Route", time.Minute))
 	assert.Assert(t, !r.responsive("Stopping", time.Minute))
-	assert.Assert(t, r.responsive("Stopping", time.Minute+backoffFirst))
+	assert.Assert(t, r.responsive("Stopping", time.Minute+backoffInitial))
 }
--- a/tier/pass/inbound.go
+++ b/tier/pass/inbound.go
@@ -20,12 +20,12 @@
 	// while the caller still waits: a link's delay and a late timer.
 	responseReserve = 10 * time.Millisecond
 	// responseReserveParts bounds the reserve to one of so many parts of the time limit.
-	responseReserveParts = 4
+	responseReserveDivisor = 4
 	// defaultBody bounds a request's body, in bytes, where the document says nothing.
-	defaultBody = 1 << 20
+	defaultMaxBodyBytes = 1 << 20
 )
 
-type inbound struct {
+type inboundRequest struct {
 	id string
 	// hostName and path are what the route is found by.
 	hostName, path string
@@ -38,20 +38,20 @@
 }
 
 // setContent sets what the request asks for, and the fingerprint of that.
-func (i *inbound) setContent(head, body []byte) {
+func (i *inboundRequest) setContent(head, body []byte) {
 	i.head, i.body = head, body
-	content := contentOf(head, body)
+	content := parseContent(head, body)
 	i.subject.Fingerprint = content.Fingerprint()
 }
 
 // callerOf returns the address that a request came from; the zero value if the server
 // does not give one.
-func callerOf(r *http.Request) netip.Addr {
-	at, err := netip.ParseAddrPort(r.RemoteAddr)
+func callerAddr(r *http.Request) netip.Addr {
+	addrPort, err := netip.ParseAddrPort(r.RemoteAddr)
 	if err != nil {
 		return netip.Addr{}
 	}
-	return at.Addr().Unmap()
+	return addrPort.Addr().Unmap()
 }
 
 // findRoute finds the route of a request; it answers a request that has none.
@@ -60,11 +60,11 @@
 	if !strings.HasPrefix(path, "/") {
 		path = r.URL.EscapedPath()
 	}
-	q.in.hostName, q.in.path = hostOnly(r.Host), path
+	q.in.hostName, q.in.path = stripPort(r.Host), path
 	q.route, q.class = q.view.Index.Route(q.in.hostName, q.in.path)
 	if q.route == nil && !q.view.Confirmed {
 		// The route may be in a newer document, so that this is no final answer yet.
-		q.refuse(w, "no such route in a document that may be old", retryNoConfig)
+		q.refuse(w, "no such route in a document that may be old", retryAfterNoConfig)
 		return false
 	}
 	if q.route == nil {
@@ -74,7 +74,7 @@
 	return true
 }
 
-func hostOnly(host string) string {
+func stripPort(host string) string {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		return h
 	}
@@ -92,7 +92,7 @@
 	}
 	body, ok := q.readBody(w, r)
 	if ok {
-		q.in.setContent(headOf(r, &q.engine.headers, len(body)), body)
+		q.in.setContent(buildHead(r, &q.engine.headers, len(body)), body)
 	}
 	return ok
 }
@@ -109,7 +109,7 @@
 		}
 		limit = min(limit, time.Duration(millis)*time.Millisecond)
 	}
-	q.times.deadline = q.times.begun + limit - min(responseReserve, limit/responseReserveParts)
+	q.times.deadline = q.times.startedAt + limit - min(responseReserve, limit/responseReserveDivisor)
 	return true
 }
 
@@ -118,15 +118,15 @@
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, true
 	}
-	most := q.view.Index.Document.Limits.Body
-	if most <= 0 {
-		most = defaultBody
+	maxBytes := q.view.Index.Document.Limits.Body
+	if maxBytes <= 0 {
+		maxBytes = defaultMaxBodyBytes
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		q.reject(w, http.StatusRequestEntityTooLarge, outcomeTooLarge, "body over "+strconv.FormatInt(most, 10)+" bytes: send a shorter one")
+		q.reject(w, http.StatusRequestEntityTooLarge, outcomeTooLarge, "body over "+strconv.FormatInt(maxBytes, 10)+" bytes: send a shorter one")
 		return nil, false
 	case err != nil:
 		q.log(outcomeInvalid, http.StatusBadRequest).Err(err).Msg("request not read")
@@ -144,7 +144,7 @@
 }
 
 // strip removes the headers that pertain to one connection.
-func strip(h http.Header) {
+func stripConnectionHeaders(h http.Header) {
 	for _, line := range h["Connection"] {
 		for _, name := range strings.Split(line, ",") {
 			h.Del(strings.TrimSpace(name))
@@ -156,7 +156,7 @@
 }
 
 // contentOf returns what a request asks for, read from the head that headOf wrote.
-func contentOf(head, body []byte) policy.Content {
+func parseContent(head, body []byte) policy.Content {
 	line, rest, _ := strings.Cut(string(head), "\r\n")
 	method, line, _ := strings.Cut(line, " ")
 	host, _, _ := strings.Cut(strings.TrimPrefix(rest, "Host: "), "\r\n")
@@ -164,9 +164,9 @@
 }
 
 // headOf writes the request line and the headers that all upstreams get alike.
-func headOf(r *http.Request, names *kernel.Headers, body int) []byte {
+func buildHead(r *http.Request, names *kernel.Headers, body int) []byte {
 	h := r.Header.Clone()
-	strip(h)
+	stripConnectionHeaders(h)
 	// A caller cannot take the ID away by naming it in Connection.
 	h[http.CanonicalHeaderKey(names.RequestID)] = r.Header[http.CanonicalHeaderKey(names.RequestID)]
 	h.Del(names.DeadlineMillis)
--- a/tier/pass/inbound_test.go
+++ b/tier/pass/inbound_test.go
@@ -11,11 +11,11 @@
 )
 
 // TestContentOfHead reads what a request asks for back from its head, as a relay does.
-func TestContentOfHead(t *testing.T) {
+func TestParseContent(t *testing.T) {
 	for _, target := range []string{"/find/x?page=1&sort=new", "/find/a%20b", "/"} {
 		r := httptest.NewRequest("POST", target, strings.NewReader("body"))
 		r.Host = "shop.example"
-		got := contentOf(headOf(r, &names, 4), []byte("body"))
+		got := parseContent(buildHead(r, &names, 4), []byte("body"))
 		assert.DeepEqual(t, got, policy.Content{Method: "POST", HostName: "shop.example", Target: target, Body: []byte("body")})
 	}
 }
--- a/tier/pass/merge.go
+++ b/tier/pass/merge.go
@@ -11,9 +11,9 @@
 	recordBytes = 16
 	// mergeSpareTops is how many times the records of an answer a merger may hold until it
 	// drops the least.
-	mergeSpareTops = 8
+	mergeBufferFactor = 8
 	// mergeSpareRecords is how many records it may hold besides.
-	mergeSpareRecords = 1024
+	mergeBufferExtra = 1024
 )
 
 // merger keeps the greatest records of the parts added; top is how many.
@@ -27,17 +27,17 @@
 	for ; len(part) >= recordBytes; part = part[recordBytes:] {
 		m.records = append(m.records, part[:recordBytes])
 	}
-	if len(m.records) > mergeSpareTops*m.top+mergeSpareRecords {
-		m.cut()
+	if len(m.records) > mergeBufferFactor*m.top+mergeBufferExtra {
+		m.truncate()
 	}
 }
 
 func (m *merger) result() []byte {
-	m.cut()
+	m.truncate()
 	return bytes.Join(m.records, nil)
 }
 
-func (m *merger) cut() {
+func (m *merger) truncate() {
 	slices.SortFunc(m.records, func(a, b []byte) int { return bytes.Compare(b, a) })
 	keep := min(len(m.records), m.top)
 	clear(m.records[keep:])
@@ -51,14 +51,14 @@
 	// stamps are the proofs of the parts, by number of the part.
 	stamps map[int]string
 	// leftOut says where the least records are that were not sent; nil if all were.
-	leftOut *leftOutAt
+	omitted *omittedRef
 }
 
 // lacks reports whether records that were not sent may belong to an answer whose
 // least record is given, nil for an answer with room for more.
-func (b *block) lacks(least []byte) bool {
-	if b.leftOut == nil || len(b.records) < recordBytes {
-		return b.leftOut != nil
+func (b *block) mayMissRecords(least []byte) bool {
+	if b.omitted == nil || len(b.records) < recordBytes {
+		return b.omitted != nil
 	}
 	last := b.records[len(b.records)-recordBytes:]
 	return least == nil || bytes.Compare(last, least) > 0
@@ -67,26 +67,26 @@
 // gatheredParts collects the parts of one answer. It is not safe for concurrent use.
 type gatheredParts struct {
 	// single are the parts that came by themselves, by number of the part.
-	single map[int]*answer
+	single map[int]*response
 	blocks []*block
 }
 
-func (g *gatheredParts) take(part int, a *answer) {
+func (g *gatheredParts) collect(part int, resp *response) {
 	switch {
-	case a.block == nil:
+	case resp.block == nil:
 		if g.single == nil {
-			g.single = map[int]*answer{}
+			g.single = map[int]*response{}
 		}
-		g.single[part] = a
-	case !slices.Contains(g.blocks, a.block):
-		g.blocks = append(g.blocks, a.block)
+		g.single[part] = resp
+	case !slices.Contains(g.blocks, resp.block):
+		g.blocks = append(g.blocks, resp.block)
 	}
 }
 
 // merged merges what makes the answer, and returns that too.
-func (g *gatheredParts) merged(top int) (m merger, blocks []*block, single map[int]*answer) {
+func (g *gatheredParts) mergeChosen(top int) (m merger, blocks []*block, single map[int]*response) {
 	m = merger{top: top}
-	blocks, single = g.choose()
+	blocks, single = g.chooseDisjoint()
 	for _, b := range blocks {
 		m.add(b.records)
 	}
@@ -98,33 +98,33 @@
 
 // lacking lists the blocks of the answer of which records that were not sent may
 // belong to it.
-func (g *gatheredParts) lacking(top int) []*block {
-	m, blocks, _ := g.merged(top)
-	m.cut()
+func (g *gatheredParts) incomplete(top int) []*block {
+	m, blocks, _ := g.mergeChosen(top)
+	m.truncate()
 	var least []byte
 	if len(m.records) == top {
 		least = m.records[top-1]
 	}
-	return slices.DeleteFunc(blocks, func(b *block) bool { return !b.lacks(least) })
+	return slices.DeleteFunc(blocks, func(b *block) bool { return !b.mayMissRecords(least) })
 }
 
-func (g *gatheredParts) drop(b *block) {
+func (g *gatheredParts) remove(b *block) {
 	g.blocks = slices.DeleteFunc(g.blocks, func(other *block) bool { return other == b })
 }
 
 // choose returns blocks with no part in common, the largest first, and the
 // single parts that no block has.
-func (g *gatheredParts) choose() (blocks []*block, single map[int]*answer) {
+func (g *gatheredParts) chooseDisjoint() (blocks []*block, single map[int]*response) {
 	slices.SortStableFunc(g.blocks, func(a, b *block) int { return len(b.stamps) - len(a.stamps) })
-	in := map[int]string{}
+	chosen := map[int]string{}
 	for _, b := range g.blocks {
-		if !overlap(b.stamps, in) {
+		if !overlap(b.stamps, chosen) {
 			blocks = append(blocks, b)
-			maps.Copy(in, b.stamps)
+			maps.Copy(chosen, b.stamps)
 		}
 	}
 	single = maps.Clone(g.single)
-	for part := range in {
+	for part := range chosen {
 		delete(single, part)
 	}
 	return blocks, single
@@ -142,7 +142,7 @@
 
 // merge returns the greatest records and the stamps of the parts they are from.
 func (g *gatheredParts) merge(top int, stampHeader string) (records []byte, stamps []string) {
-	m, blocks, single := g.merged(top)
+	m, blocks, single := g.mergeChosen(top)
 	for _, b := range blocks {
 		for _, s := range b.stamps {
 			stamps = append(stamps, s)
--- a/tier/pass/outcome.go
+++ b/tier/pass/outcome.go
@@ -38,13 +38,13 @@
 )
 
 // lackingLogged bounds the shards that one log line names.
-const lackingLogged = 8
+const maxMissingLogged = 8
 
 // log begins the line that says what became of the request, and counts it.
 func (q *request) log(o outcome, status int) *zerolog.Event {
 	q.outcome = o
 	k := q.engine.kernel
-	took := k.Now() - q.times.begun
+	took := k.Now() - q.times.startedAt
 	route := ""
 	if q.route != nil {
 		route = q.route.Name
@@ -70,8 +70,8 @@
 // lacking describes the shards that an answer lacks, for the log: the group, why it is
 // not in, how many calls were sent for it, and what kept a second upstream from being
 // called.
-func (q *request) lacking(r *policy.Result) []string {
-	missing := r.Missing[:min(len(r.Missing), lackingLogged)]
+func (q *request) describeMissing(r *policy.Result) []string {
+	missing := r.Missing[:min(len(r.Missing), maxMissingLogged)]
 	out := make([]string, 0, len(missing))
 	for _, m := range missing {
 		text := q.plan.groups[m.Part] + " " + string(m.Reason) + " " + strconv.Itoa(m.Sends)
--- a/tier/pass/plan.go
+++ b/tier/pass/plan.go
@@ -20,10 +20,10 @@
 	// reachable counts the parts that have an upstream.
 	reachable int
 	// absent says for each other part why it has none.
-	absent []query.Reason
+	absentReasons []query.Reason
 	// hall is the hall to which calls go that cannot be made in this host's own; empty
 	// if any does.
-	hall string
+	remoteHall string
 }
 
 // covers reports whether the parts that have an upstream can cover what a class asks
@@ -37,28 +37,28 @@
 	if r.Gather != nil {
 		groups = r.Gather.Groups
 	} else {
-		groups = []string{e.splitters.target(r)}
+		groups = []string{e.splitters.pickGroup(r)}
 	}
-	names, absent := make([][]string, len(groups)), make([]query.Reason, len(groups))
+	names, absentReasons := make([][]string, len(groups)), make([]query.Reason, len(groups))
 	placement := e.placement(v)
 	for i, g := range groups {
-		names[i], absent[i] = placement.Usable(g, r.Homes)
+		names[i], absentReasons[i] = placement.Usable(g, r.Homes)
 	}
-	p := plan{groups: groups, replicas: e.kernel.Fleet.Resolve(names), absent: absent}
+	p := plan{groups: groups, replicas: e.kernel.Fleet.Resolve(names), absentReasons: absentReasons}
 	for _, us := range p.replicas {
 		if len(us) > 0 {
 			p.reachable++
 		}
 	}
 	if len(groups) > 1 {
-		p.hall = e.otherHall(v, names[rand.IntN(len(groups))])
+		p.remoteHall = e.pickRemoteHall(v, names[rand.IntN(len(groups))])
 	}
 	return p
 }
 
 // otherHall returns the hall of one of some upstreams that is not in this host's own,
 // drawn at random; empty if all are.
-func (e *engine) otherHall(v *kernel.View, names []string) string {
+func (e *engine) pickRemoteHall(v *kernel.View, names []string) string {
 	for _, i := range rand.Perm(len(names)) {
 		if l, listed := v.Directory.Find(names[i]); listed && l.Hall != e.kernel.Settings.Hall {
 			return l.Hall
@@ -81,7 +81,7 @@
 }
 
 // target returns the one group that a request of a route goes to.
-func (s *splitters) target(r *config.Route) string {
+func (s *splitters) pickGroup(r *config.Route) string {
 	if len(r.Split) == 0 {
 		return r.Group
 	}
@@ -90,12 +90,12 @@
 	if s.byRoute == nil {
 		s.byRoute = map[string]*splitter{}
 	}
-	n := s.byRoute[r.Name]
-	if n == nil || !slices.Equal(n.split, r.Split) {
-		n = newSplitter(r.Split)
-		s.byRoute[r.Name] = n
+	sp := s.byRoute[r.Name]
+	if sp == nil || !slices.Equal(sp.split, r.Split) {
+		sp = newSplitter(r.Split)
+		s.byRoute[r.Name] = sp
 	}
-	return n.next()
+	return sp.next()
 }
 
 // splitter divides the requests of a route between groups in proportion to their weights:
@@ -107,7 +107,7 @@
 	// the total unchanged.
 	lag []float64
 	// sum is that of the weights.
-	sum float64
+	totalWeight float64
 }
 
 // newSplitter makes a splitter that begins anywhere in its round, so that many
@@ -115,7 +115,7 @@
 func newSplitter(split []config.Weighted) *splitter {
 	s := &splitter{split: split, lag: make([]float64, len(split))}
 	for _, w := range split {
-		s.sum += w.Weight
+		s.totalWeight += w.Weight
 	}
 	for i := range s.lag {
 		s.lag[i] = split[i].Weight * rand.Float64()
@@ -136,6 +136,6 @@
 			best = i
 		}
 	}
-	s.lag[best] -= s.sum
+	s.lag[best] -= s.totalWeight
 	return s.split[best].Group
 }
--- a/tier/pass/plugin.go
+++ b/tier/pass/plugin.go
@@ -14,11 +14,11 @@
 // The server for callers is bounded more widely than any document's limits.
 const (
 	// callerHeaderBound is how long a caller may take to send the headers of a request.
-	callerHeaderBound = 10 * time.Second
+	callerHeaderTimeout = 10 * time.Second
 	// callerIdleBound is how long a caller's connection may be idle.
-	callerIdleBound = 2 * time.Minute
+	callerIdleTimeout = 2 * time.Minute
 	// callerHeaderBytes bounds the headers of a request, in bytes.
-	callerHeaderBytes = 64 << 10
+	maxCallerHeaderBytes = 64 << 10
 )
 
 type plugin struct{}
@@ -44,7 +44,7 @@
 	}
 	e, closeEngine := newEngine(k, a.Headers)
 	k.OnView(func(v *kernel.View) { markReady(k, v) })
-	s := &http.Server{Handler: e, ReadHeaderTimeout: callerHeaderBound, IdleTimeout: callerIdleBound, MaxHeaderBytes: callerHeaderBytes}
+	s := &http.Server{Handler: e, ReadHeaderTimeout: callerHeaderTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxCallerHeaderBytes}
 	go func() {
 		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 			k.Log.Error().Err(err).Msg("callers are no longer served")
--- a/tier/pass/relay_client.go
+++ b/tier/pass/relay_client.go
@@ -21,12 +21,12 @@
 const (
 	// hedgesDue is when the first sign is due for a batch of hedges, of which each call
 	// is reported as it ends: upstreams that pause answer within that time.
-	hedgesDue = policy.LingerFor
+	hedgeBatchDue = policy.LingerFor
 	// firstReplyReserve is how much earlier than the hedges of its calls the first reply to
 	// a batch is due: when replies came just after the hedges, there were 27% extra calls.
-	firstReplyReserve = 4 * time.Millisecond
+	firstReplyMargin = 4 * time.Millisecond
 	// firstReplyLeast is the least time that the calls have until the first reply.
-	firstReplyLeast = 5 * time.Millisecond
+	minFirstReplyDelay = 5 * time.Millisecond
 	// progressBacklog is how many progress messages of a batch may wait to be taken in.
 	progressBacklog = 64
 	// progressGrace is how long progress messages that were sent before the last reply may
@@ -52,7 +52,7 @@
 // through a relay there. Even a single call does: the relay has connections to the
 // upstream, and making one from afar takes longer than the call. Calls to a cold
 // upstream go through its owner, whatever the hall.
-func (q *request) Batches(sends []policy.Action) (batches []runner.Batch, apart []policy.Action) {
+func (q *request) Batches(sends []policy.Action) (batches []runner.Batch, direct []policy.Action) {
 	if q.route.Gather == nil {
 		return nil, sends
 	}
@@ -69,20 +69,20 @@
 		byDestination[d] = append(byDestination[d], a)
 	}
 	for d, calls := range byDestination {
-		relay := q.relayTo(d, now)
+		relay := q.relayFor(d, now)
 		if relay == "" {
-			apart = append(apart, calls...)
+			direct = append(direct, calls...)
 			continue
 		}
 		q.relays.pending[relay]++
 		batches = append(batches, runner.Batch{Host: relay, Calls: calls})
 	}
-	return batches, apart
+	return batches, direct
 }
 
 // relayTo returns the relay for calls to a destination; empty if this host is to make
 // them itself, also because no host there is responsive.
-func (q *request) relayTo(d policy.Destination, now time.Duration) string {
+func (q *request) relayFor(d policy.Destination, now time.Duration) string {
 	s := &q.engine.kernel.Settings
 	switch {
 	case d.Owner == s.Host:
@@ -96,7 +96,7 @@
 	}
 }
 
-func (q *request) CallBatch(ctx context.Context, b runner.Batch, to *runner.Reporter[*answer]) {
+func (q *request) CallBatch(ctx context.Context, b runner.Batch, reporter *runner.Reporter[*response]) {
 	e := q.engine
 	ctx, span := e.kernel.Tracer.Start(ctx, "relay", trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
@@ -107,13 +107,13 @@
 	in := q.newBatchRequest(ctx, b.Calls, roundTrip)
 	first := time.Duration(in.FirstMillis) * time.Millisecond
 	if in.FirstMillis == 0 {
-		first = hedgesDue
+		first = hedgeBatchDue
 	}
 	s := &sentBatch{
-		request: q, calls: b.Calls, in: in, relay: b.Host, to: to,
+		request: q, calls: b.Calls, in: in, relay: b.Host, reporter: reporter,
 		started: started, due: started + roundTrip + first, roundTrip: roundTrip,
 	}
-	s.carryOut(ctx)
+	s.do(ctx)
 }
 
 // newBatchRequest describes a batch for its relay. The first reply is to be here before
@@ -124,10 +124,10 @@
 	in := &batchRequest{
 		ID:    e.ids.next(),
 		Route: q.route.Name, RequestID: q.in.id, Method: q.in.method, Head: string(q.in.head), Body: q.in.body, Top: q.route.Gather.Top,
-		FirstMillis:    q.firstReplyIn(batch, roundTrip).Milliseconds(),
+		FirstMillis:    q.firstReplyDelay(batch, roundTrip).Milliseconds(),
 		DeadlineMillis: (q.times.deadline - now).Milliseconds(), Trace: wire.TraceOf(ctx),
 	}
-	if !e.relay.allRecords.wanted(q.route.Name, now) {
+	if !e.relay.fullRecordRoutes.enabled(q.route.Name, now) {
 		in.Of = len(q.plan.groups)
 	}
 	for _, a := range batch {
@@ -138,15 +138,15 @@
 
 // firstReplyIn is in what time the first reply to a batch is to leave its relay: before
 // its calls are hedged. Hedges are not hedged again: each is reported as it ends.
-func (q *request) firstReplyIn(batch []policy.Action, roundTrip time.Duration) time.Duration {
-	due := q.times.patience - q.engine.kernel.Now()
+func (q *request) firstReplyDelay(batch []policy.Action, roundTrip time.Duration) time.Duration {
+	due := q.times.patienceEnd - q.engine.kernel.Now()
 	for _, a := range batch {
 		if a.HedgeIn == 0 {
 			return 0
 		}
 		due = min(due, a.HedgeIn)
 	}
-	return max(due-roundTrip-firstReplyReserve, firstReplyLeast)
+	return max(due-roundTrip-firstReplyMargin, minFirstReplyDelay)
 }
 
 // sentBatch is a batch that a relay makes the calls of. It is used by one goroutine.
@@ -160,32 +160,32 @@
 	// roundTrip is how long the message and its reply take: the least known for the
 	// relay, and once there was a sign what that took.
 	roundTrip time.Duration
-	to        *runner.Reporter[*answer]
+	reporter  *runner.Reporter[*response]
 	// progressTaken counts the progress messages taken in.
-	progressTaken int
+	progressHandled int
 	// heard is true once there was a sign of the relay.
-	heard bool
+	responded bool
 	// overdue is true once the calls that are not in were reported as slow.
 	overdue bool
 	// last is the last reply.
-	last batchReply
+	lastReply batchReply
 }
 
 // carryOut sends the batch and reports its calls until all have ended.
-func (s *sentBatch) carryOut(ctx context.Context) {
+func (s *sentBatch) do(ctx context.Context) {
 	e := s.request.engine
 	e.hosts.sent(s.relay, s.due)
-	progress, forget := e.relay.inboxes.open(s.in.ID, progressBacklog)
-	defer forget()
-	bounded, cancel := s.request.untilDeadline(ctx)
+	progress, release := e.relay.inboxes.open(s.in.ID, progressBacklog)
+	defer release()
+	callCtx, cancel := s.request.untilDeadline(ctx)
 	defer cancel()
-	answered := make(chan error, 1)
-	go func() { answered <- e.kernel.Peers.Call(bounded, s.relay, methodBatch, s.in, &s.last) }()
+	done := make(chan error, 1)
+	go func() { done <- e.kernel.Peers.Call(callCtx, s.relay, methodBatch, s.in, &s.lastReply) }()
 	for {
 		select {
 		case p := <-progress:
-			s.takeProgress(p)
-		case err := <-answered:
+			s.handleProgress(p)
+		case err := <-done:
 			s.finish(ctx, progress, err)
 			return
 		}
@@ -205,25 +205,25 @@
 
 // takeProgress reports the calls of a progress message. Those that are not in when the
 // first reply was due are hedged.
-func (s *sentBatch) takeProgress(g *batchReply) {
-	s.progressTaken++
-	s.noteSign(g)
-	s.report(g)
-	if g.Due && !s.overdue {
+func (s *sentBatch) handleProgress(reply *batchReply) {
+	s.progressHandled++
+	s.noteFirstReply(reply)
+	s.reportCalls(reply)
+	if reply.Due && !s.overdue {
 		s.overdue = true
-		s.to.Overdue()
+		s.reporter.Overdue()
 	}
 }
 
 // noteSign notes the first sign of the relay, and how long the message took.
-func (s *sentBatch) noteSign(g *batchReply) {
-	if s.heard {
+func (s *sentBatch) noteFirstReply(reply *batchReply) {
+	if s.responded {
 		return
 	}
-	s.heard = true
+	s.responded = true
 	e := s.request.engine
 	now := e.kernel.Now()
-	held := time.Duration(g.HeldMicros) * time.Microsecond
+	held := time.Duration(reply.HeldMicros) * time.Microsecond
 	s.roundTrip = max(now-s.started-held, time.Microsecond)
 	e.hosts.answered(s.relay, s.hall(), now, s.roundTrip)
 	s.request.relays.answered(s.relay)
@@ -235,15 +235,15 @@
 		s.fail(ctx, err)
 		return
 	}
-	s.noteSign(&s.last)
-	s.report(&s.last)
+	s.noteFirstReply(&s.lastReply)
+	s.reportCalls(&s.lastReply)
 	// Progress that was sent before the last reply may be handled after it.
 	timer := time.NewTimer(progressGrace)
 	defer timer.Stop()
-	for s.progressTaken < s.last.ProgressSent {
+	for s.progressHandled < s.lastReply.ProgressSent {
 		select {
 		case p := <-progress:
-			s.takeProgress(p)
+			s.handleProgress(p)
 		case <-timer.C:
 			return
 		}
@@ -256,10 +256,10 @@
 	q := s.request
 	e := q.engine
 	o := policy.CallLost
-	if neverArrived(err) && !s.heard {
+	if notDelivered(err) && !s.responded {
 		o = policy.CallNotSent
 	}
-	if !s.heard {
+	if !s.responded {
 		now := e.kernel.Now()
 		e.hosts.unanswered(s.relay, s.hall(), now, ctx.Err() == nil || now-s.due > replyGrace)
 		q.relays.answered(s.relay)
@@ -271,7 +271,7 @@
 			Str("Outcome", string(o)).Err(err).Msg("batch not answered")
 	}
 	for i := range s.calls {
-		s.to.Report(i, runner.Reply[*answer]{Outcome: o})
+		s.reporter.Report(i, runner.Reply[*response]{Outcome: o})
 	}
 }
 
@@ -286,14 +286,14 @@
 
 // report reports the calls of a reply. Their records are kept as one block that stands
 // for all of them.
-func (s *sentBatch) report(g *batchReply) {
+func (s *sentBatch) reportCalls(reply *batchReply) {
 	k := s.request.engine.kernel
-	k.Fleet.TakeConditions(k.Now(), s.hall(), g.Conditions)
-	b := &block{records: g.Records, stamps: map[int]string{}}
-	if g.Cut > 0 {
-		b.leftOut = &leftOutAt{relay: s.relay, at: recordsRequest{ID: s.in.ID, Cut: g.Cut}}
+	k.Fleet.TakeConditions(k.Now(), s.hall(), reply.Conditions)
+	b := &block{records: reply.Records, stamps: map[int]string{}}
+	if reply.Cut > 0 {
+		b.omitted = &omittedRef{relay: s.relay, key: recordsRequest{ID: s.in.ID, Cut: reply.Cut}}
 	}
-	ended := slices.DeleteFunc(g.Ended, func(c callReport) bool { return c.Index < 0 || c.Index >= len(s.calls) })
+	ended := slices.DeleteFunc(reply.Ended, func(c callReport) bool { return c.Index < 0 || c.Index >= len(s.calls) })
 	// The block is whole before the first of its parts is reported.
 	for _, c := range ended {
 		if c.Stamp != "" {
@@ -301,11 +301,11 @@
 		}
 	}
 	for _, c := range ended {
-		r := runner.Reply[*answer]{Outcome: policy.CallOutcome(c.Outcome), Took: time.Duration(c.TookMicros)*time.Microsecond + s.roundTrip}
+		r := runner.Reply[*response]{Outcome: policy.CallOutcome(c.Outcome), Took: time.Duration(c.TookMicros)*time.Microsecond + s.roundTrip}
 		if c.Stamp != "" {
-			r.Outcome, r.Part = policy.CallOK, &answer{block: b}
+			r.Outcome, r.Part = policy.CallOK, &response{block: b}
 		}
-		s.to.Report(c.Index, r)
+		s.reporter.Report(c.Index, r)
 	}
 }
 
--- a/tier/pass/relay_records_test.go
+++ b/tier/pass/relay_records_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestRecordsFor(t *testing.T) {
+func TestRecordsToSend(t *testing.T) {
 	tests := []struct{ top, parts, of, want int }{
 		{50, 8, 25, 28},
 		{50, 1, 25, 9},
@@ -21,20 +21,20 @@
 		{5, 8, 25, 5},
 	}
 	for _, tt := range tests {
-		assert.Equal(t, recordsFor(tt.top, tt.parts, tt.of), tt.want, "%+v", tt)
+		assert.Equal(t, recordsToSend(tt.top, tt.parts, tt.of), tt.want, "%+v", tt)
 	}
 }
 
 // TestRecordsLeftOutAreAskedFor has half of the shards in another hall. Where
 // these have the greatest records, more are needed than were sent at first.
-func TestRecordsLeftOutAreAskedFor(t *testing.T) {
+func TestOmittedRecordsAreFetched(t *testing.T) {
 	const top = 25
-	even := func(s int) string { return part(s) }
+	even := func(s int) string { return shardRecords(s) }
 	skewed := func(s int) string {
 		if s < shards/2 {
-			return part(s)
+			return shardRecords(s)
 		}
-		return strings.ReplaceAll(part(s), ".", "z")[:10*recordBytes]
+		return strings.ReplaceAll(shardRecords(s), ".", "z")[:10*recordBytes]
 	}
 	// high puts the far shards' records before all others.
 	high := func(s int) string {
@@ -63,12 +63,12 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newCable()
+			w := newNetwork()
 			h := newHost(t, hostConfig{name: "H1", hall: "A", peers: w})
 			far := newHost(t, hostConfig{name: "Far", hall: "B", peers: w})
 			w.hosts["Far"] = far
 			if tt.cut {
-				w.broken = map[string]bool{methodRecords: true}
+				w.failingMethods = map[string]bool{methodRecords: true}
 			}
 			var all []string
 			for s := range shards {
@@ -77,7 +77,7 @@
 				if s >= shards/2 {
 					hall = "B"
 				}
-				h.list(fmt.Sprint("S", s), hall, newUpstream(t, fmt.Sprint("U", s), good(text)), false)
+				h.listUpstream(fmt.Sprint("S", s), hall, newFakeUpstream(t, fmt.Sprint("U", s), good(text)), false)
 				if tt.cut && hall == "B" {
 					continue
 				}
@@ -86,40 +86,40 @@
 				}
 			}
 			d := gatherDoc(0.4, top)
-			h.accept(d)
+			h.applyDocument(d)
 			far.share(h, d)
-			h.member(far)
-			r := h.ask(http.MethodGet, "/find/x", "one", 1500, "")
+			h.addMember(far)
+			r := h.send(http.MethodGet, "/find/x", "one", 1500, "")
 			assert.NilError(t, r.err)
 			slices.Sort(all)
 			slices.Reverse(all)
 			assert.Equal(t, r.body, strings.Join(all[:top], ""))
-			assert.Equal(t, len(stampsOf(r)), tt.shards)
-			assert.Equal(t, w.called(methodRecords) > 0, tt.asked)
-			assert.Equal(t, h.engine.relay.allRecords.wanted("Find", h.kernel.Now()), tt.asked)
+			assert.Equal(t, len(sortedStamps(r)), tt.shards)
+			assert.Equal(t, w.callCount(methodRecords) > 0, tt.asked)
+			assert.Equal(t, h.engine.relay.fullRecordRoutes.enabled("Find", h.kernel.Now()), tt.asked)
 			if !tt.asked || tt.cut {
 				return
 			}
 			// From now on all records are sent at once.
-			before := w.called(methodRecords)
-			assert.Equal(t, h.ask(http.MethodGet, "/find/x", "two", 1500, "").body, r.body)
-			assert.Equal(t, w.called(methodRecords), before)
+			before := w.callCount(methodRecords)
+			assert.Equal(t, h.send(http.MethodGet, "/find/x", "two", 1500, "").body, r.body)
+			assert.Equal(t, w.callCount(methodRecords), before)
 		})
 	}
 }
 
 // TestBatchKeepsWhatItLeftOut asks a batch for records that it has, and for such
 // that it has not.
-func TestBatchKeepsWhatItLeftOut(t *testing.T) {
+func TestBatchKeepsOmittedRecords(t *testing.T) {
 	b := newBatch(t, 1, 0, time.Second)
 	b.in.Top, b.in.Of, b.unreported.merger.top = 25, 50, 25
 	b.engine.relay.served.add("B", b)
 	b.engine.handleRelay()
-	b.end(callReport{Stamp: "S"}, []byte(strings.Repeat("0123456789abcdef", 25)))
-	out, last := b.wait()
+	b.endCall(callReport{Stamp: "S"}, []byte(strings.Repeat("0123456789abcdef", 25)))
+	out, last := b.nextReply()
 	assert.Assert(t, last)
 	given := len(out.Records) / recordBytes
-	assert.Equal(t, given, recordsFor(25, 1, 50))
+	assert.Equal(t, given, recordsToSend(25, 1, 50))
 	assert.Equal(t, out.Cut, 1)
 	for _, bad := range []string{`{`, `{"ID":"B"}`, `{"ID":"B","Cut":2}`, `{"ID":"C","Cut":1}`} {
 		_, err := b.engine.kernel.Handler(methodRecords)(t.Context(), []byte(bad))
--- a/tier/pass/relay_report.go
+++ b/tier/pass/relay_report.go
@@ -5,9 +5,9 @@
 const (
 	// failureDelay is how long a reply waits after a failed call for other calls to end:
 	// one message costs as much as several calls of one.
-	failureDelay = 2 * time.Millisecond
+	failureReplyDelay = 2 * time.Millisecond
 	// progressDelay is the same after any call once the first reply was due.
-	progressDelay = 8 * time.Millisecond
+	progressReplyDelay = 8 * time.Millisecond
 )
 
 // unreported collects the calls of a batch that ended since the last reply.
@@ -41,13 +41,13 @@
 
 // replyDelay returns how long a reply waits for further calls to end; due is false if
 // the calls need no reply of their own.
-func (u *unreported) replyDelay(firstWasDue bool) (delay time.Duration, due bool) {
+func (u *unreported) replyDelay(firstDuePassed bool) (delay time.Duration, due bool) {
 	switch {
 	case len(u.calls) == 0:
 		return 0, false
 	case u.failed:
-		return failureDelay, true
+		return failureReplyDelay, true
 	default:
-		return progressDelay, firstWasDue
+		return progressReplyDelay, firstDuePassed
 	}
 }
--- a/tier/pass/relay_report_test.go
+++ b/tier/pass/relay_report_test.go
@@ -18,10 +18,10 @@
 		due         bool
 	}{
 		{"nothing ended", nil, true, 0, false},
-		{"success before the first reply", []callReport{good}, false, progressDelay, false},
-		{"success after it", []callReport{good}, true, progressDelay, true},
-		{"failure before the first reply", []callReport{good, failed}, false, failureDelay, true},
-		{"failure after it", []callReport{failed, good}, true, failureDelay, true},
+		{"success before the first reply", []callReport{good}, false, progressReplyDelay, false},
+		{"success after it", []callReport{good}, true, progressReplyDelay, true},
+		{"failure before the first reply", []callReport{good, failed}, false, failureReplyDelay, true},
+		{"failure after it", []callReport{failed, good}, true, failureReplyDelay, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/tier/pass/relay_server.go
+++ b/tier/pass/relay_server.go
@@ -24,7 +24,7 @@
 	// maxBatchCalls bounds the calls of one message.
 	maxBatchCalls = 4096
 	// maxBatchTime bounds how long another host may keep calls going.
-	maxBatchTime = 10 * time.Minute
+	maxBatchDuration = 10 * time.Minute
 )
 
 // servedBatch is a batch of calls that this host makes for another host. It is safe
@@ -44,9 +44,9 @@
 
 	mu         sync.Mutex
 	unreported unreported
-	leftOut    leftOutRecords
+	omitted    omittedRecords
 	// open counts the calls that have not ended.
-	open int
+	openCalls int
 	// calls are those that may still be cancelled, by index.
 	calls map[int]*servedCall
 	// finished is closed when open is 0.
@@ -91,7 +91,7 @@
 	metrics.GetOrCreateCounter("loomgap_relayed_calls_total").Add(len(in.Upstreams))
 	b := e.startBatch(in)
 	for sent := 0; ; sent++ {
-		out, last := b.wait()
+		out, last := b.nextReply()
 		switch {
 		case out == nil:
 			// The sender does not wait for it; calls that linger end by themselves.
@@ -123,18 +123,18 @@
 }
 
 func (e *engine) startBatch(in *batchRequest) *servedBatch {
-	left := min(time.Duration(in.DeadlineMillis)*time.Millisecond, maxBatchTime)
+	left := min(time.Duration(in.DeadlineMillis)*time.Millisecond, maxBatchDuration)
 	ctx, cancel := context.WithTimeout(wire.TraceInto(context.Background(), in.Trace), left)
 	now := e.kernel.Now()
 	b := &servedBatch{
 		engine: e, in: in, subject: e.subjectOf(in), cancel: cancel,
 		begun: now, firstDue: now + min(time.Duration(in.FirstMillis)*time.Millisecond, left), deadline: now + left,
-		unreported: unreported{merger: merger{top: in.Top}}, open: len(in.Upstreams), calls: map[int]*servedCall{},
+		unreported: unreported{merger: merger{top: in.Top}}, openCalls: len(in.Upstreams), calls: map[int]*servedCall{},
 		finished: make(chan struct{}), changed: make(chan struct{}, 1),
 	}
 	e.relay.served.add(in.ID, b)
 	// The sender may never ask for the records that were left out.
-	time.AfterFunc(left+leftOutGrace, func() { e.relay.served.drop(in.ID) })
+	time.AfterFunc(left+omittedRetention, func() { e.relay.served.drop(in.ID) })
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i, name := range in.Upstreams {
@@ -152,7 +152,7 @@
 	if !e.kernel.Fleet.HasSuspects() {
 		return policy.Subject{}
 	}
-	content := contentOf([]byte(in.Head), in.Body)
+	content := parseContent([]byte(in.Head), in.Body)
 	return policy.Subject{Fingerprint: content.Fingerprint()}
 }
 
@@ -161,8 +161,8 @@
 	defer c.cancel()
 	k := b.engine.kernel
 	started := k.Now()
-	reply := runner.Reply[*answer]{Outcome: policy.CallUnreachable}
-	u, l := k.Fleet.Find(name), b.engine.link(name)
+	reply := runner.Reply[*response]{Outcome: policy.CallUnreachable}
+	u, l := k.Fleet.Find(name), b.engine.connPool(name)
 	switch {
 	case u == nil || l == nil:
 	case k.Fleet.Stalled(started, u):
@@ -175,34 +175,34 @@
 		c.upstream = u
 		b.mu.Unlock()
 		k.Fleet.Sent(started, u)
-		reply = b.exchange(ctx, l, u)
-		b.freeSlot(i, c, &reply, started)
+		reply = b.sendCall(ctx, l, u)
+		b.releaseSlot(i, c, &reply, started)
 	}
 	out := callReport{Index: i, TookMicros: (k.Now() - started).Microseconds()}
 	if reply.Outcome != policy.CallOK {
 		out.Outcome = string(reply.Outcome)
-		b.end(out, nil)
+		b.endCall(out, nil)
 		return
 	}
 	out.Stamp = reply.Part.header.Get(b.engine.headers.Stamp)
-	b.end(out, reply.Part.body)
+	b.endCall(out, reply.Part.body)
 }
 
 // exchange sends a call whose slot is held and returns what became of it.
-func (b *servedBatch) exchange(ctx context.Context, l *link, u *policy.Upstream) runner.Reply[*answer] {
+func (b *servedBatch) sendCall(ctx context.Context, l *connPool, u *policy.Upstream) runner.Reply[*response] {
 	k := b.engine.kernel
-	left := b.deadline - k.Now()
-	if left <= 0 || !k.Awake() || ctx.Err() != nil {
-		return runner.Reply[*answer]{Outcome: policy.CallNotSent}
+	timeLeft := b.deadline - k.Now()
+	if timeLeft <= 0 || !k.Awake() || ctx.Err() != nil {
+		return runner.Reply[*response]{Outcome: policy.CallNotSent}
 	}
 	return b.engine.callUpstream(ctx, l, u, &call{
 		route: b.in.Route, id: b.in.RequestID, subject: b.subject,
-		method: b.in.Method, head: []byte(b.in.Head), body: b.in.Body, left: left, gathered: true, batched: true,
+		method: b.in.Method, head: []byte(b.in.Head), body: b.in.Body, timeLeft: timeLeft, fromGather: true, fromBatch: true,
 	})
 }
 
 // freeSlot gives the slot of a call back that ended.
-func (b *servedBatch) freeSlot(i int, c *servedCall, r *runner.Reply[*answer], started time.Duration) {
+func (b *servedBatch) releaseSlot(i int, c *servedCall, r *runner.Reply[*response], started time.Duration) {
 	k := b.engine.kernel
 	now := k.Now()
 	near, _ := k.Fleet.RoutedPools(b.in.Route)
@@ -217,12 +217,12 @@
 }
 
 // end notes a call that ended, with its records if it succeeded.
-func (b *servedBatch) end(c callReport, records []byte) {
+func (b *servedBatch) endCall(c callReport, records []byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.unreported.add(c, records)
 	delete(b.calls, c.Index)
-	if b.open--; b.open == 0 {
+	if b.openCalls--; b.openCalls == 0 {
 		close(b.finished)
 		b.cancel()
 		return
@@ -239,7 +239,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.stopped = true
-	b.forget()
+	b.unregister()
 	for _, c := range b.calls {
 		if linger > 0 && c.upstream != nil && b.engine.kernel.Fleet.Linger(c.upstream) {
 			c.lingering = true
@@ -252,16 +252,16 @@
 
 // forget drops a batch that nobody asks for any more; mu is held. One with records
 // that were left out is dropped some time after the deadline.
-func (b *servedBatch) forget() {
-	if len(b.leftOut) == 0 {
+func (b *servedBatch) unregister() {
+	if len(b.omitted) == 0 {
 		b.engine.relay.served.drop(b.in.ID)
 	}
 }
 
 // wait returns a reply as soon as one is due, nil if the batch was stopped; last is true if
 // none follows. What a reply reports is not reported again.
-func (b *servedBatch) wait() (out *batchReply, last bool) {
-	b.await(b.engine.kernel.Now())
+func (b *servedBatch) nextReply() (out *batchReply, last bool) {
+	b.waitUntilDue(b.engine.kernel.Now())
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.stopped {
@@ -271,10 +271,10 @@
 	out = &batchReply{Due: now >= b.firstDue, Conditions: b.engine.kernel.Fleet.Conditions(now), HeldMicros: (now - b.begun).Microseconds()}
 	ended, records, succeeded := b.unreported.take()
 	out.Ended = ended
-	out.Records, out.Cut = b.leftOut.cut(records, recordsFor(b.in.Top, succeeded, b.in.Of))
-	last = b.open == 0 || now >= b.deadline
+	out.Records, out.Cut = b.omitted.split(records, recordsToSend(b.in.Top, succeeded, b.in.Of))
+	last = b.openCalls == 0 || now >= b.deadline
 	if last {
-		b.forget()
+		b.unregister()
 	}
 	return out, last
 }
@@ -283,10 +283,10 @@
 // is due, soon after a call has failed, so that another upstream can be asked, and, once
 // the first reply was due, soon after any call has ended, so that one call that hangs
 // does not hold back the others.
-func (b *servedBatch) await(now time.Duration) {
-	firstWasDue := now >= b.firstDue
+func (b *servedBatch) waitUntilDue(now time.Duration) {
+	firstDuePassed := now >= b.firstDue
 	until := b.firstDue
-	if firstWasDue {
+	if firstDuePassed {
 		until = b.deadline
 	}
 	timer := time.NewTimer(until - now)
@@ -300,7 +300,7 @@
 		case <-b.changed:
 			now = b.engine.kernel.Now()
 			b.mu.Lock()
-			delay, due := b.unreported.replyDelay(firstWasDue)
+			delay, due := b.unreported.replyDelay(firstDuePassed)
 			b.mu.Unlock()
 			if due && now+delay < until {
 				until = now + delay
@@ -312,4 +312,4 @@
 
 // neverArrived reports whether an error proves that a message did not reach its host,
 // so that nothing was begun there.
-func neverArrived(err error) bool { return errors.Is(err, peers.ErrNoPeer) }
+func notDelivered(err error) bool { return errors.Is(err, peers.ErrNoPeer) }
--- a/tier/pass/relay_server_test.go
+++ b/tier/pass/relay_server_test.go
@@ -23,16 +23,16 @@
 	t.Cleanup(closeKernel)
 	return &servedBatch{
 		engine: &engine{kernel: k}, in: &batchRequest{ID: "B"},
-		firstDue: due, deadline: deadline, cancel: func() {}, unreported: unreported{merger: merger{top: 1}}, open: calls,
+		firstDue: due, deadline: deadline, cancel: func() {}, unreported: unreported{merger: merger{top: 1}}, openCalls: calls,
 		calls: map[int]*servedCall{}, finished: make(chan struct{}), changed: make(chan struct{}, 1),
 	}
 }
 
 // TestBatchTellsWhatEnded has the calls of a batch end at certain times, and
 // looks at when the answers come and what they tell of.
-func TestBatchTellsWhatEnded(t *testing.T) {
+func TestBatchReplyTimes(t *testing.T) {
 	const ms = time.Millisecond
-	type end struct {
+	type endCall struct {
 		after  time.Duration
 		failed bool
 	}
@@ -42,22 +42,22 @@
 	}
 	tests := []struct {
 		name string
-		ends []end
+		ends []endCall
 		want []told
 	}{
-		{"all in time", []end{{10 * ms, false}, {20 * ms, false}, {20 * ms, false}}, []told{{20 * ms, 3}}},
-		{"one is stuck", []end{{10 * ms, false}, {20 * ms, false}, {300 * ms, false}}, []told{{50 * ms, 2}, {300 * ms, 1}}},
+		{"all in time", []endCall{{10 * ms, false}, {20 * ms, false}, {20 * ms, false}}, []told{{20 * ms, 3}}},
+		{"one is stuck", []endCall{{10 * ms, false}, {20 * ms, false}, {300 * ms, false}}, []told{{50 * ms, 2}, {300 * ms, 1}}},
 		{
 			"a stuck one holds nothing back",
-			[]end{{60 * ms, false}, {65 * ms, false}, {300 * ms, false}},
+			[]endCall{{60 * ms, false}, {65 * ms, false}, {300 * ms, false}},
 			[]told{{50 * ms, 0}, {68 * ms, 2}, {300 * ms, 1}},
 		},
 		{
 			"a failure is told at once",
-			[]end{{1 * ms, true}, {2 * ms, true}, {20 * ms, false}},
+			[]endCall{{1 * ms, true}, {2 * ms, true}, {20 * ms, false}},
 			[]told{{3 * ms, 2}, {20 * ms, 1}},
 		},
-		{"the deadline ends it", []end{{10 * ms, false}, {20 * ms, false}, {2000 * ms, false}}, []told{{50 * ms, 2}, {1000 * ms, 0}}},
+		{"the deadline ends it", []endCall{{10 * ms, false}, {20 * ms, false}, {2000 * ms, false}}, []told{{50 * ms, 2}, {1000 * ms, 0}}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -70,13 +70,13 @@
 						if e.failed {
 							c = callReport{Index: i, Outcome: string(policy.CallStalled)}
 						}
-						b.end(c, nil)
+						b.endCall(c, nil)
 					}()
 				}
 				var got []told
 				for last := false; !last; {
 					var r *batchReply
-					r, last = b.wait()
+					r, last = b.nextReply()
 					got = append(got, told{b.engine.kernel.Now(), len(r.Ended)})
 				}
 				assert.Assert(t, slices.Equal(got, tt.want), "%v", got)
--- a/tier/pass/run.go
+++ b/tier/pass/run.go
@@ -15,18 +15,18 @@
 func (q *request) run(ctx context.Context) (policy.Result, error) {
 	k := q.engine.kernel
 	near, far := k.Fleet.RoutedPools(q.route.Name)
-	spent := k.Now() - q.times.begun
+	spent := k.Now() - q.times.startedAt
 	stop := context.AfterFunc(ctx, func() { q.callerGone.Store(true) })
 	defer stop()
-	result, decidedAt, err := runner.Run(ctx, runner.Config[*answer]{
+	result, decidedAt, err := runner.Run(ctx, runner.Config[*response]{
 		Kernel: k, Caller: q,
 		Run: policy.RunConfig{
 			Fleet: k.Fleet, Pool: near, Class: q.remainingClass(spent), Deadline: q.times.deadline,
 			Replicas: q.plan.replicas, Repeatable: q.route.Repeatable, Subject: q.in.subject,
 			Routed: &policy.Routed{
 				Groups: q.plan.groups, FarPool: far, MaxAttempts: q.route.MaxAttempts,
-				Objective: max(time.Duration(q.route.Objective)-spent, 0), Hall: q.plan.hall,
-				Relayed: q.route.Gather != nil, Absent: q.plan.absent,
+				Objective: max(time.Duration(q.route.Objective)-spent, 0), Hall: q.plan.remoteHall,
+				Relayed: q.route.Gather != nil, Absent: q.plan.absentReasons,
 			},
 		},
 	}, ctx.Done())
@@ -38,44 +38,44 @@
 // request has spent some, perhaps at another host, and this host needs some to make and
 // write the answer.
 func (q *request) remainingClass(spent time.Duration) *config.Class {
-	q.times.patience = q.times.begun + time.Duration(q.class.Patience) - q.engine.overhead.beyondReserve()
+	q.times.patienceEnd = q.times.startedAt + time.Duration(q.class.Patience) - q.engine.overhead.beyondReserve()
 	c := *q.class
-	c.Patience = config.Duration(max(q.times.patience-q.times.begun-spent, 0))
+	c.Patience = config.Duration(max(q.times.patienceEnd-q.times.startedAt-spent, 0))
 	return &c
 }
 
-func (q *request) Call(ctx context.Context, a policy.Action) runner.Reply[*answer] {
+func (q *request) Call(ctx context.Context, a policy.Action) runner.Reply[*response] {
 	e := q.engine
-	l := e.link(a.Upstream.Name)
+	l := e.connPool(a.Upstream.Name)
 	if l == nil {
-		return runner.Reply[*answer]{Outcome: policy.CallUnreachable}
+		return runner.Reply[*response]{Outcome: policy.CallUnreachable}
 	}
 	return e.callUpstream(ctx, l, a.Upstream, &call{
 		route: q.route.Name, id: q.in.id, subject: q.in.subject,
-		method: q.in.method, head: q.in.head, body: q.in.body, left: q.times.deadline - e.kernel.Now(),
-		unrepeatable: !q.route.Repeatable, gathered: q.route.Gather != nil,
+		method: q.in.method, head: q.in.head, body: q.in.body, timeLeft: q.times.deadline - e.kernel.Now(),
+		nonRepeatable: !q.route.Repeatable, fromGather: q.route.Gather != nil,
 	})
 }
 
-func (q *request) Take(part int, a *answer) {
+func (q *request) Take(part int, a *response) {
 	if q.route.Gather == nil {
-		q.answers.single = a
+		q.responses.single = a
 		return
 	}
-	q.answers.parts.take(part, a)
+	q.responses.parts.collect(part, a)
 }
 
 // Ended implements runner.Observer: it keeps an upstream's own failure, and logs the
 // calls that did not succeed.
-func (q *request) Ended(a policy.Action, r runner.Reply[*answer], took time.Duration, over bool) {
-	q.sends[a.Part]++
+func (q *request) Ended(a policy.Action, r runner.Reply[*response], took time.Duration, over bool) {
+	q.callCounts[a.Part]++
 	if r.Outcome == policy.CallOK {
 		return
 	}
 	if r.Outcome == policy.CallFailed && !over {
-		q.answers.failure = r.Part
+		q.responses.failure = r.Part
 	}
 	q.engine.kernel.Decisions.Info().Str("RequestID", q.in.id).Str("Group", q.plan.groups[a.Part]).
-		Str("Upstream", a.Upstream.Name).Int("Call", q.sends[a.Part]).Str("Outcome", string(r.Outcome)).
+		Str("Upstream", a.Upstream.Name).Int("Call", q.callCounts[a.Part]).Str("Outcome", string(r.Outcome)).
 		Int64("TookMillis", took.Milliseconds()).Msg("call ended")
 }
--- a/tier/pass/serve.go
+++ b/tier/pass/serve.go
@@ -24,14 +24,14 @@
 	// route and class are nil until the route is found.
 	route *config.Route
 	class *config.Class
-	in    inbound
+	in    inboundRequest
 	times requestTimes
 	plan  plan
 	// relays make calls of this request.
-	relays  requestRelays
-	answers answers
+	relays    requestRelays
+	responses responses
 	// sends counts the calls sent for each part.
-	sends []int
+	callCounts []int
 	// outcome is the last that was logged.
 	outcome outcome
 	// callerGone is true once the caller is gone.
@@ -39,29 +39,29 @@
 }
 
 var (
-	_ runner.Batcher[*answer]  = (*request)(nil)
-	_ runner.Caller[*answer]   = (*request)(nil)
-	_ runner.Observer[*answer] = (*request)(nil)
-	_ http.Handler             = (*engine)(nil)
+	_ runner.Batcher[*response]  = (*request)(nil)
+	_ runner.Caller[*response]   = (*request)(nil)
+	_ runner.Observer[*response] = (*request)(nil)
+	_ http.Handler               = (*engine)(nil)
 )
 
 // requestTimes are the times of a request, as time since the process started.
 type requestTimes struct {
 	// begun is when the request was read, by this host or before at another one.
-	begun time.Duration
+	startedAt time.Duration
 	// deadline is when the answer is due; 0 until the request is read.
 	deadline time.Duration
 	// patience is when an answer that covers enough is given; 0 until calls are made.
-	patience time.Duration
+	patienceEnd time.Duration
 	// decidedAt is when the run of the request ended; 0 before.
 	decidedAt time.Duration
 }
 
-type answers struct {
+type responses struct {
 	// single is the answer that was taken, for a request to one group.
-	single *answer
+	single *response
 	// failure is the last failure that an upstream answered with.
-	failure *answer
+	failure *response
 	// parts are what was taken for a gather.
 	parts gatheredParts
 }
@@ -74,26 +74,26 @@
 	defer e.kernel.InFlight.Add(-1)
 	e.kernel.Wake()
 	q := &request{
-		engine: e, times: requestTimes{begun: e.kernel.Now()},
-		in: inbound{id: r.Header.Get(e.headers.RequestID), method: r.Method, subject: policy.Subject{Caller: callerOf(r)}},
+		engine: e, times: requestTimes{startedAt: e.kernel.Now()},
+		in: inboundRequest{id: r.Header.Get(e.headers.RequestID), method: r.Method, subject: policy.Subject{Caller: callerAddr(r)}},
 	}
-	configured := e.start.await(r.Context(), startBound-e.kernel.Now())
+	configured := e.start.await(r.Context(), startupWait-e.kernel.Now())
 	q.view = e.kernel.View()
 	if e.kernel.Phase() == kernel.PhaseDraining {
 		w.Header().Set("Connection", "close")
 	}
 	if !configured {
-		q.refuse(w, "no configuration yet", retryNoConfig)
+		q.refuse(w, "no configuration yet", retryAfterNoConfig)
 		return
 	}
-	if !q.findRoute(w, r) || !q.read(w, r) || q.quarantined(w) {
+	if !q.findRoute(w, r) || !q.read(w, r) || q.refuseQuarantined(w) {
 		return
 	}
 	ctx := wire.TraceFrom(r.Context(), r.Header)
-	if !q.handOver(ctx, w) {
+	if !q.forward(ctx, w) {
 		q.serve(ctx, w)
 		if q.times.decidedAt > 0 {
-			e.overhead.answer.Observe(e.kernel.Now() - q.times.decidedAt)
+			e.overhead.response.Observe(e.kernel.Now() - q.times.decidedAt)
 		}
 	}
 	if r.Context().Err() != nil {
@@ -110,10 +110,10 @@
 	}
 	q.plan = q.engine.plan(q.view, q.route)
 	if !q.plan.covers(q.class) {
-		q.refuse(w, "too few groups have an upstream", retryNoUpstream)
+		q.refuse(w, "too few groups have an upstream", retryAfterNoUpstream)
 		return
 	}
-	q.sends = make([]int, len(q.plan.groups))
+	q.callCounts = make([]int, len(q.plan.groups))
 	caller := ctx
 	ctx, span := q.engine.kernel.Tracer.Start(ctx, "route")
 	defer span.End()
@@ -127,12 +127,12 @@
 		q.refuse(w, refusal.Reason, refusal.RetryAfter)
 	case err != nil:
 		q.engine.kernel.Log.Error().Err(err).Str("RequestID", q.in.id).Msg("request not carried out")
-		q.refuse(w, "internal error", retryNoUpstream)
+		q.refuse(w, "internal error", retryAfterNoUpstream)
 	case caller.Err() != nil:
 		q.log(outcomeGivenUp, 0).Int("Ran", result.Ran).Msg("request given up by its caller")
 	case q.route.Gather != nil:
-		q.answerGathered(ctx, w, &result)
+		q.respondGathered(ctx, w, &result)
 	default:
-		q.answerSingle(w, &result)
+		q.respondSingle(w, &result)
 	}
 }
--- a/tier/pass/single_test.go
+++ b/tier/pass/single_test.go
@@ -26,7 +26,7 @@
 
 // singles is a document with a repeatable and a not repeatable route to one
 // group.
-func singles() config.Document {
+func singleDoc() config.Document {
 	return config.Document{
 		Groups: []config.Group{{Name: "Orders", Connections: 100}, {Name: "Other", Connections: 100}},
 		Routes: []config.Route{
@@ -38,21 +38,21 @@
 	}
 }
 
-func single(t *testing.T, replies ...replyFunc) (*host, []*upstream) {
+func newSingleSetup(t *testing.T, replies ...replyFunc) (*host, []*fakeUpstream) {
 	h := newHost(t, hostConfig{name: "H1", hall: "A"})
-	h.accept(singles())
-	var us []*upstream
+	h.applyDocument(singleDoc())
+	var us []*fakeUpstream
 	for i, r := range replies {
-		u := newUpstream(t, fmt.Sprintf("U%d", i+1), r)
-		h.list("Orders", "A", u, false)
+		u := newFakeUpstream(t, fmt.Sprintf("U%d", i+1), r)
+		h.listUpstream("Orders", "A", u, false)
 		us = append(us, u)
 	}
 	return h, us
 }
 
 func TestRequestIsPassedOnUnchanged(t *testing.T) {
-	h, us := single(t, good("the answer"))
-	r := h.ask(http.MethodPost, "/place/a%2Fb//c/?q=1&q=%20", "one", 1000, "the body")
+	h, us := newSingleSetup(t, good("the answer"))
+	r := h.send(http.MethodPost, "/place/a%2Fb//c/?q=1&q=%20", "one", 1000, "the body")
 	assert.NilError(t, r.err)
 	assert.Equal(t, r.status, http.StatusOK)
 	assert.Equal(t, r.body, "the answer")
@@ -68,8 +68,8 @@
 	assert.Equal(t, seen.Header.Get("Connection"), "")
 }
 
-func TestConnectionHeadersStayHere(t *testing.T) {
-	h, us := single(t, good("x"))
+func TestConnectionHeadersAreNotPassedOn(t *testing.T) {
+	h, us := newSingleSetup(t, good("x"))
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, h.server.URL+"/read/", nil)
 	assert.NilError(t, err)
 	r.Host = "shop.example"
@@ -89,7 +89,7 @@
 }
 
 func TestRejections(t *testing.T) {
-	h, us := single(t, good("x"))
+	h, us := newSingleSetup(t, good("x"))
 	tests := []struct {
 		name, path, id, body string
 		left, status         int
@@ -103,7 +103,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			r := h.ask(http.MethodPost, tt.path, tt.id, tt.left, tt.body)
+			r := h.send(http.MethodPost, tt.path, tt.id, tt.left, tt.body)
 			assert.NilError(t, r.err)
 			assert.Equal(t, r.status, tt.status)
 			if tt.status == http.StatusServiceUnavailable {
@@ -116,7 +116,7 @@
 
 func TestHostWithoutDocumentRefuses(t *testing.T) {
 	h := newHost(t, hostConfig{name: "H1", hall: "A"})
-	r := h.ask(http.MethodGet, "/read/", "one", 1000, "")
+	r := h.send(http.MethodGet, "/read/", "one", 1000, "")
 	assert.NilError(t, r.err)
 	assert.Equal(t, r.status, http.StatusServiceUnavailable)
 }
@@ -125,15 +125,15 @@
 // back together.
 func TestRefusalsAreSpread(t *testing.T) {
 	h := newHost(t, hostConfig{name: "H1", hall: "A"})
-	h.accept(singles())
-	h.list("Other", "A", newUpstream(t, "U1", good("x")), false)
+	h.applyDocument(singleDoc())
+	h.listUpstream("Other", "A", newFakeUpstream(t, "U1", good("x")), false)
 	times := map[string]bool{}
 	for i := range 8 {
-		r := h.ask(http.MethodGet, "/read/", fmt.Sprint(i), 1000, "")
+		r := h.send(http.MethodGet, "/read/", fmt.Sprint(i), 1000, "")
 		assert.Equal(t, r.status, http.StatusServiceUnavailable)
 		after, err := strconv.ParseFloat(r.header.Get("Retry-After"), 64)
 		assert.NilError(t, err)
-		assert.Assert(t, after >= retryNoUpstream.Seconds() && after <= (1+retrySpread)*retryNoUpstream.Seconds(), "%v s", after)
+		assert.Assert(t, after >= retryAfterNoUpstream.Seconds() && after <= (1+retryJitter)*retryAfterNoUpstream.Seconds(), "%v s", after)
 		times[r.header.Get("Retry-After")] = true
 	}
 	assert.Assert(t, len(times) > 1, "all come back together: %v", times)
@@ -141,14 +141,14 @@
 
 // TestRequestWaitsForTheFirstDocument has a request arrive at a host that is just
 // starting: it is served as soon as there is a document.
-func TestRequestWaitsForTheFirstDocument(t *testing.T) {
+func TestRequestWaitsForFirstDocument(t *testing.T) {
 	h := newHost(t, hostConfig{name: "H1", hall: "A", age: -testBound})
-	u := newUpstream(t, "U1", good("x"))
-	answers := make(chan got, 1)
-	go func() { answers <- h.ask(http.MethodGet, "/read/", "one", 5000, "") }()
+	u := newFakeUpstream(t, "U1", good("x"))
+	answers := make(chan result, 1)
+	go func() { answers <- h.send(http.MethodGet, "/read/", "one", 5000, "") }()
 	eventually(t, "the request arrives", func() bool { return h.kernel.InFlight.Load() == 1 })
-	h.list("Orders", "A", u, false)
-	h.accept(singles())
+	h.listUpstream("Orders", "A", u, false)
+	h.applyDocument(singleDoc())
 	r := <-answers
 	assert.NilError(t, r.err)
 	assert.Equal(t, r.status, http.StatusOK)
@@ -167,24 +167,24 @@
 		safeRuns   int
 	}{
 		{"reset after it was sent", reset, http.StatusBadGateway, 1, http.StatusBadGateway, 2},
-		{"own failure", failing(http.StatusInternalServerError, false), http.StatusInternalServerError, 1, http.StatusInternalServerError, 2},
-		{"a promise without its proof", failing(http.StatusServiceUnavailable, false), http.StatusBadGateway, 1, http.StatusBadGateway, 2},
-		{"own refusal of the request", failing(http.StatusConflict, false), http.StatusConflict, 1, http.StatusConflict, 1},
-		{"success without stamp", func(_ *upstream, c net.Conn, r *http.Request) bool {
-			return answerWith(c, 200, map[string]string{names.RequestID: r.Header.Get(names.RequestID)}, "x")
+		{"own failure", fail(http.StatusInternalServerError, false), http.StatusInternalServerError, 1, http.StatusInternalServerError, 2},
+		{"a promise without its proof", fail(http.StatusServiceUnavailable, false), http.StatusBadGateway, 1, http.StatusBadGateway, 2},
+		{"own refusal of the request", fail(http.StatusConflict, false), http.StatusConflict, 1, http.StatusConflict, 1},
+		{"success without stamp", func(_ *fakeUpstream, c net.Conn, r *http.Request) bool {
+			return writeResponse(c, 200, map[string]string{names.RequestID: r.Header.Get(names.RequestID)}, "x")
 		}, http.StatusBadGateway, 1, http.StatusBadGateway, 2},
-		{"answer to another request", func(_ *upstream, c net.Conn, _ *http.Request) bool {
-			return answerWith(c, 200, map[string]string{names.RequestID: "other", names.Stamp: "s"}, "x")
+		{"answer to another request", func(_ *fakeUpstream, c net.Conn, _ *http.Request) bool {
+			return writeResponse(c, 200, map[string]string{names.RequestID: "other", names.Stamp: "s"}, "x")
 		}, http.StatusBadGateway, 1, http.StatusBadGateway, 2},
-		{"no HTTP", func(_ *upstream, c net.Conn, _ *http.Request) bool {
+		{"no HTTP", func(_ *fakeUpstream, c net.Conn, _ *http.Request) bool {
 			_, _ = io.WriteString(c, "\x00\x01 what\r\n\r\n")
 			return false
 		}, http.StatusBadGateway, 1, http.StatusBadGateway, 2},
-		{"answer cut off", func(_ *upstream, c net.Conn, r *http.Request) bool {
+		{"answer cut off", func(_ *fakeUpstream, c net.Conn, r *http.Request) bool {
 			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: s\r\n%s: %s\r\nContent-Length: 100\r\n\r\nhalf", names.Stamp, names.RequestID, r.Header.Get(names.RequestID))
 			return false
 		}, http.StatusBadGateway, 1, http.StatusBadGateway, 2},
-		{"answer without length, reset", func(u *upstream, c net.Conn, r *http.Request) bool {
+		{"answer without length, reset", func(u *fakeUpstream, c net.Conn, r *http.Request) bool {
 			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: s\r\n%s: %s\r\n\r\nhalf", names.Stamp, names.RequestID, r.Header.Get(names.RequestID))
 			time.Sleep(20 * time.Millisecond) // a reset overtakes what is not read yet
 			return reset(u, c, r)
@@ -192,15 +192,15 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			h, us := single(t, tt.reply, tt.reply)
-			r := h.ask(http.MethodPost, "/place/", "unsafe", 2000, "b")
+			h, us := newSingleSetup(t, tt.reply, tt.reply)
+			r := h.send(http.MethodPost, "/place/", "unsafe", 2000, "b")
 			assert.NilError(t, r.err)
 			assert.Equal(t, r.status, tt.unsafeGets)
 			if r.status == http.StatusBadGateway {
 				assert.Equal(t, r.header.Get(names.Stamp), "", "a changed status carries no stamp")
 			}
 			assert.Equal(t, us[0].seen("unsafe")+us[1].seen("unsafe"), tt.unsafeRuns)
-			r = h.ask(http.MethodGet, "/read/", "safe", 2000, "")
+			r = h.send(http.MethodGet, "/read/", "safe", 2000, "")
 			assert.NilError(t, r.err)
 			assert.Equal(t, r.status, tt.safeGets)
 			assert.Equal(t, us[0].seen("safe")+us[1].seen("safe"), tt.safeRuns)
@@ -211,9 +211,9 @@
 func TestShedRequestGoesElsewhere(t *testing.T) {
 	for _, status := range []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusMisdirectedRequest} {
 		t.Run(fmt.Sprint(status), func(t *testing.T) {
-			h, us := single(t, failing(status, true), good("x"))
+			h, us := newSingleSetup(t, fail(status, true), good("x"))
 			for i := range 10 {
-				r := h.ask(http.MethodPost, "/place/", fmt.Sprint("n", i), 2000, "b")
+				r := h.send(http.MethodPost, "/place/", fmt.Sprint("n", i), 2000, "b")
 				assert.NilError(t, r.err)
 				assert.Equal(t, r.status, http.StatusOK)
 				assert.Equal(t, us[1].seen(fmt.Sprint("n", i)), 1)
@@ -225,9 +225,9 @@
 	}
 }
 
-func TestRefusalIsTrueWhereAllShed(t *testing.T) {
-	h, _ := single(t, failing(http.StatusServiceUnavailable, true), failing(http.StatusServiceUnavailable, true))
-	r := h.ask(http.MethodPost, "/place/", "one", 300, "b")
+func TestAllShedIsRefused(t *testing.T) {
+	h, _ := newSingleSetup(t, fail(http.StatusServiceUnavailable, true), fail(http.StatusServiceUnavailable, true))
+	r := h.send(http.MethodPost, "/place/", "one", 300, "b")
 	assert.NilError(t, r.err)
 	assert.Equal(t, r.status, http.StatusServiceUnavailable)
 	assert.Assert(t, r.header.Get("Retry-After") != "")
@@ -235,25 +235,25 @@
 
 // TestNoHiddenRepeat has an upstream reset the second request of a connection:
 // neither the transport nor the engine may send it twice.
-func TestNoHiddenRepeat(t *testing.T) {
-	h, us := single(t, good("x"))
-	assert.Equal(t, h.ask(http.MethodPost, "/place/", "first", 2000, "b").status, http.StatusOK)
+func TestNoHiddenRetry(t *testing.T) {
+	h, us := newSingleSetup(t, good("x"))
+	assert.Equal(t, h.send(http.MethodPost, "/place/", "first", 2000, "b").status, http.StatusOK)
 	us[0].mu.Lock()
 	us[0].reply = reset
 	us[0].mu.Unlock()
-	assert.Equal(t, h.ask(http.MethodPost, "/place/", "second", 2000, "b").status, http.StatusBadGateway)
+	assert.Equal(t, h.send(http.MethodPost, "/place/", "second", 2000, "b").status, http.StatusBadGateway)
 	assert.Equal(t, us[0].seen("second"), 1)
 	us[0].mu.Lock()
 	defer us[0].mu.Unlock()
-	assert.Equal(t, us[0].carried, 1, "the kept connection was used")
-	assert.Equal(t, us[0].dialed, 2, "and one was made to see whether the upstream has ended")
+	assert.Equal(t, us[0].usedConns, 1, "the kept connection was used")
+	assert.Equal(t, us[0].accepted, 2, "and one was made to see whether the upstream has ended")
 }
 
 // TestUpstreamThatGoesDownAndUp has one of two upstreams reset what it gets, by
 // turns: repeatable requests are all served, others never run twice, and the
 // upstream is used again once it is back.
-func TestUpstreamThatGoesDownAndUp(t *testing.T) {
-	h, us := single(t, good("x"), good("x"))
+func TestUpstreamGoesDownAndUp(t *testing.T) {
+	h, us := newSingleSetup(t, good("x"), good("x"))
 	turn := func(r replyFunc) {
 		us[0].mu.Lock()
 		defer us[0].mu.Unlock()
@@ -263,16 +263,16 @@
 		turn(reset)
 		for i := range 15 {
 			id := fmt.Sprint("read", round, "-", i)
-			assert.Equal(t, h.ask(http.MethodGet, "/read/", id, 2000, "").status, http.StatusOK)
+			assert.Equal(t, h.send(http.MethodGet, "/read/", id, 2000, "").status, http.StatusOK)
 			id = fmt.Sprint("place", round, "-", i)
-			status := h.ask(http.MethodPost, "/place/", id, 2000, "b").status
+			status := h.send(http.MethodPost, "/place/", id, 2000, "b").status
 			ran := us[0].seen(id) + us[1].seen(id)
 			assert.Assert(t, ran <= 1 && (status == http.StatusOK || status == http.StatusBadGateway), "%d, ran %d times", status, ran)
 		}
 		turn(good("x"))
 		before := us[0].total()
 		for i := 0; us[0].total() == before; i++ {
-			assert.Equal(t, h.ask(http.MethodGet, "/read/", fmt.Sprint("back", round, "-", i), 2000, "").status, http.StatusOK)
+			assert.Equal(t, h.send(http.MethodGet, "/read/", fmt.Sprint("back", round, "-", i), 2000, "").status, http.StatusOK)
 			assert.Assert(t, i < 20_000, "never used again")
 		}
 	}
@@ -280,25 +280,25 @@
 
 // TestForgottenConnections has an upstream forget the connections that rest: what
 // is sent on one is reset. Repeatable requests are served all the same.
-func TestForgottenConnections(t *testing.T) {
-	h, us := single(t, good("x"))
+func TestResetIdleConnections(t *testing.T) {
+	h, us := newSingleSetup(t, good("x"))
 	for i := range 10 {
 		id := fmt.Sprint("n", i)
-		assert.Equal(t, h.ask(http.MethodGet, "/read/", id, 2000, "").status, http.StatusOK)
-		us[0].forget()
+		assert.Equal(t, h.send(http.MethodGet, "/read/", id, 2000, "").status, http.StatusOK)
+		us[0].resetConns()
 	}
 }
 
 // TestSurplusAnswers has each answer followed by a second one, at once or just
 // when the next request is there.
-func TestSurplusAnswers(t *testing.T) {
-	twice := func(u *upstream, c net.Conn, r *http.Request) bool {
+func TestSurplusResponses(t *testing.T) {
+	twice := func(u *fakeUpstream, c net.Conn, r *http.Request) bool {
 		id := r.Header.Get(names.RequestID)
-		return good("body of "+id)(u, c, r) && answerWith(c, 200, map[string]string{names.RequestID: id, names.Stamp: "again"}, "surplus")
+		return good("body of "+id)(u, c, r) && writeResponse(c, 200, map[string]string{names.RequestID: id, names.Stamp: "again"}, "surplus")
 	}
 	var last string
-	late := func(u *upstream, c net.Conn, r *http.Request) bool {
-		if last != "" && !answerWith(c, 200, map[string]string{names.RequestID: last, names.Stamp: "late"}, "surplus") {
+	late := func(u *fakeUpstream, c net.Conn, r *http.Request) bool {
+		if last != "" && !writeResponse(c, 200, map[string]string{names.RequestID: last, names.Stamp: "late"}, "surplus") {
 			return false
 		}
 		last = r.Header.Get(names.RequestID)
@@ -306,10 +306,10 @@
 	}
 	for name, reply := range map[string]replyFunc{"at once": twice, "late": late} {
 		t.Run(name, func(t *testing.T) {
-			h, us := single(t, reply)
+			h, us := newSingleSetup(t, reply)
 			for i := range 20 {
 				id := fmt.Sprint("n", i)
-				r := h.ask(http.MethodPost, "/place/", id, 2000, "b")
+				r := h.send(http.MethodPost, "/place/", id, 2000, "b")
 				assert.NilError(t, r.err)
 				assert.Equal(t, r.status, http.StatusOK)
 				assert.Equal(t, r.body, "body of "+id)
@@ -322,11 +322,11 @@
 
 // TestEarlyAnswer has an upstream answer before it has read a long body, and
 // read on: what follows on that connection must be the rest of the body.
-func TestEarlyAnswer(t *testing.T) {
+func TestEarlyResponse(t *testing.T) {
 	h := newHost(t, hostConfig{name: "H1", hall: "A"})
-	d := singles()
+	d := singleDoc()
 	d.Limits.Body = 10 << 20
-	h.accept(d)
+	h.applyDocument(d)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = l.Close() }()
@@ -338,13 +338,13 @@
 		}
 		head := make([]byte, 300)
 		_, _ = io.ReadFull(c, head)
-		answerWith(c, http.StatusBadRequest, map[string]string{names.RequestID: "long", names.Stamp: "s"}, "too long")
+		writeResponse(c, http.StatusBadRequest, map[string]string{names.RequestID: "long", names.Stamp: "s"}, "too long")
 		all, _ := io.ReadAll(c)
 		rest <- string(all)
 	}()
-	u := &upstream{name: "U1", listener: l}
-	h.list("Orders", "A", u, false)
-	r := h.ask(http.MethodPost, "/place/", "long", 5000, strings.Repeat("x", 4<<20))
+	u := &fakeUpstream{name: "U1", listener: l}
+	h.listUpstream("Orders", "A", u, false)
+	r := h.send(http.MethodPost, "/place/", "long", 5000, strings.Repeat("x", 4<<20))
 	assert.NilError(t, r.err)
 	assert.Equal(t, r.status, http.StatusBadRequest)
 	text := <-rest
@@ -357,9 +357,9 @@
 
 // TestCallerThatLeaves looks at the connection of the upstream: it ends soon
 // after the caller's.
-func TestCallerThatLeaves(t *testing.T) {
+func TestCallerLeaves(t *testing.T) {
 	left := make(chan struct{})
-	h, us := single(t, func(_ *upstream, c net.Conn, _ *http.Request) bool {
+	h, us := newSingleSetup(t, func(_ *fakeUpstream, c net.Conn, _ *http.Request) bool {
 		_, _ = io.Copy(io.Discard, c)
 		close(left)
 		return false
@@ -369,7 +369,7 @@
 		eventually(t, "the request arrives", func() bool { return us[0].seen("one") == 1 })
 		cancel()
 	}()
-	r := h.askIn(ctx, http.MethodPost, "/place/", "one", 5000, "b")
+	r := h.sendContext(ctx, http.MethodPost, "/place/", "one", 5000, "b")
 	assert.ErrorIs(t, r.err, context.Canceled)
 	select {
 	case <-left:
@@ -380,88 +380,88 @@
 
 // TestCancelledConnectSaysNothing cancels a call before its connection is made,
 // and has another upstream refuse connections.
-func TestCancelledConnectSaysNothing(t *testing.T) {
+func TestCancelledConnectIsNoEvidence(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	at := netip.MustParseAddrPort(l.Addr().String())
 	assert.NilError(t, l.Close())
 	started := time.Now()
-	k := &link{address: at, now: func() time.Duration { return time.Since(started) }}
+	k := &connPool{address: at, now: func() time.Duration { return time.Since(started) }}
 	ctx, cancel := context.WithCancel(t.Context())
-	c := &call{headers: &names, method: http.MethodGet, id: "one", upstream: "U1", left: time.Second, gathered: true}
+	c := &call{headers: &names, method: http.MethodGet, id: "one", upstream: "U1", timeLeft: time.Second, fromGather: true}
 	assert.Equal(t, k.call(ctx, c).Outcome, policy.CallUnreachable)
 	cancel()
 	assert.Equal(t, k.call(ctx, c).Outcome, policy.CallNotSent)
 }
 
 func TestSilentUpstream(t *testing.T) {
-	h, us := single(t, silent, good("x"))
+	h, us := newSingleSetup(t, silent, good("x"))
 	for i := range 5 {
-		r := h.ask(http.MethodGet, "/read/", fmt.Sprint(i), 4000, "")
+		r := h.send(http.MethodGet, "/read/", fmt.Sprint(i), 4000, "")
 		assert.Equal(t, r.status, http.StatusOK)
 		assert.Equal(t, us[1].seen(fmt.Sprint(i)), 1)
 	}
-	h, us = single(t, silent)
-	r := h.ask(http.MethodPost, "/place/", "one", 200, "b")
+	h, us = newSingleSetup(t, silent)
+	r := h.send(http.MethodPost, "/place/", "one", 200, "b")
 	assert.Equal(t, r.status, http.StatusGatewayTimeout)
 	assert.Equal(t, us[0].seen("one"), 1)
 }
 
-func TestLeavingUpstreamGetsNothing(t *testing.T) {
-	h, us := single(t, good("x"), good("x"))
-	h.list("Orders", "A", us[0], true)
+func TestLeavingUpstreamGetsNoCalls(t *testing.T) {
+	h, us := newSingleSetup(t, good("x"), good("x"))
+	h.listUpstream("Orders", "A", us[0], true)
 	before := us[0].total()
 	for i := range 20 {
-		assert.Equal(t, h.ask(http.MethodGet, "/read/", fmt.Sprint(i), 2000, "").status, http.StatusOK)
+		assert.Equal(t, h.send(http.MethodGet, "/read/", fmt.Sprint(i), 2000, "").status, http.StatusOK)
 	}
 	assert.Equal(t, us[0].total(), before)
 	h.do(func(s *kernel.State) {
 		h.revision++
 		s.List(&config.DirectoryChange{Revision: h.revision, Removed: []config.Removal{{Name: "U2", Revision: h.revision}}})
 	})
-	assert.Equal(t, h.ask(http.MethodGet, "/read/", "last", 2000, "").status, http.StatusServiceUnavailable)
+	assert.Equal(t, h.send(http.MethodGet, "/read/", "last", 2000, "").status, http.StatusServiceUnavailable)
 }
 
 func TestSplitKeepsItsWeights(t *testing.T) {
 	h := newHost(t, hostConfig{name: "H1", hall: "A"})
-	d := singles()
+	d := singleDoc()
 	d.Groups = append(d.Groups, config.Group{Name: "Third", Connections: 10})
 	d.Routes[0].Group = ""
 	d.Routes[0].Split = []config.Weighted{{Group: "Orders", Weight: 3}, {Group: "Other", Weight: 1}, {Group: "Third", Weight: 0}}
-	h.accept(d)
-	var us []*upstream
+	h.applyDocument(d)
+	var us []*fakeUpstream
 	for _, g := range []string{"Orders", "Other", "Third"} {
-		u := newUpstream(t, g+"1", good("x"))
-		h.list(g, "A", u, false)
+		u := newFakeUpstream(t, g+"1", good("x"))
+		h.listUpstream(g, "A", u, false)
 		us = append(us, u)
 	}
 	for i := range 40 {
-		assert.Equal(t, h.ask(http.MethodGet, "/read/", fmt.Sprint(i), 2000, "").status, http.StatusOK)
+		assert.Equal(t, h.send(http.MethodGet, "/read/", fmt.Sprint(i), 2000, "").status, http.StatusOK)
 	}
 	assert.Equal(t, us[0].total(), 30)
 	assert.Equal(t, us[1].total(), 10)
 	assert.Equal(t, us[2].total(), 0)
 	d.Routes[0].Split = []config.Weighted{{Group: "Orders", Weight: 0}, {Group: "Other", Weight: 1}}
-	h.accept(d)
+	h.applyDocument(d)
 	for i := range 10 {
-		assert.Equal(t, h.ask(http.MethodGet, "/read/", fmt.Sprint("again", i), 2000, "").status, http.StatusOK)
+		assert.Equal(t, h.send(http.MethodGet, "/read/", fmt.Sprint("again", i), 2000, "").status, http.StatusOK)
 	}
 	assert.Equal(t, us[0].total(), 30)
 }
 
 // TestSplitMovesNothing has one group of a split without an upstream: its turns
 // are refused, and the other group gets no more than its part.
-func TestSplitMovesNothing(t *testing.T) {
+func TestSplitDoesNotMoveTurns(t *testing.T) {
 	h := newHost(t, hostConfig{name: "H1", hall: "A"})
-	d := singles()
+	d := singleDoc()
 	d.Routes[0].Group = ""
 	d.Routes[0].Split = []config.Weighted{{Group: "Orders", Weight: 1}, {Group: "Other", Weight: 3}}
-	h.accept(d)
-	u := newUpstream(t, "Orders1", good("x"))
-	h.list("Orders", "A", u, false)
+	h.applyDocument(d)
+	u := newFakeUpstream(t, "Orders1", good("x"))
+	h.listUpstream("Orders", "A", u, false)
 	refused := 0
 	for i := range 40 {
-		a := h.ask(http.MethodGet, "/read/", fmt.Sprint(i), 2000, "")
+		a := h.send(http.MethodGet, "/read/", fmt.Sprint(i), 2000, "")
 		if a.status == http.StatusServiceUnavailable {
 			refused++
 		}
@@ -471,29 +471,29 @@
 }
 
 // TestRepeatsStayWithinTheirBudget has one of two upstreams fail all requests.
-func TestRepeatsStayWithinTheirBudget(t *testing.T) {
-	h := newHost(t, hostConfig{name: "H1", hall: "A", repeats: kernel.RetryBudget{Ratio: 0.1, Slack: 16}})
-	h.accept(singles())
-	bad := newUpstream(t, "U1", failing(500, false))
-	worse := newUpstream(t, "U2", failing(500, false))
-	h.list("Orders", "A", bad, false)
-	h.list("Orders", "A", worse, false)
+func TestRetriesStayWithinBudget(t *testing.T) {
+	h := newHost(t, hostConfig{name: "H1", hall: "A", retryBudget: kernel.RetryBudget{Ratio: 0.1, Slack: 16}})
+	h.applyDocument(singleDoc())
+	bad := newFakeUpstream(t, "U1", fail(500, false))
+	worse := newFakeUpstream(t, "U2", fail(500, false))
+	h.listUpstream("Orders", "A", bad, false)
+	h.listUpstream("Orders", "A", worse, false)
 	const asked = 200
 	for i := range asked {
-		h.ask(http.MethodGet, "/read/", fmt.Sprint(i), 2000, "")
+		h.send(http.MethodGet, "/read/", fmt.Sprint(i), 2000, "")
 	}
 	extra := bad.total() + worse.total() - asked
-	assert.Assert(t, extra > 0 && extra <= asked/10+16/leastHosts, "%d repeats", extra)
+	assert.Assert(t, extra > 0 && extra <= asked/10+16/minHosts, "%d repeats", extra)
 }
 
 // TestEachDecisionIsLogged looks for the lines of one request by its ID.
 func TestEachDecisionIsLogged(t *testing.T) {
 	var log lockedBuffer
 	h := newHost(t, hostConfig{name: "H1", hall: "A", log: &log})
-	h.accept(singles())
-	h.list("Orders", "A", newUpstream(t, "U1", failing(500, false)), false)
-	h.ask(http.MethodPost, "/place/", "looked-for", 2000, "b")
-	h.ask(http.MethodPost, "/none/", "rejected", 2000, "b")
+	h.applyDocument(singleDoc())
+	h.listUpstream("Orders", "A", newFakeUpstream(t, "U1", fail(500, false)), false)
+	h.send(http.MethodPost, "/place/", "looked-for", 2000, "b")
+	h.send(http.MethodPost, "/none/", "rejected", 2000, "b")
 	lines := map[string][]map[string]any{}
 	for _, text := range strings.Split(strings.TrimSpace(log.String()), "\n") {
 		var line map[string]any
@@ -530,9 +530,9 @@
 // TestSilentConnectionsAreDistrusted has all kept connections to an upstream go
 // silent without a reset, while new ones work: one call may be lost by it, the
 // next must not be.
-func TestSilentConnectionsAreDistrusted(t *testing.T) {
-	u := newUpstream(t, "U1", good("x"))
-	l := &link{address: netip.MustParseAddrPort(u.listener.Addr().String()), now: sinceStart(time.Now())}
+func TestSilentConnectionsAreClosed(t *testing.T) {
+	u := newFakeUpstream(t, "U1", good("x"))
+	l := &connPool{address: netip.MustParseAddrPort(u.listener.Addr().String()), now: sinceStart(time.Now())}
 	t.Cleanup(l.close)
 	var kept []*conn
 	for range 3 {
@@ -544,14 +544,14 @@
 		l.put(c)
 	}
 	eventually(t, "connections are accepted", func() bool { return u.connections() == 3 })
-	u.silence()
+	u.silenceConns()
 	call := func(id string, bound time.Duration) policy.CallOutcome {
 		ctx, cancel := context.WithTimeout(t.Context(), bound)
 		defer cancel()
 		head := "GET / HTTP/1.1\r\nHost: x\r\n" + names.RequestID + ": " + id + "\r\n"
-		return l.call(ctx, &call{headers: &names, method: http.MethodGet, head: []byte(head), id: id, upstream: "U1", left: testBound, gathered: true}).Outcome
+		return l.call(ctx, &call{headers: &names, method: http.MethodGet, head: []byte(head), id: id, upstream: "U1", timeLeft: testBound, fromGather: true}).Outcome
 	}
-	assert.Equal(t, call("one", silentCallBound+silentCallBound/4), policy.CallBroken)
+	assert.Equal(t, call("one", silentCallTimeout+silentCallTimeout/4), policy.CallBroken)
 	assert.Equal(t, call("two", testBound), policy.CallOK)
 }
 
--- a/tier/pass/start.go
+++ b/tier/pass/start.go
@@ -12,10 +12,10 @@
 	// startBound is the age of the process up to which a request waits for the first
 	// configuration: twice what that takes if the platform answers. Without it, requests
 	// are refused because the configuration arrives a few milliseconds later.
-	startBound = 150 * time.Millisecond
+	startupWait = 150 * time.Millisecond
 	// confirmBound is the age of the process from which it serves on a document that nobody
 	// has confirmed to be the newest.
-	confirmBound = 5 * time.Second
+	confirmTimeout = 5 * time.Second
 )
 
 // startGate holds back what may not start yet; it opens once, for good. It is safe for
@@ -32,13 +32,13 @@
 
 // await waits until the gate is open, at most for some time, and reports whether it is. An
 // open gate lets pass whatever the time and the context.
-func (g *startGate) await(ctx context.Context, most time.Duration) bool {
+func (g *startGate) await(ctx context.Context, timeout time.Duration) bool {
 	select {
 	case <-g.opened:
 		return true
 	default:
 	}
-	ctx, cancel := context.WithTimeout(ctx, most)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	select {
 	case <-g.opened:
@@ -55,7 +55,7 @@
 	if v.Index == nil || v.Directory == nil || k.Phase() != kernel.PhaseStarting {
 		return
 	}
-	if !v.Confirmed && k.Now() < confirmBound {
+	if !v.Confirmed && k.Now() < confirmTimeout {
 		return
 	}
 	k.SetPhase(kernel.PhaseReady)
--- a/tier/pass/start_test.go
+++ b/tier/pass/start_test.go
@@ -25,7 +25,7 @@
 		{"no upstreams", time.Minute, index, nil, true, kernel.PhaseStarting},
 		{"not confirmed", time.Millisecond, index, directory, false, kernel.PhaseStarting},
 		{"confirmed", time.Millisecond, index, directory, true, kernel.PhaseReady},
-		{"never confirmed", confirmBound, index, directory, false, kernel.PhaseReady},
+		{"never confirmed", confirmTimeout, index, directory, false, kernel.PhaseReady},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/tier/pass/warmup.go
+++ b/tier/pass/warmup.go
@@ -9,7 +9,7 @@
 )
 
 // coldOf describes an upstream that may not have warmed up.
-func (e *engine) coldOf(l *config.Listing, b *shareBasis) policy.Cold {
+func (e *engine) coldState(l *config.Listing, b *shareInputs) policy.Cold {
 	out := policy.Cold{Remaining: time.Duration(l.Warmup), Revision: l.Revision, Sequence: l.Sequence, Evacuated: b.directory.Evacuated(l.Hall)}
 	if g := b.index.Group(l.Group); g != nil {
 		s := &e.kernel.Settings
@@ -20,7 +20,7 @@
 
 // assignCold assigns each cold upstream that can handle a bounded number of calls to
 // one host of its hall; it runs on the control thread.
-func (e *engine) assignCold(v *kernel.View) {
+func (e *engine) assignColdOwners(v *kernel.View) {
 	cold := e.kernel.Fleet.ThrottledCold(e.kernel.Now())
 	if len(cold) == 0 {
 		return
@@ -28,7 +28,7 @@
 	owners, hosts := make(map[string]string, len(cold)), map[string][]policy.Candidate{}
 	for name, hall := range cold {
 		if _, known := hosts[hall]; !known {
-			hosts[hall] = e.hostsOf(v, hall)
+			hosts[hall] = e.hostsInHall(v, hall)
 		}
 		owners[name] = policy.ColdOwner(name, hosts[hall])
 	}
@@ -36,7 +36,7 @@
 }
 
 // hostsOf describes the live hosts of a hall that are not leaving, this one included.
-func (e *engine) hostsOf(v *kernel.View, hall string) []policy.Candidate {
+func (e *engine) hostsInHall(v *kernel.View, hall string) []policy.Candidate {
 	out := liveHosts(v, func(other string) bool { return other == hall })
 	if hall == e.kernel.Settings.Hall {
 		out = append(out, e.self())
