--- a/loomd/reload.go
+++ b/loomd/reload.go
@@ -53,7 +53,7 @@
 		k.Log.Error().Err(err).Msg("changed settings refused, the old ones stay in force")
 		return
 	}
-	old, live := k.Live(), kernel.Live{Seeds: next.Seeds, RetryBudget: next.RetryBudget}
+	old, live := k.Reloadable(), kernel.ReloadableSettings{Seeds: next.Seeds, RetryBudget: next.RetryBudget}
 	if slices.Equal(old.Seeds, live.Seeds) && old.RetryBudget == live.RetryBudget {
 		return
 	}
--- a/loomd/reload_test.go
+++ b/loomd/reload_test.go
@@ -48,8 +48,8 @@
 			path := filepath.Join(t.TempDir(), "settings.env")
 			assert.NilError(t, os.WriteFile(path, []byte(tt.text), 0o600))
 			reload(k, origin{file: path})
-			assert.DeepEqual(t, texts(k.Live().Seeds), texts(tt.seeds))
-			assert.Equal(t, k.Live().RetryBudget.Slack, tt.slack)
+			assert.DeepEqual(t, texts(k.Reloadable().Seeds), texts(tt.seeds))
+			assert.Equal(t, k.Reloadable().RetryBudget.Slack, tt.slack)
 		})
 	}
 }
--- a/loomfake/platform.go
+++ b/loomfake/platform.go
@@ -235,7 +235,7 @@
 func decoded[T any](serve func(http.ResponseWriter, *http.Request, *T)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var v T
-		if err := wire.Decode(r.Body, wire.MaxBody, &v); err != nil {
+		if err := wire.Decode(r.Body, wire.MaxBodyBytes, &v); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
--- a/loomfake/upstreamserver.go
+++ b/loomfake/upstreamserver.go
@@ -104,8 +104,8 @@
 	return u.faults
 }
 
-func (f *faults) held() wire.Held {
-	return wire.Held{Oldest: f.Oldest, Newest: f.Newest, Leaving: f.Draining}
+func (f *faults) held() wire.UpstreamInfo {
+	return wire.UpstreamInfo{Oldest: f.Oldest, Newest: f.Newest, Leaving: f.Draining}
 }
 
 func (u *upstream) serviceTime(f *faults) time.Duration {
@@ -123,7 +123,7 @@
 	if kind == wire.RefusalMoved || kind == wire.RefusalSnapshotGone {
 		code = http.StatusConflict
 	}
-	write(w, code, wire.RefusalReply{Identity: id, Held: f.held(), Refused: kind})
+	write(w, code, wire.RefusalReply{Identity: id, UpstreamInfo: f.held(), Refused: kind})
 }
 
 // begin takes a slot, or refuses. It reports whether the call may run.
@@ -208,7 +208,7 @@
 	case <-r.Context().Done():
 		return
 	}
-	out := wire.PartReply{Identity: j.identity, Held: f.held(), Snapshot: j.snapshot}
+	out := wire.PartReply{Identity: j.identity, UpstreamInfo: f.held(), Snapshot: j.snapshot}
 	fill(&f, &out)
 	u.reply(w, r, &f, out)
 }
@@ -247,7 +247,7 @@
 
 func (u *upstream) onStatus(w http.ResponseWriter, _ *http.Request) {
 	f := u.current()
-	out := wire.StatusReply{Held: f.held(), InUse: len(u.slots), Slots: u.config.slots}
+	out := wire.StatusReply{UpstreamInfo: f.held(), InUse: len(u.slots), Slots: u.config.slots}
 	if f.LieHealth {
 		out.Leaving, out.InUse = false, 0
 	}
@@ -259,7 +259,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	f := u.faults
-	if err := wire.Decode(r.Body, wire.MaxBody, &f); err != nil {
+	if err := wire.Decode(r.Body, wire.MaxBodyBytes, &f); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
--- a/tier/entry/bench_test.go
+++ b/tier/entry/bench_test.go
@@ -35,10 +35,10 @@
 func serveParts(at string) {
 	h := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var in wire.PartRequest
-		if wire.Decode(r.Body, wire.MaxBody, &in) != nil {
+		if wire.Decode(r.Body, wire.MaxBodyBytes, &in) != nil {
 			return
 		}
-		text, _ := wire.Encode(wire.PartReply{Identity: in.Identity, Snapshot: in.Snapshot, Held: wire.Held{Oldest: 1, Newest: 1}, Count: 7})
+		text, _ := wire.Encode(wire.PartReply{Identity: in.Identity, Snapshot: in.Snapshot, UpstreamInfo: wire.UpstreamInfo{Oldest: 1, Newest: 1}, Count: 7})
 		w.Header().Set("Content-Length", fmt.Sprint(len(text)))
 		_, _ = w.Write(text)
 	})
@@ -128,7 +128,7 @@
 // reply: what a call costs without its connection.
 func BenchmarkPart(b *testing.B) {
 	request := benchRequest()
-	answer, err := wire.Encode(wire.PartReply{Identity: request.Identity, Snapshot: 1, Held: wire.Held{Oldest: 1, Newest: 1}, Count: 7})
+	answer, err := wire.Encode(wire.PartReply{Identity: request.Identity, Snapshot: 1, UpstreamInfo: wire.UpstreamInfo{Oldest: 1, Newest: 1}, Count: 7})
 	assert.NilError(b, err)
 	measureProcessor(b, func() {
 		_, err := wire.Encode(&request)
--- a/tier/entry/call.go
+++ b/tier/entry/call.go
@@ -44,7 +44,7 @@
 	if part != nil {
 		k.Fleet.NoteStatus(k.Now(), a.Upstream, policy.Window{Oldest: part.Oldest, Newest: part.Newest, Known: true}, part.Leaving)
 	}
-	return runner.Reply[*wire.PartReply]{Outcome: outcome, Part: part}
+	return runner.Reply[*wire.PartReply]{Outcome: outcome, Answer: part}
 }
 
 func (c *partCaller) Take(_ int, p *wire.PartReply) { c.take(p) }
@@ -82,7 +82,7 @@
 	header := http.Header{"Content-Type": {"application/json"}}
 	if span.IsRecording() {
 		span.SetAttributes(attribute.String("Upstream", x.upstream), attribute.String("Shard", x.id.Shard), attribute.Int("Attempt", x.id.Attempt))
-		wire.TraceTo(ctx, header)
+		wire.InjectTrace(ctx, header)
 	}
 	r := p.client.do(ctx, x.path, header, x.body)
 	outcome, part := classify(&r, x.id, x.snapshot)
@@ -107,7 +107,7 @@
 	span.SetAttributes(attribute.String("Owner", owner), attribute.String("Upstream", x.upstream))
 	in := wire.RelayRequest{
 		Upstream: x.upstream, Service: x.service, Path: x.path, Body: string(x.body), Identity: x.id,
-		Snapshot: x.snapshot, DeadlineMillis: (x.deadline - e.kernel.Now()).Milliseconds(), Trace: wire.TraceOf(ctx),
+		Snapshot: x.snapshot, DeadlineMillis: (x.deadline - e.kernel.Now()).Milliseconds(), Trace: wire.TraceParent(ctx),
 	}
 	var out wire.RelayReply
 	err := e.kernel.Peers.Call(ctx, owner, methodRelay, in, &out)
@@ -135,7 +135,7 @@
 	}
 	e.kernel.InFlight.Add(1)
 	defer e.kernel.InFlight.Add(-1)
-	ctx = wire.TraceInto(ctx, in.Trace)
+	ctx = wire.WithTraceParent(ctx, in.Trace)
 	left := min(time.Duration(in.DeadlineMillis)*time.Millisecond, maxRelay)
 	x := &upstreamCall{
 		upstream: in.Upstream, service: in.Service, path: in.Path, id: in.Identity,
@@ -163,7 +163,7 @@
 	}
 	started := e.kernel.Now()
 	outcome, part := policy.CallNotSent, (*wire.PartReply)(nil)
-	if e.kernel.Awake() && started < x.deadline {
+	if e.kernel.Responsive() && started < x.deadline {
 		outcome, part = e.call(ctx, x)
 	}
 	now := e.kernel.Now()
--- a/tier/entry/client.go
+++ b/tier/entry/client.go
@@ -76,7 +76,7 @@
 	}
 	defer answer.Body.Close()
 	out.status = answer.StatusCode
-	out.body, out.err = wire.ReadBody(answer, wire.MaxReply)
+	out.body, out.err = wire.ReadBody(answer, wire.MaxReplyBytes)
 	return out
 }
 
@@ -114,7 +114,7 @@
 	if err := json.Unmarshal(body, &f); err != nil || f.Identity != id {
 		return dropped("refusal"), nil
 	}
-	held := &wire.PartReply{Held: f.Held}
+	held := &wire.PartReply{UpstreamInfo: f.UpstreamInfo}
 	switch f.Refused {
 	case wire.RefusalShed, wire.RefusalLate:
 		return policy.CallShed, held
--- a/tier/entry/endpoint.go
+++ b/tier/entry/endpoint.go
@@ -37,7 +37,7 @@
 		return
 	}
 	s := &e.kernel.Settings
-	hosts := v.Hall(s)
+	hosts := v.HallHosts(s)
 	slices.Sort(hosts)
 	next := basis{index: v.Index, hosts: hosts, leaving: v.Leaving}
 	if e.basis.same(&next) {
--- a/tier/entry/order.go
+++ b/tier/entry/order.go
@@ -141,7 +141,7 @@
 	var out entrygen.Answer
 	err := e.kernel.Peers.Call(ctx, host, methodOrder, wire.OrderRequest{
 		Ticket: o.id, Statement: o.payload.Statement, Class: o.payload.Class,
-		DeadlineMillis: left.Milliseconds(), Trace: wire.TraceOf(ctx),
+		DeadlineMillis: left.Milliseconds(), Trace: wire.TraceParent(ctx),
 	}, &out)
 	return &out, err
 }
@@ -155,7 +155,7 @@
 	if e.ticketsOf(t) == nil {
 		return nil, fmt.Errorf("%w %q: %w", errTicket, in.Ticket, errNotSuccessor)
 	}
-	return e.Order(wire.TraceInto(ctx, in.Trace), &entrygen.OrderPayload{
+	return e.Order(wire.WithTraceParent(ctx, in.Trace), &entrygen.OrderPayload{
 		Ticket: in.Ticket, Statement: in.Statement, Class: in.Class, DeadlineMillis: &in.DeadlineMillis,
 	})
 }
--- a/tier/entry/serve.go
+++ b/tier/entry/serve.go
@@ -100,7 +100,7 @@
 func limited(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.Header.Set("Content-Type", "application/json")
-		r.Body = http.MaxBytesReader(w, r.Body, wire.MaxBody)
+		r.Body = http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes)
 		next.ServeHTTP(w, r)
 	})
 }
@@ -112,6 +112,6 @@
 		if k.Phase() == kernel.PhaseDraining {
 			w.Header().Set("Connection", "close")
 		}
-		next.ServeHTTP(w, r.WithContext(wire.TraceFrom(r.Context(), r.Header)))
+		next.ServeHTTP(w, r.WithContext(wire.ExtractTrace(r.Context(), r.Header)))
 	})
 }
--- a/tier/entry/service.go
+++ b/tier/entry/service.go
@@ -83,7 +83,7 @@
 	}
 	// The decoder keeps only the text of the error of http.MaxBytesReader.
 	if strings.Contains(err.Error(), tooLarge) {
-		return &faultBody{Kind: "Invalid", Message: fmt.Sprintf("body over %d bytes: send a shorter statement", wire.MaxBody), status: http.StatusRequestEntityTooLarge}
+		return &faultBody{Kind: "Invalid", Message: fmt.Sprintf("body over %d bytes: send a shorter statement", wire.MaxBodyBytes), status: http.StatusRequestEntityTooLarge}
 	}
 	if g, ok := errors.AsType[*goa.ServiceError](err); ok && !g.Fault {
 		return &faultBody{Kind: "Invalid", Message: g.Message + ": correct the field; docs/PROTOCOLS.md has the format", status: http.StatusBadRequest}
--- a/tier/entry/successor.go
+++ b/tier/entry/successor.go
@@ -137,7 +137,7 @@
 
 // successors ranks the other hosts that may hold the tickets of a process that is gone.
 func successors(v *kernel.View, s *kernel.Settings, process string) []string {
-	ranked := peers.Rank("heir\x00"+process, v.Hall(s))
+	ranked := peers.Rank("heir\x00"+process, v.HallHosts(s))
 	return slices.DeleteFunc(ranked, func(h string) bool { return h == s.Host })
 }
 
--- a/tier/kernel/adapter.go
+++ b/tier/kernel/adapter.go
@@ -15,9 +15,9 @@
 	// ErrHistoryGone is wrapped when a source no longer knows what changed
 	// after a revision: read everything again.
 	ErrHistoryGone = errors.New("history of changes is gone")
-	// ErrEarlierHistory is wrapped by an answer that a source gave before it came back
+	// ErrStaleEra is wrapped by an answer that a source gave before it came back
 	// from a copy: it is not used, and asked for again.
-	ErrEarlierHistory = errors.New("answer of an earlier history")
+	ErrStaleEra = errors.New("answer of an earlier history")
 	// ErrNoAdapter is wrapped when an adapter is named that nobody registered.
 	ErrNoAdapter = errors.New("no such adapter")
 )
@@ -82,8 +82,8 @@
 // RegisterAdapter makes an adapter known; it is called from init functions.
 func RegisterAdapter(name string, a Adapter) { adapters[name] = a }
 
-// AdapterNamed finds a registered adapter.
-func AdapterNamed(name string) (Adapter, error) {
+// FindAdapter finds a registered adapter.
+func FindAdapter(name string) (Adapter, error) {
 	a, ok := adapters[name]
 	if !ok {
 		return Adapter{}, fmt.Errorf("adapter %q: %w", name, ErrNoAdapter)
--- a/tier/kernel/control.go
+++ b/tier/kernel/control.go
@@ -17,17 +17,17 @@
 	pauseBound = time.Second
 )
 
-// Awake reports whether the process has run without a long pause up to now. A
+// Responsive reports whether the process has run without a long pause up to now. A
 // process that was paused must not act on what it knew before.
-func (k *Kernel) Awake() bool {
+func (k *Kernel) Responsive() bool {
 	k.noteSleep()
 	return k.Now()-time.Duration(k.lastPulse.Load()) < pauseBound
 }
 
-// Wake waits until the control thread has noticed a pause of the process, so that what
+// AwaitPauseCheck waits until the control thread has noticed a pause of the process, so that what
 // was known before it is not acted on.
-func (k *Kernel) Wake() {
-	if !k.Awake() {
+func (k *Kernel) AwaitPauseCheck() {
+	if !k.Responsive() {
 		k.DoAndWait(func(*State) {})
 	}
 }
@@ -82,7 +82,7 @@
 	}
 	k.Log.Error().Interface("Cause", cause).Bool("Document", s.Index != nil).Bool("Directory", s.Directory != nil).
 		Int("Members", len(s.Members)).Bool("Reading", s.Reading).Bool("Announcing", s.Announcing).
-		Bool("FeedDown", s.FeedDown).Dur("SourceAt", s.AnnouncedReadAt).Dur("Age", k.Now()).Msg("control thread failed")
+		Bool("FeedDown", s.PlatformDown).Dur("SourceAt", s.AnnouncedReadAt).Dur("Age", k.Now()).Msg("control thread failed")
 	if k.FlushLog != nil {
 		k.FlushLog()
 	}
--- a/tier/kernel/kernel.go
+++ b/tier/kernel/kernel.go
@@ -15,16 +15,16 @@
 // Kernel owns the control state of one entry host.
 type Kernel struct {
 	Config
-	// Decisions takes lines about single requests. Beyond a rate they are
+	// RequestLog takes lines about single requests. Beyond a rate they are
 	// dropped and counted, so that load cannot flood the log.
-	Decisions zerolog.Logger
+	RequestLog zerolog.Logger
 	// Peers is set by the plug-in that serves the peer protocol.
 	Peers PeerCaller
 
 	lifecycle
 	sleep sleepMeter
 	// live holds the settings that may change.
-	live atomic.Pointer[Live]
+	live atomic.Pointer[ReloadableSettings]
 	// jobs are run by the control thread, in order.
 	jobs chan func(*State)
 	// view is the state as last published.
@@ -58,15 +58,15 @@
 // stops it.
 func New(c Config) (*Kernel, func()) {
 	k := &Kernel{
-		Config:    c,
-		Decisions: c.Log.Sample(newRateSampler(c.Settings.LogRate)),
-		jobs:      make(chan func(*State), jobBacklog),
-		lifecycle: lifecycle{stopping: make(chan struct{})},
+		Config:     c,
+		RequestLog: c.Log.Sample(newRateSampler(c.Settings.LogRate)),
+		jobs:       make(chan func(*State), jobBacklog),
+		lifecycle:  lifecycle{stopping: make(chan struct{})},
 	}
 	if err := k.sleep.begin(c.BootTime, k.monotonic); err != nil {
 		k.Log.Warn().Err(err).Msg("suspensions of the machine are not noticed")
 	}
-	k.live.Store(&Live{Seeds: c.Settings.Seeds, RetryBudget: c.Settings.RetryBudget})
+	k.live.Store(&ReloadableSettings{Seeds: c.Settings.Seeds, RetryBudget: c.Settings.RetryBudget})
 	k.phase.Store(PhaseStarting)
 	state := newState()
 	k.view.Store(state.view())
@@ -83,11 +83,11 @@
 
 func (k *Kernel) monotonic() time.Duration { return time.Since(k.Started) }
 
-// Live returns the settings that may change while the process runs.
-func (k *Kernel) Live() Live { return *k.live.Load() }
+// Reloadable returns the settings that may change while the process runs.
+func (k *Kernel) Reloadable() ReloadableSettings { return *k.live.Load() }
 
 // Reload puts changed settings in force; the control thread publishes a view.
-func (k *Kernel) Reload(l Live) {
+func (k *Kernel) Reload(l ReloadableSettings) {
 	k.live.Store(&l)
 	k.Do(func(s *State) { s.changed = true })
 }
@@ -122,9 +122,9 @@
 	}
 }
 
-// Ask runs a job on the control thread and returns its answer, unless the context ends
+// DoWithResult runs a job on the control thread and returns its answer, unless the context ends
 // before.
-func Ask[T any](ctx context.Context, k *Kernel, job func(*State) T) (T, error) {
+func DoWithResult[T any](ctx context.Context, k *Kernel, job func(*State) T) (T, error) {
 	answers := make(chan T, 1)
 	k.Do(func(s *State) { answers <- job(s) })
 	select {
--- a/tier/kernel/lifecycle.go
+++ b/tier/kernel/lifecycle.go
@@ -61,7 +61,7 @@
 		k.notReady.Add(1)
 		return false
 	}
-	return k.Phase() == PhaseReady && k.Awake()
+	return k.Phase() == PhaseReady && k.Responsive()
 }
 
 // Settle waits until the balancer knows that this host stops: for the setting Settle,
--- a/tier/kernel/member.go
+++ b/tier/kernel/member.go
@@ -23,11 +23,11 @@
 	Capacity int
 }
 
-// Staying reports whether the host is live and does not stop.
-func (m *Member) Staying() bool { return m.Live && !m.Leaving }
+// Active reports whether the host is live and does not stop.
+func (m *Member) Active() bool { return m.Live && !m.Leaving }
 
 // Callable reports whether requests and calls may be handed to the host.
-func (m *Member) Callable() bool { return m.Staying() && m.Peer.IsValid() }
+func (m *Member) Callable() bool { return m.Active() && m.Peer.IsValid() }
 
 // SetMember notes what is known of a member, and has it published if anything changed
 // that decisions depend on. Anything else is published with the next view.
--- a/tier/kernel/settings.go
+++ b/tier/kernel/settings.go
@@ -84,8 +84,8 @@
 	return policy.Capacity(cores, s.LinkMbits)
 }
 
-// Live are the settings that may change while the process runs.
-type Live struct {
+// ReloadableSettings are the settings that may change while the process runs.
+type ReloadableSettings struct {
 	// Seeds are other entry hosts to join at.
 	Seeds []netip.AddrPort
 	// RetryBudget bounds the calls beyond the first.
--- a/tier/kernel/state.go
+++ b/tier/kernel/state.go
@@ -43,8 +43,8 @@
 	s.membersChanged()
 }
 
-// List applies a change of the directory.
-func (s *State) List(c *config.DirectoryChange) {
+// ApplyDirectoryChange applies a change of the directory.
+func (s *State) ApplyDirectoryChange(c *config.DirectoryChange) {
 	next, changed := s.Directory.With(c)
 	s.Directory = next
 	s.changed = s.changed || changed
@@ -75,11 +75,11 @@
 	}
 }
 
-// Hall lists the live entry hosts of this host's hall that do not leave, itself included.
-func (v *View) Hall(s *Settings) []string {
+// HallHosts lists the live entry hosts of this host's hall that do not leave, itself included.
+func (v *View) HallHosts(s *Settings) []string {
 	out := []string{s.Host}
 	for n, m := range v.Members {
-		if m.Staying() && m.Hall == s.Hall {
+		if m.Active() && m.Hall == s.Hall {
 			out = append(out, n)
 		}
 	}
@@ -126,9 +126,9 @@
 	// Announcing is true while this host announces to its hall what is published:
 	// what it reads itself, or what a reader in another hall announces to it.
 	Announcing bool
-	// FeedDown is true while this host should read the platform, cannot, and has to
+	// PlatformDown is true while this host should read the platform, cannot, and has to
 	// learn from peers what is published.
-	FeedDown bool
+	PlatformDown bool
 	// PlatformReadAt is when the platform was last read, as far as this host knows: by
 	// itself, by another host of its hall, or by a reader that announces to the hall.
 	PlatformReadAt time.Duration
@@ -147,17 +147,17 @@
 type AnnouncerReport struct {
 	// At is when it came.
 	At time.Duration
-	// Lost is true if that host gets no answer of the platform; Since is when its first
-	// announcement with this value of Lost came.
-	Lost  bool
-	Since time.Duration
+	// PlatformDown is true if that host gets no answer of the platform; Since is when its first
+	// announcement with this value of PlatformDown came.
+	PlatformDown bool
+	Since        time.Duration
 }
 
 // Next returns the report after a further announcement of the same host.
 func (r AnnouncerReport) Next(now time.Duration, lost bool) AnnouncerReport {
-	if r.At == 0 || r.Lost != lost {
+	if r.At == 0 || r.PlatformDown != lost {
 		r.Since = now
 	}
-	r.At, r.Lost = now, lost
+	r.At, r.PlatformDown = now, lost
 	return r
 }
--- a/tier/kernel/status_test.go
+++ b/tier/kernel/status_test.go
@@ -48,7 +48,7 @@
 		k.Accept(s, string(text), config.Edition{Position: config.Position{Revision: 1}})
 		k.Accept(s, "no document", config.Edition{Position: config.Position{Revision: 2}})
 		s.NotePublished(config.Position{Revision: 5}, "revision 5: refused by a peer")
-		s.List(&config.DirectoryChange{Revision: 3, Evacuated: []config.Evacuation{{Hall: "B", Revision: 3}}})
+		s.ApplyDirectoryChange(&config.DirectoryChange{Revision: 3, Evacuated: []config.Evacuation{{Hall: "B", Revision: 3}}})
 		s.Members["H2"] = kernel.Member{Host: "H2", Incarnation: "3", Live: true, Revision: 4}
 		s.Members["H3"] = kernel.Member{Host: "H3", Incarnation: "4", Live: true, Leaving: true}
 		s.Members["H4"] = kernel.Member{Host: "H4", Incarnation: "5"}
--- a/tier/pass/admit.go
+++ b/tier/pass/admit.go
@@ -24,7 +24,7 @@
 		return true
 	}
 	metrics.GetOrCreateCounter(`loomgap_calls_barred_total{Reason="` + string(reason) + `"}`).Inc()
-	e.kernel.Decisions.Info().Str("RequestID", c.id).Str("Upstream", u.Name).
+	e.kernel.RequestLog.Info().Str("RequestID", c.id).Str("Upstream", u.Name).
 		Str("Reason", string(reason)).Msg("call barred")
 	return false
 }
--- a/tier/pass/admit_test.go
+++ b/tier/pass/admit_test.go
@@ -35,7 +35,7 @@
 	p.upstreams = gatherers(t, p.east, [2]string{"A", "B"}, reply)
 	p.west.do(func(s *kernel.State) {
 		whole := p.east.kernel.View().Directory.Whole()
-		s.List(&whole)
+		s.ApplyDirectoryChange(&whole)
 	})
 	p.east.member(p.west)
 	return p
@@ -72,14 +72,14 @@
 func (h *host) evacuate(hall string) {
 	h.revision++
 	c := config.DirectoryChange{Revision: h.revision, Evacuated: []config.Evacuation{{Hall: hall, Revision: h.revision}}}
-	h.do(func(s *kernel.State) { s.List(&c) })
+	h.do(func(s *kernel.State) { s.ApplyDirectoryChange(&c) })
 }
 
 // resume tells a host that a hall is no longer evacuated.
 func (h *host) resume(hall string) {
 	h.revision++
 	c := config.DirectoryChange{Revision: h.revision, Resumed: []config.Removal{{Name: hall, Revision: h.revision}}}
-	h.do(func(s *kernel.State) { s.List(&c) })
+	h.do(func(s *kernel.State) { s.ApplyDirectoryChange(&c) })
 }
 
 // TestHomesBindEveryCall has the upstreams at home fail in each way that has others
@@ -321,7 +321,7 @@
 			for i := range cold.Listed {
 				cold.Listed[i].Warmup, cold.Listed[i].Revision = 60000*millisecond, cold.Listed[i].Revision+100
 			}
-			s.List(&cold)
+			s.ApplyDirectoryChange(&cold)
 		})
 		h.accept(d)
 	}
--- a/tier/pass/answer.go
+++ b/tier/pass/answer.go
@@ -75,7 +75,7 @@
 	}
 	w.WriteHeader(status)
 	if _, err := w.Write(body); err != nil {
-		q.engine.kernel.Decisions.Info().Str("RequestID", q.in.id).Err(err).Msg("answer not taken by its caller")
+		q.engine.kernel.RequestLog.Info().Str("RequestID", q.in.id).Err(err).Msg("answer not taken by its caller")
 	}
 }
 
--- a/tier/pass/call.go
+++ b/tier/pass/call.go
@@ -220,14 +220,14 @@
 	case err != nil:
 		return runner.Reply[*answer]{Outcome: policy.CallBroken}
 	}
-	out := runner.Reply[*answer]{Load: loadOf(a.header.Get(c.headers.Load)), Part: a}
+	out := runner.Reply[*answer]{Load: loadOf(a.header.Get(c.headers.Load)), Answer: a}
 	switch {
 	case a.status == http.StatusMisdirectedRequest:
 		out.Outcome = policy.CallMoved
 	case a.header.Get(c.headers.NotRun) != "":
 		out.Outcome = policy.CallShed
 	case a.status < http.StatusMultipleChoices && a.header.Get(c.headers.Stamp) == "":
-		out.Outcome, out.Part = policy.CallGarbage, nil
+		out.Outcome, out.Answer = policy.CallGarbage, nil
 	case a.status < http.StatusMultipleChoices || a.status < http.StatusInternalServerError && !c.gathered && !promisesNotRun(a.status):
 		out.Outcome = policy.CallOK
 	default:
--- a/tier/pass/coordinate_client.go
+++ b/tier/pass/coordinate_client.go
@@ -144,7 +144,7 @@
 	return &coordinateRequest{
 		ID: e.ids.next(), RequestID: q.in.id, HostName: q.in.hostName, Path: q.in.path, Route: q.route.Digest(),
 		Method: q.in.method, Head: string(q.in.head), Body: q.in.body, Caller: q.in.subject.Caller,
-		SpentMicros: spent.Microseconds(), LeftMillis: (q.times.deadline - now).Milliseconds(), Trace: wire.TraceOf(ctx),
+		SpentMicros: spent.Microseconds(), LeftMillis: (q.times.deadline - now).Milliseconds(), Trace: wire.TraceParent(ctx),
 	}
 }
 
@@ -216,7 +216,7 @@
 
 // log begins a line about the request at its coordinator.
 func (s *sentRequest) log() *zerolog.Event {
-	return s.request.engine.kernel.Decisions.Info().Str("RequestID", s.request.in.id).Str("Coordinator", s.to.Host)
+	return s.request.engine.kernel.RequestLog.Info().Str("RequestID", s.request.in.id).Str("Coordinator", s.to.Host)
 }
 
 // onCoordinateSign takes in that a coordinator works on a request. The request may have
--- a/tier/pass/coordinate_server.go
+++ b/tier/pass/coordinate_server.go
@@ -48,7 +48,7 @@
 	e.kernel.InFlight.Add(1)
 	defer e.kernel.InFlight.Add(-1)
 	metrics.GetOrCreateCounter("loomgap_carried_requests_total").Inc()
-	run, cancel := context.WithCancel(wire.TraceInto(context.Background(), in.Trace))
+	run, cancel := context.WithCancel(wire.WithTraceParent(context.Background(), in.Trace))
 	defer cancel()
 	served := &servedRequest{begin: newStartGate(), cancel: cancel}
 	e.coordinate.served.add(in.ID, served)
@@ -65,7 +65,7 @@
 
 // accept makes the request that another host has sent, or declines it.
 func (e *engine) accept(in *coordinateRequest) (*request, declineReason) {
-	e.kernel.Wake()
+	e.kernel.AwaitPauseCheck()
 	if e.kernel.Phase() != kernel.PhaseReady {
 		return nil, declineStopping
 	}
@@ -92,7 +92,7 @@
 	defer tick.Stop()
 	for {
 		if err := kernel.Push(ctx, methodCoordinateSign, coordinateID{ID: id}); err != nil {
-			e.kernel.Decisions.Info().Err(err).Msg("sender of a request is gone")
+			e.kernel.RequestLog.Info().Err(err).Msg("sender of a request is gone")
 			cancel()
 			return
 		}
--- a/tier/pass/coordinate_test.go
+++ b/tier/pass/coordinate_test.go
@@ -132,7 +132,7 @@
 func TestRefusalOfACoordinatorIsPassedOn(t *testing.T) {
 	f := newForwarding(t, wellReplied)
 	f.strong.do(func(s *kernel.State) {
-		s.List(&config.DirectoryChange{Revision: 1000, Whole: true})
+		s.ApplyDirectoryChange(&config.DirectoryChange{Revision: 1000, Whole: true})
 	})
 	r := f.weak.ask(http.MethodGet, "/find/x", "one", 15000, "")
 	assert.NilError(t, r.err)
--- a/tier/pass/crash_test.go
+++ b/tier/pass/crash_test.go
@@ -109,7 +109,7 @@
 // share gives a host the directory of another and the document.
 func (h *host) share(from *host, d config.Document) {
 	whole := from.kernel.View().Directory.Whole()
-	h.do(func(s *kernel.State) { s.List(&whole) })
+	h.do(func(s *kernel.State) { s.ApplyDirectoryChange(&whole) })
 	h.accept(d)
 }
 
--- a/tier/pass/engine.go
+++ b/tier/pass/engine.go
@@ -103,7 +103,7 @@
 // followShares sets shares, links and retry budgets, as far as what they depend on has
 // changed; it runs on the control thread.
 func (e *engine) followShares(v *kernel.View) {
-	next := shareBasis{index: v.Index, directory: v.Directory, retryBudget: e.kernel.Live().RetryBudget, hostCounts: e.counted}
+	next := shareBasis{index: v.Index, directory: v.Directory, retryBudget: e.kernel.Reloadable().RetryBudget, hostCounts: e.counted}
 	touched, known := v.Directory.Touched(e.basis.directory)
 	if !known || !next.like(&e.basis) || !v.Directory.SameEvacuations(e.basis.directory) {
 		e.basis = next
--- a/tier/pass/follow_test.go
+++ b/tier/pass/follow_test.go
@@ -27,7 +27,7 @@
 		change.Listed = append(change.Listed, listingOf(i, 1))
 	}
 	h.do(func(s *kernel.State) {
-		s.List(&change)
+		s.ApplyDirectoryChange(&change)
 		for i := range members {
 			n := fmt.Sprintf("host-%d", i)
 			s.Members[n] = kernel.Member{
@@ -54,7 +54,7 @@
 				l := listingOf(i, revision)
 				l.Slots = 3 + int(revision%2)
 				h.do(func(s *kernel.State) {
-					s.List(&config.DirectoryChange{Revision: revision, Listed: []config.Listing{l}})
+					s.ApplyDirectoryChange(&config.DirectoryChange{Revision: revision, Listed: []config.Listing{l}})
 				})
 			}
 		})
@@ -75,7 +75,7 @@
 			l := listingOf(i*7%upstreams, uint64(i+2))
 			l.Leaving = true
 			h.do(func(s *kernel.State) {
-				s.List(&config.DirectoryChange{Revision: l.Revision, Listed: []config.Listing{l}})
+				s.ApplyDirectoryChange(&config.DirectoryChange{Revision: l.Revision, Listed: []config.Listing{l}})
 			})
 		}
 		runtime.ReadMemStats(&after)
@@ -89,7 +89,7 @@
 		gone := listingOf(0, 1).Name
 		assert.Assert(t, h.engine.link(gone) != nil)
 		h.do(func(s *kernel.State) {
-			s.List(&config.DirectoryChange{Revision: 1000, Removed: []config.Removal{{Name: gone, Revision: 1000}}})
+			s.ApplyDirectoryChange(&config.DirectoryChange{Revision: 1000, Removed: []config.Removal{{Name: gone, Revision: 1000}}})
 		})
 		assert.Assert(t, h.engine.link(gone) == nil && h.kernel.Fleet.Find(gone) == nil)
 		return (after.TotalAlloc - before.TotalAlloc) / changes
--- a/tier/pass/golden_test.go
+++ b/tier/pass/golden_test.go
@@ -197,7 +197,7 @@
 		{"forwarded, not told to begin", func(f *forwarding) { f.cable.broken = map[string]bool{methodCoordinateBegin: true} }},
 		{"forwarded, stopping", func(f *forwarding) { f.strong.kernel.SetPhase(kernel.PhaseDraining) }},
 		{"forwarded, refused", func(f *forwarding) {
-			f.strong.do(func(s *kernel.State) { s.List(&config.DirectoryChange{Revision: 1000, Whole: true}) })
+			f.strong.do(func(s *kernel.State) { s.ApplyDirectoryChange(&config.DirectoryChange{Revision: 1000, Whole: true}) })
 		}},
 		{"forwarded, lost", func(f *forwarding) {
 			for _, us := range f.upstreams {
--- a/tier/pass/host_test.go
+++ b/tier/pass/host_test.go
@@ -295,7 +295,7 @@
 		Slots: 4, Leaving: leaving, Revision: h.revision,
 	}
 	h.do(func(s *kernel.State) {
-		s.List(&config.DirectoryChange{Revision: h.revision, Listed: []config.Listing{l}})
+		s.ApplyDirectoryChange(&config.DirectoryChange{Revision: h.revision, Listed: []config.Listing{l}})
 	})
 }
 
--- a/tier/pass/outcome.go
+++ b/tier/pass/outcome.go
@@ -52,7 +52,7 @@
 	labels := `{Route="` + route + `",Outcome="` + string(o) + `"}`
 	metrics.GetOrCreateCounter("loomgap_routed_total" + labels).Inc()
 	metrics.GetOrCreateHistogram("loomgap_routed_seconds" + labels).Update(took.Seconds())
-	line := k.Decisions.Info().Str("RequestID", q.in.id).Str("Route", route).
+	line := k.RequestLog.Info().Str("RequestID", q.in.id).Str("Route", route).
 		Str("Outcome", string(o)).Int("Status", status).Int64("TookMillis", took.Milliseconds())
 	if q.in.subject.Fingerprint != "" {
 		line = line.Str("Fingerprint", string(q.in.subject.Fingerprint))
--- a/tier/pass/plugin.go
+++ b/tier/pass/plugin.go
@@ -34,7 +34,7 @@
 func (plugin) Skip(s *kernel.Settings) bool { return s.Adapter == "" }
 
 func (plugin) Run(_ context.Context, k *kernel.Kernel) (func(), error) {
-	a, err := kernel.AdapterNamed(k.Settings.Adapter)
+	a, err := kernel.FindAdapter(k.Settings.Adapter)
 	if err != nil {
 		return nil, err
 	}
--- a/tier/pass/relay_client.go
+++ b/tier/pass/relay_client.go
@@ -125,7 +125,7 @@
 		ID:    e.ids.next(),
 		Route: q.route.Name, RequestID: q.in.id, Method: q.in.method, Head: string(q.in.head), Body: q.in.body, Top: q.route.Gather.Top,
 		FirstMillis:    q.firstReplyIn(batch, roundTrip).Milliseconds(),
-		DeadlineMillis: (q.times.deadline - now).Milliseconds(), Trace: wire.TraceOf(ctx),
+		DeadlineMillis: (q.times.deadline - now).Milliseconds(), Trace: wire.TraceParent(ctx),
 	}
 	if !e.relay.allRecords.wanted(q.route.Name, now) {
 		in.Of = len(q.plan.groups)
@@ -267,7 +267,7 @@
 	if ctx.Err() != nil {
 		s.stop()
 	} else {
-		e.kernel.Decisions.Info().Str("RequestID", q.in.id).Str("Relay", s.relay).Int("Calls", len(s.calls)).
+		e.kernel.RequestLog.Info().Str("RequestID", q.in.id).Str("Relay", s.relay).Int("Calls", len(s.calls)).
 			Str("Outcome", string(o)).Err(err).Msg("batch not answered")
 	}
 	for i := range s.calls {
@@ -280,7 +280,7 @@
 	q := s.request
 	err := q.engine.notifyStop(s.relay, methodBatchStop, batchStop{ID: s.in.ID, CallerGone: q.callerGone.Load()})
 	if err != nil {
-		q.engine.kernel.Decisions.Info().Str("RequestID", q.in.id).Str("Relay", s.relay).Err(err).Msg("batch not stopped")
+		q.engine.kernel.RequestLog.Info().Str("RequestID", q.in.id).Str("Relay", s.relay).Err(err).Msg("batch not stopped")
 	}
 }
 
@@ -303,7 +303,7 @@
 	for _, c := range ended {
 		r := runner.Reply[*answer]{Outcome: policy.CallOutcome(c.Outcome), Took: time.Duration(c.TookMicros)*time.Microsecond + s.roundTrip}
 		if c.Stamp != "" {
-			r.Outcome, r.Part = policy.CallOK, &answer{block: b}
+			r.Outcome, r.Answer = policy.CallOK, &answer{block: b}
 		}
 		s.to.Report(c.Index, r)
 	}
--- a/tier/pass/relay_records.go
+++ b/tier/pass/relay_records.go
@@ -111,7 +111,7 @@
 		for i, b := range lacking {
 			if errs[i] != nil {
 				q.answers.parts.drop(b)
-				e.kernel.Decisions.Info().Str("RequestID", q.in.id).Str("Relay", b.leftOut.relay).Int("Parts", len(b.stamps)).
+				e.kernel.RequestLog.Info().Str("RequestID", q.in.id).Str("Relay", b.leftOut.relay).Int("Parts", len(b.stamps)).
 					Err(errs[i]).Msg("records not completed")
 			}
 		}
--- a/tier/pass/relay_server.go
+++ b/tier/pass/relay_server.go
@@ -124,7 +124,7 @@
 
 func (e *engine) startBatch(in *batchRequest) *servedBatch {
 	left := min(time.Duration(in.DeadlineMillis)*time.Millisecond, maxBatchTime)
-	ctx, cancel := context.WithTimeout(wire.TraceInto(context.Background(), in.Trace), left)
+	ctx, cancel := context.WithTimeout(wire.WithTraceParent(context.Background(), in.Trace), left)
 	now := e.kernel.Now()
 	b := &servedBatch{
 		engine: e, in: in, subject: e.subjectOf(in), cancel: cancel,
@@ -184,15 +184,15 @@
 		b.end(out, nil)
 		return
 	}
-	out.Stamp = reply.Part.header.Get(b.engine.headers.Stamp)
-	b.end(out, reply.Part.body)
+	out.Stamp = reply.Answer.header.Get(b.engine.headers.Stamp)
+	b.end(out, reply.Answer.body)
 }
 
 // exchange sends a call whose slot is held and returns what became of it.
 func (b *servedBatch) exchange(ctx context.Context, l *link, u *policy.Upstream) runner.Reply[*answer] {
 	k := b.engine.kernel
 	left := b.deadline - k.Now()
-	if left <= 0 || !k.Awake() || ctx.Err() != nil {
+	if left <= 0 || !k.Responsive() || ctx.Err() != nil {
 		return runner.Reply[*answer]{Outcome: policy.CallNotSent}
 	}
 	return b.engine.callUpstream(ctx, l, u, &call{
--- a/tier/pass/run.go
+++ b/tier/pass/run.go
@@ -11,7 +11,7 @@
 
 // run makes the calls that policy decides on, until the run of the request ends. The
 // runner calls back: Batches and CallBatch for calls through relays, Call for others,
-// Take and Ended with what became of them.
+// Take and CallEnded with what became of them.
 func (q *request) run(ctx context.Context) (policy.Result, error) {
 	k := q.engine.kernel
 	near, far := k.Fleet.RoutedPools(q.route.Name)
@@ -65,17 +65,17 @@
 	q.answers.parts.take(part, a)
 }
 
-// Ended implements runner.Observer: it keeps an upstream's own failure, and logs the
+// CallEnded implements runner.Observer: it keeps an upstream's own failure, and logs the
 // calls that did not succeed.
-func (q *request) Ended(a policy.Action, r runner.Reply[*answer], took time.Duration, over bool) {
+func (q *request) CallEnded(a policy.Action, r runner.Reply[*answer], took time.Duration, over bool) {
 	q.sends[a.Part]++
 	if r.Outcome == policy.CallOK {
 		return
 	}
 	if r.Outcome == policy.CallFailed && !over {
-		q.answers.failure = r.Part
+		q.answers.failure = r.Answer
 	}
-	q.engine.kernel.Decisions.Info().Str("RequestID", q.in.id).Str("Group", q.plan.groups[a.Part]).
+	q.engine.kernel.RequestLog.Info().Str("RequestID", q.in.id).Str("Group", q.plan.groups[a.Part]).
 		Str("Upstream", a.Upstream.Name).Int("Call", q.sends[a.Part]).Str("Outcome", string(r.Outcome)).
 		Int64("TookMillis", took.Milliseconds()).Msg("call ended")
 }
--- a/tier/pass/serve.go
+++ b/tier/pass/serve.go
@@ -72,7 +72,7 @@
 func (e *engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.kernel.InFlight.Add(1)
 	defer e.kernel.InFlight.Add(-1)
-	e.kernel.Wake()
+	e.kernel.AwaitPauseCheck()
 	q := &request{
 		engine: e, times: requestTimes{begun: e.kernel.Now()},
 		in: inbound{id: r.Header.Get(e.headers.RequestID), method: r.Method, subject: policy.Subject{Caller: callerOf(r)}},
@@ -89,7 +89,7 @@
 	if !q.findRoute(w, r) || !q.read(w, r) || q.quarantined(w) {
 		return
 	}
-	ctx := wire.TraceFrom(r.Context(), r.Header)
+	ctx := wire.ExtractTrace(r.Context(), r.Header)
 	if !q.handOver(ctx, w) {
 		q.serve(ctx, w)
 		if q.times.decidedAt > 0 {
--- a/tier/pass/shares.go
+++ b/tier/pass/shares.go
@@ -56,7 +56,7 @@
 	capacities := make([]int, 0, len(v.Members))
 	for _, m := range v.Members {
 		capacities = append(capacities, m.Capacity)
-		if !m.Staying() {
+		if !m.Active() {
 			continue
 		}
 		staying += m.Capacity
--- a/tier/pass/single_test.go
+++ b/tier/pass/single_test.go
@@ -417,7 +417,7 @@
 	assert.Equal(t, us[0].total(), before)
 	h.do(func(s *kernel.State) {
 		h.revision++
-		s.List(&config.DirectoryChange{Revision: h.revision, Removed: []config.Removal{{Name: "U2", Revision: h.revision}}})
+		s.ApplyDirectoryChange(&config.DirectoryChange{Revision: h.revision, Removed: []config.Removal{{Name: "U2", Revision: h.revision}}})
 	})
 	assert.Equal(t, h.ask(http.MethodGet, "/read/", "last", 2000, "").status, http.StatusServiceUnavailable)
 }
--- a/tier/peers/announcement.go
+++ b/tier/peers/announcement.go
@@ -172,7 +172,7 @@
 // recipients decides who gets an announcement: the live hosts of this hall that stay,
 // and if this host reads the platform, the first such host of each other hall.
 func (a *announcer) recipients(s *kernel.State) (hall, otherHalls []string) {
-	hall, others := byHall(s.Members, a.kernel.Settings.Hall, (*kernel.Member).Staying)
+	hall, others := byHall(s.Members, a.kernel.Settings.Hall, (*kernel.Member).Active)
 	if !s.Reading {
 		return hall, nil
 	}
@@ -205,7 +205,7 @@
 	if !m.Peer.IsValid() {
 		return nil, fmt.Errorf("bad announcement: host %q tells no address", m.Host)
 	}
-	return kernel.Ask(ctx, a.kernel, func(s *kernel.State) any {
+	return kernel.DoWithResult(ctx, a.kernel, func(s *kernel.State) any {
 		a.learn(s, m)
 		return a.reply(s, m)
 	})
@@ -229,7 +229,7 @@
 	// at a high revision, and those that fetch its whole directory would take all
 	// others for removed.
 	if m.Change != nil && (s.Directory != nil || m.Change.Whole) {
-		s.List(m.Change)
+		s.ApplyDirectoryChange(m.Change)
 	}
 	// A change may be applied to a list with holes, so what is listed then is
 	// compared. The sender knows all up to its revision.
@@ -253,7 +253,7 @@
 			a.fetches.fetchDirectoryAgain(now, m.Peer)
 		}
 	case at.Era > known.Era || m.DirectorySettled > s.Directory.Settled:
-		s.List(&config.DirectoryChange{Era: at.Era, Revision: at.Revision, Settled: m.DirectorySettled})
+		s.ApplyDirectoryChange(&config.DirectoryChange{Era: at.Era, Revision: at.Revision, Settled: m.DirectorySettled})
 	}
 }
 
--- a/tier/peers/announcement_test.go
+++ b/tier/peers/announcement_test.go
@@ -98,13 +98,13 @@
 	}
 	teller, _, at := newTestNode(t)
 	serveFetches(teller, nil, nil)
-	teller.Do(func(s *kernel.State) { s.List(listings("U1", "U2", "U3")) })
+	teller.Do(func(s *kernel.State) { s.ApplyDirectoryChange(listings("U1", "U2", "U3")) })
 	lacking, n, _ := newTestNode(t)
 	server := &announcementServer{kernel: lacking, fetches: serveFetches(lacking, n, nil)}
 	lacking.Do(func(s *kernel.State) {
 		first := listings("U1")
 		first.Revision = 1
-		s.List(first)
+		s.ApplyDirectoryChange(first)
 		change := &config.DirectoryChange{Revision: 3, Listed: listings("U1", "U2", "U3").Listed[2:]}
 		server.learn(s, &announcement{Host: "T", Peer: at, Directory: teller.View().Directory.Digest(), DirectoryRevision: 3, Change: change})
 	})
@@ -193,7 +193,7 @@
 				revision++
 				change.Listed = append(change.Listed, config.Listing{Name: fmt.Sprint("U", revision), Group: "G", Hall: "A", Slots: 1, Revision: revision})
 			}
-			s.List(&change)
+			s.ApplyDirectoryChange(&change)
 		}
 		time.Sleep(time.Second)
 		list(500)
@@ -250,28 +250,28 @@
 	synctest.Test(t, func(t *testing.T) {
 		k := newHallKernel(t, "Self")
 		s, announceToMate := newAnnouncerWithMate(k)
-		s.List(&config.DirectoryChange{Revision: 1, Whole: true})
+		s.ApplyDirectoryChange(&config.DirectoryChange{Revision: 1, Whole: true})
 		mate := &kernel.State{ReadingState: kernel.ReadingState{
 			HallAnnouncers: map[string]kernel.AnnouncerReport{}, OtherReaders: map[string]kernel.AnnouncerReport{},
 		}}
 		server := serverWithoutFetches(k)
 		told := func(c *config.DirectoryChange) *config.Directory {
 			time.Sleep(10 * time.Millisecond)
-			s.List(c)
+			s.ApplyDirectoryChange(c)
 			n := announceToMate()
 			server.learn(mate, &n)
 			return mate.Directory
 		}
 		// Each host has read the platform at its start.
-		mate.List(&config.DirectoryChange{Revision: 1, Whole: true})
+		mate.ApplyDirectoryChange(&config.DirectoryChange{Revision: 1, Whole: true})
 		told(&config.DirectoryChange{Revision: 1, Whole: true})
 		d := told(&config.DirectoryChange{Revision: 2, Evacuated: []config.Evacuation{{Hall: "A", Revision: 2}}})
 		assert.Assert(t, d.Evacuated("A"))
 		d = told(&config.DirectoryChange{Revision: 3, Resumed: []config.Removal{{Name: "A", Revision: 3}}})
 		assert.Assert(t, !d.Evacuated("A"))
-		s.List(&config.DirectoryChange{Revision: 4, Evacuated: []config.Evacuation{{Hall: "B", Revision: 4}}})
+		s.ApplyDirectoryChange(&config.DirectoryChange{Revision: 4, Evacuated: []config.Evacuation{{Hall: "B", Revision: 4}}})
 		whole := s.Directory.Whole()
-		mate.List(&whole)
+		mate.ApplyDirectoryChange(&whole)
 		assert.DeepEqual(t, mate.Directory.EvacuatedHalls(), []string{"B"})
 	})
 }
--- a/tier/peers/codec.go
+++ b/tier/peers/codec.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return fmt.Errorf("encode frame: %w", err)
 	}
-	if len(text) > wire.MaxReply {
+	if len(text) > wire.MaxReplyBytes {
 		return fmt.Errorf("frame of %d bytes: %w", len(text), wire.ErrTooLarge)
 	}
 	var frame bytes.Buffer
@@ -65,7 +65,7 @@
 		return err
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if n > wire.MaxReply {
+	if n > wire.MaxReplyBytes {
 		return fmt.Errorf("frame of %d bytes: %w", n, wire.ErrTooLarge)
 	}
 	packed := make([]byte, n)
@@ -77,11 +77,11 @@
 	if err := r.(flate.Resetter).Reset(bytes.NewReader(packed), dictionary); err != nil {
 		return fmt.Errorf("expand frame: %w", err)
 	}
-	text, err := io.ReadAll(io.LimitReader(r, wire.MaxReply+1))
+	text, err := io.ReadAll(io.LimitReader(r, wire.MaxReplyBytes+1))
 	if err != nil {
 		return fmt.Errorf("expand frame: %w", err)
 	}
-	if len(text) > wire.MaxReply {
+	if len(text) > wire.MaxReplyBytes {
 		return fmt.Errorf("frame expands: %w", wire.ErrTooLarge)
 	}
 	return decode(text, v)
--- a/tier/peers/compare.go
+++ b/tier/peers/compare.go
@@ -18,7 +18,7 @@
 	}
 	era := s.Directory.Position().Era
 	switch {
-	case s.FeedDown:
+	case s.PlatformDown:
 		g.fetches.fetchDirectory(from)
 	case era == 0 || h.DirectoryEra == 0 || h.DirectoryEra == era:
 	case h.DirectoryEra > era || s.Directory.Unsettled():
--- a/tier/peers/feed.go
+++ b/tier/peers/feed.go
@@ -31,13 +31,13 @@
 func (feedPlugin) Skip(s *kernel.Settings) bool { return s.Adapter == "" || !s.Platform.IsValid() }
 
 func (feedPlugin) Run(ctx context.Context, k *kernel.Kernel) (func(), error) {
-	a, err := kernel.AdapterNamed(k.Settings.Adapter)
+	a, err := kernel.FindAdapter(k.Settings.Adapter)
 	if err != nil {
 		return nil, err
 	}
 	source, closeSource := a.Open(k.Settings.Platform)
 	f := &feed{kernel: k, source: source, announcer: &announcer{kernel: k}}
-	k.Do(func(s *kernel.State) { s.FeedDown = true })
+	k.Do(func(s *kernel.State) { s.PlatformDown = true })
 	// What another hall's reader announces is passed on at once.
 	k.OnView(f.announcer.onView)
 	stop := kernel.RunLoops(ctx, f.loop, f.announcer.loop)
@@ -146,10 +146,10 @@
 // markFeedDown notes that this host has to learn from peers what is published; it runs
 // on the control thread.
 func markFeedDown(k *kernel.Kernel, s *kernel.State, err error) {
-	if s.FeedDown {
+	if s.PlatformDown {
 		return
 	}
-	s.FeedDown = true
+	s.PlatformDown = true
 	k.Log.Warn().Err(err).Int64("PlatformAgeMillis", (k.Now() - s.PlatformReadAt).Milliseconds()).Msg("platform lost")
 }
 
@@ -185,8 +185,8 @@
 		f.lapse.platformReturned(now)
 	}
 	s.PlatformReadAt, s.AnnouncedReadAt, s.OwnReadAt = now, now, now
-	if s.FeedDown {
-		s.FeedDown = false
+	if s.PlatformDown {
+		s.PlatformDown = false
 		f.kernel.Log.Info().Uint64("DirectoryEra", p.Position.Era).Uint64("DirectoryRevision", p.Position.Revision).Msg("platform regained")
 	}
 	if p.Document != nil {
@@ -205,9 +205,9 @@
 	if change.Settled > 0 {
 		logSettled(f.kernel, s, &change)
 	}
-	s.List(&change)
+	s.ApplyDirectoryChange(&change)
 	if due := f.lapse.release(now); len(due) > 0 {
-		s.List(&config.DirectoryChange{Removed: due})
+		s.ApplyDirectoryChange(&config.DirectoryChange{Removed: due})
 	}
 	if s.Directory.Digest() != before {
 		f.kernel.Log.Info().Uint64("DirectoryEra", p.Position.Era).Uint64("DirectoryRevision", p.Position.Revision).Int("Listed", len(change.Listed)).
--- a/tier/peers/feed_test.go
+++ b/tier/peers/feed_test.go
@@ -298,7 +298,7 @@
 	fed(t, func(p *published, k *kernel.Kernel) {
 		down := func() bool {
 			out := make(chan bool, 1)
-			k.Do(func(s *kernel.State) { out <- s.FeedDown })
+			k.Do(func(s *kernel.State) { out <- s.PlatformDown })
 			return <-out
 		}
 		assert.Assert(t, !down())
@@ -339,7 +339,7 @@
 		settle(time.Second)
 		assert.Equal(t, told.count(), before)
 		done := make(chan bool, 1)
-		k.Do(func(s *kernel.State) { done <- s.FeedDown })
+		k.Do(func(s *kernel.State) { done <- s.PlatformDown })
 		assert.Assert(t, <-done)
 	})
 }
--- a/tier/peers/fetch.go
+++ b/tier/peers/fetch.go
@@ -151,8 +151,8 @@
 			f.directory = false
 			// A host that reads the platform itself knows better, unless the platform
 			// may have come back from a copy that is older than what the peer knows.
-			if err == nil && (s.FeedDown || !s.Reading || s.Directory.Unsettled()) {
-				s.List(change)
+			if err == nil && (s.PlatformDown || !s.Reading || s.Directory.Unsettled()) {
+				s.ApplyDirectoryChange(change)
 				f.kernel.Log.Info().Stringer("Peer", from).Uint64("DirectoryEra", change.Era).Uint64("DirectoryRevision", change.Revision).
 					Int("Upstreams", s.Directory.Size()).Msg("directory learnt from a peer")
 			}
--- a/tier/peers/heartbeat.go
+++ b/tier/peers/heartbeat.go
@@ -226,7 +226,7 @@
 	if len(in.Members) == 0 || len(in.Members) > heartbeatEntries {
 		return nil, fmt.Errorf("heartbeat of %d members: send 1 to %d", len(in.Members), heartbeatEntries)
 	}
-	return kernel.Ask(ctx, g.kernel, func(s *kernel.State) any {
+	return kernel.DoWithResult(ctx, g.kernel, func(s *kernel.State) any {
 		from := in.Members[0].Peer
 		if s.Index != nil && s.Index.Host(in.Members[0].Host) != nil {
 			from = s.Index.Host(in.Members[0].Host).Peer
--- a/tier/peers/partners.go
+++ b/tier/peers/partners.go
@@ -126,7 +126,7 @@
 // from peers asks there each time.
 func (g *gossip) crosses(s *kernel.State) bool {
 	switch {
-	case s.FeedDown:
+	case s.PlatformDown:
 		return true
 	case g.kernel.Settings.Adapter != "" && !s.Announcing:
 		return g.sent%(otherHallEvery*otherHallRarer) == 0
@@ -157,7 +157,7 @@
 	for _, m := range s.Members {
 		known[m.Peer] = true
 	}
-	return slices.DeleteFunc(slices.Clone(g.kernel.Live().Seeds), func(a netip.AddrPort) bool { return known[a] })
+	return slices.DeleteFunc(slices.Clone(g.kernel.Reloadable().Seeds), func(a netip.AddrPort) bool { return known[a] })
 }
 
 func (g *gossip) sample(from []netip.AddrPort, n int) []netip.AddrPort {
--- a/tier/peers/partners_test.go
+++ b/tier/peers/partners_test.go
@@ -30,7 +30,7 @@
 				return netip.AddrPortFrom(netip.AddrFrom4([4]byte{192, 0, 2, kind}), uint16(i+1))
 			}
 			s := &kernel.State{Members: map[string]kernel.Member{}}
-			s.Announcing, s.FeedDown = tt.announcing, tt.down
+			s.Announcing, s.PlatformDown = tt.announcing, tt.down
 			for i := range 9 {
 				s.Members["Hall"+string(rune('0'+i))] = kernel.Member{Hall: "A", Live: true, Peer: at('h', i)}
 				s.Members["Other"+string(rune('0'+i))] = kernel.Member{Hall: "B", Live: true, Peer: at('o', i)}
--- a/tier/peers/reader.go
+++ b/tier/peers/reader.go
@@ -74,7 +74,7 @@
 	}
 	if !reads {
 		// Others read for this host.
-		s.FeedDown = false
+		s.PlatformDown = false
 	}
 	return changed
 }
@@ -151,7 +151,7 @@
 	n := 0
 	for host, m := range s.Members {
 		_, announced := s.HallAnnouncers[host]
-		if m.Staying() && m.Hall == r.settings.Hall && !announced && r.isBefore(host) {
+		if m.Active() && m.Hall == r.settings.Hall && !announced && r.isBefore(host) {
 			n++
 		}
 	}
@@ -172,7 +172,7 @@
 		switch {
 		case now-a.At >= announceLost:
 			vacantAt = max(vacantAt, a.At+announceLost)
-		case a.Lost:
+		case a.PlatformDown:
 			failing++
 			vacantAt = max(vacantAt, a.Since)
 		default:
--- a/tier/peers/reader_test.go
+++ b/tier/peers/reader_test.go
@@ -28,7 +28,7 @@
 	const now = time.Minute
 	fresh := kernel.AnnouncerReport{At: now, Since: now - time.Second}
 	silent := kernel.AnnouncerReport{At: now - announceLost, Since: 1}
-	inVain := kernel.AnnouncerReport{At: now, Lost: true, Since: now - time.Second}
+	inVain := kernel.AnnouncerReport{At: now, PlatformDown: true, Since: now - time.Second}
 	tests := []struct {
 		name string
 		// heard is by place in the ranking; the host itself has place 4.
@@ -152,7 +152,7 @@
 					}
 					first := slices.MinFunc(names, newReaderRanking(h.hosts[0].state, &h.hosts[0].settings).compare)
 					for _, o := range h.hosts {
-						o.state.HallAnnouncers[first] = kernel.AnnouncerReport{At: now - time.Millisecond, Since: now - time.Millisecond, Lost: lost}
+						o.state.HallAnnouncers[first] = kernel.AnnouncerReport{At: now - time.Millisecond, Since: now - time.Millisecond, PlatformDown: lost}
 						if !lost {
 							o.state.HallAnnouncers[first] = kernel.AnnouncerReport{At: now - announceLost, Since: 1}
 						}
--- a/tier/peers/restore_test.go
+++ b/tier/peers/restore_test.go
@@ -318,7 +318,7 @@
 				Directory: config.DirectoryChange{Era: era, Revision: revision, Whole: whole},
 			}
 			r.follow(k, s, p, k.Now())
-			s.List(&p.Directory)
+			s.ApplyDirectoryChange(&p.Directory)
 			k.AcceptDocument(s, p.Document, p.Edition)
 		}
 		read(2, 58, false)
--- a/tier/peers/shares.go
+++ b/tier/peers/shares.go
@@ -37,7 +37,7 @@
 	if v.Index == nil {
 		return nil
 	}
-	hosts := v.Hall(s)
+	hosts := v.HallHosts(s)
 	var out []policy.Share
 	for _, u := range v.Index.Document.Upstreams {
 		if u.Hall != s.Hall {
--- a/tier/peers/start_test.go
+++ b/tier/peers/start_test.go
@@ -32,7 +32,7 @@
 		Members: map[string]kernel.Member{},
 		ReadingState: kernel.ReadingState{
 			HallAnnouncers: map[string]kernel.AnnouncerReport{}, OtherReaders: map[string]kernel.AnnouncerReport{},
-			Announcing: n.announcing, Reading: n.reading, FeedDown: n.feedDown,
+			Announcing: n.announcing, Reading: n.reading, PlatformDown: n.feedDown,
 		},
 	}
 	if n.source {
--- a/tier/peers/strikes.go
+++ b/tier/peers/strikes.go
@@ -177,7 +177,7 @@
 	for _, strike := range r.Crashes {
 		upstreams, callers = append(upstreams, strike.Upstream), append(callers, strike.Caller.String())
 	}
-	line := k.Decisions.Info()
+	line := k.RequestLog.Info()
 	if verdict == policy.VerdictQuarantined {
 		line = k.Log.Warn()
 	}
--- a/tier/peers/watch.go
+++ b/tier/peers/watch.go
@@ -127,7 +127,7 @@
 // back would watch.
 func (w *watcher) hosts(v *kernel.View) []string {
 	if w.kernel.Now() > silentHeartbeats*w.kernel.Settings.Beat {
-		return v.Hall(&w.kernel.Settings)
+		return v.HallHosts(&w.kernel.Settings)
 	}
 	out := []string{w.kernel.Settings.Host}
 	for _, h := range hostsOf(v.Index, w.kernel.Settings.Host) {
--- a/tier/runner/batch.go
+++ b/tier/runner/batch.go
@@ -38,7 +38,7 @@
 func (e *execution[R]) callBatch(ctx context.Context, b Batch, calls []*call) {
 	r := &Reporter[R]{execution: e, batch: b.Calls, calls: calls, started: e.kernel.Now()}
 	unreported := Reply[R]{Outcome: policy.CallNotSent}
-	if e.kernel.Awake() && r.started < e.deadline {
+	if e.kernel.Responsive() && r.started < e.deadline {
 		e.batcher.CallBatch(ctx, b, r)
 		unreported.Outcome = policy.CallLost
 	}
--- a/tier/runner/call.go
+++ b/tier/runner/call.go
@@ -38,7 +38,7 @@
 	k := e.kernel
 	started := k.Now()
 	reply := Reply[R]{Outcome: policy.CallNotSent}
-	if k.Awake() && started < e.deadline {
+	if k.Responsive() && started < e.deadline {
 		k.Fleet.Sent(started, a.Upstream)
 		reply = e.caller.Call(ctx, a)
 	}
@@ -58,7 +58,7 @@
 	lingering := c.lingering
 	reply.Outcome = e.settled(now, c, reply.Outcome)
 	if e.observer != nil {
-		e.observer.Ended(a, reply, now-started, e.over)
+		e.observer.CallEnded(a, reply, now-started, e.over)
 	}
 	e.mu.Unlock()
 	countCall(reply.Outcome)
@@ -67,7 +67,7 @@
 		Elsewhere: c.batched, Lingering: lingering, Crowded: reply.Crowded && !c.batched,
 	})
 	e.handle(func(now time.Duration) []policy.Action {
-		e.reply = reply.Part
+		e.reply = reply.Answer
 		return e.run.Reply(now, a.Attempt, reply.Outcome)
 	})
 	policy.Deliver(granted)
--- a/tier/runner/caller.go
+++ b/tier/runner/caller.go
@@ -12,8 +12,8 @@
 	Outcome policy.CallOutcome
 	// Load is what the upstream said of its work; zero if it said nothing.
 	Load policy.Load
-	// Part is what was answered; its zero value if nothing was.
-	Part R
+	// Answer is what was answered; its zero value if nothing was.
+	Answer R
 	// Crowded is true if a new connection was reset before any answer.
 	Crowded bool
 	// Took is how long the call alone took, where that is known better than by
@@ -33,9 +33,9 @@
 // Observer receives each call that ended. A Caller may implement it; calls of it
 // never overlap.
 type Observer[R any] interface {
-	// Ended is called with the outcome of a call. With over the run had its end
+	// CallEnded is called with the outcome of a call. With over the run had its end
 	// before, and the result must not be touched any more.
-	Ended(a policy.Action, reply Reply[R], took time.Duration, over bool)
+	CallEnded(a policy.Action, reply Reply[R], took time.Duration, over bool)
 }
 
 // Batch is calls that go to another host together.
--- a/tier/wire/trace.go
+++ b/tier/wire/trace.go
@@ -16,9 +16,9 @@
 // unsampled is the parent of spans that belong to no sampled trace.
 var unsampled = trace.NewSpanContext(trace.SpanContextConfig{TraceID: trace.TraceID{1}, SpanID: trace.SpanID{1}, Remote: true})
 
-// TraceOf returns the trace parent of a context, for another host; empty if the trace
+// TraceParent returns the trace parent of a context, for another host; empty if the trace
 // is not sampled, which halves a short message.
-func TraceOf(ctx context.Context) string {
+func TraceParent(ctx context.Context) string {
 	if !trace.SpanContextFromContext(ctx).IsSampled() {
 		return ""
 	}
@@ -27,21 +27,21 @@
 	return carrier.Get(traceHeader)
 }
 
-// TraceInto continues the trace of another host's TraceOf. If it is empty, nothing
+// WithTraceParent continues the trace of another host's TraceOf. If it is empty, nothing
 // under the context is sampled either.
-func TraceInto(ctx context.Context, parent string) context.Context {
+func WithTraceParent(ctx context.Context, parent string) context.Context {
 	if parent == "" {
 		return trace.ContextWithRemoteSpanContext(ctx, unsampled)
 	}
 	return propagator.Extract(ctx, propagation.MapCarrier{traceHeader: parent})
 }
 
-// TraceFrom continues the trace of a caller's headers.
-func TraceFrom(ctx context.Context, h http.Header) context.Context {
+// ExtractTrace continues the trace of a caller's headers.
+func ExtractTrace(ctx context.Context, h http.Header) context.Context {
 	return propagator.Extract(ctx, propagation.HeaderCarrier(h))
 }
 
-// TraceTo writes the trace parent of a context into headers.
-func TraceTo(ctx context.Context, h http.Header) {
+// InjectTrace writes the trace parent of a context into headers.
+func InjectTrace(ctx context.Context, h http.Header) {
 	propagator.Inject(ctx, propagation.HeaderCarrier(h))
 }
--- a/tier/wire/trace_test.go
+++ b/tier/wire/trace_test.go
@@ -12,13 +12,13 @@
 func TestTraceGoesOnOnlyIfItIsLogged(t *testing.T) {
 	c := trace.SpanContextConfig{TraceID: trace.TraceID{7}, SpanID: trace.SpanID{8}}
 	quiet := trace.ContextWithSpanContext(context.Background(), trace.NewSpanContext(c))
-	assert.Equal(t, TraceOf(quiet), "")
-	there := trace.SpanContextFromContext(TraceInto(context.Background(), TraceOf(quiet)))
+	assert.Equal(t, TraceParent(quiet), "")
+	there := trace.SpanContextFromContext(WithTraceParent(context.Background(), TraceParent(quiet)))
 	assert.Assert(t, there.IsValid() && !there.IsSampled(), "the other host must not begin a trace of its own")
 
 	c.TraceFlags = trace.FlagsSampled
 	logged := trace.ContextWithSpanContext(context.Background(), trace.NewSpanContext(c))
-	there = trace.SpanContextFromContext(TraceInto(context.Background(), TraceOf(logged)))
+	there = trace.SpanContextFromContext(WithTraceParent(context.Background(), TraceParent(logged)))
 	assert.Equal(t, there.TraceID(), c.TraceID)
 	assert.Assert(t, there.IsSampled())
 }
--- a/tier/wire/wire.go
+++ b/tier/wire/wire.go
@@ -21,11 +21,11 @@
 
 // Largest messages, in bytes.
 const (
-	// MaxReply bounds the reply of an upstream or the platform, and a message between
+	// MaxReplyBytes bounds the reply of an upstream or the platform, and a message between
 	// hosts; a document of config.MaxBytes fits.
-	MaxReply = 4 << 20
-	// MaxBody bounds what callers and operators send.
-	MaxBody = 64 << 10
+	MaxReplyBytes = 4 << 20
+	// MaxBodyBytes bounds what callers and operators send.
+	MaxBodyBytes = 64 << 10
 )
 
 // Paths of the upstream protocol.
@@ -84,8 +84,8 @@
 	Fields         []query.Field
 }
 
-// Held is what an upstream says of itself in every reply.
-type Held struct {
+// UpstreamInfo is what an upstream says of itself in every reply.
+type UpstreamInfo struct {
 	// Oldest and Newest are the index snapshots it holds.
 	Oldest, Newest uint64
 	// Leaving asks that no new work be sent.
@@ -95,7 +95,7 @@
 // PartReply is the reply to PartRequest and PlaceRequest.
 type PartReply struct {
 	Identity
-	Held
+	UpstreamInfo
 	Snapshot uint64
 	Count    uint64
 	Rows     []query.Row `json:",omitempty"`
@@ -122,14 +122,14 @@
 // status is 409, 503 or 504.
 type RefusalReply struct {
 	Identity
-	Held
+	UpstreamInfo
 	Refused RefusalKind
 }
 
 // StatusReply is what an upstream's status endpoint gives. It may lag or
 // mislead, so it is a hint only.
 type StatusReply struct {
-	Held
+	UpstreamInfo
 	InUse, Slots int
 }
 
