--- a/tier/pass/call.go
+++ b/tier/pass/call.go
@@ -220,14 +220,14 @@
 	case err != nil:
 		return runner.Reply[*response]{Outcome: policy.CallBroken}
 	}
-	out := runner.Reply[*response]{Load: parseLoad(resp.header.Get(c.headers.Load)), Part: resp}
+	out := runner.Reply[*response]{Load: parseLoad(resp.header.Get(c.headers.Load)), Answer: resp}
 	switch {
 	case resp.status == http.StatusMisdirectedRequest:
 		out.Outcome = policy.CallMoved
 	case resp.header.Get(c.headers.NotRun) != "":
 		out.Outcome = policy.CallShed
 	case resp.status < http.StatusMultipleChoices && resp.header.Get(c.headers.Stamp) == "":
-		out.Outcome, out.Part = policy.CallMalformed, nil
+		out.Outcome, out.Answer = policy.CallMalformed, nil
 	case resp.status < http.StatusMultipleChoices || resp.status < http.StatusInternalServerError && !c.fromGather && !meansNotRun(resp.status):
 		out.Outcome = policy.CallOK
 	default:
--- a/tier/pass/coordinate_test.go
+++ b/tier/pass/coordinate_test.go
@@ -135,7 +135,7 @@
 func TestCoordinatorRefusalIsPassedOn(t *testing.T) {
 	f := newForwardSetup(t, replyWithPart)
 	f.strong.do(func(s *kernel.State) {
-		s.List(&config.DirectoryChange{Revision: 1000, Whole: true})
+		s.ApplyDirectoryChange(&config.DirectoryChange{Revision: 1000, Whole: true})
 	})
 	r := f.weak.send(http.MethodGet, "/find/x", "one", 15000, "")
 	assert.NilError(t, r.err)
--- a/tier/pass/engine.go
+++ b/tier/pass/engine.go
@@ -103,7 +103,7 @@
 // followShares sets shares, links and retry budgets, as far as what they depend on has
 // changed; it runs on the control thread.
 func (e *engine) updateShares(v *kernel.View) {
-	next := shareInputs{index: v.Index, directory: v.Directory, retryBudget: e.kernel.Live().RetryBudget, hostCounts: e.counts}
+	next := shareInputs{index: v.Index, directory: v.Directory, retryBudget: e.kernel.Reloadable().RetryBudget, hostCounts: e.counts}
 	changed, known := v.Directory.Touched(e.inputs.directory)
 	if !known || !next.similarTo(&e.inputs) || !v.Directory.SameEvacuations(e.inputs.directory) {
 		e.inputs = next
--- a/tier/pass/golden_test.go
+++ b/tier/pass/golden_test.go
@@ -200,7 +200,7 @@
 		{"forwarded, not told to begin", func(f *forwardSetup) { f.network.failingMethods = map[string]bool{methodCoordinateBegin: true} }},
 		{"forwarded, stopping", func(f *forwardSetup) { f.strong.kernel.SetPhase(kernel.PhaseDraining) }},
 		{"forwarded, refused", func(f *forwardSetup) {
-			f.strong.do(func(s *kernel.State) { s.List(&config.DirectoryChange{Revision: 1000, Whole: true}) })
+			f.strong.do(func(s *kernel.State) { s.ApplyDirectoryChange(&config.DirectoryChange{Revision: 1000, Whole: true}) })
 		}},
 		{"forwarded, lost", func(f *forwardSetup) {
 			for _, us := range f.upstreams {
--- a/tier/pass/host_test.go
+++ b/tier/pass/host_test.go
@@ -295,7 +295,7 @@
 		Slots: 4, Leaving: leaving, Revision: h.revision,
 	}
 	h.do(func(s *kernel.State) {
-		s.List(&config.DirectoryChange{Revision: h.revision, Listed: []config.Listing{l}})
+		s.ApplyDirectoryChange(&config.DirectoryChange{Revision: h.revision, Listed: []config.Listing{l}})
 	})
 }
 
--- a/tier/pass/relay_records.go
+++ b/tier/pass/relay_records.go
@@ -111,7 +111,7 @@
 		for i, b := range incomplete {
 			if errs[i] != nil {
 				q.responses.parts.remove(b)
-				e.kernel.Decisions.Info().Str("RequestID", q.in.id).Str("Relay", b.omitted.relay).Int("Parts", len(b.stamps)).
+				e.kernel.RequestLog.Info().Str("RequestID", q.in.id).Str("Relay", b.omitted.relay).Int("Parts", len(b.stamps)).
 					Err(errs[i]).Msg("records not completed")
 			}
 		}
--- a/tier/pass/relay_server.go
+++ b/tier/pass/relay_server.go
@@ -124,7 +124,7 @@
 
 func (e *engine) startBatch(in *batchRequest) *servedBatch {
 	left := min(time.Duration(in.DeadlineMillis)*time.Millisecond, maxBatchDuration)
-	ctx, cancel := context.WithTimeout(wire.TraceInto(context.Background(), in.Trace), left)
+	ctx, cancel := context.WithTimeout(wire.WithTraceParent(context.Background(), in.Trace), left)
 	now := e.kernel.Now()
 	b := &servedBatch{
 		engine: e, in: in, subject: e.subjectOf(in), cancel: cancel,
@@ -184,15 +184,15 @@
 		b.endCall(out, nil)
 		return
 	}
-	out.Stamp = reply.Part.header.Get(b.engine.headers.Stamp)
-	b.endCall(out, reply.Part.body)
+	out.Stamp = reply.Answer.header.Get(b.engine.headers.Stamp)
+	b.endCall(out, reply.Answer.body)
 }
 
 // exchange sends a call whose slot is held and returns what became of it.
 func (b *servedBatch) sendCall(ctx context.Context, l *connPool, u *policy.Upstream) runner.Reply[*response] {
 	k := b.engine.kernel
 	timeLeft := b.deadline - k.Now()
-	if timeLeft <= 0 || !k.Awake() || ctx.Err() != nil {
+	if timeLeft <= 0 || !k.Responsive() || ctx.Err() != nil {
 		return runner.Reply[*response]{Outcome: policy.CallNotSent}
 	}
 	return b.engine.callUpstream(ctx, l, u, &call{
--- a/tier/peers/crash_reports.go
+++ b/tier/peers/crash_reports.go
@@ -177,7 +177,7 @@
 	for _, crash := range r.Crashes {
 		upstreams, callers = append(upstreams, crash.Upstream), append(callers, crash.Caller.String())
 	}
-	line := k.Decisions.Info()
+	line := k.RequestLog.Info()
 	if verdict == policy.VerdictQuarantined {
 		line = k.Log.Warn()
 	}
--- a/tier/peers/feed_test.go
+++ b/tier/peers/feed_test.go
@@ -298,7 +298,7 @@
 	runFeed(t, func(p *fakePlatform, k *kernel.Kernel) {
 		down := func() bool {
 			out := make(chan bool, 1)
-			k.Do(func(s *kernel.State) { out <- s.FeedDown })
+			k.Do(func(s *kernel.State) { out <- s.PlatformDown })
 			return <-out
 		}
 		assert.Assert(t, !down())
@@ -339,7 +339,7 @@
 		advance(time.Second)
 		assert.Equal(t, told.count(), before)
 		done := make(chan bool, 1)
-		k.Do(func(s *kernel.State) { done <- s.FeedDown })
+		k.Do(func(s *kernel.State) { done <- s.PlatformDown })
 		assert.Assert(t, <-done)
 	})
 }
