--- a/loomctl/client.go
+++ b/loomctl/client.go
@@ -73,7 +73,7 @@
 // check fills in the environment and finds wrong values.
 func (c *connection) check(f *flag.FlagSet) error {
 	var bad *config.VariableError
-	if err := config.FromEnvironment(f, envPrefix, os.LookupEnv); errors.As(err, &bad) {
+	if err := config.SetFlagsFromEnv(f, envPrefix, os.LookupEnv); errors.As(err, &bad) {
 		return fmt.Errorf("environment: %w: correct the %s variable", bad.Err, envPrefix)
 	}
 	if c.format != formatText && c.format != formatJSON {
--- a/loomd/environment_test.go
+++ b/loomd/environment_test.go
@@ -19,7 +19,7 @@
 	f := flag.NewFlagSet("serve", flag.ContinueOnError)
 	c.flags(f)
 	var names []string
-	assert.NilError(t, config.FromEnvironment(f, envPrefix, func(name string) (string, bool) {
+	assert.NilError(t, config.SetFlagsFromEnv(f, envPrefix, func(name string) (string, bool) {
 		names = append(names, name)
 		return "", false
 	}))
--- a/loomd/settings.go
+++ b/loomd/settings.go
@@ -109,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	err = config.FromEnvironment(f, envPrefix, config.FirstOf(os.LookupEnv, inFile))
+	err = config.SetFlagsFromEnv(f, envPrefix, config.ChainLookups(os.LookupEnv, inFile))
 	var bad *config.VariableError
 	if errors.As(err, &bad) {
 		return &settingError{Flag: bad.Flag, Problem: bad.Err.Error(), Remedy: "correct " + bad.Variable}
--- a/tier/config/check.go
+++ b/tier/config/check.go
@@ -275,7 +275,7 @@
 	return nil
 }
 
-func weightsOK(split []Weighted) bool {
+func weightsOK(split []WeightedGroup) bool {
 	sum := 0.0
 	for _, w := range split {
 		if w.Weight < 0 {
--- a/tier/config/directory.go
+++ b/tier/config/directory.go
@@ -129,8 +129,8 @@
 // Size is how many upstreams are listed.
 func (d *Directory) Size() int { return d.orEmpty().listed.Len() }
 
-// PerHall counts the upstreams of each data hall that is not evacuated.
-func (d *Directory) PerHall() map[string]int {
+// UpstreamsPerHall counts the upstreams of each data hall that is not evacuated.
+func (d *Directory) UpstreamsPerHall() map[string]int {
 	out := map[string]int{}
 	for hall, n := range d.orEmpty().halls {
 		if n > 0 && !d.Evacuated(hall) {
@@ -165,16 +165,16 @@
 	return d.digest + d.evacuations.digest()
 }
 
-// Lacking returns the removals that would make the directory equal to a whole
+// ImpliedRemovals returns the removals that would make the directory equal to a whole
 // listing, without those that are newer than it, and those of an earlier era that is not
 // over.
-func (d *Directory) Lacking(c *DirectoryChange) []Removal {
+func (d *Directory) ImpliedRemovals(c *DirectoryChange) []Removal {
 	return d.missing(c, func(m mark) bool { return d.coveredBy(m, c) })
 }
 
-// Lapsed is Lacking with what is of an earlier era: a copy lacks what started after it,
+// ImpliedRemovalsAllEras is Lacking with what is of an earlier era: a copy lacks what started after it,
 // and lists it again soon if it lives.
-func (d *Directory) Lapsed(c *DirectoryChange) []Removal {
+func (d *Directory) ImpliedRemovalsAllEras(c *DirectoryChange) []Removal {
 	return d.missing(c, func(m mark) bool { return m.Compare(c.Position()) <= 0 })
 }
 
@@ -208,7 +208,7 @@
 		return d.Whole()
 	}
 	out := DirectoryChange{Era: d.Era, Revision: d.Revision, Settled: d.Settled}
-	names, known := d.Touched(old)
+	names, known := d.ChangedNames(old)
 	if !known {
 		names = slices.Concat(d.listed.Keys(), d.removed.Keys())
 		slices.Sort(names)
--- a/tier/config/directory_edit.go
+++ b/tier/config/directory_edit.go
@@ -17,8 +17,8 @@
 	}
 	removed, resumed := c.Removed, []Removal(nil)
 	if c.Whole && !e.next.Position().ahead(c.Position()) {
-		removed = slices.Concat(removed, e.next.Lacking(c))
-		resumed = e.next.LackingEvacuations(c)
+		removed = slices.Concat(removed, e.next.ImpliedRemovals(c))
+		resumed = e.next.ImpliedResumptions(c)
 	}
 	for _, r := range removed {
 		e.remove(r)
--- a/tier/config/directory_test.go
+++ b/tier/config/directory_test.go
@@ -92,7 +92,7 @@
 		Groups: []Group{{Name: "A", Connections: 1}, {Name: "B", Connections: 1}},
 		Routes: []Route{
 			{Name: "One", HostName: "x.example", Prefix: "/a/", MaxAttempts: 1, TimeLimit: 100 * ms, Objective: ms, Group: "A"},
-			{Name: "Two", HostName: "x.example", Prefix: "/a/b/", MaxAttempts: 1, TimeLimit: 100 * ms, Objective: ms, Split: []Weighted{{"A", 1}, {"B", 0}}},
+			{Name: "Two", HostName: "x.example", Prefix: "/a/b/", MaxAttempts: 1, TimeLimit: 100 * ms, Objective: ms, Split: []WeightedGroup{{"A", 1}, {"B", 0}}},
 			{Name: "All", HostName: "y.example", Prefix: "/", Repeatable: true, MaxAttempts: 2, TimeLimit: 100 * ms, Objective: ms, Gather: &Gather{Groups: []string{"A", "B"}, Top: 5, Coverage: 0.5}},
 		},
 	}
--- a/tier/config/env.go
+++ b/tier/config/env.go
@@ -22,8 +22,8 @@
 // Lookup finds the value of a variable.
 type Lookup func(variable string) (string, bool)
 
-// FirstOf looks a variable up in several places, the first of them first.
-func FirstOf(places ...Lookup) Lookup {
+// ChainLookups looks a variable up in several places, the first of them first.
+func ChainLookups(places ...Lookup) Lookup {
 	return func(variable string) (string, bool) {
 		for _, p := range places {
 			if v, ok := p(variable); ok {
@@ -34,9 +34,9 @@
 	}
 }
 
-// FromEnvironment sets the flags that the command line left out: -Host from the
+// SetFlagsFromEnv sets the flags that the command line left out: -Host from the
 // prefix and HOST. Its error is the first one, a *VariableError.
-func FromEnvironment(f *flag.FlagSet, prefix string, lookup Lookup) error {
+func SetFlagsFromEnv(f *flag.FlagSet, prefix string, lookup Lookup) error {
 	given := map[string]bool{}
 	f.Visit(func(x *flag.Flag) { given[x.Name] = true })
 	var first error
--- a/tier/config/evacuation.go
+++ b/tier/config/evacuation.go
@@ -126,9 +126,9 @@
 	return slices.Sorted(maps.Keys(d.orEmpty().evacuations.since))
 }
 
-// LackingEvacuations returns the ends of the evacuations that a whole directory
+// ImpliedResumptions returns the ends of the evacuations that a whole directory
 // does not have, but of those that are newer than it.
-func (d *Directory) LackingEvacuations(c *DirectoryChange) []Removal {
+func (d *Directory) ImpliedResumptions(c *DirectoryChange) []Removal {
 	d = d.orEmpty()
 	var out []Removal
 	for hall, v := range d.evacuations.since {
--- a/tier/config/evacuation_test.go
+++ b/tier/config/evacuation_test.go
@@ -48,7 +48,7 @@
 	e, changed := d.With(&DirectoryChange{Revision: 2, Evacuated: []Evacuation{{Hall: "A", Revision: 2}}})
 	assert.Assert(t, changed && e.Digest() != d.Digest() && e.Evacuated("A") && !d.Evacuated("A"))
 	assert.DeepEqual(t, e.Since(d).Evacuated, []Evacuation{{Hall: "A", Revision: 2}})
-	assert.Equal(t, e.PerHall()["A"], 0)
+	assert.Equal(t, e.UpstreamsPerHall()["A"], 0)
 	r, changed := e.With(&DirectoryChange{Revision: 3, Resumed: []Removal{{Name: "A", Revision: 3}}})
 	assert.Assert(t, changed && r.Digest() == d.Digest() && !r.Evacuated("A"))
 	assert.DeepEqual(t, r.Since(e).Resumed, []Removal{{Name: "A", Revision: 3}})
--- a/tier/config/golden_test.go
+++ b/tier/config/golden_test.go
@@ -34,7 +34,7 @@
 		},
 		{
 			Name: "R2", HostName: "x.example", Prefix: "/b/", MaxAttempts: 1, TimeLimit: limit, Objective: limit,
-			Split: []Weighted{{Group: "A", Weight: 1}, {Group: "B", Weight: 2}},
+			Split: []WeightedGroup{{Group: "A", Weight: 1}, {Group: "B", Weight: 2}},
 		},
 	}
 	d.Limits = Limits{Header: 1, Body: 2, HeaderTime: limit, Idle: limit}
@@ -167,10 +167,10 @@
 	lone := Listing{Name: "A"}
 	for _, d := range []*Directory{none, empty, some} {
 		l, found := d.Find("A")
-		fmt.Fprintln(&out, encoded(t, d.Whole()), encoded(t, d.All()), encoded(t, d.Group("G")), encoded(t, l), found, d.Size(), d.PerHall(),
+		fmt.Fprintln(&out, encoded(t, d.Whole()), encoded(t, d.All()), encoded(t, d.Group("G")), encoded(t, l), found, d.Size(), d.UpstreamsPerHall(),
 			d.Digest(), d.Evacuated("Q"), encoded(t, d.EvacuatedHalls()),
-			encoded(t, d.Lacking(&DirectoryChange{Revision: 9, Listed: []Listing{lone, {Name: "B"}}})),
-			encoded(t, d.LackingEvacuations(&DirectoryChange{Revision: 9})))
+			encoded(t, d.ImpliedRemovals(&DirectoryChange{Revision: 9, Listed: []Listing{lone, {Name: "B"}}})),
+			encoded(t, d.ImpliedResumptions(&DirectoryChange{Revision: 9})))
 		for _, old := range []*Directory{none, empty, some} {
 			change := d.Since(old)
 			slices.SortFunc(change.Listed, byName) // a change is in no order
--- a/tier/config/history.go
+++ b/tier/config/history.go
@@ -55,10 +55,10 @@
 	return nil, false
 }
 
-// Touched names the upstreams whose listing or removal changed since an earlier
+// ChangedNames names the upstreams whose listing or removal changed since an earlier
 // directory, in order of name; false if it is not known which they are. Evacuations are
 // not among them.
-func (d *Directory) Touched(old *Directory) ([]string, bool) {
+func (d *Directory) ChangedNames(old *Directory) ([]string, bool) {
 	return d.orEmpty().history.since(old.orEmpty().history.content)
 }
 
--- a/tier/config/index.go
+++ b/tier/config/index.go
@@ -111,8 +111,8 @@
 	return nil, nil
 }
 
-// RouteNamed finds a route by name; nil if there is none.
-func (x *Index) RouteNamed(name string) *Route { return x.named[name] }
+// RouteByName finds a route by name; nil if there is none.
+func (x *Index) RouteByName(name string) *Route { return x.named[name] }
 
 // Group finds a group by name; nil if there is none.
 func (x *Index) Group(name string) *Group { return x.groups[name] }
--- a/tier/config/listing.go
+++ b/tier/config/listing.go
@@ -80,10 +80,10 @@
 // warmupSteps is how much longer the upstream is cold, in started steps.
 func (l *Listing) warmupSteps() int64 { return int64((l.Warmup + warmupStep - 1) / warmupStep) }
 
-// DropUnboundWarmups clears the warm-up of upstreams whose group sets no ColdRate, since
+// ClearUnlimitedWarmups clears the warm-up of upstreams whose group sets no ColdRate, since
 // no decision reads it. Without it, the reports of a whole hall that warms up are sent to
 // all hosts as changes.
-func (x *Index) DropUnboundWarmups(listed []Listing) {
+func (x *Index) ClearUnlimitedWarmups(listed []Listing) {
 	if x == nil {
 		return
 	}
--- a/tier/config/route.go
+++ b/tier/config/route.go
@@ -31,7 +31,7 @@
 	// Group names the one group that answers; empty with Split or Gather.
 	Group string `json:",omitempty"`
 	// Split divides the requests between groups; empty with Group or Gather.
-	Split []Weighted `json:",omitempty"`
+	Split []WeightedGroup `json:",omitempty"`
 	// Gather asks one upstream of each of many groups; nil with Group or Split.
 	Gather *Gather `json:",omitempty"`
 	// Homes are the regions in which requests may be carried out and run, none
@@ -39,8 +39,8 @@
 	Homes []string `json:",omitempty"`
 }
 
-// Weighted is one group of a split.
-type Weighted struct {
+// WeightedGroup is one group of a split.
+type WeightedGroup struct {
 	Group string
 	// Weight is the group's part of the sum of all weights; 0 or more.
 	Weight float64
--- a/tier/entry/answer.go
+++ b/tier/entry/answer.go
@@ -33,7 +33,7 @@
 
 // describe makes the answer of a request that ran, without its rows.
 func (e *engine) describe(q *request, shards []config.Shard, r *policy.Result) *entrygen.Answer {
-	cover := query.Cover(shards, r.Reasons)
+	cover := query.NewCoverage(shards, r.Reasons)
 	a := e.newAnswer(q.id, q.class.Name, outcomeComplete)
 	a.Asked, a.Attempts = uint32(cover.Asked), uint32(r.Attempts)
 	a.Revision, a.MapRevision = q.view.Index.Revision, q.service.MapRevision
--- a/tier/entry/ask.go
+++ b/tier/entry/ask.go
@@ -83,7 +83,7 @@
 const attemptsPerPlan = 1 << 20
 
 func (e *engine) gather(ctx context.Context, q *request, ask *query.Ask, plan int) (*entrygen.Answer, error) {
-	shards, err := query.Select(q.service, ask.Shards)
+	shards, err := query.SelectShards(q.service, ask.Shards)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errInvalid, err)
 	}
--- a/tier/pass/admit.go
+++ b/tier/pass/admit.go
@@ -39,7 +39,7 @@
 		return "" // it has no link either
 	}
 	var homes []string
-	if r := v.Index.RouteNamed(route); r != nil {
+	if r := v.Index.RouteByName(route); r != nil {
 		homes = r.Homes
 	}
 	return e.placement(v).Barrier(&l, homes)
--- a/tier/pass/coordinators.go
+++ b/tier/pass/coordinators.go
@@ -44,7 +44,7 @@
 
 // hallsWithUpstreams names the halls that list many upstreams.
 func hallsWithUpstreams(d *config.Directory) map[string]bool {
-	listed := d.PerHall()
+	listed := d.UpstreamsPerHall()
 	most := 0
 	for _, n := range listed {
 		most = max(most, n)
--- a/tier/pass/engine.go
+++ b/tier/pass/engine.go
@@ -104,7 +104,7 @@
 // changed; it runs on the control thread.
 func (e *engine) followShares(v *kernel.View) {
 	next := shareBasis{index: v.Index, directory: v.Directory, retryBudget: e.kernel.Live().RetryBudget, hostCounts: e.counted}
-	touched, known := v.Directory.Touched(e.basis.directory)
+	touched, known := v.Directory.ChangedNames(e.basis.directory)
 	if !known || !next.like(&e.basis) || !v.Directory.SameEvacuations(e.basis.directory) {
 		e.basis = next
 		e.kernel.Fleet.SetRetryBudgets(next.retryBudgets())
--- a/tier/pass/plan.go
+++ b/tier/pass/plan.go
@@ -102,7 +102,7 @@
 // each turn goes to the group that lags most behind its share. Drawing at random would
 // deviate from the weights over short times.
 type splitter struct {
-	split []config.Weighted
+	split []config.WeightedGroup
 	// lag is how far each group is behind its share, in units of weight; next leaves
 	// the total unchanged.
 	lag []float64
@@ -112,7 +112,7 @@
 
 // newSplitter makes a splitter that begins anywhere in its round, so that many
 // hosts do not all begin with the same group.
-func newSplitter(split []config.Weighted) *splitter {
+func newSplitter(split []config.WeightedGroup) *splitter {
 	s := &splitter{split: split, lag: make([]float64, len(split))}
 	for _, w := range split {
 		s.sum += w.Weight
--- a/tier/pass/single_test.go
+++ b/tier/pass/single_test.go
@@ -427,7 +427,7 @@
 	d := singles()
 	d.Groups = append(d.Groups, config.Group{Name: "Third", Connections: 10})
 	d.Routes[0].Group = ""
-	d.Routes[0].Split = []config.Weighted{{Group: "Orders", Weight: 3}, {Group: "Other", Weight: 1}, {Group: "Third", Weight: 0}}
+	d.Routes[0].Split = []config.WeightedGroup{{Group: "Orders", Weight: 3}, {Group: "Other", Weight: 1}, {Group: "Third", Weight: 0}}
 	h.accept(d)
 	var us []*upstream
 	for _, g := range []string{"Orders", "Other", "Third"} {
@@ -441,7 +441,7 @@
 	assert.Equal(t, us[0].total(), 30)
 	assert.Equal(t, us[1].total(), 10)
 	assert.Equal(t, us[2].total(), 0)
-	d.Routes[0].Split = []config.Weighted{{Group: "Orders", Weight: 0}, {Group: "Other", Weight: 1}}
+	d.Routes[0].Split = []config.WeightedGroup{{Group: "Orders", Weight: 0}, {Group: "Other", Weight: 1}}
 	h.accept(d)
 	for i := range 10 {
 		assert.Equal(t, h.ask(http.MethodGet, "/read/", fmt.Sprint("again", i), 2000, "").status, http.StatusOK)
@@ -455,7 +455,7 @@
 	h := newHost(t, hostConfig{name: "H1", hall: "A"})
 	d := singles()
 	d.Routes[0].Group = ""
-	d.Routes[0].Split = []config.Weighted{{Group: "Orders", Weight: 1}, {Group: "Other", Weight: 3}}
+	d.Routes[0].Split = []config.WeightedGroup{{Group: "Orders", Weight: 1}, {Group: "Other", Weight: 3}}
 	h.accept(d)
 	u := newUpstream(t, "Orders1", good("x"))
 	h.list("Orders", "A", u, false)
--- a/tier/peers/feed.go
+++ b/tier/peers/feed.go
@@ -199,7 +199,7 @@
 // applyDirectory applies what was read of the directory, and removals held back before.
 func (f *feed) applyDirectory(s *kernel.State, p *kernel.Published, now time.Duration) {
 	change := p.Directory
-	s.Index.DropUnboundWarmups(change.Listed)
+	s.Index.ClearUnlimitedWarmups(change.Listed)
 	f.lapse.hold(now, s.Directory, &change)
 	before := s.Directory.Digest()
 	if change.Settled > 0 {
--- a/tier/peers/lapse.go
+++ b/tier/peers/lapse.go
@@ -41,8 +41,8 @@
 	}
 	l.removals = append(l.removals, c.Removed...)
 	if c.Whole {
-		l.removals = append(l.removals, d.Lapsed(c)...)
-		c.Resumed = append(c.Resumed, d.LackingEvacuations(c)...)
+		l.removals = append(l.removals, d.ImpliedRemovalsAllEras(c)...)
+		c.Resumed = append(c.Resumed, d.ImpliedResumptions(c)...)
 	}
 	if len(l.removals) > 0 && l.due <= now {
 		l.due = now + lapseHold
--- a/tier/peers/restore.go
+++ b/tier/peers/restore.go
@@ -98,6 +98,6 @@
 
 // logSettled notes what changed once an era is settled.
 func logSettled(k *kernel.Kernel, s *kernel.State, c *config.DirectoryChange) {
-	k.Log.Info().Uint64("DirectoryEra", c.Era).Uint64("DirectoryRevision", c.Revision).Int("Lacking", len(s.Directory.Lacking(c))).
-		Int("Resumed", len(s.Directory.LackingEvacuations(c))).Msg("history settled")
+	k.Log.Info().Uint64("DirectoryEra", c.Era).Uint64("DirectoryRevision", c.Revision).Int("Lacking", len(s.Directory.ImpliedRemovals(c))).
+		Int("Resumed", len(s.Directory.ImpliedResumptions(c))).Msg("history settled")
 }
--- a/tier/query/cover.go
+++ b/tier/query/cover.go
@@ -64,8 +64,8 @@
 	Missing []Missing
 }
 
-// Cover computes the coverage: reasons holds the empty reason for an included shard.
-func Cover(shards []config.Shard, reasons []Reason) Coverage {
+// NewCoverage computes the coverage: reasons holds the empty reason for an included shard.
+func NewCoverage(shards []config.Shard, reasons []Reason) Coverage {
 	c := Coverage{Asked: len(shards)}
 	for i, s := range shards {
 		r := Range{From: s.From, To: s.To}
@@ -83,8 +83,8 @@
 	return c
 }
 
-// Select returns the shards that a question concerns, in order of key.
-func Select(s *config.Service, names []string) ([]config.Shard, error) {
+// SelectShards returns the shards that a question concerns, in order of key.
+func SelectShards(s *config.Service, names []string) ([]config.Shard, error) {
 	if len(names) == 0 {
 		return s.Shards, nil
 	}
--- a/tier/query/golden_test.go
+++ b/tier/query/golden_test.go
@@ -41,7 +41,7 @@
 			Groups: []config.Group{{Name: "G", Connections: 1}},
 			Routes: []config.Route{
 				{Name: "R", HostName: "x.example", Prefix: "/r/", MaxAttempts: 1, Gather: &config.Gather{Groups: []string{"G"}, Top: 5, Coverage: 1}},
-				{Name: "R2", HostName: "x.example", Prefix: "/s/", MaxAttempts: 1, Split: []config.Weighted{{Group: "G", Weight: 1}}},
+				{Name: "R2", HostName: "x.example", Prefix: "/s/", MaxAttempts: 1, Split: []config.WeightedGroup{{Group: "G", Weight: 1}}},
 			},
 		}
 		statements, err := Parse(base + script)
--- a/tier/query/query_test.go
+++ b/tier/query/query_test.go
@@ -52,7 +52,7 @@
 
 func TestCoverIsExactlyWhatWasAsked(t *testing.T) {
 	shards := []config.Shard{{Name: "A", From: 0, To: 4}, {Name: "B", From: 4, To: 8}, {Name: "C", From: 8, To: 9}, {Name: "D", From: 9, To: 12}}
-	c := Cover(shards, []Reason{"", "", ReasonLate, ""})
+	c := NewCoverage(shards, []Reason{"", "", ReasonLate, ""})
 	assert.Assert(t, is.DeepEqual(c, Coverage{
 		Asked:    4,
 		Included: []Range{{0, 8}, {9, 12}},
