--- a/tier/pass/coordinators.go
+++ b/tier/pass/coordinators.go
@@ -44,7 +44,7 @@
 
 // hallsWithUpstreams names the halls that list many upstreams.
 func hallsWithUpstreams(d *config.Directory) map[string]bool {
-	listed := d.PerHall()
+	listed := d.UpstreamsPerHall()
 	largest := 0
 	for _, n := range listed {
 		largest = max(largest, n)
--- a/tier/pass/engine.go
+++ b/tier/pass/engine.go
@@ -104,7 +104,7 @@
 // changed; it runs on the control thread.
 func (e *engine) updateShares(v *kernel.View) {
 	next := shareInputs{index: v.Index, directory: v.Directory, retryBudget: e.kernel.Reloadable().RetryBudget, hostCounts: e.counts}
-	changed, known := v.Directory.Touched(e.inputs.directory)
+	changed, known := v.Directory.ChangedNames(e.inputs.directory)
 	if !known || !next.similarTo(&e.inputs) || !v.Directory.SameEvacuations(e.inputs.directory) {
 		e.inputs = next
 		e.kernel.Fleet.SetRetryBudgets(next.retryBudgets())
