--- a/tier/config/decode.go
+++ b/tier/config/decode.go
@@ -10,10 +10,10 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// Kind says in what way a document is wrong.
+// Kind classifies an error in a document.
 type Kind string
 
-// The kinds of document error.
+// The kinds of document errors.
 const (
 	KindSyntax    Kind = "Syntax"
 	KindTooLarge  Kind = "TooLarge"
@@ -27,16 +27,16 @@
 // ErrInvalid is wrapped by every error of this package.
 var ErrInvalid = errors.New("invalid configuration")
 
-// Error is a fault of a document, with the place and the remedy.
+// Error is an error in a document, with its location and a remedy.
 type Error struct {
 	Kind Kind
-	// Field is the path of the field, as in /Services/0/Shards/3/From.
+	// Field is the path of the field, such as /Services/0/Shards/3/From.
 	Field string
-	// Line is the line of the document, 0 where it is not known.
+	// Line is the line of the document; 0 if it is unknown.
 	Line int
 	// Problem says what is wrong.
 	Problem string
-	// Remedy says what to do.
+	// Remedy says how to correct it.
 	Remedy string
 }
 
@@ -49,19 +49,19 @@
 	return fmt.Sprintf("%s: %s: %s; %s", e.Kind, place, e.Problem, e.Remedy)
 }
 
-// Unwrap gives ErrInvalid.
+// Unwrap returns ErrInvalid.
 func (e *Error) Unwrap() error { return ErrInvalid }
 
-// Decode reads a document strictly: unknown fields, duplicate fields, wrong
-// types and values without a unit are refused.
+// Decode reads a document strictly: it refuses unknown and duplicate fields, wrong types
+// and values without a unit.
 func Decode(text []byte) (*Document, error) {
 	if len(text) > MaxBytes {
-		return nil, fault(KindTooLarge, "/", fmt.Sprintf("%d bytes", len(text)), fmt.Sprintf("keep the document within %d bytes", MaxBytes))
+		return nil, newError(KindTooLarge, "/", fmt.Sprintf("%d bytes", len(text)), fmt.Sprintf("keep the document within %d bytes", MaxBytes))
 	}
 	const remedy = "write a JSON object with the fields of docs/CONFIG.md"
 	trimmed := bytes.TrimSpace(text)
 	if len(trimmed) == 0 {
-		return nil, fault(KindSyntax, "/", "empty document", remedy)
+		return nil, newError(KindSyntax, "/", "empty document", remedy)
 	}
 	if trimmed[0] != '{' {
 		return nil, &Error{Kind: KindSyntax, Field: "/", Line: 1, Problem: "the document is no JSON object", Remedy: remedy}
@@ -74,7 +74,7 @@
 	return &doc, nil
 }
 
-// classDefaults fills a class with its defaults before its fields are read.
+// classDefaults sets the defaults of a class before its fields are decoded.
 var classDefaults = json.UnmarshalFromFunc(func(d *jsontext.Decoder, c *Class) error {
 	type plain Class
 	p := plain(DefaultClass())
@@ -110,5 +110,5 @@
 	return 1 + bytes.Count(text[:offset], []byte{'\n'})
 }
 
-// digest names the exact bytes of a document.
+// digest returns a hash of the exact bytes of a document.
 func digest(text []byte) string { return fmt.Sprintf("%016x", xxhash.Sum64(text)) }
--- a/tier/config/directory.go
+++ b/tier/config/directory.go
@@ -7,49 +7,49 @@
 	"github.com/tidwall/btree"
 )
 
-// Directory is the set of listed upstreams at one position. It does not change;
-// With makes the next one, which shares with it all that stays the same: a change costs
-// what it touches, whatever is listed.
+// Directory is the set of listed upstreams at one position. It is immutable; With returns
+// the next directory, which shares all unchanged parts, so a change costs what it touches
+// and not the size of the directory.
 type Directory struct {
-	// Era and Revision are the platform's position up to which the directory is whole.
+	// Era and Revision are the platform's position up to which the directory is complete.
 	Era      uint64
 	Revision uint64
-	// Settled is the last era whose beginning is over: what stands in the platform then
-	// holds, and what is known of earlier eras counts no more. It only rises.
+	// Settled is the newest settled era: in it, the platform's entries are authoritative,
+	// and entries of earlier eras are ignored. It never decreases.
 	Settled uint64
-	// removed holds for names that were removed their removal, so that an older listing
-	// of the same name does not bring it back.
+	// removed holds the last removal of each removed name, so that an older listing does
+	// not restore it.
 	removed btree.Map[string, Removal]
 	listed  btree.Map[string, Listing]
-	// groups holds what is listed by group, each in order of name. A slice in it is
-	// never changed.
+	// groups holds the listings by group, each sorted by name. A slice in it is never
+	// modified.
 	groups btree.Map[string, []Listing]
-	// halls counts what is listed by hall; it is never changed.
+	// halls counts the listed upstreams by hall; it is never modified.
 	halls map[string]int
-	// mostListed is the greatest number of upstreams that were ever listed; it bounds
-	// what is remembered of removed ones.
+	// mostListed is the largest number of upstreams ever listed at a time; it bounds the
+	// number of removals kept.
 	mostListed int
-	// digest is the sum of the hashes of what is listed, so that a change costs
-	// no more than what changed.
+	// digest is the sum of the hashes of all listings, so that a change updates it
+	// without a scan.
 	digest      uint64
 	evacuations evacuations
 	history     history
 }
 
-// Removal tells that a name is no longer listed.
+// Removal records that an upstream is no longer listed, or a hall no longer evacuated.
 type Removal struct {
 	Name string
 	// Era and Revision are the platform's position of the removal.
 	Era      uint64 `json:",omitempty"`
 	Revision uint64
-	// Sequence is the last count of its reports that was known of the name, and Born the
-	// start that it counts from; 0 for none.
+	// Sequence is the number of the name's last known report, counted from the start
+	// Born; 0 for none.
 	Sequence uint64 `json:",omitempty"`
 	Born     int64  `json:",omitempty"`
 }
 
-func (r *Removal) mark() mark {
-	return mark{Position: Position{Era: r.Era, Revision: r.Revision}, born: r.Born, sequence: r.Sequence}
+func (r *Removal) version() version {
+	return version{Position: Position{Era: r.Era, Revision: r.Revision}, born: r.Born, sequence: r.Sequence}
 }
 
 // DirectoryChange is what changed in the directory up to a position.
@@ -57,43 +57,44 @@
 	// Era and Revision are the platform's position after the change.
 	Era      uint64 `json:",omitempty"`
 	Revision uint64
-	// Settled is the last era that whoever sends the change knows to be settled.
+	// Settled is the newest era that the sender knows to be settled.
 	Settled uint64 `json:",omitempty"`
-	// Whole is true if Listed is the whole directory and not a change.
+	// Whole is true if Listed is the complete directory rather than a change.
 	Whole   bool `json:",omitempty"`
 	Listed  []Listing
 	Removed []Removal `json:",omitempty"`
-	// Evacuated are the halls that are evacuated, Resumed those that no longer are.
+	// Evacuated are the evacuated halls, Resumed those whose evacuation has ended.
 	Evacuated []Evacuation `json:",omitempty"`
 	Resumed   []Removal    `json:",omitempty"`
 }
 
 const (
-	// removedLeast is how many removed names are remembered at least.
-	removedLeast = 2000
-	// removedPerListed is how many removed names are remembered at the most for each
-	// upstream that was ever listed at a time, so that no late entry of one that is gone
-	// brings it back though all upstreams are replaced at once. The oldest half is
-	// forgotten beyond that.
-	removedPerListed = 4
+	// minRemovalsKept is the lower bound of the number of removals that are kept.
+	minRemovalsKept = 2000
+	// removalsKeptPerUpstream is the number of removals that are kept for each upstream
+	// ever listed at a time, so that late entries do not restore removed upstreams even
+	// if all upstreams are replaced at once. Beyond that, the oldest half is dropped.
+	removalsKeptPerUpstream = 4
 )
 
-// Position is the platform's position up to which the directory is whole.
+// Position returns the platform's position up to which the directory is complete.
 func (d *Directory) Position() Position {
 	d = d.orEmpty()
 	return Position{Era: d.Era, Revision: d.Revision}
 }
 
-// Unsettled reports whether what is known of an earlier era still counts.
+// Unsettled reports whether the directory's era is not settled yet, so that entries of
+// earlier eras still count.
 func (d *Directory) Unsettled() bool {
 	d = d.orEmpty()
 	return d.Settled < d.Era
 }
 
-// Position is the platform's position after the change.
+// Position returns the platform's position after the change.
 func (c *DirectoryChange) Position() Position { return Position{Era: c.Era, Revision: c.Revision} }
 
-// MarkCopied notes of all entries that they may come from the copy that an era began with.
+// MarkCopied marks all entries as possibly older than those of the previous era, because
+// they may come from the copy that the era began with.
 func (c *DirectoryChange) MarkCopied() {
 	for i := range c.Listed {
 		c.Listed[i].Copied = true
@@ -103,33 +104,32 @@
 	}
 }
 
-// nothing is what a host knows that has no directory yet. It is not changed.
-var nothing Directory
+// emptyDirectory replaces a nil directory. It must not be modified.
+var emptyDirectory Directory
 
-// orEmpty is the directory, or one that lists nothing where there is none.
+// orEmpty returns the directory, or emptyDirectory if it is nil.
 func (d *Directory) orEmpty() *Directory {
 	if d == nil {
-		return &nothing
+		return &emptyDirectory
 	}
 	return d
 }
 
-// Group lists the upstreams of a group, in order of name. The slice is not to
-// be changed.
+// Group returns the upstreams of a group, sorted by name. The slice must not be modified.
 func (d *Directory) Group(name string) []Listing {
 	group, _ := d.orEmpty().groups.Get(name)
 	return group
 }
 
-// Find returns the listing of an upstream; false if it is not listed.
+// Find returns the listing of an upstream and whether it is listed.
 func (d *Directory) Find(name string) (Listing, bool) {
 	return d.orEmpty().listed.Get(name)
 }
 
-// Size is how many upstreams are listed.
+// Size returns the number of listed upstreams.
 func (d *Directory) Size() int { return d.orEmpty().listed.Len() }
 
-// UpstreamsPerHall counts the upstreams of each data hall that is not evacuated.
+// UpstreamsPerHall counts the listed upstreams by data hall, without the evacuated halls.
 func (d *Directory) UpstreamsPerHall() map[string]int {
 	out := map[string]int{}
 	for hall, n := range d.orEmpty().halls {
@@ -140,7 +140,7 @@
 	return out
 }
 
-// All lists all upstreams, in order of name.
+// All returns all listings, sorted by name.
 func (d *Directory) All() []Listing {
 	if d == nil {
 		return nil
@@ -148,45 +148,47 @@
 	return d.listed.Values()
 }
 
-// Whole returns the directory as a change that brings another host to it.
+// Whole returns the complete directory as a change that brings another host up to date.
 func (d *Directory) Whole() DirectoryChange {
 	if d == nil {
 		return DirectoryChange{}
 	}
-	out := d.Since(&nothing)
+	out := d.Since(&emptyDirectory)
 	out.Whole, out.Listed = true, d.All()
 	return out
 }
 
-// Digest names what is listed, and the halls that are evacuated. Hosts that know
-// the same of the same upstreams and halls have the same digest.
+// Digest returns a hash of the listed upstreams and the evacuated halls. It is equal on
+// hosts that know the same of them.
 func (d *Directory) Digest() uint64 {
 	d = d.orEmpty()
 	return d.digest + d.evacuations.digest()
 }
 
-// ImpliedRemovals returns the removals that would make the directory equal to a whole
-// listing, without those that are newer than it, and those of an earlier era that is not
-// over.
+// ImpliedRemovals returns the removals that a complete listing implies: those of the
+// upstreams that it lacks. Upstreams that are newer than the listing are left out, as are
+// those of an earlier era while the era of the listing is not settled.
 func (d *Directory) ImpliedRemovals(c *DirectoryChange) []Removal {
-	return d.missing(c, func(m mark) bool { return d.coveredBy(m, c) })
+	return d.impliedRemovals(c, func(v version) bool { return d.coveredBy(v, c) })
 }
 
-// ImpliedRemovalsAllEras is Lacking with what is of an earlier era: a copy lacks what started after it,
-// and lists it again soon if it lives.
+// ImpliedRemovalsAllEras is ImpliedRemovals including the upstreams of earlier eras: a
+// restored copy lacks the upstreams that started after it was taken, and they register
+// again soon if they are alive.
 func (d *Directory) ImpliedRemovalsAllEras(c *DirectoryChange) []Removal {
-	return d.missing(c, func(m mark) bool { return m.Compare(c.Position()) <= 0 })
+	return d.impliedRemovals(c, func(v version) bool { return v.Compare(c.Position()) <= 0 })
 }
 
-// missing returns removals of what a whole listing does not have and should.
-func (d *Directory) missing(c *DirectoryChange, should func(mark) bool) []Removal {
+// impliedRemovals returns removals of the upstreams that a complete listing lacks
+// although it should have them.
+func (d *Directory) impliedRemovals(c *DirectoryChange, should func(version) bool) []Removal {
 	names := make(map[string]bool, len(c.Listed))
 	for _, l := range c.Listed {
 		names[l.Name] = true
 	}
 	var out []Removal
 	d.orEmpty().listed.Scan(func(n string, l Listing) bool {
-		if !names[n] && should(l.mark()) {
+		if !names[n] && should(l.version()) {
 			out = append(out, Removal{Name: n, Era: c.Era, Revision: c.Revision})
 		}
 		return true
@@ -194,15 +196,17 @@
 	return out
 }
 
-// coveredBy reports whether a whole listing would have what is marked m, if it were still
-// there. One of an era that is not settled may lack what lives: its copy is older.
-func (d *Directory) coveredBy(m mark, c *DirectoryChange) bool {
+// coveredBy reports whether a complete listing would contain an entry of version v if the
+// entry still existed. In an era that is not settled, the listing may lack live
+// upstreams, because the copy that it comes from is older than their entries.
+func (d *Directory) coveredBy(v version, c *DirectoryChange) bool {
 	settled := max(d.Settled, c.Settled) >= c.Era
-	return m.Compare(c.Position()) <= 0 && (settled || m.sameHistory(c.Position()))
+	return v.Compare(c.Position()) <= 0 && (settled || v.sameHistory(c.Position()))
 }
 
-// Since returns what changed from an earlier directory to this one. It costs what
-// changed where Touched knows that, else what is listed.
+// Since returns the changes from an older directory to this one. If ChangedNames knows
+// them, the cost depends on the number of changes, otherwise on the size of the
+// directory.
 func (d *Directory) Since(old *Directory) DirectoryChange {
 	if old == nil || d == nil {
 		return d.Whole()
@@ -215,26 +219,26 @@
 		names = slices.Compact(names)
 	}
 	for _, n := range names {
-		if l, listed := d.listed.Get(n); listed && !l.sameReport(valueOf(&old.listed, n)) {
+		if l, listed := d.listed.Get(n); listed && !l.sameReport(valueOrZero(&old.listed, n)) {
 			out.Listed = append(out.Listed, l)
 		}
-		if r := valueOf(&d.removed, n); r != valueOf(&old.removed, n) && r.Name != "" {
+		if r := valueOrZero(&d.removed, n); r != valueOrZero(&old.removed, n) && r.Name != "" {
 			out.Removed = append(out.Removed, r)
 		}
 	}
-	out.Evacuated = changed(d.evacuations.since, old.evacuations.since)
-	out.Resumed = changed(d.evacuations.ended, old.evacuations.ended)
+	out.Evacuated = changedEntries(d.evacuations.active, old.evacuations.active)
+	out.Resumed = changedEntries(d.evacuations.ended, old.evacuations.ended)
 	return out
 }
 
-// valueOf is the value of a name; zero if there is none.
-func valueOf[T any](m *btree.Map[string, T], name string) T {
+// valueOrZero returns the value of a name, or the zero value if there is none.
+func valueOrZero[T any](m *btree.Map[string, T], name string) T {
 	v, _ := m.Get(name)
 	return v
 }
 
-// changed lists what differs from what was known before, in order of name.
-func changed[T comparable](now, before map[string]T) []T {
+// changedEntries returns the values that differ from those before, sorted by name.
+func changedEntries[T comparable](now, before map[string]T) []T {
 	var out []T
 	for _, n := range slices.Sorted(maps.Keys(now)) {
 		if before[n] != now[n] {
--- a/tier/config/directory_cost_test.go
+++ b/tier/config/directory_cost_test.go
@@ -73,7 +73,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		d, _ := (*Directory)(nil).With(&DirectoryChange{Revision: 1})
 		all := []*Directory{d}
-		for i := range rapid.IntRange(1, 2*editsKept).Draw(t, "edits") {
+		for i := range rapid.IntRange(1, 2*maxEdits).Draw(t, "edits") {
 			revision := uint64(i + 2)
 			name := fmt.Sprint("U", rapid.IntRange(0, 5).Draw(t, "name"))
 			c := DirectoryChange{Revision: revision}
--- a/tier/config/directory_edit.go
+++ b/tier/config/directory_edit.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// With returns the directory after a change. What is older than what is known
-// has no effect, so changes may arrive twice or out of order. A whole listing
-// older than the directory takes nothing away. The second result is false if
-// nothing changed but the position.
+// With returns the directory after a change. Entries that are older than the known ones
+// have no effect, so changes may arrive twice or out of order. A complete listing that is
+// older than the directory removes nothing. The second result is false if only the
+// position changed.
 func (d *Directory) With(c *DirectoryChange) (*Directory, bool) {
 	e := newEditor(d, c)
 	for _, l := range c.Listed {
-		e.list(l)
+		e.applyListing(l)
 	}
 	removed, resumed := c.Removed, []Removal(nil)
 	if c.Whole && !e.next.Position().ahead(c.Position()) {
@@ -21,65 +21,65 @@
 		resumed = e.next.ImpliedResumptions(c)
 	}
 	for _, r := range removed {
-		e.remove(r)
+		e.applyRemoval(r)
 	}
-	e.evacuate(c, resumed)
-	e.next.moveTo(c.Position())
-	e.next.forget()
+	e.applyEvacuations(c, resumed)
+	e.next.advanceTo(c.Position())
+	e.next.pruneRemovals()
 	return e.finish(), d == nil || e.changed
 }
 
-// moveTo notes up to where the directory is whole, if that is later.
-func (d *Directory) moveTo(at Position) {
+// advanceTo sets the position if it is later than the directory's own.
+func (d *Directory) advanceTo(at Position) {
 	if d.Era > 0 && at.Era == 0 {
-		return // the revision may be of any era
+		return // the revision may belong to any era
 	}
 	if !d.Position().ahead(at) {
 		d.Era, d.Revision = at.Era, at.Revision
 	}
 }
 
-// emptyDigest is the digest of a directory that lists nothing; 0 is that of none.
+// emptyDigest is the digest of an empty directory; a missing directory has 0.
 const emptyDigest = 1
 
-// forget drops the oldest removals beyond the bound.
-func (d *Directory) forget() {
-	bound := max(removedLeast, removedPerListed*d.mostListed)
+// pruneRemovals drops the oldest removals if there are too many.
+func (d *Directory) pruneRemovals() {
+	bound := max(minRemovalsKept, removalsKeptPerUpstream*d.mostListed)
 	if d.removed.Len() <= bound {
 		return
 	}
 	byAge := d.removed.Values()
-	slices.SortFunc(byAge, func(a, b Removal) int { return a.mark().Compare(b.mark().Position) })
+	slices.SortFunc(byAge, func(a, b Removal) int { return a.version().Compare(b.version().Position) })
 	for _, r := range byAge[:len(byAge)-bound/2] {
 		d.removed.Delete(r.Name)
 	}
 }
 
-// editor makes the next directory from one.
+// editor derives the next directory from a copy of the previous one.
 type editor struct {
 	next *Directory
-	// from is the first era of which entries count: the sender of the change does not
-	// know yet that the eras before are over. 0 if all count.
-	from uint64
-	// touched are the names of which a listing or a removal changed; all is true if
-	// that may be any.
-	touched []string
-	all     bool
-	changed bool
+	// minEra is the oldest era whose entries count. It is set if the sender of the change
+	// does not know yet that the earlier eras are obsolete; 0 if all entries count.
+	minEra uint64
+	// changedNames are the names whose listing or removal changed; allChanged is true if
+	// any may have.
+	changedNames []string
+	allChanged   bool
+	changed      bool
 }
 
 func newEditor(d *Directory, c *DirectoryChange) *editor {
 	e := &editor{next: d.clone()}
 	if c.Settled > e.next.Settled {
 		e.next.settle(c.Settled)
-		e.all = true
+		e.allChanged = true
 	} else if c.Settled < e.next.Settled {
-		e.from = e.next.Settled
+		e.minEra = e.next.Settled
 	}
 	return e
 }
 
-// clone returns a directory of the same content that its editor may change.
+// clone returns a copy that an editor may modify.
 func (d *Directory) clone() *Directory {
 	if d == nil {
 		return &Directory{digest: emptyDigest, halls: map[string]int{}}
@@ -90,15 +90,15 @@
 	return &next
 }
 
-// settle notes that an era is settled. What was copied in it holds from now on, and what
-// names no era was known before it.
+// settle marks an era as settled. Copied entries are authoritative from then on, and
+// entries without an era are assigned to the era before.
 func (d *Directory) settle(era uint64) {
 	d.Settled = era
 	for _, l := range d.listed.Values() {
 		l.Copied = l.Copied && l.Era > era
 		l.Era = cmp.Or(l.Era, era-1)
 		d.listed.Set(l.Name, l)
-		d.regroup(l.Group, l)
+		d.putInGroup(l.Group, l)
 	}
 	for _, r := range d.removed.Values() {
 		d.removed.Set(r.Name, r.settled(era))
@@ -106,84 +106,84 @@
 	d.evacuations = d.evacuations.settled(era)
 }
 
-// settled is the removal once an era is settled, as Directory.settle does.
+// settled returns the removal after an era is settled; see Directory.settle.
 func (r Removal) settled(era uint64) Removal {
 	r.Era = cmp.Or(r.Era, era-1)
 	return r
 }
 
-// isOutdated reports whether an entry is of an era that is over.
-func (e *editor) isOutdated(m mark) bool { return m.Era > 0 && m.Era < e.from }
+// isOutdated reports whether an entry belongs to an obsolete era.
+func (e *editor) isOutdated(v version) bool { return v.Era > 0 && v.Era < e.minEra }
 
-func (e *editor) list(l Listing) {
+func (e *editor) applyListing(l Listing) {
 	l.Copied = l.Copied && l.Era > e.next.Settled
-	m := l.mark()
-	if e.isOutdated(m) {
+	v := l.version()
+	if e.isOutdated(v) {
 		return
 	}
-	if r, removed := e.next.removed.Get(l.Name); removed && !m.replaces(r.mark()) {
+	if r, removed := e.next.removed.Get(l.Name); removed && !v.replaces(r.version()) {
 		return
 	}
 	old, known := e.next.listed.Get(l.Name)
-	if known && !m.replaces(old.mark()) {
+	if known && !v.replaces(old.version()) {
 		return
 	}
 	if known {
-		e.drop(old)
+		e.removeListing(old)
 	}
-	e.add(l)
+	e.addListing(l)
 	e.next.removed.Delete(l.Name)
 	rewarmed := old.warmupSteps() != l.warmupSteps()
 	old.Warmup = l.Warmup
 	e.changed = e.changed || rewarmed || old.content() != l.content()
 }
 
-func (e *editor) remove(r Removal) {
-	m := r.mark()
-	if e.isOutdated(m) {
+func (e *editor) applyRemoval(r Removal) {
+	v := r.version()
+	if e.isOutdated(v) {
 		return
 	}
 	before, removed := e.next.removed.Get(r.Name)
-	if removed && !m.replaces(before.mark()) {
+	if removed && !v.replaces(before.version()) {
 		return
 	}
 	old, known := e.next.listed.Get(r.Name)
-	if known && !r.endsAt(old.mark()) {
+	if known && !r.appliesTo(old.version()) {
 		return
 	}
-	for _, known := range []mark{old.mark(), before.mark()} {
+	for _, known := range []version{old.version(), before.version()} {
 		if known.born > r.Born || known.born == r.Born && known.sequence > r.Sequence {
 			r.Born, r.Sequence = known.born, known.sequence
 		}
 	}
 	e.next.removed.Set(r.Name, r)
-	e.touched = append(e.touched, r.Name)
+	e.changedNames = append(e.changedNames, r.Name)
 	if !known {
 		return
 	}
-	e.drop(old)
+	e.removeListing(old)
 	e.changed = true
 }
 
-func (e *editor) add(l Listing) {
-	e.touched = append(e.touched, l.Name)
+func (e *editor) addListing(l Listing) {
+	e.changedNames = append(e.changedNames, l.Name)
 	e.next.listed.Set(l.Name, l)
-	e.next.regroup(l.Group, l)
+	e.next.putInGroup(l.Group, l)
 	e.next.digest += l.hash()
 	e.next.halls[l.Hall]++
 	e.next.mostListed = max(e.next.mostListed, e.next.listed.Len())
 }
 
-func (e *editor) drop(l Listing) {
+func (e *editor) removeListing(l Listing) {
 	e.next.listed.Delete(l.Name)
-	e.next.ungroup(l.Group, l)
+	e.next.removeFromGroup(l.Group, l)
 	e.next.digest -= l.hash()
 	e.next.halls[l.Hall]--
 }
 
-// regroup puts a listing into a group, in place of the one of the same name.
-func (d *Directory) regroup(group string, l Listing) {
-	members := valueOf(&d.groups, group)
+// putInGroup adds a listing to a group or replaces the one of the same name.
+func (d *Directory) putInGroup(group string, l Listing) {
+	members := valueOrZero(&d.groups, group)
 	i, found := slices.BinarySearchFunc(members, l, byName)
 	next := slices.Clone(members)
 	if found {
@@ -194,9 +194,9 @@
 	d.groups.Set(group, next)
 }
 
-// ungroup takes a listing out of a group.
-func (d *Directory) ungroup(group string, l Listing) {
-	members := valueOf(&d.groups, group)
+// removeFromGroup removes a listing from a group.
+func (d *Directory) removeFromGroup(group string, l Listing) {
+	members := valueOrZero(&d.groups, group)
 	if i, found := slices.BinarySearchFunc(members, l, byName); found {
 		d.groups.Set(group, slices.Delete(slices.Clone(members), i, i+1))
 	}
@@ -204,10 +204,10 @@
 
 func (e *editor) finish() *Directory {
 	switch {
-	case e.all:
-		e.next.history = history{}.restart()
-	case len(e.touched) > 0 || e.next.history.content == nil:
-		e.next.history = e.next.history.append(e.touched)
+	case e.allChanged:
+		e.next.history = history{}.reset()
+	case len(e.changedNames) > 0 || e.next.history.content == nil:
+		e.next.history = e.next.history.append(e.changedNames)
 	}
 	return e.next
 }
--- a/tier/config/directory_test.go
+++ b/tier/config/directory_test.go
@@ -52,7 +52,7 @@
 // that grows with what was listed.
 func TestDirectoryForgetsOldRemovals(t *testing.T) {
 	for _, listed := range []int{0, 2000} {
-		bound := max(removedLeast, removedPerListed*listed)
+		bound := max(minRemovalsKept, removalsKeptPerUpstream*listed)
 		d := manyListed(listed)
 		for i := range 3 * bound {
 			d, _ = d.With(&DirectoryChange{Revision: uint64(i + 2), Removed: []Removal{{Name: fmt.Sprint("U", i), Revision: uint64(i + 2)}}})
--- a/tier/config/document.go
+++ b/tier/config/document.go
@@ -5,78 +5,78 @@
 	"time"
 )
 
-// MaxBytes is the size in bytes of the largest value that the platform holds.
+// MaxBytes is the size of the largest value that the platform stores, in bytes.
 const MaxBytes = 1 << 20
 
-// Document is the whole configuration of the tier. It is the map of the
-// product: what can be configured stands here.
+// Document is the whole configuration of the tier.
 type Document struct {
-	// Based is the revision that the document was composed from. A document
-	// published at revision R is valid only if Based is R-1, so of two
-	// operators who compose from the same revision only the first is accepted.
+	// Based is the revision that the document was composed from. A document published at
+	// revision R is valid only if Based is R-1, so if two operators start from the same
+	// revision, only the first document is accepted.
 	Based uint64
-	// Classes are the classes of request, each with a unique name.
+	// Classes are the request classes; their names are unique.
 	Classes []Class
-	// Hosts are the entry hosts, each with a unique name.
+	// Hosts are the entry hosts; their names are unique.
 	Hosts []Host
-	// Upstreams are the back ends, each with a unique name and address.
+	// Upstreams are the back ends; their names and addresses are unique.
 	Upstreams []Upstream
-	// Services are what callers ask, each with a unique name.
+	// Services are the data sets that callers query; their names are unique.
 	Services []Service
-	// Groups are sets of upstreams that list themselves with the platform.
+	// Groups are sets of upstreams that register themselves with the platform.
 	Groups []Group `json:",omitempty"`
-	// Routes map requests that the tier passes on to groups.
+	// Routes map the requests that the tier forwards to groups.
 	Routes []Route `json:",omitempty"`
-	// Limits bound what callers of routes may send.
+	// Limits bound the requests of routes.
 	Limits Limits `json:",omitzero"`
 }
 
-// HedgeMode says when a second replica is asked while the first is at work.
+// HedgeMode says when a call is hedged, that is, repeated on a second replica before the
+// first has answered.
 type HedgeMode string
 
 // The hedge modes.
 const (
-	// HedgeNone never asks a second replica.
+	// HedgeNone never hedges.
 	HedgeNone HedgeMode = "None"
-	// HedgeLearned asks one after a quantile of the latencies that were measured.
+	// HedgeLearned hedges after a quantile of the observed latencies.
 	HedgeLearned HedgeMode = "Learned"
 )
 
-// Class holds the deadline and the limits of a class of request.
+// Class holds the deadlines and limits of a class of requests.
 type Class struct {
 	Name string
-	// Deadline is the time a request has unless its caller gives less; above 0.
+	// Deadline applies to requests whose caller gives none; above 0.
 	Deadline Duration
-	// MaxDeadline bounds what a caller may give; not below Deadline.
+	// MaxDeadline is the longest deadline that a caller may give; not below Deadline.
 	MaxDeadline Duration
-	// Margin is kept back from the deadline for the way home; below Deadline.
+	// Margin is the part of the deadline reserved for returning the answer; below
+	// Deadline.
 	Margin Duration
-	// Worth is what an answer on time counts; 1 or more.
+	// Worth is the value of an answer within the deadline; 1 or more.
 	Worth int
-	// Coverage is the share of shards, 0 to 1, that is enough after Patience.
+	// Coverage is the fraction of shards, 0 to 1, that suffices after Patience.
 	Coverage float64
-	// Patience is how long a full answer is waited for although Coverage is met.
+	// Patience is how long a request waits for all shards even if Coverage is reached.
 	Patience Duration
-	// Hedge is the hedge mode.
-	Hedge HedgeMode
-	// HedgeQuantile is the latency quantile after which to hedge; above 0.5, below 1.
+	Hedge    HedgeMode
+	// HedgeQuantile is the latency quantile after which a call is hedged; above 0.5 and
+	// below 1.
 	HedgeQuantile float64
-	// HedgeBudget is the most extra calls for one needed call; 0 to 0.2.
+	// HedgeBudget is the maximum number of hedges per regular call; 0 to 0.2.
 	HedgeBudget float64
-	// Choice names the registered chooser of replicas.
+	// Choice is the replica selection policy, one of Choices.
 	Choice string
-	// Admission names the registered admission rule.
+	// Admission is the admission policy, one of Admissions.
 	Admission string
-	// MaxInFlight bounds the requests of the class in one entry host; 1 or more.
+	// MaxInFlight limits the concurrent requests of the class per entry host; 1 or more.
 	MaxInFlight int
 }
 
 // Host is an entry host.
 type Host struct {
 	Name string
-	// Hall is the data hall of the host.
 	Hall string
-	// Peer is where other entry hosts reach it.
+	// Peer is the address at which other entry hosts reach it.
 	Peer netip.AddrPort
 }
 
@@ -85,36 +85,36 @@
 	Name    string
 	Hall    string
 	Address netip.AddrPort
-	// Slots is how many calls it works on at once; 1 or more.
+	// Slots is the number of calls that it handles concurrently; 1 or more.
 	Slots int
-	// Connections is how many connections it takes; not below Slots.
+	// Connections is the number of connections that it accepts; not below Slots.
 	Connections int
-	// Leaving tells that it gets no new work.
+	// Leaving is true if it gets no new calls.
 	Leaving bool
 }
 
-// Service is a body of data, divided into shards by key.
+// Service is a data set that is divided into shards by key.
 type Service struct {
 	Name string
 	// KeySpace is the number of keys; keys run from 0 to KeySpace-1.
 	KeySpace uint32
-	// MapRevision rises whenever the shards change.
+	// MapRevision increases whenever the shards change.
 	MapRevision uint64
-	// Shards cover the key space with no gap and no overlap, in order of key.
+	// Shards cover the key space without gaps or overlaps, sorted by key.
 	Shards []Shard
 }
 
-// Shard is a half-open range of keys and the upstreams that answer for it.
+// Shard is a half-open key range and the upstreams that serve it.
 type Shard struct {
 	Name string
 	From uint32
-	// To is above From.
+	// To is the key after the last one; above From.
 	To uint32
-	// Replicas are names of upstreams, at least one, none twice.
+	// Replicas are names of upstreams, at least one, without duplicates.
 	Replicas []string
 }
 
-// Duration is a time.Duration that is written with its unit, as in "250ms".
+// Duration is a time.Duration that is encoded as text with its unit, such as "250ms".
 type Duration time.Duration
 
 // MarshalText implements encoding.TextMarshaler.
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// DefaultClass returns the settings of a class that the document leaves out.
+// DefaultClass returns the values of the class settings that a document omits.
 func DefaultClass() Class {
 	return Class{
 		Deadline:      Duration(300 * time.Millisecond),
--- a/tier/config/element.go
+++ b/tier/config/element.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Element is an element of a list of a document, known by its name there.
+// Element is a list element of a document that is identified by its name.
 type Element interface{ name() string }
 
 func (c Class) name() string    { return c.Name }
@@ -13,7 +13,7 @@
 func (g Group) name() string    { return g.Name }
 func (r Route) name() string    { return r.Name }
 
-// Find returns the element of a list with a name; nil if there is none.
+// Find returns the element with the given name, or nil.
 func Find[T Element](list []T, name string) *T {
 	i := slices.IndexFunc(list, func(v T) bool { return v.name() == name })
 	if i < 0 {
@@ -22,7 +22,7 @@
 	return &list[i]
 }
 
-// Put replaces the element of the same name, or appends.
+// Put replaces the element with the same name, or appends the value if there is none.
 func Put[T Element](list []T, v T) []T {
 	if same := Find(list, v.name()); same != nil {
 		*same = v
@@ -31,14 +31,14 @@
 	return append(list, v)
 }
 
-// Drop takes the elements with a name out of a list; false if there is none.
+// Drop deletes the elements with the given name and reports whether there were any.
 func Drop[T Element](list *[]T, name string) bool {
 	before := len(*list)
 	*list = slices.DeleteFunc(*list, func(v T) bool { return v.name() == name })
 	return len(*list) < before
 }
 
-func index[T Element](list []T) map[string]*T {
+func indexByName[T Element](list []T) map[string]*T {
 	out := make(map[string]*T, len(list))
 	for i := range list {
 		out[list[i].name()] = &list[i]
--- a/tier/config/encode.go
+++ b/tier/config/encode.go
@@ -8,10 +8,10 @@
 	"github.com/go-json-experiment/json"
 )
 
-// Encode writes a document in its one canonical form: each class, host,
-// upstream and shard on a line of its own, so that the lines that differ tell
-// what differs, and a document of the largest tier stays within MaxBytes. A
-// document without routed requests has none of their fields.
+// Encode writes a document in its canonical form. Each class, host, upstream and shard is
+// on a line of its own, so that a line diff shows the elements that changed, and the
+// largest documents stay within MaxBytes. Groups, Routes and Limits are omitted if they
+// are empty.
 func Encode(d *Document) ([]byte, error) {
 	w := &writer{}
 	services := make([]string, 0, len(d.Services))
@@ -40,7 +40,7 @@
 	return []byte(object("", members) + "\n"), nil
 }
 
-// writer writes values and keeps the first error.
+// writer encodes values and keeps the first error.
 type writer struct{ err error }
 
 func (w *writer) value(v any) string {
@@ -58,7 +58,7 @@
 	})
 }
 
-// lines writes a list with one element a line.
+// lines encodes a list with one element per line.
 func lines[T any](w *writer, indent string, elements []T) string {
 	texts := make([]string, 0, len(elements))
 	for i := range elements {
@@ -74,7 +74,7 @@
 	return "[\n" + indent + strings.Join(texts, ",\n"+indent) + "]"
 }
 
-// object writes an object with one member a line.
+// object encodes an object with one member per line.
 func object(indent string, members []string) string {
 	return "{\n" + indent + "  " + strings.Join(members, ",\n"+indent+"  ") + "\n" + indent + "}"
 }
--- a/tier/config/env.go
+++ b/tier/config/env.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// VariableError is an environment variable whose value its flag does not take.
+// VariableError reports an environment variable whose value its flag refuses.
 type VariableError struct {
 	Flag     string
 	Variable string
@@ -16,17 +16,17 @@
 // Error implements error.
 func (e *VariableError) Error() string { return fmt.Sprintf("%s: %v", e.Variable, e.Err) }
 
-// Unwrap returns what the flag said.
+// Unwrap returns the error of the flag.
 func (e *VariableError) Unwrap() error { return e.Err }
 
-// Lookup finds the value of a variable.
+// Lookup returns the value of a variable and whether it is set.
 type Lookup func(variable string) (string, bool)
 
-// ChainLookups looks a variable up in several places, the first of them first.
-func ChainLookups(places ...Lookup) Lookup {
+// ChainLookups returns a Lookup that tries the sources in order.
+func ChainLookups(sources ...Lookup) Lookup {
 	return func(variable string) (string, bool) {
-		for _, p := range places {
-			if v, ok := p(variable); ok {
+		for _, s := range sources {
+			if v, ok := s(variable); ok {
 				return v, true
 			}
 		}
@@ -34,8 +34,8 @@
 	}
 }
 
-// SetFlagsFromEnv sets the flags that the command line left out: -Host from the
-// prefix and HOST. Its error is the first one, a *VariableError.
+// SetFlagsFromEnv sets the flags that are not given on the command line from variables:
+// -Host from the prefix followed by HOST. It returns the first error, a *VariableError.
 func SetFlagsFromEnv(f *flag.FlagSet, prefix string, lookup Lookup) error {
 	given := map[string]bool{}
 	f.Visit(func(x *flag.Flag) { given[x.Name] = true })
--- a/tier/config/evacuation.go
+++ b/tier/config/evacuation.go
@@ -8,46 +8,47 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Evacuation says that the upstreams of a hall get no calls until it ends.
+// Evacuation records that the upstreams of a hall get no calls until it ends.
 type Evacuation struct {
 	Hall string
-	// Era and Revision are the platform's position of this entry; Revision is above 0.
+	// Era and Revision are the platform's position of the entry; Revision is above 0.
 	Era      uint64 `json:",omitempty"`
 	Revision uint64
 	// Copied is true if the entry may come from the copy that its era began with: the
-	// evacuation may have ended since, in the era before.
+	// evacuation may since have ended, in the previous era.
 	Copied bool `json:",omitempty"`
 }
 
-func (v *Evacuation) mark() mark {
-	return mark{Position: Position{Era: v.Era, Revision: v.Revision}, copied: v.Copied}
+func (v *Evacuation) version() version {
+	return version{Position: Position{Era: v.Era, Revision: v.Revision}, copied: v.Copied}
 }
 
-// evacuations are the halls evacuated at one position. Those of a directory do not
-// change; its editor makes the ones that follow, from a clone.
+// evacuations are the evacuated halls at one position. Those of a directory are
+// immutable; its editor modifies a clone.
 type evacuations struct {
-	// since holds each evacuation in force, ended the last end of one, so that an older
-	// entry of the same hall does not bring it back.
-	since map[string]Evacuation
-	ended map[string]Removal
+	// active holds the current evacuation of each evacuated hall, ended the last end of
+	// an evacuation of each hall, so that an older entry does not restore it.
+	active map[string]Evacuation
+	ended  map[string]Removal
 }
 
-// evacuate makes the evacuations after a change; lacking are the ends of those that it
-// lacks as a whole listing. What is older than what is known has no effect.
-func (e *editor) evacuate(c *DirectoryChange, lacking []Removal) {
-	if len(c.Evacuated)+len(c.Resumed)+len(lacking) == 0 {
+// applyEvacuations applies the evacuations of a change and their ends; implied are the
+// ends implied by a complete listing. Entries that are older than the known ones have no
+// effect.
+func (e *editor) applyEvacuations(c *DirectoryChange, implied []Removal) {
+	if len(c.Evacuated)+len(c.Resumed)+len(implied) == 0 {
 		return
 	}
 	before := e.next.evacuations
 	next := before.clone()
 	for _, v := range c.Evacuated {
 		v.Copied = v.Copied && v.Era > e.next.Settled
-		if !e.isOutdated(v.mark()) {
+		if !e.isOutdated(v.version()) {
 			next.begin(v)
 		}
 	}
-	for _, r := range slices.Concat(c.Resumed, lacking) {
-		if !e.isOutdated(r.mark()) {
+	for _, r := range slices.Concat(c.Resumed, implied) {
+		if !e.isOutdated(r.version()) {
 			next.end(r)
 		}
 	}
@@ -56,19 +57,19 @@
 }
 
 func (e evacuations) clone() evacuations {
-	if e.since == nil {
-		return evacuations{since: map[string]Evacuation{}, ended: map[string]Removal{}}
+	if e.active == nil {
+		return evacuations{active: map[string]Evacuation{}, ended: map[string]Removal{}}
 	}
-	return evacuations{since: maps.Clone(e.since), ended: maps.Clone(e.ended)}
+	return evacuations{active: maps.Clone(e.active), ended: maps.Clone(e.ended)}
 }
 
-// settled returns the evacuations once an era is settled, as Directory.settle does.
+// settled returns the evacuations after an era is settled; see Directory.settle.
 func (e evacuations) settled(era uint64) evacuations {
 	out := e.clone()
-	for hall, v := range out.since {
+	for hall, v := range out.active {
 		v.Copied = v.Copied && v.Era > era
 		v.Era = cmp.Or(v.Era, era-1)
-		out.since[hall] = v
+		out.active[hall] = v
 	}
 	for hall, r := range out.ended {
 		out.ended[hall] = r.settled(era)
@@ -80,60 +81,61 @@
 	if v.Hall == "" {
 		return
 	}
-	if r, ended := e.ended[v.Hall]; ended && !v.mark().replaces(r.mark()) {
+	if r, ended := e.ended[v.Hall]; ended && !v.version().replaces(r.version()) {
 		return
 	}
-	if old, known := e.since[v.Hall]; !known || v.mark().replaces(old.mark()) {
-		e.since[v.Hall] = v
+	if old, known := e.active[v.Hall]; !known || v.version().replaces(old.version()) {
+		e.active[v.Hall] = v
 	}
 }
 
 func (e evacuations) end(r Removal) {
-	if old, known := e.ended[r.Name]; known && !r.mark().replaces(old.mark()) {
+	if old, known := e.ended[r.Name]; known && !r.version().replaces(old.version()) {
 		return
 	}
-	since, evacuated := e.since[r.Name]
-	if evacuated && !r.endsAt(since.mark()) {
+	active, evacuated := e.active[r.Name]
+	if evacuated && !r.appliesTo(active.version()) {
 		return
 	}
 	e.ended[r.Name] = r
-	delete(e.since, r.Name)
+	delete(e.active, r.Name)
 }
 
-// endsAt reports whether an end counts against a beginning; at the same position it does.
-func (r *Removal) endsAt(since mark) bool {
-	m := r.mark()
-	return m.replaces(since) || m.Compare(since.Position) == 0
+// appliesTo reports whether a removal removes an entry of the given version. It also does
+// so at the same position.
+func (r *Removal) appliesTo(entry version) bool {
+	v := r.version()
+	return v.replaces(entry) || v.Compare(entry.Position) == 0
 }
 
-// digest names the evacuated halls; 0 if there is none.
+// digest returns a hash of the evacuated halls; 0 if there are none.
 func (e evacuations) digest() uint64 {
 	sum := uint64(0)
-	for hall := range e.since {
+	for hall := range e.active {
 		sum += xxhash.Sum64String("evacuated\x00" + hall)
 	}
 	return sum
 }
 
-// Evacuated reports whether the upstreams of a hall are to get nothing.
+// Evacuated reports whether a hall is evacuated, so that its upstreams get no calls.
 func (d *Directory) Evacuated(hall string) bool {
-	_, evacuated := d.orEmpty().evacuations.since[hall]
+	_, evacuated := d.orEmpty().evacuations.active[hall]
 	return evacuated
 }
 
-// EvacuatedHalls lists the halls that are evacuated, in order of name.
+// EvacuatedHalls returns the evacuated halls, sorted by name.
 func (d *Directory) EvacuatedHalls() []string {
-	return slices.Sorted(maps.Keys(d.orEmpty().evacuations.since))
+	return slices.Sorted(maps.Keys(d.orEmpty().evacuations.active))
 }
 
-// ImpliedResumptions returns the ends of the evacuations that a whole directory
-// does not have, but of those that are newer than it.
+// ImpliedResumptions returns the ends of evacuations that a complete listing implies:
+// those of the evacuations that it lacks, with the same exceptions as ImpliedRemovals.
 func (d *Directory) ImpliedResumptions(c *DirectoryChange) []Removal {
 	d = d.orEmpty()
 	var out []Removal
-	for hall, v := range d.evacuations.since {
+	for hall, v := range d.evacuations.active {
 		listed := slices.ContainsFunc(c.Evacuated, func(v Evacuation) bool { return v.Hall == hall })
-		if !listed && d.coveredBy(v.mark(), c) {
+		if !listed && d.coveredBy(v.version(), c) {
 			out = append(out, Removal{Name: hall, Era: c.Era, Revision: c.Revision})
 		}
 	}
--- a/tier/config/history.go
+++ b/tier/config/history.go
@@ -2,41 +2,42 @@
 
 import "slices"
 
-// editsKept is how many edits a directory remembers: those that use what changed follow
-// each view, and fall behind by the changes of one pause between two announcements.
-const editsKept = 64
+// maxEdits is the number of edits that a directory remembers. Readers fall behind by no
+// more than the changes between two announcements.
+const maxEdits = 64
 
-// contentID names what a directory lists and has removed. Directories with the same one
-// have the same content; the pointer is all that counts.
+// contentID identifies the listings and removals of a directory. Equal pointers mean
+// equal content.
 type contentID struct{ _ byte }
 
 // edit is one step from a content to the next.
 type edit struct {
 	from, to *contentID
-	// names are those of which a listing or a removal changed.
+	// names are those whose listing or removal changed.
 	names []string
 }
 
-// history remembers how a directory came from earlier ones, so that whoever knows one of
-// these looks only at what changed since. It does not change.
+// history records how a directory was derived from earlier ones, so that a reader that
+// knows one of these looks only at the names that changed since. It is immutable.
 type history struct {
 	content *contentID
-	// edits are the last ones, the newest last; the newest leads to content.
+	// edits are sorted from oldest to newest; the newest leads to content.
 	edits []edit
 }
 
 // append returns the history after an edit of some names.
 func (h history) append(names []string) history {
-	next := h.restart()
-	kept := h.edits[max(len(h.edits)-editsKept+1, 0):]
+	next := h.reset()
+	kept := h.edits[max(len(h.edits)-maxEdits+1, 0):]
 	next.edits = append(slices.Clone(kept), edit{from: h.content, to: next.content, names: names})
 	return next
 }
 
-// restart returns a history that leads from no earlier content.
-func (history) restart() history { return history{content: new(contentID)} }
+// reset returns a history that leads from no earlier content.
+func (history) reset() history { return history{content: new(contentID)} }
 
-// since returns the names edited after a content; false if that is not remembered.
+// since returns the names that were edited after a content; false if the content is not
+// in the history.
 func (h history) since(old *contentID) ([]string, bool) {
 	if old == nil {
 		return nil, false
@@ -55,9 +56,8 @@
 	return nil, false
 }
 
-// ChangedNames names the upstreams whose listing or removal changed since an earlier
-// directory, in order of name; false if it is not known which they are. Evacuations are
-// not among them.
+// ChangedNames returns the upstreams whose listing or removal changed since an older
+// directory, sorted by name; false if they are not known. Evacuations are not included.
 func (d *Directory) ChangedNames(old *Directory) ([]string, bool) {
 	return d.orEmpty().history.since(old.orEmpty().history.content)
 }
--- a/tier/config/index.go
+++ b/tier/config/index.go
@@ -8,24 +8,24 @@
 	"strings"
 )
 
-// Index is an accepted document with look-ups. It does not change.
+// Index is an accepted document with look-up tables. It is immutable.
 type Index struct {
-	// Edition is how new the document is; its revision is the platform's.
+	// Edition orders the document among others; its revision is the platform's.
 	Edition
-	// Digest names the bytes of the document.
+	// Digest is a hash of Text.
 	Digest string
 	// Text is the document as published.
 	Text []byte
-	// Document is the decoded text; it is not changed.
-	Document  *Document
-	classes   map[string]*Class
-	upstreams map[string]*Upstream
-	services  map[string]*Service
-	hosts     map[string]*Host
-	groups    map[string]*Group
-	routes    routeTable
-	named     map[string]*Route
-	shards    map[string]bool
+	// Document is the decoded text; it must not be modified.
+	Document     *Document
+	classes      map[string]*Class
+	upstreams    map[string]*Upstream
+	services     map[string]*Service
+	hosts        map[string]*Host
+	groups       map[string]*Group
+	routes       routeTable
+	routesByName map[string]*Route
+	shards       map[string]bool
 }
 
 // Accept decodes and checks a published document.
@@ -43,30 +43,30 @@
 func newIndex(d *Document, text []byte, e Edition) *Index {
 	return &Index{
 		Edition: e, Digest: digest(text), Text: text, Document: d,
-		classes:   index(d.Classes),
-		upstreams: index(d.Upstreams),
-		services:  index(d.Services),
-		hosts:     index(d.Hosts),
-		groups:    index(d.Groups),
-		routes:    newRouteTable(d),
-		named:     index(d.Routes),
-		shards:    d.shards(),
+		classes:      indexByName(d.Classes),
+		upstreams:    indexByName(d.Upstreams),
+		services:     indexByName(d.Services),
+		hosts:        indexByName(d.Hosts),
+		groups:       indexByName(d.Groups),
+		routes:       newRouteTable(d),
+		routesByName: indexByName(d.Routes),
+		shards:       d.shards(),
 	}
 }
 
-// Class finds a class by name; nil if there is none.
+// Class returns the class with the given name, or nil.
 func (x *Index) Class(name string) *Class { return x.classes[name] }
 
-// Upstream finds an upstream by name; nil if there is none.
+// Upstream returns the upstream with the given name, or nil.
 func (x *Index) Upstream(name string) *Upstream { return x.upstreams[name] }
 
-// Service finds a service by name; nil if there is none.
+// Service returns the service with the given name, or nil.
 func (x *Index) Service(name string) *Service { return x.services[name] }
 
-// Host finds an entry host by name; nil if there is none.
+// Host returns the entry host with the given name, or nil.
 func (x *Index) Host(name string) *Host { return x.hosts[name] }
 
-// ShardOf finds the shard that holds a key.
+// ShardOf returns the shard that contains a key.
 func (s *Service) ShardOf(key uint32) (*Shard, error) {
 	if key >= s.KeySpace {
 		return nil, fmt.Errorf("key %d is outside the %d keys of %s: use a smaller key", key, s.KeySpace, s.Name)
@@ -75,32 +75,32 @@
 	return &s.Shards[i], nil
 }
 
-// routed is a route with what is derived from it once.
-type routed struct {
+// routeEntry is a route with the class derived from it.
+type routeEntry struct {
 	route *Route
 	class Class
 }
 
-// routeTable finds routes by host name, longest prefix first.
-type routeTable map[string][]routed
+// routeTable holds the routes by host name in lower case, the longest prefix first.
+type routeTable map[string][]routeEntry
 
 func newRouteTable(d *Document) routeTable {
 	t := routeTable{}
 	for i := range d.Routes {
 		r := &d.Routes[i]
 		host := strings.ToLower(r.HostName)
-		t[host] = append(t[host], routed{route: r, class: r.Class()})
+		t[host] = append(t[host], routeEntry{route: r, class: r.Class()})
 	}
 	for _, rs := range t {
-		slices.SortFunc(rs, func(a, b routed) int {
+		slices.SortFunc(rs, func(a, b routeEntry) int {
 			return cmp.Compare(len(b.route.Prefix), len(a.route.Prefix))
 		})
 	}
 	return t
 }
 
-// Route finds the route of a host name and path with its class; nil if there
-// is none. Neither is to be changed.
+// Route returns the route for a host name and path with its class, or nil if there is
+// none. Neither may be modified.
 func (x *Index) Route(hostName, path string) (*Route, *Class) {
 	rs := x.routes[strings.ToLower(hostName)]
 	for i := range rs {
@@ -111,13 +111,14 @@
 	return nil, nil
 }
 
-// RouteByName finds a route by name; nil if there is none.
-func (x *Index) RouteByName(name string) *Route { return x.named[name] }
+// RouteByName returns the route with the given name, or nil.
+func (x *Index) RouteByName(name string) *Route { return x.routesByName[name] }
 
-// Group finds a group by name; nil if there is none.
+// Group returns the group with the given name, or nil.
 func (x *Index) Group(name string) *Group { return x.groups[name] }
 
-// Shards names the groups that are shards of any route. It is not to be changed.
+// Shards returns the names of the groups that are shards of any route. The map must not
+// be modified.
 func (x *Index) Shards() map[string]bool { return x.shards }
 
 func (d *Document) shards() map[string]bool {
--- a/tier/config/position_test.go
+++ b/tier/config/position_test.go
@@ -307,7 +307,7 @@
 // came back from a copy.
 type returnCase struct {
 	name        string
-	known, read mark
+	known, read version
 	// document is true for documents, whose sequence is their version.
 	document bool
 	want     bool
@@ -318,15 +318,15 @@
 // wrongly; the one in use decides all rightly.
 func TestWaysToOrderAfterAReturn(t *testing.T) {
 	cases := []returnCase{
-		{"an older document in the copy", mark{at(1, 58), 26, false, 0}, mark{at(2, 54), 12, true, 0}, true, false},
-		{"the next document", mark{at(1, 58), 26, false, 0}, mark{at(2, 55), 28, false, 0}, true, true},
-		{"an older report in the copy", mark{at(1, 57), 7, false, 0}, mark{at(2, 40), 5, true, 0}, false, false},
-		{"a report written before the first read", mark{at(1, 57), 7, false, 0}, mark{at(2, 55), 8, true, 0}, false, true},
-		{"a report written after it", mark{at(1, 57), 7, false, 0}, mark{at(2, 56), 8, false, 0}, false, true},
-		{"an upstream in the copy that is gone", mark{at(1, 50), 7, false, 0}, mark{at(2, 40), 5, true, 0}, false, false},
-		{"a removal after the return", mark{at(1, 57), 7, false, 0}, mark{at(2, 45), 0, false, 0}, false, true},
-		{"an evacuation in the copy that has ended", mark{at(1, 52), 0, false, 0}, mark{at(2, 40), 0, true, 0}, false, false},
-		{"the end of an evacuation after the return", mark{at(1, 51), 0, false, 0}, mark{at(2, 47), 0, false, 0}, false, true},
+		{"an older document in the copy", version{at(1, 58), 26, false, 0}, version{at(2, 54), 12, true, 0}, true, false},
+		{"the next document", version{at(1, 58), 26, false, 0}, version{at(2, 55), 28, false, 0}, true, true},
+		{"an older report in the copy", version{at(1, 57), 7, false, 0}, version{at(2, 40), 5, true, 0}, false, false},
+		{"a report written before the first read", version{at(1, 57), 7, false, 0}, version{at(2, 55), 8, true, 0}, false, true},
+		{"a report written after it", version{at(1, 57), 7, false, 0}, version{at(2, 56), 8, false, 0}, false, true},
+		{"an upstream in the copy that is gone", version{at(1, 50), 7, false, 0}, version{at(2, 40), 5, true, 0}, false, false},
+		{"a removal after the return", version{at(1, 57), 7, false, 0}, version{at(2, 45), 0, false, 0}, false, true},
+		{"an evacuation in the copy that has ended", version{at(1, 52), 0, false, 0}, version{at(2, 40), 0, true, 0}, false, false},
+		{"the end of an evacuation after the return", version{at(1, 51), 0, false, 0}, version{at(2, 47), 0, false, 0}, false, true},
 	}
 	ways := []struct {
 		name  string
--- a/tier/config/regions.go
+++ b/tier/config/regions.go
@@ -8,13 +8,14 @@
 	"strings"
 )
 
-// Regions says in which region each data hall lies.
+// Regions maps each data hall to its region.
 type Regions map[string]string
 
-// errRegion is wrapped by what is wrong with a list of regions.
+// errRegion is wrapped by all errors of ParseRegions.
 var errRegion = errors.New("write Hall=Region, divided by commas")
 
-// ParseRegions reads Hall=Region,Hall=Region; an empty text names no hall.
+// ParseRegions parses a list in the form Hall=Region,Hall=Region. An empty text is valid
+// and names no hall.
 func ParseRegions(text string) (Regions, error) {
 	out := Regions{}
 	if text == "" {
@@ -33,7 +34,7 @@
 	return out, nil
 }
 
-// String writes the regions as ParseRegions reads them, in order of hall.
+// String formats the regions for ParseRegions, sorted by hall.
 func (r Regions) String() string {
 	var out []string
 	for _, h := range slices.Sorted(maps.Keys(r)) {
@@ -42,8 +43,8 @@
 	return strings.Join(out, ",")
 }
 
-// IsHome reports whether a hall lies in one of a route's homes. A route without
-// homes is at home everywhere; a hall of which no region is known is no home.
+// IsHome reports whether a hall lies in one of a route's home regions. Every hall is home
+// to a route without homes; a hall whose region is unknown is home to no other route.
 func (r Regions) IsHome(hall string, homes []string) bool {
 	if len(homes) == 0 {
 		return true
--- a/tier/config/route.go
+++ b/tier/config/route.go
@@ -7,83 +7,84 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Route maps the requests of one host name and path prefix to upstreams that
-// the directory lists. Of the routes of a host name the one with the longest
-// matching prefix applies.
+// Route maps the requests of one host name and path prefix to groups of upstreams. If
+// several routes of a host name match, the one with the longest prefix applies.
 type Route struct {
 	// Name is unique among the routes.
 	Name string
-	// HostName is what the Host header of a request must be, without a port.
+	// HostName is the Host header of the requests, without a port.
 	HostName string
-	// Prefix begins the path of a request; it begins and ends with a slash.
+	// Prefix is the path prefix of the requests; it begins and ends with a slash.
 	Prefix string
 	// Repeatable is false for requests that must run at most once.
 	Repeatable bool `json:",omitempty"`
-	// MaxAttempts is the most upstreams that may run one request, counted for
-	// each shard; 1 or more.
+	// MaxAttempts limits the upstreams that may run one request, counted per shard; 1 or
+	// more.
 	MaxAttempts int
-	// TimeLimit is the longest time that a request is held; above 0.
+	// TimeLimit is the longest time that a request may take; above 0.
 	TimeLimit Duration
-	// Objective is the time within which an answer has its full worth; above 0.
+	// Objective is the latency within which an answer has its full value; above 0.
 	Objective Duration
-	// Priority is the rank of the requests, 0 the most urgent.
+	// Priority is the rank of the requests; 0 is the most urgent.
 	Priority int `json:",omitempty"`
-	// Group names the one group that answers; empty with Split or Gather.
+	// Group is the single target group; empty with Split or Gather.
 	Group string `json:",omitempty"`
-	// Split divides the requests between groups; empty with Group or Gather.
+	// Split distributes the requests among groups; empty with Group or Gather.
 	Split []WeightedGroup `json:",omitempty"`
-	// Gather asks one upstream of each of many groups; nil with Group or Split.
+	// Gather sends each request to one upstream of each of many groups; nil with Group or
+	// Split.
 	Gather *Gather `json:",omitempty"`
-	// Homes are the regions in which requests may be carried out and run, none
-	// twice; empty for all regions.
+	// Homes are the regions in which requests may be relayed and run, without duplicates;
+	// empty for all regions.
 	Homes []string `json:",omitempty"`
 }
 
-// WeightedGroup is one group of a split.
+// WeightedGroup is a group of a split with its weight.
 type WeightedGroup struct {
 	Group string
-	// Weight is the group's part of the sum of all weights; 0 or more.
+	// Weight is relative to the sum of all weights; 0 or more.
 	Weight float64
 }
 
-// Gather says how the answers of many groups, the shards, become one.
+// Gather says how the answers of many groups, the shards, are merged into one.
 type Gather struct {
-	// Groups are the shards, none twice.
+	// Groups are the shards, without duplicates.
 	Groups []string
-	// Top is how many records, the greatest, the answer has; 1 or more.
+	// Top is the number of greatest records that the answer holds; 1 or more.
 	Top int
-	// Coverage is the least share of shards, 0 to 1, that makes an answer.
+	// Coverage is the lowest fraction of shards, 0 to 1, that suffices for an answer.
 	Coverage float64
 }
 
-// Group is a set of upstreams any of which answers as well as another. Which
-// upstreams belong to it the directory says.
+// Group is a set of interchangeable upstreams. The directory says which upstreams belong
+// to it.
 type Group struct {
 	Name string
-	// Connections is how many connections each upstream takes from all callers.
+	// Connections is the number of connections that each upstream accepts from all
+	// callers together.
 	Connections int
-	// HealthPath is where an upstream tells whether it is well.
+	// HealthPath is the path at which an upstream reports its health.
 	HealthPath string `json:",omitempty"`
-	// Warmup is how long an upstream is cold after a start during traffic; 0 or more.
+	// Warmup is how long an upstream is cold after it starts under traffic; 0 or more.
 	Warmup Duration `json:",omitempty"`
-	// ColdRate is how many requests per second a cold upstream can handle from all
-	// hosts together; 0 for no limit.
+	// ColdRate is the number of requests per second that a cold upstream can handle from
+	// all hosts together; 0 for no limit.
 	ColdRate float64 `json:",omitempty"`
 }
 
-// Limits bound what a caller of routes may send. Only Body is applied; the others are
-// kept since documents have them, and the built-in bounds apply in their place.
+// Limits bound what callers of routes may send. Only Body is applied. The other fields
+// are accepted because documents contain them, and built-in bounds apply instead.
 type Limits struct {
-	// Header and Body are in bytes; 0 for the built-in bounds.
+	// Header and Body are in bytes; 0 selects the built-in bounds.
 	Header int64 `json:",omitempty"`
 	Body   int64 `json:",omitempty"`
-	// HeaderTime is the longest time for a request's header, Idle for a pause
-	// between requests.
+	// HeaderTime limits the time to read a request header, Idle the time between
+	// requests.
 	HeaderTime Duration `json:",omitempty"`
 	Idle       Duration `json:",omitempty"`
 }
 
-// Targets lists the groups that a request of the route may go to.
+// Targets returns the groups that a request of the route may go to.
 func (r *Route) Targets() []string {
 	switch {
 	case r.Gather != nil:
@@ -99,24 +100,24 @@
 	}
 }
 
-// Digest names the route's settings: hosts that know the same of a route have the
-// same digest of it.
+// Digest returns a hash of the route's settings. It is equal on hosts that have the same
+// settings.
 func (r *Route) Digest() uint64 {
 	text, err := json.Marshal(r)
 	if err != nil {
-		return 0 // a route was decoded from JSON, so it has a text
+		return 0 // unreachable: a decoded route can be encoded
 	}
 	return xxhash.Sum64(text)
 }
 
-// Class returns the settings of the decisions about the route's requests.
+// Class returns the settings for decisions about the route's requests.
 func (r *Route) Class() Class {
 	c := DefaultClass()
 	c.Name = r.Name
 	c.Deadline, c.MaxDeadline, c.Margin = r.TimeLimit, r.TimeLimit, 0
 	c.Choice, c.Admission, c.HedgeQuantile = "LeastLatency", "None", routeHedgeQuantile
 	c.Patience = r.Objective - min(ResponseReserve, r.Objective/reserveDivisor)
-	c.MaxInFlight = routeInFlight
+	c.MaxInFlight = maxRouteInFlight
 	if r.Gather != nil {
 		c.Coverage = r.Gather.Coverage
 	}
@@ -127,13 +128,13 @@
 	// reserveDivisor limits ResponseReserve to a fifth of a short objective.
 	reserveDivisor = 5
 	// routeHedgeQuantile is the latency quantile after which a call of a route is hedged.
-	// It is lower than a class's own, because a route's hedges are limited by its retry
-	// budget and a call to a paused upstream is cheapest replaced early.
+	// It is lower than that of a class, because the hedges of a route are limited by its
+	// retry budget, and a call to a paused upstream is best replaced early.
 	routeHedgeQuantile = 0.95
-	// ResponseReserve is the least time kept back from an objective for the merge and for
-	// the answer to reach its caller.
+	// ResponseReserve is the part of an objective that is reserved for merging and
+	// returning the answer.
 	ResponseReserve = Duration(18 * time.Millisecond)
-	// routeInFlight bounds the requests of one route in one host, so that their bodies fit
-	// into the memory of a small host.
-	routeInFlight = 2000
+	// maxRouteInFlight limits the concurrent requests of a route per host, so that their
+	// bodies fit into the memory of a small host.
+	maxRouteInFlight = 2000
 )
--- a/tier/design/design.go
+++ b/tier/design/design.go
@@ -1,6 +1,6 @@
-// Package design declares, in the goa design language, the services that an
-// entry host offers to callers and operators. Run `make generate` after a
-// change; the generated code under tier/gen is committed.
+// Package design describes the services that an entry host offers to callers and
+// operators in the Goa design language. Run `make generate` after a change; the generated
+// code in tier/gen is committed.
 package design
 
 import (
@@ -16,28 +16,28 @@
 	})
 })
 
-// rowField is one named value of a row.
+// rowField is a named value of a row.
 var rowField = Type("Field", func() {
 	Attribute("Name", String, "Name of the field")
 	Attribute("Value", String, "Value as text")
 	Required("Name", "Value")
 })
 
-// Row is one record.
+// Row is a record.
 var Row = Type("Row", func() {
 	Attribute("Key", String, "Key of the record")
 	Attribute("Fields", ArrayOf(rowField), "Fields in the shard's order")
 	Required("Key", "Fields")
 })
 
-// KeyRange is a half-open range of keys.
+// KeyRange is a half-open key range.
 var KeyRange = Type("KeyRange", func() {
 	Attribute("From", UInt32, "First key")
 	Attribute("To", UInt32, "Key after the last one")
 	Required("From", "To")
 })
 
-// Missing is a key range that the answer lacks.
+// Missing is a key range that is missing from an answer.
 var Missing = Type("Missing", func() {
 	Attribute("Shard", String, "Shard that holds the range")
 	Attribute("From", UInt32, "First key")
@@ -46,7 +46,7 @@
 	Required("Shard", "From", "To", "Reason")
 })
 
-// Answer describes what was done for one request.
+// Answer is the result of one request.
 var Answer = Type("Answer", func() {
 	Attribute("RequestID", String, "ID of the request, also its ticket where it is not repeatable")
 	Attribute("Class", String, "Class of the request")
@@ -69,14 +69,14 @@
 		"Snapshot", "Revision", "MapRevision", "EntryHost", "Attempts")
 })
 
-// faultType is a request that cannot be carried out as it stands.
+// faultType is the body of an error response.
 var faultType = Type("Fault", func() {
 	ErrorName("Kind", String, "Kind of the error")
 	Attribute("Message", String, "What is wrong, where, and the remedy")
 	Required("Kind", "Message")
 })
 
-func answers() {
+func answerResponses() {
 	Response(StatusServiceUnavailable, func() {
 		Tag("Outcome", "NotRun")
 	})
@@ -100,7 +100,7 @@
 		Result(Answer)
 		HTTP(func() {
 			POST("/ask")
-			answers()
+			answerResponses()
 		})
 	})
 	Method("ticket", func() {
@@ -129,12 +129,12 @@
 		Result(Answer)
 		HTTP(func() {
 			POST("/orders")
-			answers()
+			answerResponses()
 		})
 	})
 })
 
-// Member is one entry host as another sees it.
+// Member is an entry host as seen by another.
 var Member = Type("Member", func() {
 	Attribute("Name", String)
 	Attribute("Incarnation", String)
@@ -143,7 +143,7 @@
 	Required("Name", "Incarnation", "State", "Revision")
 })
 
-// UpstreamStatus is one upstream as this host sees it.
+// UpstreamStatus is an upstream as seen by this host.
 var UpstreamStatus = Type("UpstreamStatus", func() {
 	Attribute("Name", String)
 	Attribute("State", String, func() { Enum("Live", "Slow", "Ejected", "Leaving", "Evacuated", "Cold") })
--- a/tier/query/apply.go
+++ b/tier/query/apply.go
@@ -14,9 +14,8 @@
 	"loomgap/tier/config"
 )
 
-// Apply carries commands out on a document. It changes the document given; it
-// does not check the result, which config.Check does. Lines that show commands
-// ask for are returned.
+// Apply executes commands on a document in place and returns the lines that show commands
+// print. It does not check the resulting document; config.Check does.
 func Apply(d *config.Document, statements []*Statement) ([]string, error) {
 	var shown []string
 	for _, s := range statements {
@@ -38,19 +37,19 @@
 	case s.Set != nil:
 		return nil, set(d, s.Set, s.Pos)
 	case s.Mark != nil:
-		return nil, mark(d, s.Mark, s.Pos)
+		return nil, markUpstream(d, s.Mark, s.Pos)
 	case s.Drop != nil:
 		return nil, drop(d, s.Drop, s.Pos)
 	case s.Show != nil:
 		return show(d, s.Show, s.Pos)
 	}
-	return nil, at(s.Pos, "not a command", "questions go to `loomctl ask`, place to `loomctl order`")
+	return nil, errorAt(s.Pos, "not a command", "questions go to `loomctl ask`, place to `loomctl order`")
 }
 
 func create(d *config.Document, c *Create, p lexer.Position) error {
 	if c.Class != "" {
 		if config.Find(d.Classes, c.Class) != nil {
-			return at(p, fmt.Sprintf("class %q is there already", c.Class), "use set class to change it")
+			return errorAt(p, fmt.Sprintf("class %q is there already", c.Class), "use set class to change it")
 		}
 		class := config.DefaultClass()
 		class.Name = c.Class
@@ -58,28 +57,28 @@
 		return nil
 	}
 	if config.Find(d.Services, c.Service) != nil {
-		return at(p, fmt.Sprintf("service %q is there already", c.Service), "drop it first or use another name")
+		return errorAt(p, fmt.Sprintf("service %q is there already", c.Service), "drop it first or use another name")
 	}
 	d.Services = append(d.Services, config.Service{Name: c.Service, KeySpace: c.KeySpace, MapRevision: 1})
 	return nil
 }
 
-func find[T config.Element](list []T, what, name string, p lexer.Position, remedy string) (*T, error) {
+func findElement[T config.Element](list []T, what, name string, p lexer.Position, remedy string) (*T, error) {
 	if v := config.Find(list, name); v != nil {
 		return v, nil
 	}
-	return nil, at(p, fmt.Sprintf("no %s %q", what, name), remedy)
+	return nil, errorAt(p, fmt.Sprintf("no %s %q", what, name), remedy)
 }
 
-func service(d *config.Document, name string, p lexer.Position) (*config.Service, error) {
-	return find(d.Services, "service", name, p, "create it first or correct the name")
+func findService(d *config.Document, name string, p lexer.Position) (*config.Service, error) {
+	return findElement(d.Services, "service", name, p, "create it first or correct the name")
 }
 
 func declare(d *config.Document, c *Declare, p lexer.Position) error {
 	switch {
 	case c.Upstream != nil:
 		u := c.Upstream
-		a, err := address(u.Address, p)
+		a, err := parseAddress(u.Address, p)
 		if err != nil {
 			return err
 		}
@@ -87,7 +86,7 @@
 		d.Upstreams = config.Put(d.Upstreams, v)
 		return nil
 	case c.Host != nil:
-		a, err := address(c.Host.Address, p)
+		a, err := parseAddress(c.Host.Address, p)
 		if err != nil {
 			return err
 		}
@@ -97,17 +96,17 @@
 	return declareShard(d, c.Shard, p)
 }
 
-func address(text string, p lexer.Position) (netip.AddrPort, error) {
+func parseAddress(text string, p lexer.Position) (netip.AddrPort, error) {
 	a, err := netip.ParseAddrPort(text)
 	if err != nil {
-		return a, at(p, fmt.Sprintf("bad address %q", text), "write an IP number and a port")
+		return a, errorAt(p, fmt.Sprintf("bad address %q", text), "write an IP number and a port")
 	}
 	return a, nil
 }
 
-// declareShard raises the map revision, since the map changes.
+// declareShard also increments the map revision, because the shards change.
 func declareShard(d *config.Document, c *DeclareShard, p lexer.Position) error {
-	s, err := service(d, c.Service, p)
+	s, err := findService(d, c.Service, p)
 	if err != nil {
 		return err
 	}
@@ -117,8 +116,8 @@
 	return nil
 }
 
-func mark(d *config.Document, m *Mark, p lexer.Position) error {
-	u, err := find(d.Upstreams, "upstream", m.Upstream, p, "declare it first or correct the name")
+func markUpstream(d *config.Document, m *Mark, p lexer.Position) error {
+	u, err := findElement(d.Upstreams, "upstream", m.Upstream, p, "declare it first or correct the name")
 	if err != nil {
 		return err
 	}
@@ -138,7 +137,7 @@
 	case "class":
 		dropped = config.Drop(&d.Classes, c.Name)
 	case "shard":
-		s, err := service(d, c.Service, p)
+		s, err := findService(d, c.Service, p)
 		if err != nil {
 			return err
 		}
@@ -146,30 +145,30 @@
 		s.MapRevision++
 	}
 	if !dropped {
-		return at(p, fmt.Sprintf("no %s %q", c.What, c.Name), "correct the name; `show` lists them")
+		return errorAt(p, fmt.Sprintf("no %s %q", c.What, c.Name), "correct the name; `show` lists them")
 	}
 	return nil
 }
 
 func set(d *config.Document, c *Set, p lexer.Position) error {
 	if c.Route != "" {
-		r, err := find(d.Routes, "route", c.Route, p, "correct the name; `show routes` lists them")
+		r, err := findElement(d.Routes, "route", c.Route, p, "correct the name; `show routes` lists them")
 		if err != nil {
 			return err
 		}
-		return settingsOfRoute(r).assign("route", c.Settings, p)
+		return routeSettings(r).assign("route", c.Settings, p)
 	}
-	class, err := find(d.Classes, "class", c.Class, p, "create it first or correct the name")
+	class, err := findElement(d.Classes, "class", c.Class, p, "create it first or correct the name")
 	if err != nil {
 		return err
 	}
-	return settingsOfClass(class).assign("class", c.Settings, p)
+	return classSettings(class).assign("class", c.Settings, p)
 }
 
-// settings are the settings that a command may change, each a pointer to its field.
+// settings maps the settings that a command may change to pointers to their fields.
 type settings map[string]any
 
-func settingsOfClass(c *config.Class) settings {
+func classSettings(c *config.Class) settings {
 	return settings{
 		"deadline": &c.Deadline, "maxdeadline": &c.MaxDeadline, "margin": &c.Margin, "patience": &c.Patience,
 		"coverage": &c.Coverage, "hedgequantile": &c.HedgeQuantile, "hedgebudget": &c.HedgeBudget,
@@ -178,7 +177,7 @@
 	}
 }
 
-func settingsOfRoute(r *config.Route) settings {
+func routeSettings(r *config.Route) settings {
 	s := settings{
 		"timelimit": &r.TimeLimit, "objective": &r.Objective, "priority": &r.Priority, "maxattempts": &r.MaxAttempts,
 	}
@@ -188,7 +187,7 @@
 	return s
 }
 
-// assign changes settings; what names the thing that has them.
+// assign changes settings; what is the kind of element that has them, for error messages.
 func (s settings) assign(what string, assignments []*Assignment, p lexer.Position) error {
 	for _, a := range assignments {
 		var err error
@@ -202,10 +201,10 @@
 		case *string:
 			*field = a.Value
 		default:
-			return at(p, fmt.Sprintf("unknown setting %q", a.Field), "docs/LANGUAGE.md lists the settings of a "+what)
+			return errorAt(p, fmt.Sprintf("unknown setting %q", a.Field), "docs/LANGUAGE.md lists the settings of a "+what)
 		}
 		if err != nil {
-			return at(p, fmt.Sprintf("bad value %q for %s", a.Value, a.Field), "write durations as 250ms, counts as whole numbers, shares as 0 to 1")
+			return errorAt(p, fmt.Sprintf("bad value %q for %s", a.Value, a.Field), "write durations as 250ms, counts as whole numbers, shares as 0 to 1")
 		}
 	}
 	return nil
@@ -236,10 +235,10 @@
 		}
 	case "routes":
 		for i := range d.Routes {
-			out = append(out, routeLine(&d.Routes[i]))
+			out = append(out, formatRoute(&d.Routes[i]))
 		}
 	case "shards":
-		s, err := service(d, c.Of, p)
+		s, err := findService(d, c.Of, p)
 		if err != nil {
 			return nil, err
 		}
@@ -250,7 +249,7 @@
 	return out, nil
 }
 
-func routeLine(r *config.Route) string {
+func formatRoute(r *config.Route) string {
 	line := fmt.Sprintf("%s %s%s to %s timelimit %s objective %s maxattempts %d priority %d", r.Name, r.HostName, r.Prefix,
 		strings.Join(r.Targets(), ", "), time.Duration(r.TimeLimit), time.Duration(r.Objective), r.MaxAttempts, r.Priority)
 	if r.Gather != nil {
--- a/tier/query/cover.go
+++ b/tier/query/cover.go
@@ -8,63 +8,64 @@
 	"loomgap/tier/config"
 )
 
-// Reason says why a part is missing.
+// Reason says why a part is missing from an answer.
 type Reason string
 
-// The reasons.
+// The reasons for a missing part.
 const (
 	// ReasonLate means that no upstream answered in time.
 	ReasonLate Reason = "Late"
 	// ReasonUnreachable means that the upstreams could not be reached, failed, or are
 	// not listed.
 	ReasonUnreachable Reason = "Unreachable"
-	// ReasonRefused means that the upstreams did not take the call.
+	// ReasonRefused means that the upstreams did not accept the call.
 	ReasonRefused Reason = "Refused"
 	// ReasonSnapshotGone means that the upstreams lack the snapshot.
 	ReasonSnapshotGone Reason = "SnapshotGone"
-	// ReasonMoved means that the upstreams have another shard map.
+	// ReasonMoved means that the upstreams use another shard map.
 	ReasonMoved Reason = "Moved"
-	// ReasonGarbage means that a reply was unreadable or not the call's own.
+	// ReasonGarbage means that a reply was malformed or did not belong to the call.
 	ReasonGarbage Reason = "Garbage"
 	// ReasonEvacuated means that the remaining upstreams are in evacuated data halls.
 	ReasonEvacuated Reason = "Evacuated"
-	// ReasonAway means that the remaining upstreams are in regions that are not home
-	// to the route.
+	// ReasonAway means that the remaining upstreams are outside the home regions of the
+	// route.
 	ReasonAway Reason = "Away"
-	// ReasonCold means that the remaining upstreams have not warmed up and can handle
-	// no further call.
+	// ReasonCold means that the remaining upstreams are still warming up and have no
+	// capacity for another call.
 	ReasonCold Reason = "Cold"
-	// ReasonSuspected means that the request is suspected of crashing upstreams, and
-	// the one upstream that was asked did not answer.
+	// ReasonSuspected means that the request is suspected of crashing upstreams, and the
+	// only upstream that was asked did not answer.
 	ReasonSuspected Reason = "Suspected"
 	// ReasonQuarantined means that the request is refused because it crashed upstreams.
 	ReasonQuarantined Reason = "Quarantined"
 )
 
-// Range is a half-open range of keys.
+// Range is a half-open key range.
 type Range struct {
 	From, To uint32
 }
 
-// Missing is a range that an answer lacks.
+// Missing is a key range that is missing from an answer.
 type Missing struct {
 	Shard string
 	Range
 	Reason Reason
 }
 
-// Coverage says which of the ranges asked for an answer includes. Included and
-// missing ranges together are exactly those asked for.
+// Coverage says which of the requested key ranges an answer includes. Included and
+// Missing together are exactly the requested ranges.
 type Coverage struct {
 	// Asked is the number of shards.
 	Asked int
-	// Included is in order of key; ranges that touch are joined.
+	// Included is sorted by key; adjacent ranges are joined.
 	Included []Range
-	// Missing is in order of key.
+	// Missing is sorted by key.
 	Missing []Missing
 }
 
-// NewCoverage computes the coverage: reasons holds the empty reason for an included shard.
+// NewCoverage computes the coverage of an answer. The reason of a shard is empty if the
+// answer includes it.
 func NewCoverage(shards []config.Shard, reasons []Reason) Coverage {
 	c := Coverage{Asked: len(shards)}
 	for i, s := range shards {
@@ -83,7 +84,8 @@
 	return c
 }
 
-// SelectShards returns the shards that a question concerns, in order of key.
+// SelectShards returns the shards with the given names, sorted by key, or all shards if
+// no names are given.
 func SelectShards(s *config.Service, names []string) ([]config.Shard, error) {
 	if len(names) == 0 {
 		return s.Shards, nil
@@ -92,7 +94,7 @@
 	for _, n := range names {
 		shard := config.Find(s.Shards, n)
 		if shard == nil {
-			return nil, at(start, fmt.Sprintf("service %s has no shard %q", s.Name, n), "`loomctl plan -Command 'show shards of "+s.Name+"'` lists them")
+			return nil, errorAt(startOfText, fmt.Sprintf("service %s has no shard %q", s.Name, n), "`loomctl plan -Command 'show shards of "+s.Name+"'` lists them")
 		}
 		out = append(out, *shard)
 	}
--- a/tier/query/golden_test.go
+++ b/tier/query/golden_test.go
@@ -64,7 +64,7 @@
 	var out strings.Builder
 	for _, text := range []string{
 		"", "find", "find A; find A", "place A key 1 set B = 1", "drop class A", "find A limit 0", "\n find A limit 1001", "find A limit x",
-		"find A where", strings.Repeat(" ", maxStatement+1), "find A ?", "find A limit 99999999999999999999", "find A limit 1000",
+		"find A where", strings.Repeat(" ", maxStatementBytes+1), "find A ?", "find A limit 99999999999999999999", "find A limit 1000",
 	} {
 		_, ask := ParseAsk(text)
 		_, place := ParsePlace(text)
--- a/tier/query/grammar.go
+++ b/tier/query/grammar.go
@@ -1,14 +1,14 @@
-// Package query holds the language of callers and operators, the merging of the
-// parts of an answer, and the coverage that an answer states.
+// Package query implements the query and command language, merges partial answers and
+// computes their coverage.
 //
-// It owns the grammar (grammar.go), the application of an operator's commands to a
-// document (apply.go), the merge of rows (merge.go) and the reasons for which a part
-// is missing (cover.go). It relies on package config for documents and keeps no
-// state. Callers begin with ParseAsk or ParsePlace, operators' tools with Parse and
-// Apply.
+// The grammar is in grammar.go, the execution of commands on a document in apply.go, the
+// merge of rows in merge.go and the coverage with the reasons for missing parts in
+// cover.go. The package keeps no state and uses package config for documents. Requests of
+// callers are parsed with ParseAsk or ParsePlace, commands of operators with Parse and
+// executed with Apply.
 //
-// The nodes of the syntax tree are exported because the parser's error messages name
-// them.
+// The nodes of the syntax tree are exported because the error messages of the parser
+// contain their names.
 package query
 
 import (
@@ -19,20 +19,18 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// Bounds of a statement.
 const (
-	// maxStatement is the largest text of statements, in bytes.
-	maxStatement = 16 << 10
-	// maxLimit is the most rows that a question may ask for.
-	maxLimit = 1000
-	// defaultLimit is the number of rows if a question names none.
-	defaultLimit = 20
+	maxStatementBytes = 16 << 10
+	// maxRowLimit is the largest limit of a find statement.
+	maxRowLimit = 1000
+	// defaultRowLimit is the limit of a find statement that sets none.
+	defaultRowLimit = 20
 )
 
-// ErrStatement is wrapped by every error of a statement.
+// ErrStatement is wrapped by every error in a statement.
 var ErrStatement = errors.New("invalid statement")
 
-// Error is a fault of a statement, with its place and the remedy.
+// Error is an error in a statement, with its position and a remedy.
 type Error struct {
 	Line, Column int
 	Problem      string
@@ -44,22 +42,22 @@
 	return fmt.Sprintf("line %d, column %d: %s; %s", e.Line, e.Column, e.Problem, e.Remedy)
 }
 
-// Unwrap gives ErrStatement.
+// Unwrap returns ErrStatement.
 func (e *Error) Unwrap() error { return ErrStatement }
 
-// start is the place of a fault that concerns the whole text.
-var start = lexer.Position{Line: 1, Column: 1}
+// startOfText is the position of errors that concern the whole text.
+var startOfText = lexer.Position{Line: 1, Column: 1}
 
-func at(p lexer.Position, problem, remedy string) error {
+func errorAt(p lexer.Position, problem, remedy string) error {
 	return &Error{Line: p.Line, Column: p.Column, Problem: problem, Remedy: remedy}
 }
 
-// Script is statements divided by semicolons.
+// Script is a list of statements, separated by semicolons.
 type Script struct {
 	Statements []*Statement `parser:"( @@ ( ';' @@ )* ';'? )?"`
 }
 
-// Statement is one question or command; exactly one field is set.
+// Statement is one query or command; exactly one field besides Pos is set.
 type Statement struct {
 	Pos     lexer.Position
 	Ask     *Ask     `parser:"  @@"`
@@ -72,7 +70,7 @@
 	Show    *Show    `parser:"| @@"`
 }
 
-// Ask is a repeatable question of the data.
+// Ask is a query, which is repeatable.
 type Ask struct {
 	Verb    string       `parser:"@( 'find' | 'count' )"`
 	Service string       `parser:"@Word"`
@@ -95,14 +93,14 @@
 	Order string `parser:"@( 'asc' | 'desc' )?"`
 }
 
-// Place is a not-repeatable request that writes one record.
+// Place is a request that writes one record; it must run at most once.
 type Place struct {
 	Service string        `parser:"'place' @Word"`
 	Key     uint32        `parser:"'key' @Number"`
 	Fields  []*Assignment `parser:"'set' @@ ( ',' @@ )*"`
 }
 
-// Assignment gives a field a value.
+// Assignment sets a field or setting to a value.
 type Assignment struct {
 	Field string `parser:"@Word '='"`
 	Value string `parser:"@( Text | Duration | Number | Word )"`
@@ -138,7 +136,7 @@
 	Hall    string `parser:"'hall' @Word"`
 }
 
-// DeclareShard describes a range of keys and its replicas.
+// DeclareShard describes a key range and its replicas.
 type DeclareShard struct {
 	Name     string   `parser:"@Word"`
 	Service  string   `parser:"'of' @Word"`
@@ -154,20 +152,20 @@
 	Settings []*Assignment `parser:"@@ ( ',' @@ )*"`
 }
 
-// Mark tells that an upstream leaves or returns.
+// Mark marks an upstream as leaving or as returned.
 type Mark struct {
 	Verb     string `parser:"@( 'leave' | 'return' )"`
 	Upstream string `parser:"'upstream' @Word"`
 }
 
-// Drop removes a part of the document.
+// Drop removes an element from the document.
 type Drop struct {
 	What    string `parser:"'drop' @( 'service' | 'upstream' | 'host' | 'class' | 'shard' )"`
 	Name    string `parser:"@Word"`
 	Service string `parser:"( 'of' @Word )?"`
 }
 
-// Show prints a part of the document.
+// Show lists elements of the document.
 type Show struct {
 	What string `parser:"'show' @( 'services' | 'upstreams' | 'hosts' | 'classes' | 'shards' | 'groups' | 'routes' )"`
 	Of   string `parser:"( 'of' @Word )?"`
@@ -191,10 +189,10 @@
 	participle.UseLookahead(2),
 )
 
-// Parse reads statements.
+// Parse parses a list of statements.
 func Parse(text string) ([]*Statement, error) {
-	if len(text) > maxStatement {
-		return nil, at(start, fmt.Sprintf("%d bytes", len(text)), fmt.Sprintf("keep it within %d bytes", maxStatement))
+	if len(text) > maxStatementBytes {
+		return nil, errorAt(startOfText, fmt.Sprintf("%d bytes", len(text)), fmt.Sprintf("keep it within %d bytes", maxStatementBytes))
 	}
 	script, err := parser.ParseString("", text)
 	if err != nil {
@@ -206,34 +204,34 @@
 func parseError(err error) error {
 	fault, ok := errors.AsType[participle.Error](err)
 	if !ok {
-		return at(start, err.Error(), "see docs/LANGUAGE.md")
+		return errorAt(startOfText, err.Error(), "see docs/LANGUAGE.md")
 	}
-	return at(fault.Position(), fault.Message(), "correct the text at this place; docs/LANGUAGE.md has the grammar")
+	return errorAt(fault.Position(), fault.Message(), "correct the text at this place; docs/LANGUAGE.md has the grammar")
 }
 
-// ParseAsk reads exactly one find or count statement.
+// ParseAsk parses exactly one find or count statement.
 func ParseAsk(text string) (*Ask, error) {
 	s, err := parseOne(text)
 	if err != nil {
 		return nil, err
 	}
 	if s.Ask == nil {
-		return nil, at(s.Pos, "not a question", "use find or count; commands go to `loomctl plan`, place to `loomctl order`")
+		return nil, errorAt(s.Pos, "not a question", "use find or count; commands go to `loomctl plan`, place to `loomctl order`")
 	}
-	if limit := s.Ask.Limit; limit != nil && (*limit < 1 || *limit > maxLimit) {
-		return nil, at(s.Pos, fmt.Sprintf("limit %d", *limit), fmt.Sprintf("use 1 to %d", maxLimit))
+	if limit := s.Ask.Limit; limit != nil && (*limit < 1 || *limit > maxRowLimit) {
+		return nil, errorAt(s.Pos, fmt.Sprintf("limit %d", *limit), fmt.Sprintf("use 1 to %d", maxRowLimit))
 	}
 	return s.Ask, nil
 }
 
-// ParsePlace reads exactly one place statement.
+// ParsePlace parses exactly one place statement.
 func ParsePlace(text string) (*Place, error) {
 	s, err := parseOne(text)
 	if err != nil {
 		return nil, err
 	}
 	if s.Place == nil {
-		return nil, at(s.Pos, "not a place statement", "use place; questions go to `loomctl ask`")
+		return nil, errorAt(s.Pos, "not a place statement", "use place; questions go to `loomctl ask`")
 	}
 	return s.Place, nil
 }
@@ -244,17 +242,17 @@
 		return nil, err
 	}
 	if len(all) != 1 {
-		return nil, at(start, fmt.Sprintf("%d statements", len(all)), "send exactly one")
+		return nil, errorAt(startOfText, fmt.Sprintf("%d statements", len(all)), "send exactly one")
 	}
 	return all[0], nil
 }
 
-func (a *Ask) maxRows() int {
+func (a *Ask) rowLimit() int {
 	switch {
 	case a.Verb == "count":
 		return 0
 	case a.Limit == nil:
-		return defaultLimit
+		return defaultRowLimit
 	}
 	return *a.Limit
 }
--- a/tier/query/merge.go
+++ b/tier/query/merge.go
@@ -6,19 +6,19 @@
 	"strconv"
 )
 
-// Field is one named value of a row.
+// Field is a named value of a row.
 type Field struct {
 	Name  string
 	Value string
 }
 
-// Row is one record as an upstream gave it.
+// Row is a record as an upstream returned it.
 type Row struct {
 	Key    string
 	Fields []Field
 }
 
-// Value finds a field of a row; empty if there is none.
+// Value returns the value of a field, or an empty string if there is none.
 func (r *Row) Value(name string) string {
 	for i := range r.Fields {
 		if r.Fields[i].Name == name {
@@ -28,7 +28,7 @@
 	return ""
 }
 
-// Question is what an upstream is asked for one shard.
+// Question is the query that is sent to an upstream for one shard.
 type Question struct {
 	Verb       string
 	Where      []Condition `json:",omitempty"`
@@ -37,9 +37,9 @@
 	Limit      int         `json:",omitempty"`
 }
 
-// Question returns the part of a statement that each shard answers.
+// Question returns the part of a statement that each shard evaluates.
 func (a *Ask) Question() Question {
-	q := Question{Verb: a.Verb, Limit: a.maxRows()}
+	q := Question{Verb: a.Verb, Limit: a.rowLimit()}
 	for _, c := range a.Where {
 		q.Where = append(q.Where, *c)
 	}
@@ -49,7 +49,7 @@
 	return q
 }
 
-// Matches reports whether a row meets every condition.
+// Matches reports whether a row meets all conditions.
 func (q *Question) Matches(r *Row) bool {
 	return !slices.ContainsFunc(q.Where, func(c Condition) bool { return !c.holds(r.Value(c.Field)) })
 }
@@ -72,7 +72,7 @@
 	}
 }
 
-// compareValues orders two values: as numbers if both are, else as text.
+// compareValues compares two values as numbers if both are numbers, otherwise as text.
 func compareValues(a, b string) int {
 	x, errA := strconv.ParseFloat(a, 64)
 	y, errB := strconv.ParseFloat(b, 64)
@@ -82,38 +82,38 @@
 	return cmp.Compare(a, b)
 }
 
-// Merger joins the parts of one answer. It holds at most twice the rows that the
-// answer may have, and one part. It is not safe for concurrent use.
+// Merger merges the parts of an answer. It holds at most twice the limit of rows plus one
+// part. It is not safe for concurrent use.
 type Merger struct {
 	question Question
 	count    uint64
 	rows     []Row
 }
 
-// NewMerger makes a merger for a question.
+// NewMerger returns a merger for a question.
 func NewMerger(q Question) *Merger { return &Merger{question: q} }
 
-// Add takes one part in.
+// Add adds one part.
 func (m *Merger) Add(count uint64, rows []Row) {
 	m.count += count
 	m.rows = append(m.rows, rows...)
 	if len(m.rows) > 2*m.question.Limit {
-		m.cut()
+		m.sortAndTruncate()
 	}
 }
 
-// Result returns the count and the rows in order.
+// Result returns the number of matching records and the rows in order.
 func (m *Merger) Result() (uint64, []Row) {
-	m.cut()
+	m.sortAndTruncate()
 	return m.count, m.rows
 }
 
-func (m *Merger) cut() {
+func (m *Merger) sortAndTruncate() {
 	slices.SortFunc(m.rows, m.question.Compare)
 	m.rows = m.rows[:min(len(m.rows), m.question.Limit)]
 }
 
-// Compare orders rows by the question's field, ties by key.
+// Compare orders rows by the field of the question, then by key.
 func (q *Question) Compare(a, b Row) int {
 	order := 0
 	if q.SortBy != "" {
