--- a/tier/config/bench_test.go
+++ b/tier/config/bench_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// large makes a document with as many shards as upstreams.
-func large(b *testing.B, hosts, upstreams int) []byte {
+// largeDocument returns a document with as many shards as upstreams.
+func largeDocument(b *testing.B, hosts, upstreams int) []byte {
 	b.Helper()
 	d := &Document{Classes: []Class{DefaultClass()}}
 	d.Classes[0].Name = "Search"
@@ -33,11 +33,11 @@
 	return text
 }
 
-// BenchmarkAccept is what one change of configuration costs a host.
+// BenchmarkAccept measures what a host does for one change of the document.
 func BenchmarkAccept(b *testing.B) {
 	for _, n := range []int{340, 1700, 3400} {
 		b.Run(fmt.Sprintf("upstreams=%d", n), func(b *testing.B) {
-			text := large(b, n/5, n)
+			text := largeDocument(b, n/5, n)
 			b.ReportAllocs()
 			b.ReportMetric(float64(len(text)), "document-bytes")
 			for b.Loop() {
@@ -48,9 +48,9 @@
 	}
 }
 
-// BenchmarkWholeDirectory is the size of a whole directory of 3,400 upstreams as one host
-// sends it to another, compressed: as it was before positions had eras, once each entry
-// names its era and its upstream's count, and while its era is not settled.
+// BenchmarkWholeDirectory reports the compressed size of a complete directory as one host
+// sends it to another: without eras, with eras and report numbers, and while the era is
+// not settled.
 func BenchmarkWholeDirectory(b *testing.B) {
 	for _, form := range []string{"no era", "era and count", "copied"} {
 		b.Run(form, func(b *testing.B) {
--- a/tier/config/config_test.go
+++ b/tier/config/config_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// good is a document with one of everything.
-func good(t testing.TB) []byte {
+// validDocument returns a document with one element of each kind.
+func validDocument(t testing.TB) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "good.json"))
 	assert.NilError(t, err)
@@ -20,7 +20,7 @@
 }
 
 func TestAcceptGivesDefaultsAndLooksUp(t *testing.T) {
-	x, err := Accept(good(t), Edition{Position: Position{Revision: 1}})
+	x, err := Accept(validDocument(t), Edition{Position: Position{Revision: 1}})
 	assert.NilError(t, err)
 	assert.Equal(t, x.Class("Search").MaxDeadline, DefaultClass().MaxDeadline)
 	assert.Equal(t, x.Upstream("U2").Slots, 2)
@@ -33,7 +33,7 @@
 }
 
 func TestEncodedDocumentReadsBackTheSame(t *testing.T) {
-	d, err := Decode(good(t))
+	d, err := Decode(validDocument(t))
 	assert.NilError(t, err)
 	text, err := Encode(d)
 	assert.NilError(t, err)
@@ -72,7 +72,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			d, err := Decode(good(t))
+			d, err := Decode(validDocument(t))
 			assert.NilError(t, err)
 			tt.change(d)
 			err = Check(d, 1)
@@ -87,7 +87,7 @@
 }
 
 func FuzzAccept(f *testing.F) {
-	f.Add(good(f))
+	f.Add(validDocument(f))
 	f.Add([]byte(`{"Based": 0, "Classes": [{"Name": "A", "Deadline": "9999999h"}]}`))
 	f.Add([]byte(`{"Services": [{"Shards": [{"From": -1}]}]}`))
 	f.Add([]byte("\xff{"))
@@ -102,8 +102,8 @@
 	})
 }
 
-// TestMain fixes the seed of rapid, so that every run has the same verdict;
-// -rapid.seed explores others.
+// TestMain fixes the seed of rapid, so that every run draws the same cases; -rapid.seed
+// overrides it.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
--- a/tier/config/directory_cost_test.go
+++ b/tier/config/directory_cost_test.go
@@ -10,34 +10,34 @@
 	"pgregory.net/rapid"
 )
 
-// manyListed is a directory of so many upstreams in groups of 12.
-func manyListed(upstreams int) *Directory {
+// newDirectory returns a directory of the given number of upstreams in groups of 12.
+func newDirectory(upstreams int) *Directory {
 	change := DirectoryChange{Revision: 1, Whole: true}
 	for i := range upstreams {
-		change.Listed = append(change.Listed, listingOf(i, 1))
+		change.Listed = append(change.Listed, newListing(i, 1))
 	}
 	d, _ := (*Directory)(nil).With(&change)
 	return d
 }
 
-func listingOf(i int, revision uint64) Listing {
+func newListing(i int, revision uint64) Listing {
 	return Listing{
 		Name: fmt.Sprintf("i-%08x", i*2654435761%(1<<32)), Group: fmt.Sprintf("shard-%d", i/12), Hall: fmt.Sprintf("hall-%d", i%6),
 		Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 8104), Slots: 3, Revision: revision, Sequence: revision,
 	}
 }
 
-// BenchmarkOneListing is the cost of a change of one upstream, and of telling what
-// changed, by the number of upstreams listed.
+// BenchmarkOneListing measures a change of one upstream and the comparison with the
+// directory before, by the number of upstreams listed.
 func BenchmarkOneListing(b *testing.B) {
 	for _, upstreams := range []int{545, 5448, 54_480} {
 		b.Run(fmt.Sprintf("upstreams=%d", upstreams), func(b *testing.B) {
-			d := manyListed(upstreams)
+			d := newDirectory(upstreams)
 			revision, i := uint64(1), 0
 			for b.Loop() {
 				revision++
 				i = (i + 7) % upstreams
-				next, _ := d.With(&DirectoryChange{Revision: revision, Listed: []Listing{listingOf(i, revision)}})
+				next, _ := d.With(&DirectoryChange{Revision: revision, Listed: []Listing{newListing(i, revision)}})
 				next.Since(d)
 				d = next
 			}
@@ -45,17 +45,17 @@
 	}
 }
 
-// TestOneListingCostsWhatChanged compares the memory that a change of one upstream takes
-// in directories ten times apart: a copy of all would take ten times as much.
+// TestOneListingCostsWhatChanged guards against copies of the whole directory: a change
+// of one upstream must not allocate in proportion to the number of upstreams.
 func TestOneListingCostsWhatChanged(t *testing.T) {
 	const changes = 200
 	cost := func(upstreams int) uint64 {
-		d := manyListed(upstreams)
+		d := newDirectory(upstreams)
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		for i := range changes {
 			revision := uint64(i + 2)
-			next, _ := d.With(&DirectoryChange{Revision: revision, Listed: []Listing{listingOf(i*7%upstreams, revision)}})
+			next, _ := d.With(&DirectoryChange{Revision: revision, Listed: []Listing{newListing(i*7%upstreams, revision)}})
 			assert.Equal(t, len(next.Since(d).Listed), 1)
 			d = next
 		}
@@ -67,8 +67,8 @@
 	assert.Assert(t, large < 2*small, "%d bytes of 1,000 upstreams, %d of 10,000", small, large)
 }
 
-// TestSinceKnowsWhatWasTouched draws edits and compares what changed since any earlier
-// directory with what a comparison of all upstreams finds.
+// TestSinceKnowsWhatWasTouched compares what Since returns with the help of the edit
+// history with what it returns from a comparison of all upstreams.
 func TestSinceKnowsWhatWasTouched(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d, _ := (*Directory)(nil).With(&DirectoryChange{Revision: 1})
@@ -86,8 +86,8 @@
 			all = append(all, d)
 		}
 		old := *rapid.SampledFrom(all).Draw(t, "old")
-		touched := d.Since(&old)
+		incremental := d.Since(&old)
 		old.history = history{}
-		assert.Equal(t, fmt.Sprint(touched), fmt.Sprint(d.Since(&old)))
+		assert.Equal(t, fmt.Sprint(incremental), fmt.Sprint(d.Since(&old)))
 	})
 }
--- a/tier/config/directory_test.go
+++ b/tier/config/directory_test.go
@@ -11,9 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestDirectoryTakesChangesInAnyOrder draws a history of listings and removals,
-// and hands it over out of order, twice and with whole listings between: what
-// is known at the end is the same.
+// TestDirectoryTakesChangesInAnyOrder applies listings, removals and complete listings
+// out of order and twice; the resulting directory must be the same.
 func TestDirectoryTakesChangesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var inOrder *Directory
@@ -34,7 +33,7 @@
 				history = append(history, whole)
 			}
 		}
-		mixed := inAnyOrder(t, history)
+		mixed := applyShuffled(t, history)
 		assert.Equal(t, mixed.Digest(), inOrder.Digest())
 		assert.Equal(t, mixed.Revision, inOrder.Revision)
 	})
@@ -48,12 +47,12 @@
 	return out
 }
 
-// TestDirectoryForgetsOldRemovals holds what is remembered of removed upstreams to a bound
-// that grows with what was listed.
+// TestDirectoryForgetsOldRemovals checks the bound of the number of removals kept, which
+// grows with the number of upstreams listed.
 func TestDirectoryForgetsOldRemovals(t *testing.T) {
 	for _, listed := range []int{0, 2000} {
 		bound := max(minRemovalsKept, removalsKeptPerUpstream*listed)
-		d := manyListed(listed)
+		d := newDirectory(listed)
 		for i := range 3 * bound {
 			d, _ = d.With(&DirectoryChange{Revision: uint64(i + 2), Removed: []Removal{{Name: fmt.Sprint("U", i), Revision: uint64(i + 2)}}})
 		}
@@ -65,27 +64,26 @@
 	}
 }
 
-// TestRemovalsOfManyUpstreamsHold removes all upstreams of a directory twice as large as
-// the largest deployment, and lists as many others, one by one beside it. Then late
-// entries of the removed ones come: none is listed again.
+// TestRemovalsOfManyUpstreamsHold replaces all upstreams of a large directory one by one.
+// Late entries of the removed upstreams must not list them again.
 func TestRemovalsOfManyUpstreamsHold(t *testing.T) {
 	const upstreams = 2 * 5448
-	d := manyListed(upstreams)
+	d := newDirectory(upstreams)
 	revision := uint64(1)
 	for i := range upstreams {
 		revision += 2
-		old, next := listingOf(i, 1), listingOf(upstreams+i, revision)
+		old, next := newListing(i, 1), newListing(upstreams+i, revision)
 		d, _ = d.With(&DirectoryChange{Revision: revision, Listed: []Listing{next}, Removed: []Removal{{Name: old.Name, Revision: revision - 1}}})
 	}
 	for i := range upstreams {
-		d, _ = d.With(&DirectoryChange{Revision: 1, Listed: []Listing{listingOf(i, 1)}})
-		_, listed := d.Find(listingOf(i, 1).Name)
+		d, _ = d.With(&DirectoryChange{Revision: 1, Listed: []Listing{newListing(i, 1)}})
+		_, listed := d.Find(newListing(i, 1).Name)
 		assert.Assert(t, !listed, "upstream %d of %d is back", i, upstreams)
 	}
 	assert.Equal(t, d.Size(), upstreams)
 }
 
-// routesDoc is a valid document of routes.
+// routesDoc returns a valid document with routes.
 func routesDoc() *Document {
 	ms := Duration(1e6)
 	return &Document{
@@ -183,15 +181,15 @@
 	assert.Equal(t, len(again.Routes), 3)
 }
 
-func TestDecodeRefusesWhatIsNoObject(t *testing.T) {
+func TestDecodeRefusesNonObjects(t *testing.T) {
 	for _, text := range []string{"null", "[]", "1", `"x"`, "true"} {
 		_, err := Decode([]byte(text))
 		assert.ErrorIs(t, err, ErrInvalid, text)
 	}
 }
 
-// inAnyOrder applies each change twice, in any order.
-func inAnyOrder(t *rapid.T, history []DirectoryChange) *Directory {
+// applyShuffled applies each change twice, in random order.
+func applyShuffled(t *rapid.T, history []DirectoryChange) *Directory {
 	var mixed *Directory
 	for _, i := range rapid.Permutation(append(indexes(len(history)), indexes(len(history))...)).Draw(t, "order") {
 		before := mixed
--- a/tier/config/evacuation_test.go
+++ b/tier/config/evacuation_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestEvacuationsInAnyOrder draws a history of evacuations and their ends, and hands
-// it over out of order, twice and with whole directories between: the halls that are
-// evacuated at the end are the same, and one that was taken back never is again.
+// TestEvacuationsInAnyOrder applies evacuations, their ends and complete directories out
+// of order and twice. The resulting evacuated halls must be the same, and an evacuation
+// that has ended must not come back.
 func TestEvacuationsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var inOrder *Directory
@@ -31,7 +31,7 @@
 				history = append(history, whole)
 			}
 		}
-		mixed := inAnyOrder(t, history)
+		mixed := applyShuffled(t, history)
 		assert.DeepEqual(t, mixed.EvacuatedHalls(), inOrder.EvacuatedHalls())
 		assert.Equal(t, mixed.Digest(), inOrder.Digest())
 		var late *Directory
--- a/tier/config/golden_test.go
+++ b/tier/config/golden_test.go
@@ -14,10 +14,10 @@
 	"gotest.tools/v3/golden"
 )
 
-// whole is a valid document with two of everything that it can hold.
-func whole(t *testing.T) *Document {
+// fullDocument returns a valid document with two elements of most kinds.
+func fullDocument(t *testing.T) *Document {
 	t.Helper()
-	d, err := Decode(good(t))
+	d, err := Decode(validDocument(t))
 	assert.NilError(t, err)
 	d.Classes = append(d.Classes, DefaultClass())
 	d.Classes[1].Name = "Second"
@@ -43,7 +43,7 @@
 
 func TestEncodedDocumentsKeepTheirForm(t *testing.T) {
 	var out strings.Builder
-	for _, d := range []*Document{{}, whole(t), {Limits: Limits{Body: 1}}, {Groups: []Group{{Name: "A"}}}} {
+	for _, d := range []*Document{{}, fullDocument(t), {Limits: Limits{Body: 1}}, {Groups: []Group{{Name: "A"}}}} {
 		assert.Assert(t, d.Based == 0)
 		text, err := Encode(d)
 		assert.NilError(t, err)
@@ -52,7 +52,7 @@
 	golden.Assert(t, out.String(), "documents.golden")
 }
 
-// TestFaultsKeepTheirText breaks a document in each way that Check finds.
+// TestFaultsKeepTheirText checks the text of each error of Check.
 func TestFaultsKeepTheirText(t *testing.T) {
 	changes := []func(d *Document){
 		func(d *Document) { d.Based = 3 },
@@ -117,17 +117,17 @@
 		func(d *Document) { d.Routes[1].Prefix = "/a/" },
 	}
 	var out strings.Builder
-	assert.NilError(t, Check(whole(t), 1))
+	assert.NilError(t, Check(fullDocument(t), 1))
 	for _, change := range changes {
-		d := whole(t)
+		d := fullDocument(t)
 		change(d)
 		fmt.Fprintln(&out, Check(d, 1))
 	}
 	golden.Assert(t, out.String(), "faults.golden")
 }
 
-// TestSyntaxFaultsKeepTheirText leaves out the problem where the JSON library words it,
-// since that differs from one process to another.
+// TestSyntaxFaultsKeepTheirText omits problem texts of the JSON library, which differ
+// from one process to another.
 func TestSyntaxFaultsKeepTheirText(t *testing.T) {
 	var out strings.Builder
 	for _, text := range []string{
@@ -147,7 +147,7 @@
 	golden.Assert(t, out.String(), "syntax.golden")
 }
 
-// encoded is a value as encoding/json writes it, as hosts send it.
+// encoded returns a value in the encoding that hosts send.
 func encoded(t *testing.T, v any) string {
 	t.Helper()
 	text, err := json.Marshal(v)
--- a/tier/config/listing_test.go
+++ b/tier/config/listing_test.go
@@ -6,9 +6,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestWarmupIsAChangeBySteps has the heartbeats of a cold upstream change the list
-// only when its warm-up is shorter or longer by a step.
-func TestWarmupIsAChangeBySteps(t *testing.T) {
+// TestWarmupChangesInSteps checks that a heartbeat of a cold upstream changes the
+// directory only if its remaining warm-up differs by a step.
+func TestWarmupChangesInSteps(t *testing.T) {
 	var d *Directory
 	steps := []struct {
 		warmup Duration
--- a/tier/config/position_test.go
+++ b/tier/config/position_test.go
@@ -57,14 +57,14 @@
 	}
 }
 
-// listing returns what an upstream reported, its address telling which report it was.
+// listing returns a report of an upstream; its slots are the number of the report.
 func listing(name string, p Position, sequence uint64, copied bool) Listing {
 	return Listing{Name: name, Group: "G", Slots: int(sequence), Era: p.Era, Revision: p.Revision, Sequence: sequence, Copied: copied}
 }
 
-// TestCopiedEntriesGiveWayUntilTheirEraIsSettled has a directory of the era before meet
-// what a store holds that came back from a copy. Each case gives what is known, what the
-// copy holds, and what is listed before and after the era is settled.
+// TestCopiedEntriesGiveWayUntilTheirEraIsSettled applies a complete listing from a
+// restored store to a directory of the previous era, and checks the result before and
+// after the era is settled.
 func TestCopiedEntriesGiveWayUntilTheirEraIsSettled(t *testing.T) {
 	known := func(c DirectoryChange) *Directory {
 		c.Era, c.Revision = 1, 58
@@ -97,8 +97,8 @@
 			d, _ := known(tt.known).With(&whole)
 			assert.Equal(t, slots(d), tt.before)
 			assert.Assert(t, d.Unsettled())
-			// In the other order: a host that read the copy first, and then meets one
-			// that knows the era before.
+			// The reverse order: a host reads the copy first and then hears from a host that
+			// knows the previous era.
 			late, _ := (*Directory)(nil).With(&whole)
 			old := known(tt.known).Whole()
 			late, _ = late.With(&old)
@@ -115,8 +115,8 @@
 	}
 }
 
-// TestSettlingSendsOnlyWhatChanged has a copy hold what was known, and one upstream that
-// reported since: hosts are sent the latter alone.
+// TestSettlingSendsOnlyWhatChanged checks that settling an era does not send entries
+// again that the restored copy left unchanged.
 func TestSettlingSendsOnlyWhatChanged(t *testing.T) {
 	d, _ := (*Directory)(nil).With(&DirectoryChange{Era: 1, Revision: 58, Listed: []Listing{listing("U", at(1, 40), 5, false), listing("V", at(1, 41), 5, false)}})
 	settled, _ := d.With(&DirectoryChange{
@@ -130,8 +130,8 @@
 	assert.Equal(t, other.Size(), 1)
 }
 
-// TestChangesOfALaterEraCountAtOnce has what is written after the return arrive at
-// revisions that were given out before.
+// TestChangesOfALaterEraCountAtOnce checks that writes after a restore take effect
+// although their revisions were already used in the previous era.
 func TestChangesOfALaterEraCountAtOnce(t *testing.T) {
 	d, _ := (*Directory)(nil).With(&DirectoryChange{
 		Era: 1, Revision: 58, Listed: []Listing{listing("U", at(1, 57), 7, false)}, Removed: []Removal{{Name: "V", Era: 1, Revision: 50, Sequence: 3}},
@@ -160,8 +160,8 @@
 	assert.DeepEqual(t, d.EvacuatedHalls(), []string{"Ended"})
 }
 
-// TestHostsThatNameNoEra has a host of the version before take part: what it tells is
-// ordered by its revision, as before, and once an era is settled it is known of before.
+// TestHostsThatNameNoEra checks that entries without an era are ordered by their
+// revisions until an era is settled, and belong to the time before it from then on.
 func TestHostsThatNameNoEra(t *testing.T) {
 	d, _ := (*Directory)(nil).With(&DirectoryChange{Revision: 58, Listed: []Listing{listing("U", at(0, 57), 0, false), listing("V", at(0, 50), 0, false)}})
 	d, _ = d.With(&DirectoryChange{Era: 1, Revision: 58, Whole: true, Listed: []Listing{listing("U", at(1, 57), 7, true), listing("V", at(1, 50), 3, true)}})
@@ -176,75 +176,76 @@
 	assert.Equal(t, d.Size(), 1)
 }
 
-// world is a store with its history, and what its upstreams truly are.
-type world struct {
+// fakeStore is a store with its copies and changes, and the report counts of its
+// upstreams.
+type fakeStore struct {
 	era, revision uint64
 	entries       map[string]Listing
 	counts        map[string]uint64
-	copies        []worldCopy
+	copies        []storeCopy
 	changes       []DirectoryChange
 }
 
-type worldCopy struct {
+type storeCopy struct {
 	revision uint64
 	entries  map[string]Listing
 }
 
-func (w *world) write(name string, live bool) {
-	w.revision++
-	c := DirectoryChange{Era: w.era, Revision: w.revision}
+func (s *fakeStore) write(name string, live bool) {
+	s.revision++
+	c := DirectoryChange{Era: s.era, Revision: s.revision}
 	if live {
-		w.counts[name]++
-		l := listing(name, at(w.era, w.revision), w.counts[name], false)
-		w.entries[name] = l
+		s.counts[name]++
+		l := listing(name, at(s.era, s.revision), s.counts[name], false)
+		s.entries[name] = l
 		c.Listed = []Listing{l}
 	} else {
-		delete(w.entries, name)
-		c.Removed = []Removal{{Name: name, Era: w.era, Revision: w.revision}}
+		delete(s.entries, name)
+		c.Removed = []Removal{{Name: name, Era: s.era, Revision: s.revision}}
 	}
-	w.changes = append(w.changes, c)
+	s.changes = append(s.changes, c)
 }
 
-func (w *world) keep() {
+func (s *fakeStore) saveCopy() {
 	entries := map[string]Listing{}
-	for n, l := range w.entries {
+	for n, l := range s.entries {
 		entries[n] = l
 	}
-	w.copies = append(w.copies, worldCopy{w.revision, entries})
+	s.copies = append(s.copies, storeCopy{s.revision, entries})
 }
 
-func (w *world) restore(c worldCopy) {
-	w.era++
-	w.revision, w.entries = c.revision, map[string]Listing{}
+func (s *fakeStore) restore(c storeCopy) {
+	s.era++
+	s.revision, s.entries = c.revision, map[string]Listing{}
 	for n, l := range c.entries {
-		l.Era = w.era
-		w.entries[n] = l
+		l.Era = s.era
+		s.entries[n] = l
 	}
 }
 
-// whole reads everything; settled tells whether the era is.
-func (w *world) whole(settled bool) DirectoryChange {
-	c := DirectoryChange{Era: w.era, Revision: w.revision, Whole: true, Listed: []Listing{}}
-	for _, l := range w.entries {
+// readAll returns a complete listing; settled says whether its era is settled.
+func (s *fakeStore) readAll(settled bool) DirectoryChange {
+	c := DirectoryChange{Era: s.era, Revision: s.revision, Whole: true, Listed: []Listing{}}
+	for _, l := range s.entries {
 		c.Listed = append(c.Listed, l)
 	}
 	if settled {
-		c.Settled = w.era
+		c.Settled = s.era
 	} else {
 		c.MarkCopied()
 	}
 	return c
 }
 
-// TestHostsAgreeAfterReturns draws a store that comes back from copies, a host that reads
-// it, and hosts that hear of it late, twice, out of order and from one another. While an
-// era is unsettled, no upstream that stays listed goes back to an older report; once it
-// is settled, all hosts list what the store holds.
+// TestHostsAgreeAfterReturns simulates a store that is restored from copies, a host that
+// reads it, and hosts that receive the changes late, twice, out of order and from one
+// another. While an era is not settled, no listed upstream may go back to an older
+// report; once it is settled, all hosts must list what the store holds.
 func TestHostsAgreeAfterReturns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{era: 1, revision: 1, entries: map[string]Listing{}, counts: map[string]uint64{}}
+		s := &fakeStore{era: 1, revision: 1, entries: map[string]Listing{}, counts: map[string]uint64{}}
 		hosts := make([]*Directory, 3)
-		hear := func(i int, c DirectoryChange) {
+		receive := func(i int, c DirectoryChange) {
 			before := hosts[i]
 			hosts[i], _ = before.With(&c)
 			if c.Settled == c.Era {
@@ -257,45 +258,45 @@
 			}
 		}
 		write := func() {
-			w.write(fmt.Sprint("U", rapid.IntRange(0, 3).Draw(t, "name")), rapid.Bool().Draw(t, "live"))
+			s.write(fmt.Sprint("U", rapid.IntRange(0, 3).Draw(t, "name")), rapid.Bool().Draw(t, "live"))
 		}
-		w.keep()
+		s.saveCopy()
 		for i := range hosts {
-			hear(i, w.whole(false))
+			receive(i, s.readAll(false))
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			other := rapid.IntRange(1, len(hosts)-1).Draw(t, "host")
 			switch rapid.IntRange(0, 7).Draw(t, "step") {
 			case 0, 1, 2:
 				write()
-				hear(0, w.changes[len(w.changes)-1])
+				receive(0, s.changes[len(s.changes)-1])
 			case 3:
-				w.keep()
+				s.saveCopy()
 			case 4:
-				w.restore(rapid.SampledFrom(w.copies).Draw(t, "copy"))
+				s.restore(rapid.SampledFrom(s.copies).Draw(t, "copy"))
 				for range rapid.IntRange(0, 3).Draw(t, "writes before it is read") {
 					write()
 				}
-				hear(0, w.whole(false))
+				receive(0, s.readAll(false))
 			case 5:
-				hear(other, hosts[0].Whole())
+				receive(other, hosts[0].Whole())
 			case 6:
 				if hosts[other].Era != hosts[0].Era {
-					hear(0, hosts[other].Whole())
+					receive(0, hosts[other].Whole())
 				}
 			case 7:
-				if len(w.changes) > 0 {
-					hear(other, rapid.SampledFrom(w.changes).Draw(t, "late"))
+				if len(s.changes) > 0 {
+					receive(other, rapid.SampledFrom(s.changes).Draw(t, "late"))
 				}
 			}
 		}
-		hear(0, w.whole(true))
-		hear(1, hosts[0].Whole())
-		hear(2, hosts[1].Whole())
+		receive(0, s.readAll(true))
+		receive(1, hosts[0].Whole())
+		receive(2, hosts[1].Whole())
 		for i, h := range hosts {
 			assert.Equal(t, h.Digest(), hosts[0].Digest(), "host %d", i)
-			assert.Equal(t, h.Size(), len(w.entries), "host %d: %+v, store %+v", i, h, w.entries)
-			for n, l := range w.entries {
+			assert.Equal(t, h.Size(), len(s.entries), "host %d: %+v, store %+v", i, h, s.entries)
+			for n, l := range s.entries {
 				now, _ := h.Find(n)
 				assert.Equal(t, now.Slots, l.Slots, n)
 			}
@@ -303,21 +304,20 @@
 	})
 }
 
-// returnCase is something that a host knows and something that it reads from a store that
-// came back from a copy.
-type returnCase struct {
+// restoreCase is an entry that a host knows and one that it reads from a restored store.
+type restoreCase struct {
 	name        string
 	known, read version
-	// document is true for documents, whose sequence is their version.
+	// document is true for documents; their sequence is the version.
 	document bool
 	want     bool
 }
 
-// TestWaysToOrderAfterAReturn compares ways to decide whether what is read replaces what
-// is known, over the cases that a return brings about. It logs what each way decides
-// wrongly; the one in use decides all rightly.
-func TestWaysToOrderAfterAReturn(t *testing.T) {
-	cases := []returnCase{
+// TestOrderingAfterRestore compares rules for deciding whether an entry read after a
+// restore replaces the known one. Each has a known number of wrong decisions, the rule in
+// use none.
+func TestOrderingAfterRestore(t *testing.T) {
+	cases := []restoreCase{
 		{"an older document in the copy", version{at(1, 58), 26, false, 0}, version{at(2, 54), 12, true, 0}, true, false},
 		{"the next document", version{at(1, 58), 26, false, 0}, version{at(2, 55), 28, false, 0}, true, true},
 		{"an older report in the copy", version{at(1, 57), 7, false, 0}, version{at(2, 40), 5, true, 0}, false, false},
@@ -328,41 +328,41 @@
 		{"an evacuation in the copy that has ended", version{at(1, 52), 0, false, 0}, version{at(2, 40), 0, true, 0}, false, false},
 		{"the end of an evacuation after the return", version{at(1, 51), 0, false, 0}, version{at(2, 47), 0, false, 0}, false, true},
 	}
-	ways := []struct {
-		name  string
-		takes func(c *returnCase) bool
-		wrong int
+	rules := []struct {
+		name    string
+		accepts func(c *restoreCase) bool
+		wrong   int
 	}{
-		{"the revision alone, as before", func(c *returnCase) bool { return c.read.Revision > c.known.Revision }, 5},
-		{"era, then revision", func(c *returnCase) bool { return c.read.Compare(c.known.Position) > 0 }, 4},
-		{"the author's number alone", func(c *returnCase) bool {
+		{"the revision alone, as before", func(c *restoreCase) bool { return c.read.Revision > c.known.Revision }, 5},
+		{"era, then revision", func(c *restoreCase) bool { return c.read.Compare(c.known.Position) > 0 }, 4},
+		{"the author's number alone", func(c *restoreCase) bool {
 			if c.read.sequence > 0 && c.known.sequence > 0 {
 				return c.read.sequence > c.known.sequence
 			}
 			return c.read.Revision > c.known.Revision
 		}, 2},
-		{"both, and copies give way", func(c *returnCase) bool {
+		{"both, and copies give way", func(c *restoreCase) bool {
 			if c.document {
 				return Edition{c.read.sequence, c.read.Position}.Newer(Edition{c.known.sequence, c.known.Position})
 			}
 			return c.read.replaces(c.known)
 		}, 0},
 	}
-	for _, w := range ways {
+	for _, r := range rules {
 		wrong := 0
 		for i := range cases {
-			if w.takes(&cases[i]) != cases[i].want {
+			if r.accepts(&cases[i]) != cases[i].want {
 				wrong++
-				t.Logf("%s: %s is wrong", w.name, cases[i].name)
+				t.Logf("%s: %s is wrong", r.name, cases[i].name)
 			}
 		}
-		assert.Equal(t, wrong, w.wrong, w.name)
+		assert.Equal(t, wrong, r.wrong, r.name)
 	}
 }
 
-// TestLaterStartOfAName reads reports of an upstream that started again under its name, in
-// the copy that an era began with and after it.
-func TestLaterStartOfAName(t *testing.T) {
+// TestReportsOfRestartedUpstream checks the order of reports of two processes with the
+// same name, in a restored copy and after it.
+func TestReportsOfRestartedUpstream(t *testing.T) {
 	listed := func(era, revision, sequence uint64, born int64, copied bool) Listing {
 		return Listing{Name: "U", Group: "G", Era: era, Revision: revision, Sequence: sequence, Born: born, Copied: copied}
 	}
--- a/tier/config/regions_test.go
+++ b/tier/config/regions_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestHallsAtHome(t *testing.T) {
+func TestIsHome(t *testing.T) {
 	r := Regions{"a": "East", "b": "West"}
 	tests := []struct {
 		hall  string
--- a/tier/docs_test.go
+++ b/tier/docs_test.go
@@ -1,4 +1,4 @@
-// Package tier holds the design page to the code.
+// Package tier checks that the documentation pages match the code.
 package tier
 
 import (
@@ -17,33 +17,34 @@
 	"gotest.tools/v3/assert"
 )
 
-// root is the root of the repository, from this folder.
+// root is the path of the repository root.
 const root = ".."
 
 var (
-	// functionRow names a function of a file in its second and third cell.
+	// functionRow matches a table row with a file in its second cell and a function in
+	// its third.
 	functionRow = regexp.MustCompile("^\\| [^|]+\\| `((?:tier|platform)/[a-z_/]+\\.go)` \\| `([A-Za-z]+)` \\|(.*)$")
-	// codeWord is a word set as code.
+	// codeWord matches text that is set as code.
 	codeWord = regexp.MustCompile("`([^`]+)`")
-	// identifier is a constant's name.
+	// identifier matches the name of a constant.
 	identifier = regexp.MustCompile(`^[a-zA-Z][A-Za-z0-9]+$`)
 )
 
-// designLines reads the design page.
+// designLines returns the lines of the design page.
 func designLines(t *testing.T) []string {
 	page, err := os.ReadFile(filepath.Join(root, "docs", "DESIGN.md"))
 	assert.NilError(t, err)
 	return strings.Split(string(page), "\n")
 }
 
-// parseFile parses a file of the repository.
+// parseFile parses a source file of the repository.
 func parseFile(t *testing.T, path string) *ast.File {
 	parsed, err := parser.ParseFile(token.NewFileSet(), filepath.Join(root, path), nil, parser.SkipObjectResolution)
 	assert.NilError(t, err)
 	return parsed
 }
 
-// functionsIn lists the functions and methods of a file.
+// functionsIn returns the names of the functions and methods of a file.
 func functionsIn(f *ast.File) (out []string) {
 	for _, d := range f.Decls {
 		if f, ok := d.(*ast.FuncDecl); ok {
@@ -53,7 +54,7 @@
 	return out
 }
 
-// constantsOf lists the constants of a folder.
+// constantsOf returns the names of the constants in a folder.
 func constantsOf(t *testing.T, folder string) (out []string) {
 	files, err := filepath.Glob(filepath.Join(root, folder, "*.go"))
 	assert.NilError(t, err)
@@ -74,9 +75,9 @@
 	return out
 }
 
-// TestDesignNamesFunctionsAndConstants wants each file, function and constant that the
-// design page names in a table to be there, and each decision to have its constants in
-// the package of its function.
+// TestDesignNamesFunctionsAndConstants checks that each file and function in a table of
+// the design page exists, and that the constants of a decision are in the package of its
+// function.
 func TestDesignNamesFunctionsAndConstants(t *testing.T) {
 	rows, constants := 0, 0
 	for _, line := range designLines(t) {
@@ -108,7 +109,7 @@
 	assert.Assert(t, constants >= 90, "only %d constants", constants)
 }
 
-// literals lists the string literals of the product.
+// literals returns the string literals of the product.
 func literals(t *testing.T) map[string]bool {
 	out := map[string]bool{}
 	for _, module := range []string{"tier", "platform", "loomd"} {
@@ -133,11 +134,11 @@
 	return out
 }
 
-// logMessage is a log message, set as code in a table: some words in lower case.
+// logMessage matches a log message set as code in a table: words in lower case.
 var logMessage = regexp.MustCompile(`^[a-z]+( [a-z]+)+(, [a-z ]+)?$`)
 
-// TestDesignNamesLogMessages wants each log message of the design page and of the
-// operators' page to be in the product.
+// TestDesignNamesLogMessages checks that each log message in a table of the design page
+// and the operations page occurs in the product.
 func TestDesignNamesLogMessages(t *testing.T) {
 	known, messages := literals(t), 0
 	operations, err := os.ReadFile(filepath.Join(root, "docs", "OPERATIONS.md"))
@@ -156,14 +157,13 @@
 	assert.Assert(t, messages >= 60, "only %d messages", messages)
 }
 
-// testName and sourceFile are a test and a source file that a page names.
+// testName and sourceFile match the name of a test and of a source file set as code.
 var (
 	testName   = regexp.MustCompile("`(Test[A-Za-z0-9]+)`")
 	sourceFile = regexp.MustCompile("`([a-z]+(?:/[a-z_]+)*/[a-z_]+\\.go)`")
 )
 
-// TestPagesNameWhatExists wants each test and source file that a page names to be there.
-// The record of the rounds may name what is gone.
+// TestPagesNameWhatExists checks that each test and source file named on a page exists.
 func TestPagesNameWhatExists(t *testing.T) {
 	pages, err := filepath.Glob(filepath.Join(root, "docs", "*.md"))
 	assert.NilError(t, err)
@@ -182,7 +182,7 @@
 	}
 }
 
-// declaredTests lists the tests of all modules by name.
+// declaredTests returns the names of the tests of all modules.
 func declaredTests(t *testing.T) map[string]bool {
 	out := map[string]bool{}
 	err := filepath.WalkDir(root, func(path string, _ fs.DirEntry, err error) error {
--- a/tier/query/golden_test.go
+++ b/tier/query/golden_test.go
@@ -11,12 +11,12 @@
 	"loomgap/tier/config"
 )
 
-// base makes a document with one of everything that commands act on.
+// base creates a document with one element of each kind that commands change.
 const base = `create service S keyspace 10; create class C; declare host H at "127.0.0.1:1" hall Q;
 	declare upstream U at "127.0.0.1:2" hall Q slots 1 connections 2; declare shard A of S keys 0 to 10 on U;`
 
-// TestCommandsKeepTheirEffect holds each command, and each fault of one, to the
-// document, the lines and the error that it gives.
+// TestCommandsKeepTheirEffect checks the document, the output and the error of each
+// command.
 func TestCommandsKeepTheirEffect(t *testing.T) {
 	scripts := []string{
 		"", "create service S keyspace 5", "create class C", "create class D",
@@ -59,7 +59,7 @@
 	golden.Assert(t, out.String(), "commands.golden")
 }
 
-// TestFaultsKeepTheirText holds each fault of a statement to its place and its words.
+// TestFaultsKeepTheirText checks the position and the text of errors in statements.
 func TestFaultsKeepTheirText(t *testing.T) {
 	var out strings.Builder
 	for _, text := range []string{
--- a/tier/query/query_test.go
+++ b/tier/query/query_test.go
@@ -50,7 +50,7 @@
 	assert.Assert(t, is.DeepEqual(rows, []Row{row("a", "10"), row("b", "10")}))
 }
 
-func TestCoverIsExactlyWhatWasAsked(t *testing.T) {
+func TestNewCoverage(t *testing.T) {
 	shards := []config.Shard{{Name: "A", From: 0, To: 4}, {Name: "B", From: 4, To: 8}, {Name: "C", From: 8, To: 9}, {Name: "D", From: 9, To: 12}}
 	c := NewCoverage(shards, []Reason{"", "", ReasonLate, ""})
 	assert.Assert(t, is.DeepEqual(c, Coverage{
