--- a/tier/config/regions.go
+++ b/tier/config/regions.go
@@ -12,7 +12,7 @@
 type Regions map[string]string
 
 // errRegion is wrapped by all errors of ParseRegions.
-var errRegion = errors.New("write Hall=Region, divided by commas")
+var errRegion = errors.New("expected Hall=Region pairs, separated by commas")
 
 // ParseRegions parses a list in the form Hall=Region,Hall=Region. An empty text is valid
 // and names no hall.
