--- a/tier/entry/answer.go
+++ b/tier/entry/answer.go
@@ -19,9 +19,9 @@
 	outcomeUnknown  = "Unknown"
 )
 
-// notReadyRetry is when to ask a host again that has no configuration or knows no
+// notReadyRetryAfter is when to ask a host again that has no configuration or knows no
 // snapshots yet. A starting host has both within about a second.
-const notReadyRetry = time.Second
+const notReadyRetryAfter = time.Second
 
 // newAnswer makes an answer without rows; its lists are not nil, as callers expect.
 func (e *engine) newAnswer(id, class, outcome string) *entrygen.Answer {
@@ -31,8 +31,8 @@
 	}
 }
 
-// describe makes the answer of a request that ran, without its rows.
-func (e *engine) describe(q *request, shards []config.Shard, r *policy.Result) *entrygen.Answer {
+// resultAnswer makes the answer of a request that ran, without its rows.
+func (e *engine) resultAnswer(q *request, shards []config.Shard, r *policy.Result) *entrygen.Answer {
 	cover := query.Cover(shards, r.Reasons)
 	a := e.newAnswer(q.id, q.class.Name, outcomeComplete)
 	a.Asked, a.Attempts = uint32(cover.Asked), uint32(r.Attempts)
@@ -50,16 +50,16 @@
 	return a
 }
 
-// refuse describes a request that did not run.
-func (e *engine) refuse(id, class, reason string, after time.Duration) *entrygen.Answer {
+// notRunAnswer describes a request that did not run.
+func (e *engine) notRunAnswer(id, class, reason string, after time.Duration) *entrygen.Answer {
 	a := e.newAnswer(id, class, outcomeNotRun)
 	a.RetryAfterMillis = new(uint64(after.Milliseconds()))
 	a.Remedy = new(reason + "; ask again in " + after.String())
 	return a
 }
 
-// unknown describes a not-repeatable request that may have run.
-func (e *engine) unknown(in *entrygen.OrderPayload, remedy string) *entrygen.Answer {
+// unknownAnswer describes a not-repeatable request that may have run.
+func (e *engine) unknownAnswer(in *entrygen.OrderPayload, remedy string) *entrygen.Answer {
 	a := e.newAnswer(in.Ticket, in.Class, outcomeUnknown)
 	a.Remedy = &remedy
 	return a
@@ -77,7 +77,7 @@
 	return out
 }
 
-func count(a *entrygen.Answer, took time.Duration) {
+func countAnswer(a *entrygen.Answer, took time.Duration) {
 	labels := `{Class="` + a.Class + `",Outcome="` + a.Outcome + `"}`
 	metrics.GetOrCreateCounter("loomgap_requests_total" + labels).Inc()
 	metrics.GetOrCreateSummary("loomgap_request_seconds" + labels).Update(took.Seconds())
--- a/tier/entry/ask.go
+++ b/tier/entry/ask.go
@@ -26,7 +26,7 @@
 	id := s.Host + "-" + s.Incarnation + "-" + strconv.FormatUint(e.requests.Add(1), 36)
 	q, err := e.newRequest(id, in.Class, ask.Service, in.DeadlineMillis)
 	if errors.Is(err, errNoConfig) {
-		return e.refuse(id, in.Class, err.Error(), notReadyRetry), nil
+		return e.notRunAnswer(id, in.Class, err.Error(), notReadyRetryAfter), nil
 	}
 	if err != nil {
 		return nil, err
@@ -34,14 +34,14 @@
 	// The same question of any caller is the same request.
 	content := policy.Content{HostName: ask.Service, Target: in.Statement}
 	q.subject.Fingerprint = content.Fingerprint()
-	return e.observe(ctx, "ask", id, in.Class, func(ctx context.Context) (*entrygen.Answer, error) {
+	return e.instrument(ctx, "ask", id, in.Class, func(ctx context.Context) (*entrygen.Answer, error) {
 		return e.answer(ctx, q, ask)
 	})
 }
 
-// secondPlanShare is the part of a class's deadline that must be left for a second plan:
+// minSecondPlanShare is the part of a class's deadline that must be left for a second plan:
 // a gather in less time would rarely cover more.
-const secondPlanShare = 0.25
+const minSecondPlanShare = 0.25
 
 // answer gathers under the shard map in force. If an upstream has a newer map or
 // other snapshots, it gathers once more under the newest map. Parts of two plans
@@ -51,7 +51,7 @@
 	if err != nil || !outdated(first) {
 		return first, err
 	}
-	if q.deadline-e.kernel.Now() < time.Duration(secondPlanShare*float64(q.class.Deadline)) {
+	if q.deadline-e.kernel.Now() < time.Duration(minSecondPlanShare*float64(q.class.Deadline)) {
 		return first, nil
 	}
 	again := *q
@@ -89,7 +89,7 @@
 	}
 	replicas, snapshot := e.kernel.Fleet.Plan(replicasOf(shards))
 	if snapshot == 0 {
-		return e.refuse(q.id, q.class.Name, "no upstream has said yet which snapshots it holds", notReadyRetry), nil
+		return e.notRunAnswer(q.id, q.class.Name, "no upstream has said yet which snapshots it holds", notReadyRetryAfter), nil
 	}
 	question := ask.Question()
 	merger := query.NewMerger(question)
@@ -109,12 +109,12 @@
 	}
 	result, err := e.run(ctx, c, q, replicas, true)
 	if refusal, refused := errors.AsType[*policy.Refusal](err); refused {
-		return e.refuse(q.id, q.class.Name, refusal.Reason, refusal.RetryAfter), nil
+		return e.notRunAnswer(q.id, q.class.Name, refusal.Reason, refusal.RetryAfter), nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	answer := e.describe(q, shards, &result)
+	answer := e.resultAnswer(q, shards, &result)
 	answer.Snapshot = snapshot
 	count, rows := merger.Result()
 	answer.Count, answer.Rows = count, rowsOf(rows)
--- a/tier/entry/bench_test.go
+++ b/tier/entry/bench_test.go
@@ -63,22 +63,22 @@
 	b.Fatal("no server")
 }
 
-// processorTime is what this process has used.
-func processorTime() time.Duration {
+// cpuTime is what this process has used.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func measureProcessor(b *testing.B, one func()) {
+func measureCPU(b *testing.B, one func()) {
 	b.Helper()
 	one()
 	b.ResetTimer()
-	begun := processorTime()
+	begun := cpuTime()
 	for range b.N {
 		one()
 	}
-	b.ReportMetric(float64(processorTime()-begun)/float64(b.N)/1e3, "cpu-us/op")
+	b.ReportMetric(float64(cpuTime()-begun)/float64(b.N)/1e3, "cpu-us/op")
 }
 
 func benchRequest() wire.PartRequest {
@@ -99,7 +99,7 @@
 	assert.NilError(b, err)
 	b.Run("bare", func(b *testing.B) {
 		client := &http.Client{}
-		measureProcessor(b, func() {
+		measureCPU(b, func() {
 			r, err := http.NewRequest(http.MethodPost, "http://"+benchAddress+wire.PathPart, bytes.NewReader(body))
 			assert.NilError(b, err)
 			r.Header.Set("Content-Type", "application/json")
@@ -114,7 +114,7 @@
 		c := newClient(&config.Upstream{Address: at}, 4)
 		defer c.close()
 		header := http.Header{"Content-Type": {"application/json"}}
-		measureProcessor(b, func() {
+		measureCPU(b, func() {
 			text, err := wire.Encode(&request)
 			assert.NilError(b, err)
 			r := c.do(context.Background(), wire.PathPart, header, text)
@@ -130,7 +130,7 @@
 	request := benchRequest()
 	answer, err := wire.Encode(wire.PartReply{Identity: request.Identity, Snapshot: 1, UpstreamInfo: wire.UpstreamInfo{Oldest: 1, Newest: 1}, Count: 7})
 	assert.NilError(b, err)
-	measureProcessor(b, func() {
+	measureCPU(b, func() {
 		_, err := wire.Encode(&request)
 		assert.NilError(b, err)
 		r := reply{status: http.StatusOK, body: answer, reached: true}
--- a/tier/entry/call.go
+++ b/tier/entry/call.go
@@ -119,14 +119,14 @@
 	case policy.CallOutcome(out.Outcome) != policy.CallOK:
 		return policy.CallOutcome(out.Outcome), nil
 	case out.Part.Identity != x.id || x.snapshot > 0 && out.Part.Snapshot != x.snapshot:
-		return dropped("crossed"), nil
+		return countDroppedReply("crossed"), nil
 	}
 	return policy.CallOK, &out.Part
 }
 
-// maxRelay bounds the time that another host may ask for: the longest deadline that
+// maxRelayTimeout bounds the time that another host may ask for: the longest deadline that
 // a class may have.
-const maxRelay = 10 * time.Minute
+const maxRelayTimeout = 10 * time.Minute
 
 // serveRelay makes a call that another host sent with sendRelay.
 func (e *engine) serveRelay(ctx context.Context, in *wire.RelayRequest) (any, error) {
@@ -136,7 +136,7 @@
 	e.kernel.InFlight.Add(1)
 	defer e.kernel.InFlight.Add(-1)
 	ctx = wire.WithTraceParent(ctx, in.Trace)
-	left := min(time.Duration(in.DeadlineMillis)*time.Millisecond, maxRelay)
+	left := min(time.Duration(in.DeadlineMillis)*time.Millisecond, maxRelayTimeout)
 	x := &upstreamCall{
 		upstream: in.Upstream, service: in.Service, path: in.Path, id: in.Identity,
 		body: []byte(in.Body), snapshot: in.Snapshot, deadline: e.kernel.Now() + left,
--- a/tier/entry/client.go
+++ b/tier/entry/client.go
@@ -89,7 +89,7 @@
 	case r.err != nil && r.status == 0:
 		return policy.CallBroken, nil
 	case r.err != nil:
-		return dropped("unreadable"), nil
+		return countDroppedReply("unreadable"), nil
 	case r.status == http.StatusOK:
 		return classifyPart(r.body, id, snapshot)
 	}
@@ -100,11 +100,11 @@
 	var p wire.PartReply
 	switch err := json.Unmarshal(body, &p); {
 	case err != nil:
-		return dropped("malformed"), nil
+		return countDroppedReply("malformed"), nil
 	case p.Identity != id:
-		return dropped("crossed"), nil
+		return countDroppedReply("crossed"), nil
 	case snapshot > 0 && p.Snapshot != snapshot:
-		return dropped("snapshot"), nil
+		return countDroppedReply("snapshot"), nil
 	}
 	return policy.CallOK, &p
 }
@@ -112,7 +112,7 @@
 func classifyRefusal(body []byte, id wire.Identity) (policy.CallOutcome, *wire.PartReply) {
 	var f wire.RefusalReply
 	if err := json.Unmarshal(body, &f); err != nil || f.Identity != id {
-		return dropped("refusal"), nil
+		return countDroppedReply("refusal"), nil
 	}
 	held := &wire.PartReply{UpstreamInfo: f.UpstreamInfo}
 	switch f.Refused {
@@ -126,11 +126,11 @@
 	case wire.RefusalMoved:
 		return policy.CallMoved, held
 	}
-	return dropped("refusal"), nil
+	return countDroppedReply("refusal"), nil
 }
 
-// dropped counts a reply that must not be used, and returns its outcome.
-func dropped(why string) policy.CallOutcome {
+// countDroppedReply counts a reply that must not be used, and returns its outcome.
+func countDroppedReply(why string) policy.CallOutcome {
 	metrics.GetOrCreateCounter(`loomgap_replies_dropped_total{Why="` + why + `"}`).Inc()
 	return policy.CallGarbage
 }
--- a/tier/entry/endpoint.go
+++ b/tier/entry/endpoint.go
@@ -19,31 +19,31 @@
 	owner string
 }
 
-type basis struct {
+type endpointInputs struct {
 	index   *config.Index
 	hosts   []string
 	leaving map[string]bool
 }
 
-func (b *basis) same(o *basis) bool {
+func (b *endpointInputs) equal(o *endpointInputs) bool {
 	return b.index == o.index && slices.Equal(b.hosts, o.hosts) && maps.Equal(b.leaving, o.leaving)
 }
 
-// follow sets slots and endpoints by a new view; it runs on the control thread.
+// updateEndpoints sets slots and endpoints by a new view; it runs on the control thread.
 // Ranking all hosts for all upstreams takes time, so it is done only when what
 // they depend on has changed.
-func (e *engine) follow(v *kernel.View) {
+func (e *engine) updateEndpoints(v *kernel.View) {
 	if v.Index == nil {
 		return
 	}
 	s := &e.kernel.Settings
 	hosts := v.HallHosts(s)
 	slices.Sort(hosts)
-	next := basis{index: v.Index, hosts: hosts, leaving: v.Leaving}
-	if e.basis.same(&next) {
+	next := endpointInputs{index: v.Index, hosts: hosts, leaving: v.Leaving}
+	if e.endpointInputs.equal(&next) {
 		return
 	}
-	e.basis = next
+	e.endpointInputs = next
 	e.replaceEndpoints(v, hosts)
 }
 
--- a/tier/entry/engine.go
+++ b/tier/entry/engine.go
@@ -19,8 +19,8 @@
 	// endpoints holds the upstreams of the data hall by name. The map is replaced as
 	// a whole and never changed.
 	endpoints atomic.Pointer[map[string]*endpoint]
-	// basis is what the endpoints were made from; used on the control thread only.
-	basis basis
+	// endpointInputs is what the endpoints were made from; used on the control thread only.
+	endpointInputs endpointInputs
 	// requests counts the request IDs given out.
 	requests atomic.Uint64
 }
@@ -35,7 +35,7 @@
 		}),
 	}
 	e.endpoints.Store(&map[string]*endpoint{})
-	k.OnView(e.follow)
+	k.OnView(e.updateEndpoints)
 	kernel.HandleMessage(k, methodRelay, "relay", e.serveRelay)
 	kernel.HandleMessage(k, methodOrder, "order", e.serveOrder)
 	kernel.HandleMessage(k, methodAdopt, "tickets", e.serveAdopt)
@@ -46,9 +46,9 @@
 	}
 }
 
-// observe answers a request within a span, whose name is given. The request is counted
+// instrument answers a request within a span, whose name is given. The request is counted
 // as in flight until it is answered, and its answer is counted in the metrics.
-func (e *engine) observe(ctx context.Context, name, id, class string, answer func(context.Context) (*entrygen.Answer, error)) (*entrygen.Answer, error) {
+func (e *engine) instrument(ctx context.Context, name, id, class string, answer func(context.Context) (*entrygen.Answer, error)) (*entrygen.Answer, error) {
 	e.kernel.InFlight.Add(1)
 	defer e.kernel.InFlight.Add(-1)
 	ctx, span := e.kernel.Tracer.Start(ctx, name)
@@ -60,6 +60,6 @@
 		return nil, err
 	}
 	span.SetAttributes(attribute.String("Outcome", a.Outcome))
-	count(a, e.kernel.Now()-started)
+	countAnswer(a, e.kernel.Now()-started)
 	return a, nil
 }
--- a/tier/entry/golden_test.go
+++ b/tier/entry/golden_test.go
@@ -19,9 +19,9 @@
 	entrygen "loomgap/tier/gen/entry"
 )
 
-// TestWordsKeepTheirForm holds the words and messages that callers and other hosts
+// TestPeerMessageFormat holds the words and messages that callers and other hosts
 // read to those that are in use.
-func TestWordsKeepTheirForm(t *testing.T) {
+func TestPeerMessageFormat(t *testing.T) {
 	var out strings.Builder
 	for _, v := range []any{
 		[]string{outcomeComplete, outcomePartial, outcomeNotRun, outcomeUnknown},
@@ -39,9 +39,9 @@
 	golden.Assert(t, out.String(), "words.golden")
 }
 
-// TestMetricsKeepTheirNames holds the names and labels of all metrics to those that
+// TestMetricNames holds the names and labels of all metrics to those that
 // operators' dashboards read: each string literal of the product that names one.
-func TestMetricsKeepTheirNames(t *testing.T) {
+func TestMetricNames(t *testing.T) {
 	var names []string
 	for _, module := range []string{"tier", "platform", "loomd"} {
 		err := filepath.WalkDir(filepath.Join("../..", module), func(path string, _ fs.DirEntry, err error) error {
--- a/tier/entry/operate.go
+++ b/tier/entry/operate.go
@@ -31,18 +31,18 @@
 func (operators) Run(_ context.Context, k *kernel.Kernel) (func(), error) {
 	mux := goahttp.NewMuxer()
 	endpoints := opsgen.NewEndpoints(&opsService{kernel: k})
-	server.New(endpoints, mux, goahttp.RequestDecoder, goahttp.ResponseEncoder, nil, fault).Mount(mux)
+	server.New(endpoints, mux, goahttp.RequestDecoder, goahttp.ResponseEncoder, nil, encodeError).Mount(mux)
 	mux.Handle(http.MethodGet, pathMetrics, writeMetrics)
-	stop, err := listen(k.Settings.Operate, "-Operate", limited(mux))
+	stop, err := listen(k.Settings.Operate, "-Operate", limitBody(mux))
 	if err != nil {
 		return nil, err
 	}
 	if !k.Settings.Metrics.IsValid() {
 		return func() { stop(time.Second) }, nil
 	}
-	only := http.NewServeMux()
-	only.HandleFunc(pathMetrics, writeMetrics)
-	stopMetrics, err := listen(k.Settings.Metrics, "-Metrics", only)
+	metricsMux := http.NewServeMux()
+	metricsMux.HandleFunc(pathMetrics, writeMetrics)
+	stopMetrics, err := listen(k.Settings.Metrics, "-Metrics", metricsMux)
 	if err != nil {
 		stop(0)
 		return nil, err
--- a/tier/entry/order.go
+++ b/tier/entry/order.go
@@ -52,42 +52,42 @@
 func (e *engine) Order(ctx context.Context, in *entrygen.OrderPayload) (*entrygen.Answer, error) {
 	o, err := e.newOrder(in)
 	if errors.Is(err, errNoConfig) {
-		return e.unknown(in, "this host has no configuration yet; ask again with the same ticket"), nil
+		return e.unknownAnswer(in, "this host has no configuration yet; ask again with the same ticket"), nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	return e.observe(ctx, "order", in.Ticket, in.Class, func(ctx context.Context) (*entrygen.Answer, error) {
-		return e.settle(ctx, o)
+	return e.instrument(ctx, "order", in.Ticket, in.Class, func(ctx context.Context) (*entrygen.Answer, error) {
+		return e.answerOrder(ctx, o)
 	})
 }
 
-// settle answers an order as its ticket allows: it runs the order, waits for the
+// answerOrder answers an order as its ticket allows: it runs the order, waits for the
 // try that runs already, gives the answer that it had, or asks the host that holds
 // the ticket.
-func (e *engine) settle(ctx context.Context, o *order) (*entrygen.Answer, error) {
+func (e *engine) answerOrder(ctx context.Context, o *order) (*entrygen.Answer, error) {
 	tickets := e.ticketsOf(o.ticket)
 	if tickets == nil {
 		return e.forward(ctx, o), nil
 	}
 	c := tickets.claim(e.kernel.Now(), o.ticket.Counter, o.payload.Statement)
 	switch c.kind {
-	case claimNever:
+	case claimNotMinted:
 		return nil, fmt.Errorf("%w: %w %q was never minted: get one from /tickets", errInvalid, errTicket, o.id)
-	case claimOther:
+	case claimMismatch:
 		return nil, fmt.Errorf("%w: %w %q was used for another statement: get a new one", errInvalid, errTicket, o.id)
-	case claimForgotten:
-		return e.unknown(o.payload, "the ticket expired; look the record up before placing it again"), nil
-	case claimGiven:
+	case claimExpired:
+		return e.unknownAnswer(o.payload, "the ticket expired; look the record up before placing it again"), nil
+	case claimReleased:
 		return e.askSuccessors(ctx, o), nil
 	case claimDone:
 		return c.answer, nil
 	case claimWait:
-		return e.await(ctx, tickets, o, c), nil
+		return e.awaitAnswer(ctx, tickets, o, c), nil
 	default:
 	}
 	answer := e.place(ctx, o)
-	tickets.settle(o.ticket.Counter, answer)
+	tickets.finish(o.ticket.Counter, answer)
 	return answer, nil
 }
 
@@ -97,21 +97,21 @@
 	if t.Host == e.kernel.Settings.Host && t.Incarnation == e.kernel.Settings.Incarnation {
 		return e.tickets
 	}
-	return e.adopted.find(processOf(t.Host, t.Incarnation))
+	return e.adopted.find(processID(t.Host, t.Incarnation))
 }
 
-// await waits for the answer of the try that runs already.
-func (e *engine) await(ctx context.Context, tickets *ticketStore, o *order, c claim) *entrygen.Answer {
+// awaitAnswer waits for the answer of the try that runs already.
+func (e *engine) awaitAnswer(ctx context.Context, tickets *ticketStore, o *order, c claim) *entrygen.Answer {
 	ctx, cancel := context.WithTimeout(ctx, o.deadline-e.kernel.Now())
 	defer cancel()
 	select {
-	case <-c.settled:
+	case <-c.done:
 	case <-ctx.Done():
 	}
 	if a := tickets.answer(o.ticket.Counter); a != nil {
 		return a
 	}
-	return e.unknown(o.payload, "an earlier try has no answer yet; ask again with the same ticket")
+	return e.unknownAnswer(o.payload, "an earlier try has no answer yet; ask again with the same ticket")
 }
 
 // forward sends an order to the host that minted its ticket, or if that process
@@ -130,7 +130,7 @@
 	if o.deadline > e.kernel.Now() {
 		return e.askSuccessors(ctx, o)
 	}
-	return e.unknown(o.payload, "the host that minted the ticket was not reached; ask again with the same ticket")
+	return e.unknownAnswer(o.payload, "the host that minted the ticket was not reached; ask again with the same ticket")
 }
 
 // sendOrder sends an order to the host that holds its ticket, within the deadline.
@@ -186,15 +186,15 @@
 	var refusal *policy.Refusal
 	switch {
 	case errors.As(err, &refusal):
-		return e.refuse(o.id, o.class.Name, refusal.Reason, refusal.RetryAfter)
+		return e.notRunAnswer(o.id, o.class.Name, refusal.Reason, refusal.RetryAfter)
 	case err != nil:
-		return e.refuse(o.id, o.class.Name, err.Error(), notReadyRetry)
+		return e.notRunAnswer(o.id, o.class.Name, err.Error(), notReadyRetryAfter)
 	case result.Unknown:
-		return e.unknown(o.payload, "the upstream's answer was lost; look the record up before placing it again")
+		return e.unknownAnswer(o.payload, "the upstream's answer was lost; look the record up before placing it again")
 	case result.Included == 0:
-		return e.refuse(o.id, o.class.Name, "no upstream took it: "+string(result.Reasons[0]), time.Duration(o.class.Deadline))
+		return e.notRunAnswer(o.id, o.class.Name, "no upstream took it: "+string(result.Reasons[0]), time.Duration(o.class.Deadline))
 	}
-	answer := e.describe(o.request, []config.Shard{*o.shard}, &result)
+	answer := e.resultAnswer(o.request, []config.Shard{*o.shard}, &result)
 	answer.Snapshot, answer.Count = placed.Snapshot, placed.Count
 	return answer
 }
--- a/tier/entry/serve.go
+++ b/tier/entry/serve.go
@@ -56,8 +56,8 @@
 	stopStatus := kernel.RunLoops(ctx, (&statusReader{engine}).loop)
 	mux := goahttp.NewMuxer()
 	endpoints := entrygen.NewEndpoints(&service{engine: engine})
-	server.New(endpoints, mux, goahttp.RequestDecoder, goahttp.ResponseEncoder, nil, fault).Mount(mux)
-	stop, err := listen(k.Settings.Listen, "-Listen", forCallers(k, limited(mux)))
+	server.New(endpoints, mux, goahttp.RequestDecoder, goahttp.ResponseEncoder, nil, encodeError).Mount(mux)
+	stop, err := listen(k.Settings.Listen, "-Listen", callerMiddleware(k, limitBody(mux)))
 	if err != nil {
 		stopStatus()
 		closeEngine()
@@ -95,9 +95,9 @@
 	}, nil
 }
 
-// limited bounds the bodies of requests, and decodes all of them as JSON whatever
+// limitBody bounds the bodies of requests, and decodes all of them as JSON whatever
 // their content type.
-func limited(next http.Handler) http.Handler {
+func limitBody(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.Header.Set("Content-Type", "application/json")
 		r.Body = http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes)
@@ -105,9 +105,9 @@
 	})
 }
 
-// forCallers continues the trace of the caller's header, and asks callers of a draining
+// callerMiddleware continues the trace of the caller's header, and asks callers of a draining
 // host to close their connections.
-func forCallers(k *kernel.Kernel, next http.Handler) http.Handler {
+func callerMiddleware(k *kernel.Kernel, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if k.Phase() == kernel.PhaseDraining {
 			w.Header().Set("Connection", "close")
--- a/tier/entry/service.go
+++ b/tier/entry/service.go
@@ -24,7 +24,7 @@
 
 func (s *service) Ask(ctx context.Context, p *entrygen.AskPayload) (*entrygen.Answer, error) {
 	a, err := s.engine.Ask(ctx, p)
-	return a, typed(err)
+	return a, toFault(err)
 }
 
 func (s *service) Ticket(context.Context) (*entrygen.TicketResult, error) {
@@ -40,19 +40,19 @@
 
 func (s *service) Order(ctx context.Context, p *entrygen.OrderPayload) (*entrygen.Answer, error) {
 	a, err := s.engine.Order(ctx, p)
-	return a, typed(err)
+	return a, toFault(err)
 }
 
-// typed turns an error into the typed one of the design.
-func typed(err error) error {
+// toFault turns an error into the toFault one of the design.
+func toFault(err error) error {
 	if errors.Is(err, errInvalid) {
 		return &entrygen.Fault{Kind: "Invalid", Message: err.Error()}
 	}
 	return err
 }
 
-// tooLarge is the text of http.MaxBytesError.
-var tooLarge = (&http.MaxBytesError{}).Error()
+// tooLargeText is the text of http.MaxBytesError.
+var tooLargeText = (&http.MaxBytesError{}).Error()
 
 func statusOf(kind string) int {
 	if kind == "Busy" {
@@ -72,9 +72,9 @@
 
 func (f *faultBody) StatusCode() int { return f.status }
 
-// fault gives an error its body: the service's own have kind and remedy, those
+// encodeError gives an error its body: the service's own have kind and remedy, those
 // of the generated decoder get them here.
-func fault(_ context.Context, err error) goahttp.Statuser {
+func encodeError(_ context.Context, err error) goahttp.Statuser {
 	if own, ok := errors.AsType[*entrygen.Fault](err); ok {
 		return &faultBody{Kind: own.Kind, Message: own.Message, status: statusOf(own.Kind)}
 	}
@@ -82,7 +82,7 @@
 		return &faultBody{Kind: ops.Kind, Message: ops.Message, status: statusOf(ops.Kind)}
 	}
 	// The decoder keeps only the text of the error of http.MaxBytesReader.
-	if strings.Contains(err.Error(), tooLarge) {
+	if strings.Contains(err.Error(), tooLargeText) {
 		return &faultBody{Kind: "Invalid", Message: fmt.Sprintf("body over %d bytes: send a shorter statement", wire.MaxBodyBytes), status: http.StatusRequestEntityTooLarge}
 	}
 	if g, ok := errors.AsType[*goa.ServiceError](err); ok && !g.Fault {
--- a/tier/entry/status.go
+++ b/tier/entry/status.go
@@ -29,9 +29,9 @@
 	// startInterval is the time between two rounds while the host starts, when it can't
 	// serve until it knows the snapshots.
 	startInterval = 100 * time.Millisecond
-	// startBeats is how many heartbeat intervals a starting host waits for a peer to
+	// startHeartbeats is how many heartbeat intervals a starting host waits for a peer to
 	// confirm its configuration before it serves without.
-	startBeats = 10
+	startHeartbeats = 10
 )
 
 // statusReader reads the status endpoints of upstreams. What they report is a hint:
@@ -44,7 +44,7 @@
 		known := r.round(ctx)
 		r.kernel.Do(r.markLeaving)
 		if known > 0 {
-			r.becomeReady()
+			r.markReady()
 		}
 		pause := statusInterval
 		if r.kernel.Phase() == kernel.PhaseStarting {
@@ -65,16 +65,16 @@
 	}
 }
 
-// becomeReady makes the host ready once it has a document that is no older than a
+// markReady makes the host ready once it has a document that is no older than a
 // peer's, and has read the status of each upstream. If no peer answers in time, the
 // host serves with the document that it has.
-func (r *statusReader) becomeReady() {
+func (r *statusReader) markReady() {
 	v := r.kernel.View()
 	if v.Index == nil || r.kernel.Phase() != kernel.PhaseStarting {
 		return
 	}
-	unconfirmed := len(v.Index.Document.Hosts) < 2 || r.kernel.Now() > startBeats*r.kernel.Settings.Beat
-	if !v.Confirmed && !unconfirmed {
+	serveUnconfirmed := len(v.Index.Document.Hosts) < 2 || r.kernel.Now() > startHeartbeats*r.kernel.Settings.Beat
+	if !v.Confirmed && !serveUnconfirmed {
 		return
 	}
 	r.kernel.SetPhase(kernel.PhaseReady)
--- a/tier/entry/successor.go
+++ b/tier/entry/successor.go
@@ -17,13 +17,13 @@
 
 // Limits of handing over.
 const (
-	// handedAtOnce is the number of tickets in one message.
-	handedAtOnce = 500
+	// ticketsPerMessage is the number of tickets in one message.
+	ticketsPerMessage = 500
 	// maxAdopted is the number of processes whose tickets a host keeps.
 	maxAdopted = 64
-	// successorsAsked is the number of hosts that are asked for a ticket whose process
+	// maxSuccessorsAsked is the number of hosts that are asked for a ticket whose process
 	// has stopped: the successor, and the next one in case hosts' views differ.
-	successorsAsked = 2
+	maxSuccessorsAsked = 2
 	// adoptTimeout is the longest time for one message of tickets.
 	adoptTimeout = 2 * time.Second
 )
@@ -50,24 +50,24 @@
 	Tickets []handedTicket
 }
 
-// giveAway refuses all later claims in this process, and returns the tickets whose
+// release refuses all later claims in this process, and returns the tickets whose
 // orders are not running. Nothing here can run those any more, so another host may.
-func (t *ticketStore) giveAway(now time.Duration) []handedTicket {
+func (t *ticketStore) release(now time.Duration) []handedTicket {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.given = true
+	t.released = true
 	var out []handedTicket
 	for n, s := range t.states {
-		if s.settled == nil && now < s.expires {
+		if s.running == nil && now < s.expires {
 			out = append(out, handedTicket{Counter: n, Left: s.expires - now, Statement: s.statement, Answer: s.answer})
 		}
 	}
 	return out
 }
 
-// take adds handed tickets to those of the same process. A ticket that is known
+// adopt adds handed tickets to those of the same process. A ticket that is known
 // already keeps its state, so a message that arrives twice frees nothing.
-func (t *ticketStore) take(now time.Duration, next uint64, handed []handedTicket) {
+func (t *ticketStore) adopt(now time.Duration, next uint64, handed []handedTicket) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.next = max(t.next, next)
@@ -86,31 +86,31 @@
 	stores []*ticketStore
 }
 
-func processOf(host, incarnation string) string { return host + "/" + incarnation }
+func processID(host, incarnation string) string { return host + "/" + incarnation }
 
 // find returns the tickets of a process; nil if this host has not adopted them.
 func (a *adoptedTickets) find(process string) *ticketStore {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.held(process)
+	return a.findLocked(process)
 }
 
-// held is find with mu held.
-func (a *adoptedTickets) held(process string) *ticketStore {
+// findLocked is find with mu findLocked.
+func (a *adoptedTickets) findLocked(process string) *ticketStore {
 	for _, t := range a.stores {
-		if processOf(t.Host, t.Incarnation) == process {
+		if processID(t.Host, t.Incarnation) == process {
 			return t
 		}
 	}
 	return nil
 }
 
-// open returns the tickets of a process, made empty at first; the oldest process
+// getOrCreate returns the tickets of a process, made empty at first; the oldest process
 // is dropped when there are too many, and its tickets are Unknown from then on.
-func (a *adoptedTickets) open(host, incarnation string, life time.Duration) *ticketStore {
+func (a *adoptedTickets) getOrCreate(host, incarnation string, life time.Duration) *ticketStore {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	t := a.held(processOf(host, incarnation))
+	t := a.findLocked(processID(host, incarnation))
 	if t == nil {
 		t = newTicketStore(ticketsConfig{Host: host, Incarnation: incarnation, Life: life})
 		a.stores = append(a.stores[max(len(a.stores)+1-maxAdopted, 0):], t)
@@ -130,8 +130,8 @@
 	if e.kernel.Phase() == kernel.PhaseDraining {
 		return nil, errors.New("this host stops too: give the tickets to another")
 	}
-	t := e.adopted.open(in.Host, in.Incarnation, e.kernel.Settings.TicketLife)
-	t.take(e.kernel.Now(), in.Next, in.Tickets)
+	t := e.adopted.getOrCreate(in.Host, in.Incarnation, e.kernel.Settings.TicketLife)
+	t.adopt(e.kernel.Now(), in.Next, in.Tickets)
 	return struct{}{}, nil
 }
 
@@ -145,19 +145,19 @@
 // ticket is sent once: if a message is lost, its tickets are Unknown.
 func (e *engine) handOver() {
 	for _, t := range append(e.adopted.list(), e.tickets) {
-		process := processOf(t.Host, t.Incarnation)
+		process := processID(t.Host, t.Incarnation)
 		ranked := successors(e.kernel.View(), &e.kernel.Settings, process)
-		handed := t.giveAway(e.kernel.Now())
+		handed := t.release(e.kernel.Now())
 		if len(handed) == 0 || len(ranked) == 0 {
 			continue
 		}
-		for part := range slices.Chunk(handed, handedAtOnce) {
-			e.hand(ranked[0], &adoptRequest{Host: t.Host, Incarnation: t.Incarnation, Next: t.next, Tickets: part})
+		for part := range slices.Chunk(handed, ticketsPerMessage) {
+			e.sendTickets(ranked[0], &adoptRequest{Host: t.Host, Incarnation: t.Incarnation, Next: t.next, Tickets: part})
 		}
 	}
 }
 
-func (e *engine) hand(successor string, r *adoptRequest) {
+func (e *engine) sendTickets(successor string, r *adoptRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), adoptTimeout)
 	defer cancel()
 	var out struct{}
@@ -167,11 +167,11 @@
 
 // askSuccessors sends an order to the hosts that may have adopted its ticket.
 func (e *engine) askSuccessors(ctx context.Context, o *order) *entrygen.Answer {
-	ranked := successors(o.view, &e.kernel.Settings, processOf(o.ticket.Host, o.ticket.Incarnation))
-	for _, n := range ranked[:min(successorsAsked, len(ranked))] {
+	ranked := successors(o.view, &e.kernel.Settings, processID(o.ticket.Host, o.ticket.Incarnation))
+	for _, n := range ranked[:min(maxSuccessorsAsked, len(ranked))] {
 		if answer, err := e.sendOrder(ctx, n, o); err == nil {
 			return answer
 		}
 	}
-	return e.unknown(o.payload, "no host that was reached holds the ticket; ask again with the same ticket, then look the record up before placing it again")
+	return e.unknownAnswer(o.payload, "no host that was reached holds the ticket; ask again with the same ticket, then look the record up before placing it again")
 }
--- a/tier/entry/ticket.go
+++ b/tier/entry/ticket.go
@@ -55,21 +55,21 @@
 	claimWait claimKind = "Wait"
 	// claimDone gives the answer that the request had.
 	claimDone claimKind = "Done"
-	// claimForgotten tells that the ticket expired: the request may have run.
-	claimForgotten claimKind = "Forgotten"
-	// claimNever tells that no such ticket was minted.
-	claimNever claimKind = "Never"
-	// claimGiven tells that the tickets were given to another host.
-	claimGiven claimKind = "Given"
-	// claimOther tells that the ticket was used for another request.
-	claimOther claimKind = "Other"
+	// claimExpired tells that the ticket expired: the request may have run.
+	claimExpired claimKind = "Forgotten"
+	// claimNotMinted tells that no such ticket was minted.
+	claimNotMinted claimKind = "Never"
+	// claimReleased tells that the tickets were given to another host.
+	claimReleased claimKind = "Given"
+	// claimMismatch tells that the ticket was used for another request.
+	claimMismatch claimKind = "Other"
 )
 
 type claim struct {
 	kind claimKind
-	// settled is closed when a running request has its answer; nil unless kind is
+	// done is closed when a running request has its answer; nil unless kind is
 	// claimWait.
-	settled <-chan struct{}
+	done <-chan struct{}
 	// answer is the final answer; nil unless kind is claimDone.
 	answer *entrygen.Answer
 }
@@ -78,8 +78,8 @@
 	expires time.Duration
 	// statement is what the ticket was first used for; empty while unused.
 	statement string
-	// settled is not nil while the request runs.
-	settled chan struct{}
+	// running is not nil while the request runs.
+	running chan struct{}
 	// answer is set once the request has an answer other than NotRun.
 	answer *entrygen.Answer
 }
@@ -94,8 +94,8 @@
 	// oldest is the counter below which all tickets are forgotten.
 	oldest uint64
 	states map[uint64]*ticketState
-	// given is true once the tickets were given away: no claim succeeds here.
-	given bool
+	// released is true once the tickets were released away: no claim succeeds here.
+	released bool
 }
 
 type ticketsConfig struct {
@@ -111,8 +111,8 @@
 func (t *ticketStore) mint(now time.Duration) (ticket, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.forget(now)
-	if t.given || len(t.states) >= maxTickets {
+	t.dropExpired(now)
+	if t.released || len(t.states) >= maxTickets {
 		return ticket{}, fmt.Errorf("%w: ask again in %s", errTicketsFull, t.Life)
 	}
 	n := t.next
@@ -121,11 +121,11 @@
 	return ticket{Host: t.Host, Incarnation: t.Incarnation, Counter: n}, nil
 }
 
-// forget drops expired tickets. A running one is kept until it is settled.
-func (t *ticketStore) forget(now time.Duration) {
+// dropExpired drops expired tickets. A running one is kept until it is settled.
+func (t *ticketStore) dropExpired(now time.Duration) {
 	for t.oldest < t.next {
 		s := t.states[t.oldest]
-		if s != nil && (now < s.expires || s.settled != nil) {
+		if s != nil && (now < s.expires || s.running != nil) {
 			return
 		}
 		delete(t.states, t.oldest)
@@ -137,40 +137,40 @@
 func (t *ticketStore) claim(now time.Duration, counter uint64, statement string) claim {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.forget(now)
+	t.dropExpired(now)
 	s := t.states[counter]
 	switch {
-	case t.given:
-		return claim{kind: claimGiven}
+	case t.released:
+		return claim{kind: claimReleased}
 	case counter >= t.next || counter == 0:
-		return claim{kind: claimNever}
+		return claim{kind: claimNotMinted}
 	case s == nil:
-		return claim{kind: claimForgotten}
+		return claim{kind: claimExpired}
 	case s.statement != "" && s.statement != statement:
-		return claim{kind: claimOther}
+		return claim{kind: claimMismatch}
 	case s.answer != nil:
 		return claim{kind: claimDone, answer: s.answer}
-	case s.settled != nil:
-		return claim{kind: claimWait, settled: s.settled}
+	case s.running != nil:
+		return claim{kind: claimWait, done: s.running}
 	case now >= s.expires:
-		return claim{kind: claimForgotten}
+		return claim{kind: claimExpired}
 	}
 	s.statement = statement
-	s.settled = make(chan struct{})
+	s.running = make(chan struct{})
 	return claim{kind: claimRun}
 }
 
-// settle records the answer of a claimed ticket. After NotRun the request may
+// finish records the answer of a claimed ticket. After NotRun the request may
 // be tried again; any other answer is final.
-func (t *ticketStore) settle(counter uint64, a *entrygen.Answer) {
+func (t *ticketStore) finish(counter uint64, a *entrygen.Answer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.states[counter]
 	if a.Outcome != outcomeNotRun {
 		s.answer = a
 	}
-	close(s.settled)
-	s.settled = nil
+	close(s.running)
+	s.running = nil
 }
 
 // answer returns the final answer of a ticket; nil if it has none.
--- a/tier/entry/ticket_test.go
+++ b/tier/entry/ticket_test.go
@@ -9,30 +9,30 @@
 	entrygen "loomgap/tier/gen/entry"
 )
 
-func TestTicketLife(t *testing.T) {
+func TestTicketLifecycle(t *testing.T) {
 	s := newTicketStore(ticketsConfig{Host: "H1", Incarnation: "i", Life: time.Minute})
 	a, err := s.mint(0)
 	assert.NilError(t, err)
-	assert.Equal(t, s.claim(0, a.Counter+1, "x").kind, claimNever)
+	assert.Equal(t, s.claim(0, a.Counter+1, "x").kind, claimNotMinted)
 	assert.Equal(t, s.claim(0, a.Counter, "x").kind, claimRun)
 	assert.Equal(t, s.claim(0, a.Counter, "x").kind, claimWait)
-	assert.Equal(t, s.claim(0, a.Counter, "y").kind, claimOther)
-	s.settle(a.Counter, &entrygen.Answer{Outcome: outcomeNotRun})
+	assert.Equal(t, s.claim(0, a.Counter, "y").kind, claimMismatch)
+	s.finish(a.Counter, &entrygen.Answer{Outcome: outcomeNotRun})
 	assert.Equal(t, s.claim(0, a.Counter, "x").kind, claimRun, "after NotRun it may be tried again")
 	// A running order is kept past its time, so that it cannot run twice.
 	assert.Equal(t, s.claim(2*time.Minute, a.Counter, "x").kind, claimWait)
 	done := &entrygen.Answer{Outcome: outcomeComplete}
-	s.settle(a.Counter, done)
+	s.finish(a.Counter, done)
 	assert.Equal(t, s.claim(time.Second, a.Counter, "x").answer, done)
-	assert.Equal(t, s.claim(2*time.Minute, a.Counter, "x").kind, claimForgotten)
+	assert.Equal(t, s.claim(2*time.Minute, a.Counter, "x").kind, claimExpired)
 }
 
-func TestUnknownIsFinal(t *testing.T) {
+func TestUnknownAnswerIsFinal(t *testing.T) {
 	s := newTicketStore(ticketsConfig{Host: "H1", Incarnation: "i", Life: time.Minute})
 	a, err := s.mint(0)
 	assert.NilError(t, err)
 	assert.Equal(t, s.claim(0, a.Counter, "x").kind, claimRun)
-	s.settle(a.Counter, &entrygen.Answer{Outcome: outcomeUnknown})
+	s.finish(a.Counter, &entrygen.Answer{Outcome: outcomeUnknown})
 	assert.Equal(t, s.claim(0, a.Counter, "x").kind, claimDone)
 }
 
@@ -51,7 +51,7 @@
 	})
 }
 
-func TestGivenTicketsRunOnlyAtTheSuccessor(t *testing.T) {
+func TestReleasedTicketsRunOnlyAtTheSuccessor(t *testing.T) {
 	s := newTicketStore(ticketsConfig{Host: "H1", Incarnation: "i", Life: time.Minute})
 	var minted []ticket
 	for range 4 {
@@ -61,28 +61,28 @@
 	}
 	done := &entrygen.Answer{Outcome: outcomeComplete}
 	assert.Equal(t, s.claim(0, minted[1].Counter, "b").kind, claimRun)
-	s.settle(minted[1].Counter, done)
+	s.finish(minted[1].Counter, done)
 	assert.Equal(t, s.claim(0, minted[2].Counter, "c").kind, claimRun)
-	handed := s.giveAway(10 * time.Second)
+	handed := s.release(10 * time.Second)
 	assert.Equal(t, len(handed), 3, "what runs is not handed over")
 	for _, k := range minted {
-		assert.Equal(t, s.claim(10*time.Second, k.Counter, "x").kind, claimGiven)
+		assert.Equal(t, s.claim(10*time.Second, k.Counter, "x").kind, claimReleased)
 	}
 	_, err := s.mint(10 * time.Second)
 	assert.ErrorIs(t, err, errTicketsFull)
 
 	var a adoptedTickets
-	successor := a.open("H1", "i", time.Minute)
+	successor := a.getOrCreate("H1", "i", time.Minute)
 	// Two messages, in an order of tsuccessor own, and one of them twice.
-	successor.take(0, s.next, handed[1:])
-	assert.Equal(t, successor.claim(0, minted[2].Counter, "c").kind, claimForgotten)
-	successor.take(0, s.next, handed[:1])
-	successor.take(0, s.next, handed[:1])
+	successor.adopt(0, s.next, handed[1:])
+	assert.Equal(t, successor.claim(0, minted[2].Counter, "c").kind, claimExpired)
+	successor.adopt(0, s.next, handed[:1])
+	successor.adopt(0, s.next, handed[:1])
 	assert.Equal(t, a.find("H1/i"), successor)
 	assert.Equal(t, successor.claim(0, minted[0].Counter, "a").kind, claimRun)
-	successor.take(0, s.next, handed)
+	successor.adopt(0, s.next, handed)
 	assert.Equal(t, successor.claim(0, minted[0].Counter, "a").kind, claimWait, "a message that comes late does not free a ticket")
 	assert.Equal(t, successor.claim(0, minted[1].Counter, "b").answer.Outcome, outcomeComplete)
-	assert.Equal(t, successor.claim(0, 99, "z").kind, claimNever)
-	assert.Equal(t, successor.claim(time.Minute, minted[3].Counter, "d").kind, claimForgotten)
+	assert.Equal(t, successor.claim(0, 99, "z").kind, claimNotMinted)
+	assert.Equal(t, successor.claim(time.Minute, minted[3].Counter, "d").kind, claimExpired)
 }
--- a/tier/kernel/control.go
+++ b/tier/kernel/control.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// jobBacklog is how many jobs may wait for the control thread before Do blocks.
-	jobBacklog = 1024
-	// pulseEvery is the time between two pulses of an idle control thread. It has to be
+	// maxQueuedJobs is how many jobs may wait for the control thread before Do blocks.
+	maxQueuedJobs = 1024
+	// tickInterval is the time between two pulses of an idle control thread. It has to be
 	// well below pauseBound.
-	pulseEvery = 100 * time.Millisecond
-	// pauseBound is the longest gap between pulses after which the process is still
+	tickInterval = 100 * time.Millisecond
+	// maxTickGap is the longest gap between pulses after which the process is still
 	// considered to have run all the time.
-	pauseBound = time.Second
+	maxTickGap = time.Second
 )
 
 // Responsive reports whether the process has run without a long pause up to now. A
 // process that was paused must not act on what it knew before.
 func (k *Kernel) Responsive() bool {
-	k.noteSleep()
-	return k.Now()-time.Duration(k.lastPulse.Load()) < pauseBound
+	k.recordSuspension()
+	return k.Now()-time.Duration(k.lastTick.Load()) < maxTickGap
 }
 
 // AwaitPauseCheck waits until the control thread has noticed a pause of the process, so that what
@@ -56,18 +56,18 @@
 
 func (k *Kernel) control(ctx context.Context, s *State) {
 	defer k.reportPanic(s)
-	tick := time.NewTicker(pulseEvery)
-	defer tick.Stop()
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case job := <-k.jobs:
-			k.pulse(s)
+			k.tick(s)
 			job(s)
 			k.publish(s)
-		case <-tick.C:
-			k.pulse(s)
+		case <-ticker.C:
+			k.tick(s)
 		}
 	}
 }
@@ -89,25 +89,25 @@
 	panic(cause)
 }
 
-// pulse notes that the process runs. After a pause Pauses rises, so that the
+// tick notes that the process runs. After a pause Pauses rises, so that the
 // silence of members during the pause does not count.
-func (k *Kernel) pulse(s *State) {
-	k.noteSleep()
+func (k *Kernel) tick(s *State) {
+	k.recordSuspension()
 	now := k.Now()
-	gap := now - time.Duration(k.lastPulse.Load())
-	if gap > pauseBound {
+	gap := now - time.Duration(k.lastTick.Load())
+	if gap > maxTickGap {
 		k.Log.Warn().Dur("Gap", gap).Msg("process was paused")
 		s.Pauses++
 		s.changed = true
 		k.publish(s)
 	}
-	k.lastPulse.Store(int64(now))
+	k.lastTick.Store(int64(now))
 }
 
-// noteSleep has the time asleep count, if the machine was suspended.
-func (k *Kernel) noteSleep() {
-	if slept := k.sleep.look(k.monotonic); slept > 0 {
-		k.Log.Warn().Dur("Asleep", slept).Msg("machine was suspended")
+// recordSuspension has the time asleep count, if the machine was suspended.
+func (k *Kernel) recordSuspension() {
+	if suspended := k.suspensions.update(k.monotonic); suspended > 0 {
+		k.Log.Warn().Dur("Asleep", suspended).Msg("machine was suspended")
 	}
 }
 
--- a/tier/kernel/document.go
+++ b/tier/kernel/document.go
@@ -84,7 +84,7 @@
 	s.NotePublished(e.Position, "")
 	newer := e.Newer(s.Newest)
 	if !newer {
-		k.logPassedOver(s, e)
+		k.logIgnored(s, e)
 	}
 	return newer
 }
@@ -103,9 +103,9 @@
 		Int("Routes", len(x.Document.Routes)).Msg("document in force")
 }
 
-// logPassedOver notes a document that is older than the newest one seen. Without it, a
+// logIgnored notes a document that is older than the newest one seen. Without it, a
 // change that was read and ignored looks like one that was never read.
-func (k *Kernel) logPassedOver(s *State, e config.Edition) {
+func (k *Kernel) logIgnored(s *State, e config.Edition) {
 	if s.Newest.Newer(e) {
 		k.Log.Info().Uint64("Version", e.Version).Uint64("Era", e.Era).Uint64("Revision", e.Revision).
 			Uint64("NewestVersion", s.Newest.Version).Uint64("NewestEra", s.Newest.Era).Uint64("Newest", s.Newest.Revision).
--- a/tier/kernel/kernel.go
+++ b/tier/kernel/kernel.go
@@ -22,16 +22,16 @@
 	Peers PeerCaller
 
 	lifecycle
-	sleep sleepMeter
+	suspensions suspendMeter
 	// live holds the settings that may change.
 	live atomic.Pointer[ReloadableSettings]
 	// jobs are run by the control thread, in order.
 	jobs chan func(*State)
 	// view is the state as last published.
 	view atomic.Pointer[View]
-	// lastPulse is when the control thread last showed that the process runs, in
+	// lastTick is when the control thread last showed that the process runs, in
 	// nanoseconds since started.
-	lastPulse atomic.Int64
+	lastTick atomic.Int64
 	// handlers holds a Handler by method.
 	handlers sync.Map
 	// watchers are called for every new view; used on the control thread.
@@ -60,17 +60,17 @@
 	k := &Kernel{
 		Config:     c,
 		RequestLog: c.Log.Sample(newRateSampler(c.Settings.LogRate)),
-		jobs:       make(chan func(*State), jobBacklog),
+		jobs:       make(chan func(*State), maxQueuedJobs),
 		lifecycle:  lifecycle{stopping: make(chan struct{})},
 	}
-	if err := k.sleep.begin(c.BootTime, k.monotonic); err != nil {
+	if err := k.suspensions.start(c.BootTime, k.monotonic); err != nil {
 		k.Log.Warn().Err(err).Msg("suspensions of the machine are not noticed")
 	}
 	k.live.Store(&ReloadableSettings{Seeds: c.Settings.Seeds, RetryBudget: c.Settings.RetryBudget})
 	k.phase.Store(PhaseStarting)
 	state := newState()
 	k.view.Store(state.view())
-	k.lastPulse.Store(int64(k.Now()))
+	k.lastTick.Store(int64(k.Now()))
 	return k, RunLoops(context.Background(), func(ctx context.Context) { k.control(ctx, state) })
 }
 
@@ -78,7 +78,7 @@
 // asleep that was noticed. So the age of what is known counts a suspension of the machine,
 // and a step of the time of day moves nothing.
 func (k *Kernel) Now() time.Duration {
-	return k.monotonic() + time.Duration(k.sleep.asleep.Load())
+	return k.monotonic() + time.Duration(k.suspensions.total.Load())
 }
 
 func (k *Kernel) monotonic() time.Duration { return time.Since(k.Started) }
--- a/tier/kernel/kernel_test.go
+++ b/tier/kernel/kernel_test.go
@@ -33,7 +33,7 @@
 	return strings.Replace(string(text), `"Based": 0`, `"Based": `+based, 1)
 }
 
-func TestAcceptOnlyRises(t *testing.T) {
+func TestAcceptIgnoresOlderDocuments(t *testing.T) {
 	tests := []struct {
 		name              string
 		text              string
@@ -111,38 +111,38 @@
 	})
 }
 
-// TestPauseIsSeen stops the control thread for longer than the bound, as a pause
+// TestPauseIsDetected stops the control thread for longer than the bound, as a pause
 // of the process does, in virtual time.
-func TestPauseIsSeen(t *testing.T) {
+func TestPauseIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k, stop := start(t)
 		defer stop()
-		k.Do(func(*State) { time.Sleep(2 * pauseBound) })
-		time.Sleep(pauseBound + pulseEvery)
+		k.Do(func(*State) { time.Sleep(2 * maxTickGap) })
+		time.Sleep(maxTickGap + tickInterval)
 		assert.Assert(t, !k.Responsive(), "no pulse: what is believed may be old")
-		time.Sleep(pauseBound + pulseEvery)
+		time.Sleep(maxTickGap + tickInterval)
 		synctest.Wait()
 		assert.Assert(t, k.Responsive())
 		assert.Equal(t, pausesOf(k), 1)
 	})
 }
 
-// TestSuspensionIsAPause hands in a boot clock that runs on while the monotonic one stands
+// TestSuspensionCountsAsPause hands in a boot clock that runs on while the monotonic one stands
 // still: what is known has aged, and the pause is noticed before the next request.
-func TestSuspensionIsAPause(t *testing.T) {
+func TestSuspensionCountsAsPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		started := time.Now()
-		var asleep atomic.Int64
+		var suspended atomic.Int64
 		boot := func() (time.Duration, error) {
-			return time.Hour + time.Since(started) + time.Duration(asleep.Load()), nil
+			return time.Hour + time.Since(started) + time.Duration(suspended.Load()), nil
 		}
 		k, stop := New(Config{Log: zerolog.Nop(), Started: started, BootTime: boot})
 		defer stop()
-		time.Sleep(10 * pulseEvery)
+		time.Sleep(10 * tickInterval)
 		assert.Assert(t, k.Responsive())
 		assert.Equal(t, pausesOf(k), 0)
 		before := k.Now()
-		asleep.Store(int64(3 * time.Second))
+		suspended.Store(int64(3 * time.Second))
 		assert.Assert(t, !k.Responsive(), "the suspension is not noticed before the next pulse")
 		assert.Equal(t, k.Now()-before, 3*time.Second)
 		k.AwaitPauseCheck()
@@ -151,13 +151,13 @@
 	})
 }
 
-// TestShortDelaysAreNoSleep has the two clocks differ by less than a suspension.
-func TestShortDelaysAreNoSleep(t *testing.T) {
-	var m sleepMeter
-	assert.NilError(t, m.begin(func() (time.Duration, error) { return time.Hour, nil }, func() time.Duration { return 0 }))
+// TestShortDelaysAreNoSuspension has the two clocks differ by less than a suspension.
+func TestShortDelaysAreNoSuspension(t *testing.T) {
+	var m suspendMeter
+	assert.NilError(t, m.start(func() (time.Duration, error) { return time.Hour, nil }, func() time.Duration { return 0 }))
 	monotonic := func() time.Duration { return 50 * time.Millisecond }
-	assert.Equal(t, m.look(monotonic), time.Duration(0))
-	assert.Equal(t, time.Duration(m.asleep.Load()), time.Duration(0))
+	assert.Equal(t, m.update(monotonic), time.Duration(0))
+	assert.Equal(t, time.Duration(m.total.Load()), time.Duration(0))
 }
 
 // pausesOf asks the control thread for the pauses that it has noticed.
@@ -166,9 +166,9 @@
 	return pauses
 }
 
-// TestWakeWaitsUntilAPauseIsNoticed holds the control thread up, as a pause of
+// TestAwaitPauseCheckWaitsForTheControlThread holds the control thread up, as a pause of
 // the process does.
-func TestWakeWaitsUntilAPauseIsNoticed(t *testing.T) {
+func TestAwaitPauseCheckWaitsForTheControlThread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k, stop := New(Config{Log: zerolog.Nop(), Started: time.Now()})
 		defer stop()
@@ -188,9 +188,9 @@
 	})
 }
 
-// TestSettleWaitsUntilTheBalancerKnows has a stopping host be asked whether it is
+// TestSettleWaitsForReadinessChecks has a stopping host be asked whether it is
 // ready at certain times.
-func TestSettleWaitsUntilTheBalancerKnows(t *testing.T) {
+func TestSettleWaitsForReadinessChecks(t *testing.T) {
 	tests := []struct {
 		name string
 		asks []time.Duration
@@ -215,7 +215,7 @@
 					time.AfterFunc(at, func() { assert.Check(t, !k.Ready()) })
 				}
 				k.Settle()
-				assert.Assert(t, k.Now() >= tt.want && k.Now() <= tt.want+2*settleLook, "%s", k.Now())
+				assert.Assert(t, k.Now() >= tt.want && k.Now() <= tt.want+2*settlePollInterval, "%s", k.Now())
 			})
 		})
 	}
@@ -265,7 +265,7 @@
 				}
 				started := time.Now()
 				assert.Equal(t, k.AwaitIdle(ctx), tt.want)
-				assert.Assert(t, time.Since(started) <= min(tt.endsIn+inFlightLook, 3*time.Second))
+				assert.Assert(t, time.Since(started) <= min(tt.endsIn+inFlightPollInterval, 3*time.Second))
 			})
 		})
 	}
--- a/tier/kernel/lifecycle.go
+++ b/tier/kernel/lifecycle.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	// settleLook is how often a stopping host checks whether it was asked for its
+	// settlePollInterval is how often a stopping host checks whether it was asked for its
 	// readiness.
-	settleLook = 20 * time.Millisecond
-	// inFlightLook is how often a stopping host checks whether requests are in flight.
-	inFlightLook = 5 * time.Millisecond
+	settlePollInterval = 20 * time.Millisecond
+	// inFlightPollInterval is how often a stopping host checks whether requests are in flight.
+	inFlightPollInterval = 5 * time.Millisecond
 )
 
 // lifecycle is where a host is in its life, and what a planned stop waits for. It is
@@ -35,8 +35,8 @@
 	// stopping is closed, once, when a planned stop is asked for.
 	stopping chan struct{}
 	stopOnce sync.Once
-	// notReady counts how often a stopping host answered that it is not ready.
-	notReady atomic.Int64
+	// notReadyAnswers counts how often a stopping host answered that it is not ready.
+	notReadyAnswers atomic.Int64
 }
 
 // Phase is where the host is in its life.
@@ -58,7 +58,7 @@
 // Ready reports whether the host is to get requests, for whoever asks.
 func (k *Kernel) Ready() bool {
 	if k.Phase() == PhaseDraining {
-		k.notReady.Add(1)
+		k.notReadyAnswers.Add(1)
 		return false
 	}
 	return k.Phase() == PhaseReady && k.Responsive()
@@ -67,12 +67,12 @@
 // Settle waits until the balancer knows that this host stops: for the setting Settle,
 // and then until it was asked SettleAsks times, but no longer than SettleMost.
 func (k *Kernel) Settle() {
-	began := k.Now()
+	started := k.Now()
 	time.Sleep(k.Settings.Settle)
-	for k.notReady.Load() < int64(k.Settings.SettleAsks) && k.Now()-began < k.Settings.SettleMost {
-		time.Sleep(settleLook)
+	for k.notReadyAnswers.Load() < int64(k.Settings.SettleAsks) && k.Now()-started < k.Settings.SettleMost {
+		time.Sleep(settlePollInterval)
 	}
-	k.Log.Info().Int64("Asked", k.notReady.Load()).Dur("Took", k.Now()-began).Msg("no more requests taken")
+	k.Log.Info().Int64("Asked", k.notReadyAnswers.Load()).Dur("Took", k.Now()-started).Msg("no more requests taken")
 }
 
 // AwaitIdle waits until no request is in flight, those included that are carried
@@ -83,7 +83,7 @@
 		if ctx.Err() != nil {
 			return false
 		}
-		Sleep(ctx, inFlightLook)
+		Sleep(ctx, inFlightPollInterval)
 	}
 	return true
 }
--- a/tier/kernel/member.go
+++ b/tier/kernel/member.go
@@ -37,7 +37,7 @@
 		return
 	}
 	s.Members[m.Host] = m
-	s.published = nil
+	s.publishedCopy = nil
 	old.Revision = m.Revision
 	if !known || old != m {
 		s.MemberChanges++
@@ -56,17 +56,17 @@
 }
 
 // PublishMembers has members published that changed without being published.
-func (s *State) PublishMembers() { s.changed = s.changed || s.published == nil }
+func (s *State) PublishMembers() { s.changed = s.changed || s.publishedCopy == nil }
 
 func (s *State) membersChanged() {
 	s.MemberChanges++
-	s.published = nil
+	s.publishedCopy = nil
 }
 
 // publishedMembers is a copy of the members that does not change.
 func (s *State) publishedMembers() map[string]Member {
-	if s.published == nil {
-		s.published = maps.Clone(s.Members)
+	if s.publishedCopy == nil {
+		s.publishedCopy = maps.Clone(s.Members)
 	}
-	return s.published
+	return s.publishedCopy
 }
--- a/tier/kernel/state.go
+++ b/tier/kernel/state.go
@@ -25,8 +25,8 @@
 
 	// changed is true if a view has to be published after the job under way.
 	changed bool
-	// published is the copy of Members that views have; nil if it is out of date.
-	published map[string]Member
+	// publishedCopy is the copy of Members that views have; nil if it is out of date.
+	publishedCopy map[string]Member
 }
 
 func newState() *State {
--- a/tier/kernel/sleep.go
+++ b/tier/kernel/suspend.go
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// sleepLeast is the least time asleep that is noticed: two clocks are not read at the same
+// minSuspension is the least time asleep that is noticed: two clocks are not read at the same
 // moment.
-const sleepLeast = 100 * time.Millisecond
+const minSuspension = 100 * time.Millisecond
 
 // BootTime is the time since the machine started, the time in which it was suspended
 // included: the monotonic clock stands still then. A step of the time of day does not move
@@ -23,20 +23,20 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// sleepMeter adds up how long the machine was suspended while the process ran, so that
+// suspendMeter adds up how long the machine was suspended while the process ran, so that
 // what the process knows ages meanwhile. It is safe for concurrent use once it has begun;
 // the zero value notices nothing.
-type sleepMeter struct {
+type suspendMeter struct {
 	// bootTime reads the boot clock; nil for a process that takes no notice of it.
 	bootTime func() (time.Duration, error)
-	// awakeAtStart is the boot clock less the monotonic time since Started.
-	awakeAtStart time.Duration
-	// asleep is a time.Duration; it only rises.
-	asleep atomic.Int64
+	// bootOffset is the boot clock less the monotonic time since Started.
+	bootOffset time.Duration
+	// total is a time.Duration; it only rises.
+	total atomic.Int64
 }
 
-// begin has the meter count from now on.
-func (m *sleepMeter) begin(bootTime func() (time.Duration, error), monotonic func() time.Duration) error {
+// start has the meter count from now on.
+func (m *suspendMeter) start(bootTime func() (time.Duration, error), monotonic func() time.Duration) error {
 	if bootTime == nil {
 		return nil
 	}
@@ -44,13 +44,13 @@
 	if err != nil {
 		return err
 	}
-	m.bootTime, m.awakeAtStart = bootTime, boot-monotonic()
+	m.bootTime, m.bootOffset = bootTime, boot-monotonic()
 	return nil
 }
 
-// look notices time asleep since the last look, and returns how much. The boot clock is
+// update notices time asleep since the last update, and returns how much. The boot clock is
 // read first, so that a delay between the two readings counts as no sleep.
-func (m *sleepMeter) look(monotonic func() time.Duration) time.Duration {
+func (m *suspendMeter) update(monotonic func() time.Duration) time.Duration {
 	if m.bootTime == nil {
 		return 0
 	}
@@ -58,10 +58,10 @@
 	if err != nil {
 		return 0 // the clock could be read at the start; the next look tells
 	}
-	before := m.asleep.Load()
-	slept := boot - monotonic() - m.awakeAtStart - time.Duration(before)
-	if slept < sleepLeast || !m.asleep.CompareAndSwap(before, before+int64(slept)) {
+	before := m.total.Load()
+	suspended := boot - monotonic() - m.bootOffset - time.Duration(before)
+	if suspended < minSuspension || !m.total.CompareAndSwap(before, before+int64(suspended)) {
 		return 0
 	}
-	return slept
+	return suspended
 }
--- a/tier/runner/batch.go
+++ b/tier/runner/batch.go
@@ -58,7 +58,7 @@
 // Report passes on the outcome of one call.
 func (r *Reporter[R]) Report(i int, reply Reply[R]) {
 	if !r.calls[i].ended {
-		r.execution.ended(r.batch[i], r.calls[i], r.started, reply)
+		r.execution.endCall(r.batch[i], r.calls[i], r.started, reply)
 	}
 }
 
--- a/tier/runner/call.go
+++ b/tier/runner/call.go
@@ -42,11 +42,11 @@
 		k.Fleet.Sent(started, a.Upstream)
 		reply = e.caller.Call(ctx, a)
 	}
-	e.ended(a, c, started, reply)
+	e.endCall(a, c, started, reply)
 }
 
-// ended accounts for a call and passes what became of it to the run.
-func (e *execution[R]) ended(a policy.Action, c *call, started time.Duration, reply Reply[R]) {
+// endCall accounts for a call and passes what became of it to the run.
+func (e *execution[R]) endCall(a policy.Action, c *call, started time.Duration, reply Reply[R]) {
 	k := e.kernel
 	now := k.Now()
 	if reply.Took == 0 {
@@ -56,9 +56,9 @@
 	c.cancel()
 	c.ended = true
 	lingering := c.lingering
-	reply.Outcome = e.settled(now, c, reply.Outcome)
+	reply.Outcome = e.finalOutcome(now, c, reply.Outcome)
 	if e.observer != nil {
-		e.observer.CallEnded(a, reply, now-started, e.over)
+		e.observer.CallEnded(a, reply, now-started, e.finished)
 	}
 	e.mu.Unlock()
 	countCall(reply.Outcome)
@@ -73,9 +73,9 @@
 	policy.Deliver(granted)
 }
 
-// settled distinguishes a call that was cancelled from one that broke; the
+// finalOutcome distinguishes a call that was cancelled from one that broke; the
 // execution is locked.
-func (e *execution[R]) settled(now time.Duration, c *call, o policy.CallOutcome) policy.CallOutcome {
+func (e *execution[R]) finalOutcome(now time.Duration, c *call, o policy.CallOutcome) policy.CallOutcome {
 	switch {
 	case o != policy.CallBroken && o != policy.CallLost:
 		return o
--- a/tier/runner/call_test.go
+++ b/tier/runner/call_test.go
@@ -9,8 +9,8 @@
 	"loomgap/tier/policy"
 )
 
-// TestSettled tells calls that broke from those that this host gave up.
-func TestSettled(t *testing.T) {
+// TestFinalOutcome tells calls that broke from those that this host gave up.
+func TestFinalOutcome(t *testing.T) {
 	const deadline = time.Second
 	tests := []struct {
 		name      string
@@ -29,7 +29,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			e := &execution[int]{deadline: deadline}
-			assert.Equal(t, e.settled(tt.now, &call{outcome: tt.cancelled}, tt.outcome), tt.want)
+			assert.Equal(t, e.finalOutcome(tt.now, &call{outcome: tt.cancelled}, tt.outcome), tt.want)
 		})
 	}
 }
--- a/tier/runner/crash.go
+++ b/tier/runner/crash.go
@@ -9,10 +9,10 @@
 	"loomgap/tier/policy"
 )
 
-// connectBound is how long an upstream has to accept a connection before it is
+// connectTimeout is how long an upstream has to accept a connection before it is
 // considered crashed: some round trips between regions, which are 10 ms apart. Its call
 // is not made again before.
-const connectBound = 50 * time.Millisecond
+const connectTimeout = 50 * time.Millisecond
 
 // DetectCrash returns what became of a call. If its connection was lost, it connects to
 // the upstream once more: one that refuses has crashed, and one that accepts only reset
@@ -21,7 +21,7 @@
 	if o != policy.CallBroken || ctx.Err() != nil {
 		return o
 	}
-	bounded, cancel := context.WithTimeout(ctx, connectBound)
+	bounded, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
 	var d net.Dialer
 	c, err := d.DialContext(bounded, "tcp", upstream.String())
--- a/tier/runner/runner.go
+++ b/tier/runner/runner.go
@@ -31,8 +31,8 @@
 	run *policy.Run
 	// reply is what the event being handled brought.
 	reply R
-	// over is true once the run has its end, decidedAt is when that was.
-	over      bool
+	// finished is true once the run has its end, decidedAt is when that was.
+	finished  bool
 	decidedAt time.Duration
 	// calls holds how to cancel each sent attempt.
 	calls map[int]*call
@@ -57,7 +57,7 @@
 	}
 	e.batcher, _ = c.Caller.(Batcher[R])
 	e.observer, _ = c.Caller.(Observer[R])
-	c.Run.Granted = e.granted
+	c.Run.Granted = e.slotGranted
 	if e.run, err = policy.NewRun(c.Run); err != nil {
 		return policy.Result{}, 0, err
 	}
@@ -106,8 +106,8 @@
 	policy.Deliver(granted)
 }
 
-// granted passes on that a queued attempt has its slot.
-func (e *execution[R]) granted(n int) {
+// slotGranted passes on that a queued attempt has its slot.
+func (e *execution[R]) slotGranted(n int) {
 	e.handle(func(now time.Duration) []policy.Action { return e.run.Granted(now, n) })
 }
 
@@ -142,16 +142,16 @@
 		case policy.ActionFree:
 			granted = append(granted, e.kernel.Fleet.Free(e.kernel.Now(), a.Upstream)...)
 		case policy.ActionFinish:
-			e.over, e.decidedAt = true, e.kernel.Now()
+			e.finished, e.decidedAt = true, e.kernel.Now()
 			close(e.done)
 		}
 	}
-	return append(granted, e.launch(sends)...)
+	return append(granted, e.startCalls(sends)...)
 }
 
-// launch starts calls; the execution is locked. It returns the waiters that got a slot,
+// startCalls starts calls; the execution is locked. It returns the waiters that got a slot,
 // for policy.Deliver after unlocking.
-func (e *execution[R]) launch(sends []policy.Action) (granted []*policy.Waiter) {
+func (e *execution[R]) startCalls(sends []policy.Action) (granted []*policy.Waiter) {
 	var batches []Batch
 	if e.batcher != nil && len(sends) > 0 {
 		batches, sends = e.batcher.Batches(sends)
--- a/tier/wire/golden_test.go
+++ b/tier/wire/golden_test.go
@@ -11,9 +11,9 @@
 	"loomgap/tier/query"
 )
 
-// TestMessagesKeepTheirForm holds every message to the JSON that hosts, upstreams and
+// TestMessageFormat holds every message to the JSON that hosts, upstreams and
 // the platform already speak: one line each, all fields set, then none.
-func TestMessagesKeepTheirForm(t *testing.T) {
+func TestMessageFormat(t *testing.T) {
 	id := Identity{RequestID: "q1", Attempt: 2, Shard: "S1", MapRevision: 3}
 	held := UpstreamInfo{Oldest: 4, Newest: 5, Leaving: true}
 	field := query.Field{Name: "Stock", Value: "7"}
--- a/tier/wire/trace.go
+++ b/tier/wire/trace.go
@@ -8,13 +8,13 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// traceHeader is the W3C header that names the trace and the parent span.
-const traceHeader = "traceparent"
+// traceParentHeader is the W3C header that names the trace and the parent span.
+const traceParentHeader = "traceparent"
 
 var propagator propagation.TraceContext
 
-// unsampled is the parent of spans that belong to no sampled trace.
-var unsampled = trace.NewSpanContext(trace.SpanContextConfig{TraceID: trace.TraceID{1}, SpanID: trace.SpanID{1}, Remote: true})
+// unsampledParent is the parent of spans that belong to no sampled trace.
+var unsampledParent = trace.NewSpanContext(trace.SpanContextConfig{TraceID: trace.TraceID{1}, SpanID: trace.SpanID{1}, Remote: true})
 
 // TraceParent returns the trace parent of a context, for another host; empty if the trace
 // is not sampled, which halves a short message.
@@ -24,16 +24,16 @@
 	}
 	carrier := propagation.MapCarrier{}
 	propagator.Inject(ctx, carrier)
-	return carrier.Get(traceHeader)
+	return carrier.Get(traceParentHeader)
 }
 
 // WithTraceParent continues the trace of another host's TraceOf. If it is empty, nothing
 // under the context is sampled either.
 func WithTraceParent(ctx context.Context, parent string) context.Context {
 	if parent == "" {
-		return trace.ContextWithRemoteSpanContext(ctx, unsampled)
+		return trace.ContextWithRemoteSpanContext(ctx, unsampledParent)
 	}
-	return propagator.Extract(ctx, propagation.MapCarrier{traceHeader: parent})
+	return propagator.Extract(ctx, propagation.MapCarrier{traceParentHeader: parent})
 }
 
 // ExtractTrace continues the trace of a caller's headers.
--- a/tier/wire/trace_test.go
+++ b/tier/wire/trace_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestTraceGoesOnOnlyIfItIsLogged hands the place of a context to another host.
-func TestTraceGoesOnOnlyIfItIsLogged(t *testing.T) {
+// TestTraceParentIsSentOnlyIfSampled hands the place of a context to another host.
+func TestTraceParentIsSentOnlyIfSampled(t *testing.T) {
 	c := trace.SpanContextConfig{TraceID: trace.TraceID{7}, SpanID: trace.SpanID{8}}
 	quiet := trace.ContextWithSpanContext(context.Background(), trace.NewSpanContext(c))
 	assert.Equal(t, TraceParent(quiet), "")
