--- a/tier/kernel/adapter.go
+++ b/tier/kernel/adapter.go
@@ -12,41 +12,42 @@
 
 // Errors of sources.
 var (
-	// ErrHistoryGone is wrapped when a source no longer knows what changed
-	// after a revision: read everything again.
+	// ErrHistoryGone is wrapped when a source no longer has the changes after a
+	// position. The caller must read everything again.
 	ErrHistoryGone = errors.New("history of changes is gone")
-	// ErrStaleEra is wrapped by an answer that a source gave before it came back
-	// from a copy: it is not used, and asked for again.
-	ErrStaleEra = errors.New("answer of an earlier history")
-	// ErrNoAdapter is wrapped when an adapter is named that nobody registered.
+	// ErrStaleEra is wrapped when a source answered from an era before the one asked
+	// for, that is, from before it was restored from a copy. The caller drops the
+	// answer and asks again.
+	ErrStaleEra = errors.New("answer from an earlier era")
+	// ErrNoAdapter is wrapped when no adapter is registered under a name.
 	ErrNoAdapter = errors.New("no such adapter")
 )
 
-// Published is what a platform publishes, or what of it has changed.
+// Published is the content that a platform publishes, or a change of it.
 type Published struct {
-	// Position is the platform's position up to which this is whole. It orders nothing of
-	// another era.
+	// Position is the platform's position up to which the content is complete. It can
+	// be compared only with positions of the same era.
 	Position config.Position
-	// Document is the newest document, nil if it did not change or there is none yet;
-	// Edition is how new it is.
+	// Document is the newest document; nil if it did not change or does not exist yet.
 	Document *config.Document
-	Edition  config.Edition
-	// Directory is what changed in the directory.
+	// Edition orders Document among the published documents.
+	Edition config.Edition
+	// Directory is the change of the directory.
 	Directory config.DirectoryChange
-	// Problems are the errors of entries that could not be understood. These are left
-	// out.
+	// Problems are the errors of the entries that could not be parsed and were
+	// skipped.
 	Problems []error
 }
 
 // Source reads what a platform publishes. It is used by one goroutine.
 type Source interface {
-	// Read returns everything that is published, of one era; unless exact, it may be
-	// seconds old.
+	// Read returns everything that is published, all of one era. Unless exact is set,
+	// the result may be a few seconds old.
 	Read(ctx context.Context, exact bool) (*Published, error)
-	// Watch returns what changed after a position; if nothing has, it waits for a
-	// change. Its error wraps ErrHistoryGone if only Read can tell what is published:
-	// also if the platform has come back from a copy, so that the position is of a
-	// history that it no longer has. What it returns is of the era of the position, and not before it.
+	// Watch returns the changes after a position, and waits for one if there is none.
+	// The result is of the same era as the position and not older than it. The error
+	// wraps ErrHistoryGone if only Read can return the content, for example because
+	// the platform was restored from a copy and no longer knows the position.
 	Watch(ctx context.Context, after config.Position, wait time.Duration) (*Published, error)
 }
 
@@ -54,35 +55,37 @@
 type Headers struct {
 	// RequestID identifies a request; upstreams echo it.
 	RequestID string
-	// DeadlineMillis is how many milliseconds the sender will still wait.
+	// DeadlineMillis is the time that the sender still waits, in milliseconds.
 	DeadlineMillis string
-	// Upstream names the one upstream that may run the request.
+	// Upstream names the only upstream that may run the request.
 	Upstream string
-	// Stamp is an upstream's proof that an answer is its own.
+	// Stamp proves which upstream an answer comes from.
 	Stamp string
-	// NotRun is an upstream's statement that it did not run the request.
+	// NotRun states that the upstream did not run the request.
 	NotRun string
-	// Load reports the calls running and waiting at an upstream, and its slots.
+	// Load reports the running and queued calls of an upstream, and its slots.
 	Load string
 	// Parts lists the stamps of the parts of a gathered answer.
 	Parts string
-	// Missing is how many shards a gathered answer lacks.
+	// Missing is the number of shards missing from a gathered answer.
 	Missing string
 }
 
-// Adapter is what the tier knows of the platform that it runs on.
+// Adapter connects the tier to the platform that it runs on.
 type Adapter struct {
 	Headers Headers
-	// Open makes a source that reads the platform's service at an address.
+	// Open returns a source that reads the platform's service at an address, and its
+	// cleanup function.
 	Open func(at netip.AddrPort) (Source, func())
 }
 
 var adapters = map[string]Adapter{}
 
-// RegisterAdapter makes an adapter known; it is called from init functions.
+// RegisterAdapter registers an adapter under a name. It must be called from an init
+// function.
 func RegisterAdapter(name string, a Adapter) { adapters[name] = a }
 
-// FindAdapter finds a registered adapter.
+// FindAdapter returns the adapter registered under a name.
 func FindAdapter(name string) (Adapter, error) {
 	a, ok := adapters[name]
 	if !ok {
--- a/tier/kernel/control.go
+++ b/tier/kernel/control.go
@@ -7,33 +7,33 @@
 )
 
 const (
-	// maxQueuedJobs is how many jobs may wait for the control thread before Do blocks.
+	// maxQueuedJobs is the number of jobs that may be queued before Do blocks.
 	maxQueuedJobs = 1024
-	// tickInterval is the time between two pulses of an idle control thread. It has to be
-	// well below pauseBound.
+	// tickInterval is the time between two ticks of an idle control thread. It must be
+	// well below maxTickGap.
 	tickInterval = 100 * time.Millisecond
-	// maxTickGap is the longest gap between pulses after which the process is still
-	// considered to have run all the time.
+	// maxTickGap is the longest time between two ticks that does not count as a pause
+	// of the process.
 	maxTickGap = time.Second
 )
 
 // Responsive reports whether the process has run without a long pause up to now. A
-// process that was paused must not act on what it knew before.
+// process that was paused must not act on its earlier state.
 func (k *Kernel) Responsive() bool {
 	k.recordSuspension()
 	return k.Now()-time.Duration(k.lastTick.Load()) < maxTickGap
 }
 
-// AwaitPauseCheck waits until the control thread has noticed a pause of the process, so that what
-// was known before it is not acted on.
+// AwaitPauseCheck waits, if the process was paused, until the control thread has recorded
+// the pause, so that the caller does not act on state from before it.
 func (k *Kernel) AwaitPauseCheck() {
 	if !k.Responsive() {
 		k.DoAndWait(func(*State) {})
 	}
 }
 
-// RunLoops runs each loop in a goroutine of its own. The clean-up function ends their
-// context and waits until they have returned.
+// RunLoops runs each loop in its own goroutine. The returned cleanup function cancels
+// their context and waits until all have returned.
 func RunLoops(ctx context.Context, loops ...func(context.Context)) func() {
 	ctx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
@@ -46,7 +46,7 @@
 	}
 }
 
-// Sleep waits for a time, or until the context ends.
+// Sleep waits for a duration or until the context is done.
 func Sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -72,9 +72,8 @@
 	}
 }
 
-// reportPanic logs what the control thread knew when it failed, and lets the
-// process end: without this line an operator has a stack trace and not the
-// state that led to it.
+// reportPanic logs a summary of the control state when the control thread panics, and
+// then lets the process end. A stack trace alone does not show the state that led to it.
 func (k *Kernel) reportPanic(s *State) {
 	cause := recover()
 	if cause == nil {
@@ -89,8 +88,8 @@
 	panic(cause)
 }
 
-// tick notes that the process runs. After a pause Pauses rises, so that the
-// silence of members during the pause does not count.
+// tick records that the process is running. After a pause it increments Pauses, so that
+// missing heartbeats during the pause are not held against members.
 func (k *Kernel) tick(s *State) {
 	k.recordSuspension()
 	now := k.Now()
@@ -104,7 +103,7 @@
 	k.lastTick.Store(int64(now))
 }
 
-// recordSuspension has the time asleep count, if the machine was suspended.
+// recordSuspension adds the time for which the machine was suspended, if any, to Now.
 func (k *Kernel) recordSuspension() {
 	if suspended := k.suspensions.update(k.monotonic); suspended > 0 {
 		k.Log.Warn().Dur("Asleep", suspended).Msg("machine was suspended")
--- a/tier/kernel/document.go
+++ b/tier/kernel/document.go
@@ -9,26 +9,28 @@
 
 // DocumentState is what a host knows of the published documents.
 type DocumentState struct {
-	// Index is the document in force; nil before the first. It is never replaced by one
-	// that is not newer.
+	// Index is the active document; nil before the first. Only a newer document
+	// replaces it.
 	Index *config.Index
-	// Newest is the newest edition seen, refused ones included; it only gets newer.
+	// Newest is the newest edition seen, including refused ones. It never goes back.
 	Newest config.Edition
-	// Refused says why the newest refused document was refused.
+	// Refused is the reason why the newest refused document was refused.
 	Refused string
-	// Published is the latest position of a document that was seen, or that a peer
-	// reports. It takes no part in accepting a document: after the platform came back
-	// from a copy, the document in force may be newer than the one at this position.
+	// Published is the latest position of a document that this host has seen or a peer
+	// has reported. It does not decide whether a document is accepted: after the
+	// platform was restored from a copy, the active document may be newer than the one
+	// at this position.
 	Published config.Position
-	// Confirmed is true once the platform has shown, to this host or to one that told it,
-	// that there is no newer document than the one in force here. Before that a stale
-	// platform could make a host that starts serve an older document than it did before.
+	// Confirmed is true once this host, or a host that reported to it, has learnt from
+	// the platform that the active document is the newest. Without it, a stale platform
+	// could make a restarted host serve an older document than it served before.
 	Confirmed bool
-	// ConfirmedAt is as of when that was last shown, as time since the process started.
+	// ConfirmedAt is the time of the last confirmation, as time since the process
+	// started.
 	ConfirmedAt time.Duration
 }
 
-// Edition is how new the document in force is; zero before the first.
+// Edition returns the edition of the active document; zero before the first.
 func (d *DocumentState) Edition() config.Edition {
 	if d.Index == nil {
 		return config.Edition{}
@@ -36,14 +38,14 @@
 	return d.Index.Edition
 }
 
-// Confirm notes that there was no newer document than the one in force at a time.
+// Confirm records that the active document was the newest at the given time.
 func (s *State) Confirm(at time.Duration) {
 	s.changed = s.changed || !s.Confirmed
 	s.Confirmed, s.ConfirmedAt = true, max(s.ConfirmedAt, at)
 }
 
-// NotePublished notes what a peer reports: the latest position that it knows of a
-// document, and why it refused that document, if it did.
+// NotePublished records the latest document position that a peer reports, and the reason
+// if the peer refused that document.
 func (s *State) NotePublished(published config.Position, refused string) {
 	if published.Compare(s.Published) <= 0 {
 		return
@@ -54,17 +56,17 @@
 	}
 }
 
-// Accept puts a published document in force if it is newer than the one in force
-// and valid. It runs on the control thread.
+// Accept activates a published document if it is valid and newer than any seen before. It
+// runs on the control thread.
 func (k *Kernel) Accept(s *State, text string, e config.Edition) {
 	if k.isNewer(s, e) {
 		k.accept(s, text, e)
 	}
 }
 
-// AcceptDocument puts a document in force that an adapter has translated. What the
-// platform publishes is ordered by its edition alone, so each document is treated as
-// composed from the revision before. It runs on the control thread.
+// AcceptDocument does the same as Accept for a document that an adapter has translated.
+// Such documents are ordered by their edition alone, so each is treated as based on the
+// previous revision. It runs on the control thread.
 func (k *Kernel) AcceptDocument(s *State, d *config.Document, e config.Edition) {
 	if !k.isNewer(s, e) {
 		return
@@ -78,8 +80,8 @@
 	k.accept(s, string(text), e)
 }
 
-// isNewer notes that a document was seen, and reports whether it is newer than all seen
-// before.
+// isNewer records that a document was seen, and reports whether it is newer than all
+// documents seen before.
 func (k *Kernel) isNewer(s *State, e config.Edition) bool {
 	s.NotePublished(e.Position, "")
 	newer := e.Newer(s.Newest)
@@ -103,8 +105,8 @@
 		Int("Routes", len(x.Document.Routes)).Msg("document in force")
 }
 
-// logIgnored notes a document that is older than the newest one seen. Without it, a
-// change that was read and ignored looks like one that was never read.
+// logIgnored logs a document that is older than the newest one seen, so that an operator
+// can tell an ignored change from one that was never read.
 func (k *Kernel) logIgnored(s *State, e config.Edition) {
 	if s.Newest.Newer(e) {
 		k.Log.Info().Uint64("Version", e.Version).Uint64("Era", e.Era).Uint64("Revision", e.Revision).
--- a/tier/kernel/handler.go
+++ b/tier/kernel/handler.go
@@ -7,24 +7,24 @@
 	"fmt"
 )
 
-// Handler serves one method that other entry hosts call.
+// Handler serves a method that other entry hosts call.
 type Handler func(ctx context.Context, params json.RawMessage) (any, error)
 
 // PeerCaller calls a method of another entry host.
 type PeerCaller interface {
 	Call(ctx context.Context, host, method string, params, result any) error
-	// Notify sends another entry host a message that has no answer.
+	// Notify sends a one-way message to another entry host.
 	Notify(ctx context.Context, host, method string, params any) error
-	// Connect makes the connection to another entry host, if there is none, so that
-	// the first call does not wait for it.
+	// Connect opens the connection to another entry host, if there is none, so that
+	// the first call does not have to wait for it.
 	Connect(ctx context.Context, host string) error
 }
 
-// Handle serves a method for other entry hosts.
+// Handle registers the handler of a method that other entry hosts call.
 func (k *Kernel) Handle(method string, h Handler) { k.handlers.Store(method, h) }
 
-// HandleMessage serves a method with a typed handler; what is the name of the message in
-// the error for one that cannot be read.
+// HandleMessage registers a typed handler. The error for a message that cannot be decoded
+// calls the message what.
 func HandleMessage[T any](k *Kernel, method, what string, serve func(ctx context.Context, in *T) (any, error)) {
 	k.Handle(method, func(ctx context.Context, params json.RawMessage) (any, error) {
 		var in T
@@ -35,7 +35,7 @@
 	})
 }
 
-// Handler finds the handler of a method; nil if there is none.
+// Handler returns the handler of a method; nil if there is none.
 func (k *Kernel) Handler(method string) Handler {
 	h, ok := k.handlers.Load(method)
 	if !ok {
@@ -44,20 +44,20 @@
 	return h.(Handler)
 }
 
-// errNoPush means that Push was called outside of a call from another host.
-var errNoPush = errors.New("no connection to push on: push only while serving a call of another host")
+// errNoPush is returned by Push outside the handler of a call from another host.
+var errNoPush = errors.New("no connection to push on: Push works only while serving a call from another host")
 
-// pushKey is the key under which a context has what WithPush gave it.
+// pushKey is the context key of the function set by WithPush.
 type pushKey struct{}
 
-// WithPush gives the handler of a call a function by which Push sends its caller a
-// message before the answer.
+// WithPush returns a context for the handler of a call, in which Push uses the given
+// function to send messages to the caller.
 func WithPush(ctx context.Context, push func(method string, params any) error) context.Context {
 	return context.WithValue(ctx, pushKey{}, push)
 }
 
-// Push sends the caller of the method that is being served a message, which the
-// caller's handler of that other method gets. It may be handled after the answer.
+// Push sends a message to the caller of the method being served. The caller's handler of
+// the given method receives it, possibly after the answer.
 func Push(ctx context.Context, method string, params any) error {
 	push, ok := ctx.Value(pushKey{}).(func(method string, params any) error)
 	if !ok {
--- a/tier/kernel/kernel.go
+++ b/tier/kernel/kernel.go
@@ -15,26 +15,26 @@
 // Kernel owns the control state of one entry host.
 type Kernel struct {
 	Config
-	// RequestLog takes lines about single requests. Beyond a rate they are
-	// dropped and counted, so that load cannot flood the log.
+	// RequestLog logs single requests. Lines over the configured rate are dropped and
+	// counted, so that load cannot flood the log.
 	RequestLog zerolog.Logger
 	// Peers is set by the plug-in that serves the peer protocol.
 	Peers PeerCaller
 
 	lifecycle
 	suspensions suspendMeter
-	// live holds the settings that may change.
+	// live holds the settings that may change while the process runs.
 	live atomic.Pointer[ReloadableSettings]
 	// jobs are run by the control thread, in order.
 	jobs chan func(*State)
-	// view is the state as last published.
+	// view is the last published state.
 	view atomic.Pointer[View]
-	// lastTick is when the control thread last showed that the process runs, in
-	// nanoseconds since started.
+	// lastTick is the time of the control thread's last tick, in nanoseconds since
+	// Started.
 	lastTick atomic.Int64
-	// handlers holds a Handler by method.
+	// handlers maps each method to its Handler.
 	handlers sync.Map
-	// watchers are called for every new view; used on the control thread.
+	// watchers are called for every new view. Used on the control thread only.
 	watchers []func(*View)
 }
 
@@ -47,15 +47,15 @@
 	Fleet *policy.Fleet
 	// Started is the origin of Now.
 	Started time.Time
-	// BootTime reads a clock that runs on while the machine is suspended; nil if the host
-	// is to take no notice of that.
+	// BootTime reads a clock that also advances while the machine is suspended; nil to
+	// ignore suspensions.
 	BootTime func() (time.Duration, error)
-	// FlushLog writes the lines that the log holds back; nil if it holds none.
+	// FlushLog writes buffered log lines; nil if the log is not buffered.
 	FlushLog func()
 }
 
-// New makes a kernel and starts its control thread. The clean-up function
-// stops it.
+// New creates a kernel and starts its control thread. The returned cleanup function stops
+// it.
 func New(c Config) (*Kernel, func()) {
 	k := &Kernel{
 		Config:     c,
@@ -74,9 +74,9 @@
 	return k, RunLoops(context.Background(), func(ctx context.Context) { k.control(ctx, state) })
 }
 
-// Now is the time since the process started: that of the monotonic clock, and the time
-// asleep that was noticed. So the age of what is known counts a suspension of the machine,
-// and a step of the time of day moves nothing.
+// Now returns the time since the process started, by the monotonic clock plus the detected
+// suspensions of the machine. State therefore ages while the machine is suspended, and a
+// step of the wall clock has no effect.
 func (k *Kernel) Now() time.Duration {
 	return k.monotonic() + time.Duration(k.suspensions.total.Load())
 }
@@ -86,20 +86,20 @@
 // Reloadable returns the settings that may change while the process runs.
 func (k *Kernel) Reloadable() ReloadableSettings { return *k.live.Load() }
 
-// Reload puts changed settings in force; the control thread publishes a view.
+// Reload applies changed settings and has the control thread publish a view.
 func (k *Kernel) Reload(l ReloadableSettings) {
 	k.live.Store(&l)
 	k.Do(func(s *State) { s.changed = true })
 }
 
-// View is the newest published state. It does not change.
+// View returns the last published state, which is immutable.
 func (k *Kernel) View() *View { return k.view.Load() }
 
-// Do hands a job to the control thread.
+// Do queues a job for the control thread. It blocks while the queue is full.
 func (k *Kernel) Do(job func(*State)) { k.jobs <- job }
 
-// DoAndWait hands a job to the control thread and waits until it has run; what it
-// changed may not be published yet.
+// DoAndWait runs a job on the control thread and waits until it has returned. Its changes
+// may not be published yet.
 func (k *Kernel) DoAndWait(job func(*State)) {
 	done := make(chan struct{})
 	k.Do(func(s *State) {
@@ -109,7 +109,7 @@
 	<-done
 }
 
-// DoEvery runs a job on the control thread at each interval until the context ends.
+// DoEvery runs a job on the control thread at each interval until the context is done.
 func (k *Kernel) DoEvery(ctx context.Context, interval time.Duration, job func(*State)) {
 	tick := time.Tick(interval)
 	for {
@@ -122,8 +122,8 @@
 	}
 }
 
-// DoWithResult runs a job on the control thread and returns its answer, unless the context ends
-// before.
+// DoWithResult runs a job on the control thread and returns its result, or the context's
+// error if the context is done first.
 func DoWithResult[T any](ctx context.Context, k *Kernel, job func(*State) T) (T, error) {
 	answers := make(chan T, 1)
 	k.Do(func(s *State) { answers <- job(s) })
@@ -136,7 +136,8 @@
 	}
 }
 
-// OnView has a function called on the control thread for every new view.
+// OnView registers a function that the control thread calls with the current view and with
+// every later one.
 func (k *Kernel) OnView(f func(*View)) {
 	k.Do(func(*State) {
 		k.watchers = append(k.watchers, f)
--- a/tier/kernel/kernel_test.go
+++ b/tier/kernel/kernel_test.go
@@ -25,7 +25,7 @@
 	})
 }
 
-// document returns a valid document that is based on a revision.
+// document returns a valid document based on a revision.
 func document(t *testing.T, based string) string {
 	t.Helper()
 	text, err := os.ReadFile("../config/testdata/good.json")
@@ -86,7 +86,6 @@
 	assert.ErrorIs(t, err, ErrNoPlugin)
 }
 
-// TestViewsAreInOrderAndDoNotChange runs in virtual time.
 func TestViewsAreInOrderAndDoNotChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k, stop := start(t)
@@ -111,15 +110,15 @@
 	})
 }
 
-// TestPauseIsDetected stops the control thread for longer than the bound, as a pause
-// of the process does, in virtual time.
+// TestPauseIsDetected blocks the control thread for longer than maxTickGap, as a pause of
+// the process does.
 func TestPauseIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k, stop := start(t)
 		defer stop()
 		k.Do(func(*State) { time.Sleep(2 * maxTickGap) })
 		time.Sleep(maxTickGap + tickInterval)
-		assert.Assert(t, !k.Responsive(), "no pulse: what is believed may be old")
+		assert.Assert(t, !k.Responsive(), "without a tick the state may be outdated")
 		time.Sleep(maxTickGap + tickInterval)
 		synctest.Wait()
 		assert.Assert(t, k.Responsive())
@@ -127,8 +126,8 @@
 	})
 }
 
-// TestSuspensionCountsAsPause hands in a boot clock that runs on while the monotonic one stands
-// still: what is known has aged, and the pause is noticed before the next request.
+// TestSuspensionCountsAsPause advances the boot clock alone, as a suspension does: the
+// state must age, and the pause must be noticed before the next request.
 func TestSuspensionCountsAsPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		started := time.Now()
@@ -143,7 +142,7 @@
 		assert.Equal(t, pausesOf(k), 0)
 		before := k.Now()
 		suspended.Store(int64(3 * time.Second))
-		assert.Assert(t, !k.Responsive(), "the suspension is not noticed before the next pulse")
+		assert.Assert(t, !k.Responsive(), "the suspension is not noticed before the next tick")
 		assert.Equal(t, k.Now()-before, 3*time.Second)
 		k.AwaitPauseCheck()
 		assert.Equal(t, pausesOf(k), 1)
@@ -151,7 +150,7 @@
 	})
 }
 
-// TestShortDelaysAreNoSuspension has the two clocks differ by less than a suspension.
+// TestShortDelaysAreNoSuspension lets the two clocks differ by less than minSuspension.
 func TestShortDelaysAreNoSuspension(t *testing.T) {
 	var m suspendMeter
 	assert.NilError(t, m.start(func() (time.Duration, error) { return time.Hour, nil }, func() time.Duration { return 0 }))
@@ -160,14 +159,14 @@
 	assert.Equal(t, time.Duration(m.total.Load()), time.Duration(0))
 }
 
-// pausesOf asks the control thread for the pauses that it has noticed.
+// pausesOf returns the number of pauses that the control thread has recorded.
 func pausesOf(k *Kernel) (pauses int) {
 	k.DoAndWait(func(s *State) { pauses = s.Pauses })
 	return pauses
 }
 
-// TestAwaitPauseCheckWaitsForTheControlThread holds the control thread up, as a pause of
-// the process does.
+// TestAwaitPauseCheckWaitsForTheControlThread blocks the control thread, as a pause of the
+// process does: the caller must wait until the pause is recorded and published.
 func TestAwaitPauseCheckWaitsForTheControlThread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k, stop := New(Config{Log: zerolog.Nop(), Started: time.Now()})
@@ -188,8 +187,8 @@
 	})
 }
 
-// TestSettleWaitsForReadinessChecks has a stopping host be asked whether it is
-// ready at certain times.
+// TestSettleWaitsForReadinessChecks checks how long a stopping host keeps accepting
+// requests when readiness checks arrive in time, late or never.
 func TestSettleWaitsForReadinessChecks(t *testing.T) {
 	tests := []struct {
 		name string
@@ -221,8 +220,8 @@
 	}
 }
 
-// TestPanicOfControlThreadIsLogged has a panic tell what was known, before the
-// process ends.
+// TestPanicOfControlThreadIsLogged expects a panic to log the control state and to flush
+// the log before the process ends.
 func TestPanicOfControlThreadIsLogged(t *testing.T) {
 	var line strings.Builder
 	flushed := false
@@ -240,8 +239,8 @@
 	}
 }
 
-// TestStopWaitsForRequestsOfOtherHosts has a host stop while it carries a request
-// out for another one, and another that does not end in time.
+// TestStopWaitsForRequestsOfOtherHosts stops a host while it runs a request for another
+// host, which ends in time or not.
 func TestStopWaitsForRequestsOfOtherHosts(t *testing.T) {
 	tests := []struct {
 		name   string
--- a/tier/kernel/lifecycle.go
+++ b/tier/kernel/lifecycle.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Phase is where a host is in its life.
+// Phase is the lifecycle phase of a host.
 type Phase string
 
-// The phases.
+// The lifecycle phases, in order.
 const (
 	PhaseStarting Phase = "Starting"
 	PhaseReady    Phase = "Ready"
@@ -18,44 +18,43 @@
 )
 
 const (
-	// settlePollInterval is how often a stopping host checks whether it was asked for its
-	// readiness.
+	// settlePollInterval is the interval at which a stopping host polls notReadyAnswers.
 	settlePollInterval = 20 * time.Millisecond
-	// inFlightPollInterval is how often a stopping host checks whether requests are in flight.
+	// inFlightPollInterval is the interval at which a stopping host polls InFlight.
 	inFlightPollInterval = 5 * time.Millisecond
 )
 
-// lifecycle is where a host is in its life, and what a planned stop waits for. It is
-// safe for concurrent use.
+// lifecycle tracks the phase of a host and what a graceful shutdown waits for. It is safe
+// for concurrent use.
 type lifecycle struct {
-	// InFlight counts the requests in flight, those of other hosts included.
+	// InFlight counts the requests in flight, including those of other hosts.
 	InFlight atomic.Int64
 	// phase holds a Phase; it never goes back from PhaseDraining.
 	phase atomic.Value
-	// stopping is closed, once, when a planned stop is asked for.
+	// stopping is closed once, when a graceful shutdown is requested.
 	stopping chan struct{}
 	stopOnce sync.Once
-	// notReadyAnswers counts how often a stopping host answered that it is not ready.
+	// notReadyAnswers counts the readiness checks answered negatively while draining.
 	notReadyAnswers atomic.Int64
 }
 
-// Phase is where the host is in its life.
+// Phase returns the current phase.
 func (l *lifecycle) Phase() Phase { return l.phase.Load().(Phase) }
 
-// SetPhase moves the host on; a draining host never goes back.
+// SetPhase moves the host to a phase. A draining host stays draining.
 func (l *lifecycle) SetPhase(p Phase) {
 	if l.Phase() != PhaseDraining {
 		l.phase.Store(p)
 	}
 }
 
-// Stop asks for a planned stop.
+// Stop requests a graceful shutdown.
 func (l *lifecycle) Stop() { l.stopOnce.Do(func() { close(l.stopping) }) }
 
-// Stopping is closed when a planned stop was asked for.
+// Stopping returns a channel that is closed when a graceful shutdown is requested.
 func (l *lifecycle) Stopping() <-chan struct{} { return l.stopping }
 
-// Ready reports whether the host is to get requests, for whoever asks.
+// Ready answers a readiness check: it reports whether the host should receive requests.
 func (k *Kernel) Ready() bool {
 	if k.Phase() == PhaseDraining {
 		k.notReadyAnswers.Add(1)
@@ -64,8 +63,9 @@
 	return k.Phase() == PhaseReady && k.Responsive()
 }
 
-// Settle waits until the balancer knows that this host stops: for the setting Settle,
-// and then until it was asked SettleAsks times, but no longer than SettleMost.
+// Settle waits until the load balancer has had time to see that this host is stopping: for
+// the setting Settle, and then until SettleAsks readiness checks have been answered, but at
+// most for SettleMost.
 func (k *Kernel) Settle() {
 	started := k.Now()
 	time.Sleep(k.Settings.Settle)
@@ -75,9 +75,9 @@
 	k.Log.Info().Int64("Asked", k.notReadyAnswers.Load()).Dur("Took", k.Now()-started).Msg("no more requests taken")
 }
 
-// AwaitIdle waits until no request is in flight, those included that are carried
-// out for other hosts; false if the context ended before. Without it a planned stop
-// would cut requests whose callers are at another host.
+// AwaitIdle waits until no request is in flight and returns true, or returns false if the
+// context is done first. Requests run for other hosts count, so that a graceful shutdown
+// does not interrupt them.
 func (l *lifecycle) AwaitIdle(ctx context.Context) bool {
 	for l.InFlight.Load() > 0 {
 		if ctx.Err() != nil {
--- a/tier/kernel/member.go
+++ b/tier/kernel/member.go
@@ -8,29 +8,30 @@
 // Member is another entry host, as its heartbeats report it.
 type Member struct {
 	Host string
-	// Incarnation names its process.
+	// Incarnation identifies its process.
 	Incarnation string
-	// Hall is its data hall, Peer where other hosts connect.
+	// Hall is its data hall.
 	Hall string
+	// Peer is the address for connections from other entry hosts.
 	Peer netip.AddrPort
 	// Live is true while its heartbeats arrive, directly or through other hosts.
 	Live bool
-	// Leaving is true once it reported that it stops.
+	// Leaving is true once it has reported that it is stopping.
 	Leaving bool
-	// Revision is the configuration in force there.
+	// Revision is the revision of its active document.
 	Revision uint64
-	// Capacity is how much work it can do, as of policy.Capacity; above 0.
+	// Capacity is its capacity as defined by policy.Capacity; always above 0.
 	Capacity int
 }
 
-// Active reports whether the host is live and does not stop.
+// Active reports whether the host is live and not stopping.
 func (m *Member) Active() bool { return m.Live && !m.Leaving }
 
-// Callable reports whether requests and calls may be handed to the host.
+// Callable reports whether requests and calls may be sent to the host.
 func (m *Member) Callable() bool { return m.Active() && m.Peer.IsValid() }
 
-// SetMember notes what is known of a member, and has it published if anything changed
-// that decisions depend on. Anything else is published with the next view.
+// SetMember updates a member. A change that decisions depend on is published after the
+// current job, any other change together with the next view.
 func (s *State) SetMember(m Member) {
 	old, known := s.Members[m.Host]
 	if known && old == m {
@@ -45,7 +46,7 @@
 	}
 }
 
-// RemoveMember forgets a member.
+// RemoveMember removes a member.
 func (s *State) RemoveMember(host string) {
 	if _, known := s.Members[host]; !known {
 		return
@@ -55,7 +56,8 @@
 	s.changed = true
 }
 
-// PublishMembers has members published that changed without being published.
+// PublishMembers has a view published after the current job if members have unpublished
+// changes.
 func (s *State) PublishMembers() { s.changed = s.changed || s.publishedCopy == nil }
 
 func (s *State) membersChanged() {
@@ -63,7 +65,7 @@
 	s.publishedCopy = nil
 }
 
-// publishedMembers is a copy of the members that does not change.
+// publishedMembers returns an immutable copy of the members.
 func (s *State) publishedMembers() map[string]Member {
 	if s.publishedCopy == nil {
 		s.publishedCopy = maps.Clone(s.Members)
--- a/tier/kernel/plugin.go
+++ b/tier/kernel/plugin.go
@@ -6,27 +6,27 @@
 	"fmt"
 )
 
-// ErrNoPlugin is wrapped when a pipeline names a plug-in nobody registered.
+// ErrNoPlugin is wrapped when no plug-in is registered under a name.
 var ErrNoPlugin = errors.New("no such plug-in")
 
 // Plugin is one stage of the daemon.
 type Plugin interface {
-	// Name names the stage in logs and errors.
+	// Name returns the name of the stage for pipelines, logs and errors.
 	Name() string
-	// Default fills in settings that were left out.
+	// Default sets the defaults of settings that were left out.
 	Default(s *Settings)
-	// Skip reports whether the stage has nothing to do.
+	// Skip reports whether the stage is not needed with these settings.
 	Skip(s *Settings) bool
-	// Run starts the stage and returns its clean-up, which may be nil.
+	// Run starts the stage and returns its cleanup function, which may be nil.
 	Run(ctx context.Context, k *Kernel) (func(), error)
 }
 
 var plugins = map[string]Plugin{}
 
-// Register makes a plug-in known; it is called from init functions.
+// Register registers a plug-in under its name. It must be called from an init function.
 func Register(p Plugin) { plugins[p.Name()] = p }
 
-// Pipeline finds plug-ins by name, in the order given.
+// Pipeline returns the plug-ins with the given names, in that order.
 func Pipeline(names []string) ([]Plugin, error) {
 	var out []Plugin
 	for _, n := range names {
--- a/tier/kernel/sample.go
+++ b/tier/kernel/sample.go
@@ -8,16 +8,19 @@
 	"github.com/rs/zerolog"
 )
 
-// defaultLogRate is the most lines a second about single requests, where the
-// settings name none: a few for each request of a busy small host.
+// defaultLogRate is the default limit of RequestLog, in lines per second.
 const defaultLogRate = 200
 
-// rateSampler lets a number of lines through each second and counts the rest.
+// rateSampler passes a limited number of lines per second and counts the dropped ones.
 type rateSampler struct {
+	// rate is the limit in lines per second.
 	rate int64
-	// started is the origin of second; the clock of day may jump.
+	// started is the origin of second. It is read on the monotonic clock, since the
+	// wall clock may jump.
 	started time.Time
-	second  atomic.Int64
+	// second is the current second since started.
+	second atomic.Int64
+	// lines counts the lines of the current second.
 	lines   atomic.Int64
 	dropped *metrics.Counter
 }
@@ -34,8 +37,8 @@
 	}
 }
 
-// Sample implements zerolog.Sampler. Two goroutines that see a new second at
-// once may let a few lines more through.
+// Sample implements zerolog.Sampler. When two goroutines see a new second at the same
+// time, a few extra lines may pass.
 func (s *rateSampler) Sample(zerolog.Level) bool {
 	second := int64(time.Since(s.started) / time.Second)
 	if s.second.Swap(second) != second {
--- a/tier/kernel/settings.go
+++ b/tier/kernel/settings.go
@@ -8,74 +8,75 @@
 	"loomgap/tier/policy"
 )
 
-// Settings are the flags and environment variables of a daemon, checked.
+// Settings are the validated flags and environment variables of a daemon.
 type Settings struct {
 	// Host is the name of this host in the document.
 	Host string
-	// Hall is its data hall.
+	// Hall is the data hall of this host.
 	Hall string
-	// Incarnation names this process; a later process of the host has a larger one.
+	// Incarnation identifies this process. It is larger than those of earlier
+	// processes of the host.
 	Incarnation string
-	// Listen is where callers connect.
+	// Listen is the address for callers.
 	Listen netip.AddrPort
-	// Operate is where operators connect.
+	// Operate is the address for operators.
 	Operate netip.AddrPort
-	// Metrics is where metrics are served besides at Operate; the zero value
-	// for nowhere.
+	// Metrics is an additional address that serves metrics, besides Operate; the zero
+	// value for none.
 	Metrics netip.AddrPort
-	// Peer is where other entry hosts connect.
+	// Peer is the address for other entry hosts.
 	Peer netip.AddrPort
-	// Platform is where the platform's service is read.
+	// Platform is the address of the platform's service.
 	Platform netip.AddrPort
-	// Seeds are other entry hosts, asked at start.
+	// Seeds are the addresses of other entry hosts to contact at start.
 	Seeds []netip.AddrPort
-	// Beat is the time between heartbeats.
+	// Beat is the heartbeat interval.
 	Beat time.Duration
 	// WatchWait is how long one read of the platform waits for a change.
 	WatchWait time.Duration
-	// TicketLife is how long a ticket is remembered.
+	// TicketLife is the lifetime of a ticket.
 	TicketLife time.Duration
-	// Settle is how long a stopping host still takes requests, so that the
-	// balancer sees that it is not ready.
+	// Settle is how long a stopping host still accepts requests, so that the load
+	// balancer can see that it is not ready.
 	Settle time.Duration
-	// SettleAsks is how often it must have answered that it is not ready before it
-	// stops taking requests, if that takes no longer than SettleMost.
+	// SettleAsks is the number of readiness checks that a stopping host answers with
+	// not ready before it stops accepting requests, unless SettleMost passes first.
 	SettleAsks int
-	// SettleMost is the longest time that it waits for that; Settle or more.
+	// SettleMost is the longest time to wait for SettleAsks; at least Settle.
 	SettleMost time.Duration
-	// StopBound is the longest time that a planned stop takes.
+	// StopBound is the longest time that a graceful shutdown takes.
 	StopBound time.Duration
-	// LeavingHold is how long an upstream counts as leaving after its last
-	// sign, though its status says that it stays.
+	// LeavingHold is how long an upstream stays marked as leaving after it last said
+	// so, even if its status says otherwise.
 	LeavingHold time.Duration
-	// TraceRatio is the share of requests whose spans are logged.
+	// TraceRatio is the fraction of requests whose spans are logged.
 	TraceRatio float64
-	// Adapter names the adapter of the platform; empty for loomgap's own
-	// platform protocol and callers.
+	// Adapter is the name of the platform adapter; empty for loomgap's own platform
+	// protocol and callers.
 	Adapter string
-	// RetryBudget bounds the calls beyond the first of each routed request.
+	// RetryBudget limits the calls beyond the first of each routed request.
 	RetryBudget RetryBudget
-	// LogRate is the most log lines a second about single requests.
+	// LogRate limits the log lines about single requests, in lines per second.
 	LogRate int
-	// Cores is the share of processors that this host may use; above 0.
+	// Cores is the number of processors that this host may use; above 0, and may be a
+	// fraction.
 	Cores float64
-	// LinkMbits is the rate of its link in Mbit/s; 0 for no limit.
+	// LinkMbits is the bandwidth of the host's link in Mbit/s; 0 for no limit.
 	LinkMbits float64
-	// Regions says where the data halls lie.
+	// Regions maps data halls to regions.
 	Regions config.Regions
-	// ColdFactor and ColdSlack are by how much all hosts together may exceed what a
-	// cold upstream can handle within a second: so many times as much, and so many
-	// requests besides.
+	// ColdFactor and ColdSlack limit the requests that all hosts together send to a
+	// cold upstream within a second: ColdFactor times its rate plus ColdSlack.
 	ColdFactor, ColdSlack float64
 }
 
-// Region is the region of this host's data hall; empty if it is not known.
+// Region returns the region of this host's data hall; empty if it is not known.
 func (s *Settings) Region() string { return s.Regions[s.Hall] }
 
-// defaultCores is the share of processors of a host whose settings give none.
+// defaultCores is used if the settings give no number of processors.
 const defaultCores = 1
 
-// Capacity is how much work the host can do, as of policy.Capacity.
+// Capacity returns the capacity of this host as defined by policy.Capacity.
 func (s *Settings) Capacity() int {
 	cores := s.Cores
 	if cores <= 0 {
@@ -86,19 +87,19 @@
 
 // ReloadableSettings are the settings that may change while the process runs.
 type ReloadableSettings struct {
-	// Seeds are other entry hosts to join at.
+	// Seeds are the addresses of other entry hosts to join.
 	Seeds []netip.AddrPort
-	// RetryBudget bounds the calls beyond the first.
+	// RetryBudget limits the calls beyond the first of each routed request.
 	RetryBudget RetryBudget
 }
 
-// RetryBudget bounds the calls beyond the first that a group of upstreams gets from
-// all hosts together, within the span that the platform counts in.
+// RetryBudget limits the retries that all hosts together send to a group of upstreams
+// within a time window.
 type RetryBudget struct {
-	// Ratio is the part of the requests that may be repeated.
+	// Ratio is the number of retries allowed per request.
 	Ratio float64
-	// Slack is how many retries are allowed beyond that.
+	// Slack is the number of retries allowed in addition.
 	Slack float64
-	// Window is that span.
+	// Window is the window in which the platform counts requests and retries.
 	Window time.Duration
 }
--- a/tier/kernel/state.go
+++ b/tier/kernel/state.go
@@ -11,21 +11,21 @@
 	DocumentState
 	ReadingState
 	LeavingState
-	// Directory holds the upstreams that listed themselves; nil before it was
-	// read. Its revision only rises.
+	// Directory holds the upstreams that have registered themselves; nil before the
+	// first read. Its revision never decreases.
 	Directory *config.Directory
-	// Members are the other entry hosts by name.
+	// Members holds the other entry hosts by name.
 	Members map[string]Member
-	// MemberChanges rises with each change of a member that decisions depend on; the
-	// configuration in force there is none. While it stays the same, whatever follows
-	// from the members alone stays too.
+	// MemberChanges is incremented with each change of a member that decisions depend
+	// on, which excludes changes of Member.Revision. While it is unchanged, results
+	// computed from the members alone remain valid.
 	MemberChanges uint64
-	// Pauses counts the pauses of this process; it only rises.
+	// Pauses counts the pauses of this process.
 	Pauses int
 
-	// changed is true if a view has to be published after the job under way.
+	// changed is true if a view has to be published after the current job.
 	changed bool
-	// publishedCopy is the copy of Members that views have; nil if it is out of date.
+	// publishedCopy is the copy of Members that views share; nil if it is outdated.
 	publishedCopy map[string]Member
 }
 
@@ -37,27 +37,26 @@
 	}
 }
 
-// Changed has the state published after the job. Any part of it may have changed.
+// Changed marks the whole state as changed, so that it is published after the current job.
 func (s *State) Changed() {
 	s.changed = true
 	s.membersChanged()
 }
 
-// ApplyDirectoryChange applies a change of the directory.
+// ApplyDirectoryChange applies a change to the directory.
 func (s *State) ApplyDirectoryChange(c *config.DirectoryChange) {
 	next, changed := s.Directory.With(c)
 	s.Directory = next
 	s.changed = s.changed || changed
 }
 
-// View is an immutable copy of the control state; its fields are as in State.
+// View is an immutable copy of the control state. Its fields are those of State.
 type View struct {
 	DocumentState
-	Directory *config.Directory
-	Members   map[string]Member
-	// MemberChanges is as in State.
+	Directory     *config.Directory
+	Members       map[string]Member
 	MemberChanges uint64
-	// Leaving is the set of the leaving upstreams.
+	// Leaving is the set of leaving upstreams.
 	Leaving        map[string]bool
 	Reading        bool
 	PlatformReadAt time.Duration
@@ -75,7 +74,7 @@
 	}
 }
 
-// HallHosts lists the live entry hosts of this host's hall that do not leave, itself included.
+// HallHosts returns the active entry hosts of this host's hall, including itself.
 func (v *View) HallHosts(s *Settings) []string {
 	out := []string{s.Host}
 	for n, m := range v.Members {
@@ -86,17 +85,17 @@
 	return out
 }
 
-// LeavingState holds the signs that upstreams leave or are back. All times are since
+// LeavingState records which upstreams are leaving or have returned. All times are since
 // the process started.
 type LeavingState struct {
-	// Leaving gives for each leaving upstream when its last sign was given.
+	// Leaving maps each leaving upstream to the time of its last leave notice.
 	Leaving map[string]time.Duration
-	// Returned gives for each upstream when it was last reported to be back; older
-	// signs of leaving do not count.
+	// Returned maps each upstream to the time when it was last reported back. Earlier
+	// leave notices are ignored.
 	Returned map[string]time.Duration
 }
 
-// MarkLeaving notes a sign, given at a time, that an upstream leaves.
+// MarkLeaving records a leave notice of an upstream, given at a time.
 func (s *State) MarkLeaving(upstream string, at time.Duration) {
 	if returned := s.Returned[upstream]; returned > 0 && at <= returned {
 		return
@@ -109,7 +108,7 @@
 	s.changed = s.changed || !known
 }
 
-// MarkReturned notes that an upstream is back.
+// MarkReturned records that an upstream is back.
 func (s *State) MarkReturned(upstream string, at time.Duration) {
 	s.Returned[upstream] = at
 	if _, known := s.Leaving[upstream]; known {
@@ -118,22 +117,22 @@
 	}
 }
 
-// ReadingState is what a host knows of who reads the platform for whom. All times are
-// since the process started.
+// ReadingState describes which hosts read the platform and announce its content. All times
+// are since the process started.
 type ReadingState struct {
 	// Reading is true while this host reads the platform.
 	Reading bool
-	// Announcing is true while this host announces to its hall what is published:
+	// Announcing is true while this host announces published content to its hall:
 	// what it reads itself, or what a reader in another hall announces to it.
 	Announcing bool
-	// PlatformDown is true while this host should read the platform, cannot, and has to
-	// learn from peers what is published.
+	// PlatformDown is true while this host should read the platform but cannot, and
+	// has to get published content from peers.
 	PlatformDown bool
-	// PlatformReadAt is when the platform was last read, as far as this host knows: by
-	// itself, by another host of its hall, or by a reader that announces to the hall.
+	// PlatformReadAt is the time of the last known read of the platform: by this host,
+	// by another host of its hall, or by a reader that announces to the hall.
 	PlatformReadAt time.Duration
-	// AnnouncedReadAt is when what this host announces was read from the platform, by
-	// itself or by a reader in another hall; 0 for never.
+	// AnnouncedReadAt is when the content that this host announces was read from the
+	// platform, by this host or by a reader in another hall; 0 for never.
 	AnnouncedReadAt time.Duration
 	// OwnReadAt is when this host last read the platform itself; 0 for never.
 	OwnReadAt time.Duration
@@ -142,18 +141,18 @@
 	HallAnnouncers, OtherReaders map[string]AnnouncerReport
 }
 
-// AnnouncerReport is the last announcement of a host that announces what is
-// published. Its times are since the process started.
+// AnnouncerReport describes the last announcement of a host that announces published
+// content. Its times are since the process started.
 type AnnouncerReport struct {
-	// At is when it came.
+	// At is when the announcement arrived.
 	At time.Duration
-	// PlatformDown is true if that host gets no answer of the platform; Since is when its first
-	// announcement with this value of PlatformDown came.
+	// PlatformDown is true if the announcing host gets no answer from the platform.
 	PlatformDown bool
-	Since        time.Duration
+	// Since is when the first announcement with the current PlatformDown arrived.
+	Since time.Duration
 }
 
-// Next returns the report after a further announcement of the same host.
+// Next returns the report updated by another announcement of the same host.
 func (r AnnouncerReport) Next(now time.Duration, lost bool) AnnouncerReport {
 	if r.At == 0 || r.PlatformDown != lost {
 		r.Since = now
--- a/tier/kernel/status_test.go
+++ b/tier/kernel/status_test.go
@@ -21,8 +21,8 @@
 	"loomgap/tier/policy"
 )
 
-// TestStatusKeepsItsForm has operators ask a host for its status and its document, and
-// compares what the control state gives to them.
+// TestStatusKeepsItsForm compares the status that operators get from a starting host and
+// from one with state to golden files.
 func TestStatusKeepsItsForm(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -61,7 +61,8 @@
 	golden.Assert(t, status(t, at), "status-full.json")
 }
 
-// status asks for the status; how long the platform was silent changes with the time.
+// status returns the status of a host. PlatformSilentMillis depends on the time and is set
+// to 0.
 func status(t *testing.T, at netip.AddrPort) string {
 	t.Helper()
 	answer, err := http.Get("http://" + at.String() + "/status")
--- a/tier/kernel/suspend.go
+++ b/tier/kernel/suspend.go
@@ -8,13 +8,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// minSuspension is the least time asleep that is noticed: two clocks are not read at the same
-// moment.
+// minSuspension is the shortest suspension that is detected. Smaller differences arise
+// because the two clocks are not read at the same moment.
 const minSuspension = 100 * time.Millisecond
 
-// BootTime is the time since the machine started, the time in which it was suspended
-// included: the monotonic clock stands still then. A step of the time of day does not move
-// it.
+// BootTime returns the time since the machine booted. It includes suspensions, during
+// which the monotonic clock stands still, and is not affected by steps of the wall clock.
 func BootTime() (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
@@ -23,19 +22,19 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// suspendMeter adds up how long the machine was suspended while the process ran, so that
-// what the process knows ages meanwhile. It is safe for concurrent use once it has begun;
-// the zero value notices nothing.
+// suspendMeter measures how long the machine has been suspended while the process ran, so
+// that the process's state ages during suspensions. It is safe for concurrent use after
+// start. The zero value detects nothing.
 type suspendMeter struct {
-	// bootTime reads the boot clock; nil for a process that takes no notice of it.
+	// bootTime reads the boot clock; nil to ignore suspensions.
 	bootTime func() (time.Duration, error)
-	// bootOffset is the boot clock less the monotonic time since Started.
+	// bootOffset is the boot clock minus the monotonic time at the start of the meter.
 	bootOffset time.Duration
-	// total is a time.Duration; it only rises.
+	// total is the time.Duration of all suspensions so far; it never decreases.
 	total atomic.Int64
 }
 
-// start has the meter count from now on.
+// start starts the measurement.
 func (m *suspendMeter) start(bootTime func() (time.Duration, error), monotonic func() time.Duration) error {
 	if bootTime == nil {
 		return nil
@@ -48,15 +47,16 @@
 	return nil
 }
 
-// update notices time asleep since the last update, and returns how much. The boot clock is
-// read first, so that a delay between the two readings counts as no sleep.
+// update adds the suspensions since the last update to the total and returns their length.
+// The boot clock is read first, so that a delay between the two readings is not taken for a
+// suspension.
 func (m *suspendMeter) update(monotonic func() time.Duration) time.Duration {
 	if m.bootTime == nil {
 		return 0
 	}
 	boot, err := m.bootTime()
 	if err != nil {
-		return 0 // the clock could be read at the start; the next look tells
+		return 0 // the clock was readable at the start, so the next update may succeed
 	}
 	before := m.total.Load()
 	suspended := boot - monotonic() - m.bootOffset - time.Duration(before)
