--- a/tier/pass/call.go
+++ b/tier/pass/call.go
@@ -119,7 +119,7 @@
 	if err != nil && n.reused && l.now()-started >= silentCallBound {
 		l.closeIdle(func(c *conn) bool { return c.idleSince < started })
 	}
-	out.Crowded = !n.reused && errors.Is(err, syscall.ECONNRESET)
+	out.NewConnReset = !n.reused && errors.Is(err, syscall.ECONNRESET)
 	return out
 }
 
--- a/tier/pass/relay_client.go
+++ b/tier/pass/relay_client.go
@@ -211,7 +211,7 @@
 	s.report(g)
 	if g.Due && !s.overdue {
 		s.overdue = true
-		s.to.Overdue()
+		s.to.HedgePending()
 	}
 }
 
--- a/tier/pass/relay_server.go
+++ b/tier/pass/relay_server.go
@@ -211,7 +211,7 @@
 	lingering := c.lingering
 	b.mu.Unlock()
 	policy.Deliver(k.Fleet.Finish(now, policy.Call{
-		Upstream: c.upstream, Pool: near, Outcome: r.Outcome, Took: now - started, Load: r.Load, Crowded: r.Crowded,
+		Upstream: c.upstream, Pool: near, Outcome: r.Outcome, Took: now - started, Load: r.Load, Crowded: r.NewConnReset,
 		Lingering: lingering,
 	}))
 }
--- a/tier/runner/batch.go
+++ b/tier/runner/batch.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// Overdue has the calls that were not reported hedged now, since they are known to be
+// HedgePending has the calls that were not reported hedged now, since they are known to be
 // slow. Until then they wait a while longer than other calls.
-func (r *Reporter[R]) Overdue() {
+func (r *Reporter[R]) HedgePending() {
 	r.execution.handle(func(now time.Duration) []policy.Action {
 		var late []int
 		for i, a := range r.batch {
--- a/tier/runner/call.go
+++ b/tier/runner/call.go
@@ -64,7 +64,7 @@
 	countCall(reply.Outcome)
 	granted := k.Fleet.Finish(now, policy.Call{
 		Upstream: a.Upstream, Pool: a.Pool, Outcome: reply.Outcome, Took: reply.Took, Load: reply.Load,
-		Elsewhere: c.batched, Lingering: lingering, Crowded: reply.Crowded && !c.batched,
+		Elsewhere: c.batched, Lingering: lingering, Crowded: reply.NewConnReset && !c.batched,
 	})
 	e.handle(func(now time.Duration) []policy.Action {
 		e.reply = reply.Answer
--- a/tier/runner/caller.go
+++ b/tier/runner/caller.go
@@ -14,8 +14,8 @@
 	Load policy.Load
 	// Answer is what was answered; its zero value if nothing was.
 	Answer R
-	// Crowded is true if a new connection was reset before any answer.
-	Crowded bool
+	// NewConnReset is true if a new connection was reset before any answer.
+	NewConnReset bool
 	// Took is how long the call alone took, where that is known better than by
 	// the time until the reply; 0 if it is not.
 	Took time.Duration
