--- a/tier/prog/prog.go
+++ b/tier/prog/prog.go
@@ -1,6 +1,5 @@
-// Package prog is what the programs of loomgap share: the form of their commands,
-// and the version of the release. It owns the command line of the process, which
-// it hands to package subcommands; what the commands do is each program's own.
+// Package prog holds what loomgap's programs share: the definition of their commands, which
+// package subcommands runs, and the release version.
 package prog
 
 import (
@@ -12,20 +11,20 @@
 	"github.com/google/subcommands"
 )
 
-// Release is the version of the release; the release build sets it.
+// Release is the release version. The release build sets it.
 var Release = "0.1.0"
 
 // Command is one command of a program.
 type Command struct {
 	Name, Synopsis, Usage string
-	// Flags declares the flags; nil if the command has none.
+	// Flags defines the flags; nil if the command has none.
 	Flags func(*flag.FlagSet)
-	// Run carries the command out, once its flags are set.
+	// Run runs the command after its flags have been parsed.
 	Run func(context.Context, *flag.FlagSet) subcommands.ExitStatus
 }
 
-// Main runs the command that the command line names, and ends the process with its
-// exit status. Commands for help are added. It is called once, from main.
+// Main runs the command given on the command line, or one of the help commands that it
+// adds, and exits with the command's status. It must be called once, from main.
 func Main(commands ...Command) {
 	for _, c := range commands {
 		subcommands.Register(registered{c}, "")
@@ -47,7 +46,7 @@
 	}
 }
 
-// registered is a command as package subcommands takes it.
+// registered adapts a Command to package subcommands.
 type registered struct {
 	command Command
 }
--- a/tier/runner/batch.go
+++ b/tier/runner/batch.go
@@ -8,15 +8,15 @@
 	"loomgap/tier/policy"
 )
 
-// sendBatch starts the calls of a batch; the execution is locked. The batch is cancelled
-// once each of its calls was cancelled or has its reply. Its calls give back their slots:
-// another host makes them within its own.
+// sendBatch starts the calls of a batch; e.mu must be held. The batch is cancelled once
+// each of its calls has been cancelled or has a reply. The slots of its calls are released,
+// since another host makes the calls within its own slots.
 func (e *execution[R]) sendBatch(b Batch) (granted []*policy.Waiter) {
 	ctx, cancel := context.WithCancel(e.ctx)
 	pending := len(b.Calls)
 	calls := make([]*call, len(b.Calls))
 	for i, a := range b.Calls {
-		// Calls are cancelled with the execution locked.
+		// Calls are cancelled with e.mu held, which also guards pending.
 		calls[i] = &call{batched: true, cancel: sync.OnceFunc(func() {
 			if pending--; pending == 0 {
 				cancel()
@@ -33,8 +33,7 @@
 	return granted
 }
 
-// callBatch makes the calls of a batch, and reports those that were not reported by its
-// end.
+// callBatch makes the calls of a batch, then reports those that the Batcher did not report.
 func (e *execution[R]) callBatch(ctx context.Context, b Batch, calls []*call) {
 	r := &Reporter[R]{execution: e, batch: b.Calls, calls: calls, started: e.kernel.Now()}
 	unreported := Reply[R]{Outcome: policy.CallNotSent}
@@ -47,7 +46,7 @@
 	}
 }
 
-// Reporter takes in what becomes of the calls of a batch. It is used by one goroutine.
+// Reporter receives the outcomes of the calls of a batch. It is used by one goroutine.
 type Reporter[R any] struct {
 	execution *execution[R]
 	batch     []policy.Action
@@ -55,23 +54,23 @@
 	started   time.Duration
 }
 
-// Report passes on the outcome of one call.
+// Report records the outcome of one call. Only the first report of a call counts.
 func (r *Reporter[R]) Report(i int, reply Reply[R]) {
 	if !r.calls[i].ended {
 		r.execution.endCall(r.batch[i], r.calls[i], r.started, reply)
 	}
 }
 
-// HedgePending has the calls that were not reported hedged now, since they are known to be
-// slow. Until then they wait a while longer than other calls.
+// HedgePending hedges the calls that are not yet reported, because they are now known to be
+// slow. Without it, batched calls wait longer for a hedge than other calls.
 func (r *Reporter[R]) HedgePending() {
 	r.execution.handle(func(now time.Duration) []policy.Action {
-		var late []int
+		var pending []int
 		for i, a := range r.batch {
 			if !r.calls[i].ended {
-				late = append(late, a.Attempt)
+				pending = append(pending, a.Attempt)
 			}
 		}
-		return r.execution.run.Overdue(now, late)
+		return r.execution.run.Overdue(now, pending)
 	})
 }
--- a/tier/runner/call.go
+++ b/tier/runner/call.go
@@ -10,21 +10,21 @@
 	"loomgap/tier/policy"
 )
 
+// call is a call in progress.
 type call struct {
 	cancel context.CancelFunc
-	// batched is true for a call that another host makes within its own slots;
-	// it holds none of this host's.
+	// batched is true for a call that another host makes within its own slots; it
+	// holds no slot of this host.
 	batched bool
-	// outcome is what a cancelled call counts as; empty if not cancelled.
+	// outcome is the outcome of a cancelled call; empty if not cancelled.
 	outcome policy.CallOutcome
-	// lingering is true once the call goes on though it is not wanted.
+	// lingering is true once the call continues although its result is not needed.
 	lingering bool
-	// ended is true once the call has its outcome, though the run does not know
-	// it yet.
+	// ended is true once the outcome is known, even if the run has not been told.
 	ended bool
 }
 
-// send starts a call; the execution is locked.
+// send starts a call; e.mu must be held.
 func (e *execution[R]) send(a policy.Action) {
 	ctx, cancel := context.WithCancel(e.ctx)
 	c := &call{cancel: cancel}
@@ -32,8 +32,8 @@
 	go e.call(ctx, a, c)
 }
 
-// call makes one call, unless the process has just slept or the deadline is over, and
-// accounts for it.
+// call makes one call, unless the process was paused or the deadline has passed, and
+// records its outcome.
 func (e *execution[R]) call(ctx context.Context, a policy.Action, c *call) {
 	k := e.kernel
 	started := k.Now()
@@ -45,7 +45,7 @@
 	e.endCall(a, c, started, reply)
 }
 
-// endCall accounts for a call and passes what became of it to the run.
+// endCall reports the outcome of a call to the observer, the metrics, the fleet and the run.
 func (e *execution[R]) endCall(a policy.Action, c *call, started time.Duration, reply Reply[R]) {
 	k := e.kernel
 	now := k.Now()
@@ -73,8 +73,8 @@
 	policy.Deliver(granted)
 }
 
-// finalOutcome distinguishes a call that was cancelled from one that broke; the
-// execution is locked.
+// finalOutcome distinguishes a call that this host cancelled or gave up at the deadline from
+// one that broke; e.mu must be held.
 func (e *execution[R]) finalOutcome(now time.Duration, c *call, o policy.CallOutcome) policy.CallOutcome {
 	switch {
 	case o != policy.CallBroken && o != policy.CallLost:
@@ -87,7 +87,7 @@
 	return o
 }
 
-// linger lets a call go on for a while; the execution is locked.
+// linger lets a call continue for a while before it is cancelled; e.mu must be held.
 func (e *execution[R]) linger(a policy.Action) {
 	c := e.calls[a.Attempt]
 	if c == nil || c.ended {
@@ -104,8 +104,8 @@
 
 var callCounters sync.Map
 
-// countCall counts calls by outcome; the counters are kept, since building
-// their names costs more than counting.
+// countCall counts calls by outcome. The counters are cached, because building their names
+// costs more than counting.
 func countCall(o policy.CallOutcome) {
 	c, ok := callCounters.Load(o)
 	if !ok {
--- a/tier/runner/call_test.go
+++ b/tier/runner/call_test.go
@@ -9,7 +9,7 @@
 	"loomgap/tier/policy"
 )
 
-// TestFinalOutcome tells calls that broke from those that this host gave up.
+// TestFinalOutcome checks that calls that this host gave up do not count as broken.
 func TestFinalOutcome(t *testing.T) {
 	const deadline = time.Second
 	tests := []struct {
--- a/tier/runner/caller.go
+++ b/tier/runner/caller.go
@@ -7,50 +7,50 @@
 	"loomgap/tier/policy"
 )
 
-// Reply is what came of one upstream call.
+// Reply is the result of one upstream call.
 type Reply[R any] struct {
 	Outcome policy.CallOutcome
-	// Load is what the upstream said of its work; zero if it said nothing.
+	// Load is the load that the upstream reported; zero if it reported none.
 	Load policy.Load
-	// Answer is what was answered; its zero value if nothing was.
+	// Answer is the answer; its zero value if there is none.
 	Answer R
 	// NewConnReset is true if a new connection was reset before any answer.
 	NewConnReset bool
-	// Took is how long the call alone took, where that is known better than by
-	// the time until the reply; 0 if it is not.
+	// Took is the duration of the call itself, if it is known more exactly than from
+	// the time until the reply; otherwise 0.
 	Took time.Duration
 }
 
 // Caller makes the calls of an execution.
 type Caller[R any] interface {
-	// Call makes one call; it runs in a goroutine of its own, and ends soon
-	// after its context does.
+	// Call makes one call. It runs in its own goroutine and returns soon after its
+	// context is done.
 	Call(ctx context.Context, a policy.Action) Reply[R]
-	// Take puts an answer into the result. Calls of it never overlap.
+	// Take merges an answer into the result. Calls to Take never overlap.
 	Take(part int, answer R)
 }
 
-// Observer receives each call that ended. A Caller may implement it; calls of it
-// never overlap.
+// Observer is notified of each completed call. A Caller may implement it.
 type Observer[R any] interface {
-	// CallEnded is called with the outcome of a call. With over the run had its end
-	// before, and the result must not be touched any more.
-	CallEnded(a policy.Action, reply Reply[R], took time.Duration, over bool)
+	// CallEnded is called with the outcome of a call. If finished is set, the run had
+	// already finished and its result must not be changed. Calls to CallEnded never
+	// overlap.
+	CallEnded(a policy.Action, reply Reply[R], took time.Duration, finished bool)
 }
 
-// Batch is calls that go to another host together.
+// Batch is a set of calls that are sent to another host together.
 type Batch struct {
 	Host  string
 	Calls []policy.Action
 }
 
-// Batcher makes several calls in one. A Caller may implement it.
+// Batcher makes several calls in one message. A Caller may implement it.
 type Batcher[R any] interface {
-	// Batches divides calls that begin together into batches and those that
-	// Call is to make.
-	Batches(sends []policy.Action) (batches []Batch, apart []policy.Action)
-	// CallBatch makes the calls of a batch and reports what became of each, as
-	// soon as it is known. What it has not reported when it returns counts as
-	// lost. It ends soon after its context does.
+	// Batches divides calls that start together into batches and the rest, which
+	// are made with Call.
+	Batches(sends []policy.Action) (batches []Batch, rest []policy.Action)
+	// CallBatch makes the calls of a batch and reports the outcome of each as soon as
+	// it is known. Calls that are not reported when it returns count as lost. It
+	// returns soon after its context is done.
 	CallBatch(ctx context.Context, b Batch, to *Reporter[R])
 }
--- a/tier/runner/crash.go
+++ b/tier/runner/crash.go
@@ -9,14 +9,13 @@
 	"loomgap/tier/policy"
 )
 
-// connectTimeout is how long an upstream has to accept a connection before it is
-// considered crashed: some round trips between regions, which are 10 ms apart. Its call
-// is not made again before.
+// connectTimeout is how long an upstream has to accept a connection before it counts as
+// crashed: several round trips between regions. It delays the retry of the call.
 const connectTimeout = 50 * time.Millisecond
 
-// DetectCrash returns what became of a call. If its connection was lost, it connects to
-// the upstream once more: one that refuses has crashed, and one that accepts only reset
-// this connection, for which no request is to blame.
+// DetectCrash refines the outcome of a call. If the connection was lost, it connects to the
+// upstream again: an upstream that refuses has crashed, while one that accepts has only
+// reset this connection, which is not evidence against any request.
 func DetectCrash(ctx context.Context, o policy.CallOutcome, upstream netip.AddrPort) policy.CallOutcome {
 	if o != policy.CallBroken || ctx.Err() != nil {
 		return o
--- a/tier/runner/crash_test.go
+++ b/tier/runner/crash_test.go
@@ -11,8 +11,8 @@
 	"loomgap/tier/policy"
 )
 
-// TestDetectCrash tells an upstream that crashed from one that accepts connections, and
-// leaves what was given up as it is.
+// TestDetectCrash distinguishes a crashed upstream from one that accepts connections. Calls
+// that were given up keep their outcome.
 func TestDetectCrash(t *testing.T) {
 	accepting, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/tier/runner/doc.go
+++ b/tier/runner/doc.go
@@ -1,23 +1,22 @@
-// Package runner carries out the decisions of policy runs: it makes the calls that a run
-// asks for, in goroutines of their own, wakes the run when it wants to be woken, and
-// feeds what became of each call back, one event at a time.
+// Package runner executes runs of package policy. It makes the calls that a run asks for,
+// each in its own goroutine, wakes the run at the times it asks for, and passes the
+// outcome of each call back to it, one event at a time.
 //
-// Run carries one out; begin reading there. Its user makes the calls, as a Caller. It may
-// besides make several calls in one message (Batcher) and see each call that ended
-// (Observer).
+// Start reading at Run. Its user implements Caller to make the calls, and may implement
+// Batcher to make several calls in one message and Observer to see each completed call.
 //
-// # Owns
+// # State
 //
-// The calls in progress of each run: how to cancel them, and their account. Each call
+// The package tracks the calls in progress of each run and can cancel them. Each call
 // that was started is reported to the fleet and to the run exactly once.
 //
-// # Relies on
+// # Dependencies
 //
-// Package policy for all decisions, and package kernel for the fleet, the time, and
-// whether the process has just slept.
+// Package policy makes all decisions. Package kernel provides the fleet, the time, and
+// whether the process was paused.
 //
 // # Concurrency
 //
-// An execution guards its run with a lock. Waiters are notified of slots that they got
-// with no lock held.
+// A mutex guards the run of an execution. Waiters are notified of granted slots with no
+// lock held.
 package runner
--- a/tier/runner/runner.go
+++ b/tier/runner/runner.go
@@ -13,43 +13,45 @@
 type Config[R any] struct {
 	Kernel *kernel.Kernel
 	Caller Caller[R]
-	// Run describes the request; its field Granted is set by the function Run.
+	// Run describes the request. The function Run sets its field Granted.
 	Run policy.RunConfig
 }
 
+// execution is the execution of one run.
 type execution[R any] struct {
 	kernel *kernel.Kernel
 	caller Caller[R]
 	// observer is nil if the caller does not implement it.
 	observer Observer[R]
-	// batcher is nil if the caller makes each call by itself.
+	// batcher is nil if the caller does not implement it.
 	batcher  Batcher[R]
 	deadline time.Duration
 	ctx      context.Context
 
 	mu  sync.Mutex
 	run *policy.Run
-	// reply is what the event being handled brought.
+	// reply is the answer of the call whose end is being handled.
 	reply R
-	// finished is true once the run has its end, decidedAt is when that was.
-	finished  bool
+	// finished is true once the run has finished.
+	finished bool
+	// decidedAt is when the run finished.
 	decidedAt time.Duration
-	// calls holds how to cancel each sent attempt.
+	// calls holds the calls by attempt.
 	calls map[int]*call
 	timer *time.Timer
 	// wakeAt is when the timer fires.
 	wakeAt time.Duration
-	// done is closed when the answer is to be given.
+	// done is closed when the run has finished.
 	done chan struct{}
 }
 
-// never is a time that no timer is set to.
+// never is later than any time that a timer is set to.
 const never = time.Duration(1<<63 - 1)
 
-// Run carries out a run and waits for its end. decidedAt is when that was: what follows
-// is the making of the answer. A refused request gives a *policy.Refusal. The context
-// carries values only: calls are cancelled by the run alone, so that a caller who goes
-// away, which closes callerGone, leaves no call without its account.
+// Run executes a run and waits until it has finished, which was at decidedAt. A refused
+// request returns a *policy.Refusal. callerGone is closed when the caller disconnects, which
+// aborts the run. Only the values of ctx are used: calls are cancelled by the run alone, so
+// that every call is accounted for even after the caller has disconnected.
 func Run[R any](ctx context.Context, c Config[R], callerGone <-chan struct{}) (r policy.Result, decidedAt time.Duration, err error) {
 	e := &execution[R]{
 		kernel: c.Kernel, caller: c.Caller, deadline: c.Run.Deadline, ctx: context.WithoutCancel(ctx),
@@ -76,7 +78,7 @@
 	return e.run.Result(), e.decidedAt, nil
 }
 
-// begin makes the first calls, unless the run is refused.
+// begin starts the first calls, unless the run is refused.
 func (e *execution[R]) begin() error {
 	now := e.kernel.Now()
 	e.mu.Lock()
@@ -93,7 +95,7 @@
 	return nil
 }
 
-// handle passes one event to the run and carries out what it asks for.
+// handle passes one event to the run and performs the resulting actions.
 func (e *execution[R]) handle(event func(now time.Duration) []policy.Action) {
 	e.mu.Lock()
 	now := e.kernel.Now()
@@ -106,12 +108,12 @@
 	policy.Deliver(granted)
 }
 
-// slotGranted passes on that a queued attempt has its slot.
+// slotGranted tells the run that a queued attempt has its slot.
 func (e *execution[R]) slotGranted(n int) {
 	e.handle(func(now time.Duration) []policy.Action { return e.run.Granted(now, n) })
 }
 
-// wake passes on that the time has come which the run wants to be woken at.
+// wake is called by the timer at the time the run asked for.
 func (e *execution[R]) wake() {
 	e.handle(func(now time.Duration) []policy.Action {
 		e.wakeAt = never
@@ -119,8 +121,8 @@
 	})
 }
 
-// perform carries actions out; the execution is locked. It returns the waiters that got
-// a slot, for policy.Deliver after unlocking.
+// perform performs actions; e.mu must be held. It returns the waiters that were granted a
+// slot, for policy.Deliver after unlocking.
 func (e *execution[R]) perform(actions []policy.Action) []*policy.Waiter {
 	var (
 		granted []*policy.Waiter
@@ -149,8 +151,8 @@
 	return append(granted, e.startCalls(sends)...)
 }
 
-// startCalls starts calls; the execution is locked. It returns the waiters that got a slot,
-// for policy.Deliver after unlocking.
+// startCalls starts calls; e.mu must be held. It returns the waiters that were granted a
+// slot, for policy.Deliver after unlocking.
 func (e *execution[R]) startCalls(sends []policy.Action) (granted []*policy.Waiter) {
 	var batches []Batch
 	if e.batcher != nil && len(sends) > 0 {
--- a/tier/wire/golden_test.go
+++ b/tier/wire/golden_test.go
@@ -11,8 +11,8 @@
 	"loomgap/tier/query"
 )
 
-// TestMessageFormat holds every message to the JSON that hosts, upstreams and
-// the platform already speak: one line each, all fields set, then none.
+// TestMessageFormat compares the JSON form of every message, which must stay compatible, to
+// a golden file: first with all fields set, then with none.
 func TestMessageFormat(t *testing.T) {
 	id := Identity{RequestID: "q1", Attempt: 2, Shard: "S1", MapRevision: 3}
 	held := UpstreamInfo{Oldest: 4, Newest: 5, Leaving: true}
--- a/tier/wire/trace.go
+++ b/tier/wire/trace.go
@@ -8,16 +8,16 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// traceParentHeader is the W3C header that names the trace and the parent span.
+// traceParentHeader is the W3C Trace Context header of the trace and its parent span.
 const traceParentHeader = "traceparent"
 
 var propagator propagation.TraceContext
 
-// unsampledParent is the parent of spans that belong to no sampled trace.
+// unsampledParent is the parent of spans outside any sampled trace.
 var unsampledParent = trace.NewSpanContext(trace.SpanContextConfig{TraceID: trace.TraceID{1}, SpanID: trace.SpanID{1}, Remote: true})
 
-// TraceParent returns the trace parent of a context, for another host; empty if the trace
-// is not sampled, which halves a short message.
+// TraceParent returns the trace parent of a context, to be sent to another host. It is
+// empty if the trace is not sampled, which keeps messages short.
 func TraceParent(ctx context.Context) string {
 	if !trace.SpanContextFromContext(ctx).IsSampled() {
 		return ""
@@ -27,8 +27,8 @@
 	return carrier.Get(traceParentHeader)
 }
 
-// WithTraceParent continues the trace of another host's TraceOf. If it is empty, nothing
-// under the context is sampled either.
+// WithTraceParent continues the trace whose parent another host got from TraceParent. If
+// parent is empty, spans under the returned context are not sampled.
 func WithTraceParent(ctx context.Context, parent string) context.Context {
 	if parent == "" {
 		return trace.ContextWithRemoteSpanContext(ctx, unsampledParent)
@@ -36,12 +36,12 @@
 	return propagator.Extract(ctx, propagation.MapCarrier{traceParentHeader: parent})
 }
 
-// ExtractTrace continues the trace of a caller's headers.
+// ExtractTrace continues the trace given in a caller's headers.
 func ExtractTrace(ctx context.Context, h http.Header) context.Context {
 	return propagator.Extract(ctx, propagation.HeaderCarrier(h))
 }
 
-// InjectTrace writes the trace parent of a context into headers.
+// InjectTrace sets the trace parent of a context in headers.
 func InjectTrace(ctx context.Context, h http.Header) {
 	propagator.Inject(ctx, propagation.HeaderCarrier(h))
 }
--- a/tier/wire/trace_test.go
+++ b/tier/wire/trace_test.go
@@ -8,13 +8,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestTraceParentIsSentOnlyIfSampled hands the place of a context to another host.
+// TestTraceParentIsSentOnlyIfSampled checks that another host continues a sampled trace and
+// samples nothing otherwise.
 func TestTraceParentIsSentOnlyIfSampled(t *testing.T) {
 	c := trace.SpanContextConfig{TraceID: trace.TraceID{7}, SpanID: trace.SpanID{8}}
 	quiet := trace.ContextWithSpanContext(context.Background(), trace.NewSpanContext(c))
 	assert.Equal(t, TraceParent(quiet), "")
 	there := trace.SpanContextFromContext(WithTraceParent(context.Background(), TraceParent(quiet)))
-	assert.Assert(t, there.IsValid() && !there.IsSampled(), "the other host must not begin a trace of its own")
+	assert.Assert(t, there.IsValid() && !there.IsSampled(), "the other host must not start its own trace")
 
 	c.TraceFlags = trace.FlagsSampled
 	logged := trace.ContextWithSpanContext(context.Background(), trace.NewSpanContext(c))
--- a/tier/wire/wire.go
+++ b/tier/wire/wire.go
@@ -1,8 +1,8 @@
-// Package wire holds the messages of loomgap's own protocols: to upstreams, to the
-// platform, and between entry hosts, and how a trace is carried along with them. It
-// owns their JSON form, which golden files pin, and no state. docs/PROTOCOLS.md
-// describes them for those who write an upstream or a platform. Messages of routed
-// requests stand in package pass, those of membership in package peers.
+// Package wire defines the messages of loomgap's own protocols with upstreams, with the
+// platform and between entry hosts, and propagates traces along with them. It holds no
+// state. Golden files fix the JSON form of the messages, and docs/PROTOCOLS.md describes
+// them for authors of upstreams and platforms. Package pass defines the messages of routed
+// requests, package peers those of membership.
 package wire
 
 import (
@@ -19,46 +19,46 @@
 	"loomgap/tier/query"
 )
 
-// Largest messages, in bytes.
+// Limits of message sizes.
 const (
-	// MaxReplyBytes bounds the reply of an upstream or the platform, and a message between
-	// hosts; a document of config.MaxBytes fits.
+	// MaxReplyBytes limits the replies of upstreams and the platform, and the messages
+	// between hosts. A document of config.MaxBytes fits.
 	MaxReplyBytes = 4 << 20
-	// MaxBodyBytes bounds what callers and operators send.
+	// MaxBodyBytes limits the request bodies of callers and operators.
 	MaxBodyBytes = 64 << 10
 )
 
 // Paths of the upstream protocol.
 const (
-	// PathPart takes a PartRequest and gives a PartReply or a RefusalReply.
+	// PathPart accepts a PartRequest and returns a PartReply or a RefusalReply.
 	PathPart = "/Part"
-	// PathPlace takes a PlaceRequest and gives a PartReply or a RefusalReply.
+	// PathPlace accepts a PlaceRequest and returns a PartReply or a RefusalReply.
 	PathPlace = "/Place"
-	// PathStatus gives a StatusReply.
+	// PathStatus returns a StatusReply.
 	PathStatus = "/Status"
 )
 
 // Paths of the platform protocol.
 const (
-	// PathDocument gives a DocumentReply.
+	// PathDocument returns a DocumentReply.
 	PathDocument = "/Document"
-	// PathLive gives a LiveReply.
+	// PathLive returns a LiveReply.
 	PathLive = "/Live"
 )
 
-// ErrTooLarge is returned for a message over its size.
+// ErrTooLarge is returned for a message that exceeds its size limit.
 var ErrTooLarge = errors.New("message too large")
 
-// Identity ties a reply to its call. A reply whose identity differs from its
-// call's is dropped.
+// Identity matches a reply to its call. A reply with another identity than its call is
+// dropped.
 type Identity struct {
-	// RequestID names the caller's request.
+	// RequestID identifies the caller's request.
 	RequestID string
 	// Attempt numbers the calls of the request.
 	Attempt int
-	// Shard is the shard asked.
+	// Shard is the name of the queried shard.
 	Shard string
-	// MapRevision is the shard map that the call was made under.
+	// MapRevision is the revision of the shard map used for the call.
 	MapRevision uint64
 }
 
@@ -70,12 +70,12 @@
 	From, To uint32
 	// Snapshot is the index snapshot to answer from; 0 for the newest.
 	Snapshot uint64
-	// DeadlineMillis is the time left; an upstream drops the work after it.
+	// DeadlineMillis is the time left, after which the upstream drops the work.
 	DeadlineMillis int64
 	Question       query.Question
 }
 
-// PlaceRequest asks one upstream to write one record. It is not repeatable.
+// PlaceRequest asks one upstream to write one record. It is not idempotent.
 type PlaceRequest struct {
 	Identity
 	Service        string
@@ -84,11 +84,11 @@
 	Fields         []query.Field
 }
 
-// UpstreamInfo is what an upstream says of itself in every reply.
+// UpstreamInfo is the information that an upstream adds to every reply.
 type UpstreamInfo struct {
-	// Oldest and Newest are the index snapshots it holds.
+	// Oldest and Newest are the oldest and newest index snapshots it holds.
 	Oldest, Newest uint64
-	// Leaving asks that no new work be sent.
+	// Leaving requests that no new work be sent.
 	Leaving bool
 }
 
@@ -101,33 +101,33 @@
 	Rows     []query.Row `json:",omitempty"`
 }
 
-// RefusalKind says why an upstream did not run a call.
+// RefusalKind is the reason why an upstream did not run a call.
 type RefusalKind string
 
-// The kinds of refusal. Each is the upstream's statement that the call did not run.
+// The kinds of refusal. Each states that the call did not run.
 const (
 	// RefusalShed means that the upstream has no slot for the call.
 	RefusalShed RefusalKind = "Shed"
 	// RefusalLate means that the call's deadline had passed.
 	RefusalLate RefusalKind = "Late"
-	// RefusalLeaving means that the upstream leaves and takes no new work.
+	// RefusalLeaving means that the upstream is leaving and accepts no new work.
 	RefusalLeaving RefusalKind = "Leaving"
-	// RefusalSnapshotGone means that the upstream lacks the snapshot asked for.
+	// RefusalSnapshotGone means that the upstream does not hold the requested snapshot.
 	RefusalSnapshotGone RefusalKind = "SnapshotGone"
 	// RefusalMoved means that the upstream has another shard map.
 	RefusalMoved RefusalKind = "Moved"
 )
 
-// RefusalReply is the reply of an upstream that did not run the call; its
-// status is 409, 503 or 504.
+// RefusalReply is the reply of an upstream that did not run the call. Its HTTP status is
+// 409, 503 or 504.
 type RefusalReply struct {
 	Identity
 	UpstreamInfo
 	Refused RefusalKind
 }
 
-// StatusReply is what an upstream's status endpoint gives. It may lag or
-// mislead, so it is a hint only.
+// StatusReply is the reply of an upstream's status endpoint. It may be outdated or wrong, so
+// it is only a hint.
 type StatusReply struct {
 	UpstreamInfo
 	InUse, Slots int
@@ -135,26 +135,25 @@
 
 // DocumentReply is the platform's newest configuration document.
 type DocumentReply struct {
-	// Era counts the returns of the platform from an older copy of itself, from 1; 0 if
-	// the platform has none.
+	// Era is incremented whenever the platform is restored from an older copy, starting
+	// at 1; 0 if the platform has no eras.
 	Era uint64 `json:",omitzero"`
-	// EraFrom is the first revision that the era gave out: what stands below it is of the
-	// era before.
+	// EraFrom is the first revision of the era. Lower revisions belong to earlier eras.
 	EraFrom uint64 `json:",omitzero"`
-	// Revision counts the published documents from 1; it only rises within an era.
+	// Revision counts the published documents from 1. It never decreases within an era.
 	Revision uint64
 	Text     string
 }
 
-// PackedDocument is a document as one entry host hands it to another.
+// PackedDocument is a compressed document, as sent between entry hosts.
 type PackedDocument struct {
-	// Version is the number that its author gave the document, Era the one that the
-	// platform gave its history; 0 for none.
+	// Version is the version that the author gave the document; 0 for none.
 	Version uint64 `json:",omitzero"`
-	Era     uint64 `json:",omitzero"`
-	// Revision is 0 if there is none.
+	// Era is the platform's era; 0 for none.
+	Era uint64 `json:",omitzero"`
+	// Revision is the revision of the document; 0 if there is no document.
 	Revision uint64
-	// Packed is the text, compressed by gzip.
+	// Packed is the text, compressed with gzip.
 	Packed []byte
 }
 
@@ -169,7 +168,7 @@
 	return PackedDocument{Revision: revision, Packed: out.Bytes()}, nil
 }
 
-// Unpack returns the text of a document of at most limit bytes.
+// Unpack decompresses a document of at most limit bytes.
 func (d *PackedDocument) Unpack(limit int64) (string, error) {
 	z, err := gzip.NewReader(bytes.NewReader(d.Packed))
 	if err != nil {
@@ -185,34 +184,33 @@
 	return string(text), nil
 }
 
-// LiveState is the state of a host or upstream as the platform lists it.
+// LiveState is the state of a host or upstream in the platform's live list.
 type LiveState string
 
 // The live states.
 const (
-	// LiveLive takes new work.
+	// LiveLive means that it accepts new work.
 	LiveLive LiveState = "Live"
-	// LiveLeaving takes none, and stops soon.
+	// LiveLeaving means that it accepts no new work and will stop soon.
 	LiveLeaving LiveState = "Leaving"
 )
 
-// LiveEntry is one line of the platform's list of live and leaving hosts.
+// LiveEntry is one entry of the platform's list of live and leaving hosts.
 type LiveEntry struct {
 	Name  string
 	State LiveState
 }
 
-// LiveReply is the platform's list; it lags.
+// LiveReply is the platform's live list, which may lag behind.
 type LiveReply struct {
 	// Era is as in DocumentReply.
 	Era uint64 `json:",omitzero"`
-	// Version rises with every change of the list within an era.
+	// Version is incremented with every change of the list within an era.
 	Version uint64
 	Entries []LiveEntry
 }
 
-// OrderRequest forwards a not-repeatable request to the host that minted its
-// ticket.
+// OrderRequest forwards a non-idempotent request to the host that holds its ticket.
 type OrderRequest struct {
 	Ticket         string
 	Statement      string
@@ -222,8 +220,8 @@
 	Trace string
 }
 
-// RelayRequest asks an entry host that holds slots of an upstream to make a
-// call on another's behalf.
+// RelayRequest asks an entry host that has slots of an upstream to make a call for another
+// host.
 type RelayRequest struct {
 	Upstream string
 	Service  string
@@ -235,19 +233,21 @@
 	Snapshot uint64
 	// DeadlineMillis is the time left.
 	DeadlineMillis int64
-	Trace          string
+	// Trace is the W3C traceparent of the sending span.
+	Trace string
 }
 
-// RelayReply returns what became of a relayed call.
+// RelayReply is the outcome of a relayed call.
 type RelayReply struct {
 	Outcome string
 	Part    PartReply
 }
 
-// ReadBody reads the body of an answer, which has at most so many bytes.
-func ReadBody(r *http.Response, most int64) ([]byte, error) {
+// ReadBody reads the body of a response. It returns ErrTooLarge if the body exceeds limit
+// bytes.
+func ReadBody(r *http.Response, limit int64) ([]byte, error) {
 	switch {
-	case r.ContentLength > most:
+	case r.ContentLength > limit:
 		return nil, ErrTooLarge
 	case r.Body == http.NoBody:
 		return []byte{}, nil
@@ -256,14 +256,14 @@
 		_, err := io.ReadFull(r.Body, body)
 		return body, err
 	}
-	body, err := io.ReadAll(io.LimitReader(r.Body, most+1))
-	if err == nil && int64(len(body)) > most {
+	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
+	if err == nil && int64(len(body)) > limit {
 		err = ErrTooLarge
 	}
 	return body, err
 }
 
-// Decode reads one JSON value of at most limit bytes.
+// Decode decodes one JSON value of at most limit bytes.
 func Decode(r io.Reader, limit int64, v any) error {
 	text, err := io.ReadAll(io.LimitReader(r, limit+1))
 	if err != nil {
@@ -278,7 +278,7 @@
 	return nil
 }
 
-// Encode writes a JSON value.
+// Encode encodes a value as JSON.
 func Encode(v any) ([]byte, error) {
 	text, err := json.Marshal(v)
 	if err != nil {
