--- a/tier/entry/answer.go
+++ b/tier/entry/answer.go
@@ -11,7 +11,7 @@
 	"loomgap/tier/query"
 )
 
-// Outcomes of a request, as in the design.
+// Outcomes of a request, as defined in package design.
 const (
 	outcomeComplete = "Complete"
 	outcomePartial  = "Partial"
@@ -19,11 +19,11 @@
 	outcomeUnknown  = "Unknown"
 )
 
-// notReadyRetryAfter is when to ask a host again that has no configuration or knows no
-// snapshots yet. A starting host has both within about a second.
+// notReadyRetryAfter is the retry delay given to callers while the host has no
+// configuration or knows no snapshots. A starting host has both within about a second.
 const notReadyRetryAfter = time.Second
 
-// newAnswer makes an answer without rows; its lists are not nil, as callers expect.
+// newAnswer returns an answer without rows. Its lists are not nil, as callers expect.
 func (e *engine) newAnswer(id, class, outcome string) *entrygen.Answer {
 	return &entrygen.Answer{
 		RequestID: id, Class: class, Outcome: outcome, EntryHost: e.kernel.Settings.Host,
@@ -31,7 +31,7 @@
 	}
 }
 
-// resultAnswer makes the answer of a request that ran, without its rows.
+// resultAnswer returns the answer to a request that ran, without its rows.
 func (e *engine) resultAnswer(q *request, shards []config.Shard, r *policy.Result) *entrygen.Answer {
 	cover := query.Cover(shards, r.Reasons)
 	a := e.newAnswer(q.id, q.class.Name, outcomeComplete)
@@ -50,7 +50,7 @@
 	return a
 }
 
-// notRunAnswer describes a request that did not run.
+// notRunAnswer returns the answer to a request that did not run.
 func (e *engine) notRunAnswer(id, class, reason string, after time.Duration) *entrygen.Answer {
 	a := e.newAnswer(id, class, outcomeNotRun)
 	a.RetryAfterMillis = new(uint64(after.Milliseconds()))
@@ -58,13 +58,14 @@
 	return a
 }
 
-// unknownAnswer describes a not-repeatable request that may have run.
+// unknownAnswer returns the answer to an order that may have run.
 func (e *engine) unknownAnswer(in *entrygen.OrderPayload, remedy string) *entrygen.Answer {
 	a := e.newAnswer(in.Ticket, in.Class, outcomeUnknown)
 	a.Remedy = &remedy
 	return a
 }
 
+// rowsOf converts rows to those of the generated service.
 func rowsOf(rows []query.Row) []*entrygen.Row {
 	out := make([]*entrygen.Row, 0, len(rows))
 	for i := range rows {
@@ -77,6 +78,7 @@
 	return out
 }
 
+// countAnswer updates the request metrics.
 func countAnswer(a *entrygen.Answer, took time.Duration) {
 	labels := `{Class="` + a.Class + `",Outcome="` + a.Outcome + `"}`
 	metrics.GetOrCreateCounter("loomgap_requests_total" + labels).Inc()
--- a/tier/entry/ask.go
+++ b/tier/entry/ask.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errInvalid, err)
 	}
-	// No other request of any host has this ID.
+	// The ID is unique among the requests of all hosts.
 	s := &e.kernel.Settings
 	id := s.Host + "-" + s.Incarnation + "-" + strconv.FormatUint(e.requests.Add(1), 36)
 	q, err := e.newRequest(id, in.Class, ask.Service, in.DeadlineMillis)
@@ -31,7 +31,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// The same question of any caller is the same request.
+	// The same question counts as the same request, whoever asks it.
 	content := policy.Content{HostName: ask.Service, Target: in.Statement}
 	q.subject.Fingerprint = content.Fingerprint()
 	return e.instrument(ctx, "ask", id, in.Class, func(ctx context.Context) (*entrygen.Answer, error) {
@@ -39,13 +39,13 @@
 	})
 }
 
-// minSecondPlanShare is the part of a class's deadline that must be left for a second plan:
-// a gather in less time would rarely cover more.
+// minSecondPlanShare is the fraction of a class's deadline that must be left for a second
+// plan, since a gather in less time would rarely cover more.
 const minSecondPlanShare = 0.25
 
-// answer gathers under the shard map in force. If an upstream has a newer map or
-// other snapshots, it gathers once more under the newest map. Parts of two plans
-// are never merged.
+// answer gathers the parts using the active shard map. If an upstream has a newer map or
+// other snapshots, it gathers once more using the newest map. Parts of two plans are never
+// merged.
 func (e *engine) answer(ctx context.Context, q *request, ask *query.Ask) (*entrygen.Answer, error) {
 	first, err := e.gather(ctx, q, ask, 1)
 	if err != nil || !outdated(first) {
@@ -61,13 +61,14 @@
 	}
 	second, err := e.gather(ctx, &again, ask, 2)
 	if err != nil || second.Outcome == outcomeNotRun {
-		return first, nil //nolint:nilerr // the first answer is true, if less complete
+		return first, nil //nolint:nilerr // the first answer is valid, if less complete
 	}
 	second.Attempts += first.Attempts
 	return second, nil
 }
 
-// outdated reports whether a newer shard map or snapshot may cover more.
+// outdated reports whether an answer lacks parts that a newer shard map or snapshot may
+// cover.
 func outdated(a *entrygen.Answer) bool {
 	for _, m := range a.Missing {
 		if m.Reason == string(query.ReasonMoved) || m.Reason == string(query.ReasonSnapshotGone) {
@@ -77,11 +78,11 @@
 	return false
 }
 
-// attemptsPerPlan keeps the attempt numbers of a request's plans apart: plan 1 has
-// the numbers from 1<<20, plan 2 those from 2<<20. It is far above the attempts
-// that one plan can make.
+// attemptsPerPlan separates the attempt numbers of a request's plans: plan n numbers its
+// attempts from n*attemptsPerPlan. It is far above the number of attempts of one plan.
 const attemptsPerPlan = 1 << 20
 
+// gather asks the shards of a question once and merges their parts.
 func (e *engine) gather(ctx context.Context, q *request, ask *query.Ask, plan int) (*entrygen.Answer, error) {
 	shards, err := query.Select(q.service, ask.Shards)
 	if err != nil {
@@ -129,12 +130,11 @@
 	return out
 }
 
-// run carries out a request. One that may be repeated is given up when the
-// context of its caller ends.
+// run executes a request. A repeatable request is aborted when its caller's context is done.
 func (e *engine) run(ctx context.Context, c *partCaller, q *request, replicas [][]*policy.Upstream, repeatable bool) (policy.Result, error) {
-	var giveUp <-chan struct{}
+	var callerGone <-chan struct{}
 	if repeatable {
-		giveUp = ctx.Done()
+		callerGone = ctx.Done()
 	}
 	result, _, err := runner.Run(ctx, runner.Config[*wire.PartReply]{
 		Kernel: e.kernel, Caller: c,
@@ -142,6 +142,6 @@
 			Fleet: e.kernel.Fleet, Pool: e.kernel.Fleet.Pool(q.service.Name), Class: q.class, Deadline: q.deadline,
 			Replicas: replicas, Snapshot: c.snapshot, Repeatable: repeatable, Subject: q.subject,
 		},
-	}, giveUp)
+	}, callerGone)
 	return result, err
 }
--- a/tier/entry/bench_test.go
+++ b/tier/entry/bench_test.go
@@ -20,8 +20,8 @@
 	"loomgap/tier/wire"
 )
 
-// serverEnv makes the test program serve parts, so that the caller's processor
-// time is measured alone.
+// serverEnv makes the test binary serve parts in another process, so that only the caller's
+// CPU time is measured.
 const serverEnv = "LOOMGAP_BENCH_SERVER"
 
 func TestMain(m *testing.M) {
@@ -63,7 +63,7 @@
 	b.Fatal("no server")
 }
 
-// cpuTime is what this process has used.
+// cpuTime returns the CPU time used by this process.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
@@ -89,8 +89,8 @@
 	}
 }
 
-// BenchmarkUpstreamCall compares a call with its judgement with a bare client
-// call of the same body, by the processor time of the calling process alone.
+// BenchmarkUpstreamCall compares the CPU time of a classified call with that of a plain HTTP
+// call of the same body, both for the calling process only.
 func BenchmarkUpstreamCall(b *testing.B) {
 	startServer(b)
 	at := netip.MustParseAddrPort(benchAddress)
@@ -124,8 +124,8 @@
 	})
 }
 
-// BenchmarkPart is the processor time of encoding one request and judging one
-// reply: what a call costs without its connection.
+// BenchmarkPart measures the CPU time of encoding one request and classifying one reply: the
+// cost of a call without its connection.
 func BenchmarkPart(b *testing.B) {
 	request := benchRequest()
 	answer, err := wire.Encode(wire.PartReply{Identity: request.Identity, Snapshot: 1, UpstreamInfo: wire.UpstreamInfo{Oldest: 1, Newest: 1}, Count: 7})
--- a/tier/entry/call.go
+++ b/tier/entry/call.go
@@ -17,14 +17,15 @@
 	"loomgap/tier/wire"
 )
 
-// partCaller makes the calls of one request of a class.
+// partCaller makes the calls of one request.
 type partCaller struct {
 	engine *engine
-	// upstreamCall has what the calls of all parts have alike.
+	// upstreamCall holds the fields that the calls of all parts share.
 	upstreamCall
-	// message makes the message of an attempt, and the identity that its reply must have.
+	// message returns the message of an attempt and the identity that its reply must
+	// have.
 	message func(part, attempt int) (wire.Identity, any)
-	// take merges a part.
+	// take merges a part into the answer.
 	take func(p *wire.PartReply)
 }
 
@@ -49,24 +50,24 @@
 
 func (c *partCaller) Take(_ int, p *wire.PartReply) { c.take(p) }
 
-// upstreamCall is one call to an upstream, made here or through the host that
-// holds its slots.
+// upstreamCall is one call to an upstream, made by this host or through the host that owns
+// the upstream's slots.
 type upstreamCall struct {
 	upstream string
 	service  string
 	// path is wire.PathPart or wire.PathPlace.
 	path string
-	// id is what the reply must repeat.
+	// id is the identity that the reply must have.
 	id   wire.Identity
 	body []byte
-	// snapshot is what the reply must be made from; 0 for a write.
+	// snapshot is the snapshot that the reply must be based on; 0 for a write.
 	snapshot uint64
-	// deadline is when the call is given up, as time since the process started.
+	// deadline is when the call is aborted, as time since the process started.
 	deadline time.Duration
 }
 
-// call makes a call within a span of its own, or has the host that owns the
-// upstream's slots make it.
+// call makes a call within its own span, or has the host that owns the upstream's slots
+// make it.
 func (e *engine) call(ctx context.Context, x *upstreamCall) (policy.CallOutcome, *wire.PartReply) {
 	p := e.endpoint(x.upstream)
 	if p == nil {
@@ -96,11 +97,12 @@
 	return outcome, part
 }
 
-// methodRelay is the peer method for a call on another host's behalf.
+// methodRelay is the peer method that makes a call for another host.
 const methodRelay = "Relay"
 
-// sendRelay has the host that holds an upstream's slots make a call. It is sent
-// once: after it may have left, only the owner's reply tells what became of it.
+// sendRelay has the host that owns an upstream's slots make a call. The request is sent only
+// once: as soon as it may have been sent, only the owner's reply can tell whether the call
+// ran.
 func (e *engine) sendRelay(ctx context.Context, owner string, x *upstreamCall) (policy.CallOutcome, *wire.PartReply) {
 	ctx, span := e.kernel.Tracer.Start(ctx, "relay", trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
@@ -124,8 +126,8 @@
 	return policy.CallOK, &out.Part
 }
 
-// maxRelayTimeout bounds the time that another host may ask for: the longest deadline that
-// a class may have.
+// maxRelayTimeout limits the deadline of relayed calls. It is the longest deadline that a
+// class may have.
 const maxRelayTimeout = 10 * time.Minute
 
 // serveRelay makes a call that another host sent with sendRelay.
@@ -149,13 +151,13 @@
 	return out, nil
 }
 
-// callWithinSlots makes a call for another host once this host has a free slot of the
-// upstream. It is shed if none becomes free before the deadline.
+// callWithinSlots makes a call for another host as soon as this host has a free slot of the
+// upstream. The call is shed if no slot becomes free before the deadline.
 func (e *engine) callWithinSlots(ctx context.Context, x *upstreamCall) (policy.CallOutcome, *wire.PartReply) {
 	u := e.kernel.Fleet.Find(x.upstream)
 	p := e.endpoint(x.upstream)
 	if u == nil || p == nil || p.owner != "" {
-		// The hosts' views differ for now; the other tries again elsewhere.
+		// The hosts' views differ for the moment. The caller retries elsewhere.
 		return policy.CallShed, nil
 	}
 	if !e.kernel.Fleet.Acquire(ctx, u, x.deadline, e.kernel.Now) {
--- a/tier/entry/client.go
+++ b/tier/entry/client.go
@@ -19,17 +19,17 @@
 	"loomgap/tier/wire"
 )
 
-// Times of upstream connections.
+// Timeouts of upstream connections.
 const (
-	// upstreamDialTimeout is the longest time for a connection to an upstream. The deadline
-	// of the request usually ends the call before.
+	// upstreamDialTimeout limits the time to connect to an upstream. Usually the deadline
+	// of the request ends the call earlier.
 	upstreamDialTimeout = time.Second
-	// upstreamIdleTimeout is below the least idle time that an upstream may have, 60 s,
-	// so that a connection is not used just when the upstream closes it.
+	// upstreamIdleTimeout is well below the shortest idle timeout of upstreams, 60 s, so
+	// that a connection is not reused while the upstream is closing it.
 	upstreamIdleTimeout = 20 * time.Second
 )
 
-// client makes calls to one upstream, over connections of its own.
+// client makes calls to one upstream over its own connections.
 type client struct {
 	address   netip.AddrPort
 	transport *http.Transport
@@ -51,16 +51,16 @@
 
 func (c *client) close() { c.transport.CloseIdleConnections() }
 
+// reply is the HTTP response to one call, or the error instead of it.
 type reply struct {
 	status int
 	body   []byte
-	// reached is false if it is certain that no byte left for the upstream.
+	// reached is false if it is certain that nothing was sent to the upstream.
 	reached bool
 	err     error
 }
 
-// do makes one call. The body has no GetBody, so the transport never sends it
-// twice.
+// do makes one call. The request has no GetBody, so that the transport never sends it twice.
 func (c *client) do(ctx context.Context, path string, header http.Header, body []byte) reply {
 	var out reply
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { out.reached = true }}
@@ -80,8 +80,8 @@
 	return out
 }
 
-// classify returns what a reply means for the call with an identity. Only a reply
-// with the call's own identity counts, refusals included.
+// classify returns the outcome of the call with the given identity. Only replies with that
+// identity count, including refusals.
 func classify(r *reply, id wire.Identity, snapshot uint64) (policy.CallOutcome, *wire.PartReply) {
 	switch {
 	case r.err != nil && !r.reached:
@@ -129,7 +129,8 @@
 	return countDroppedReply("refusal"), nil
 }
 
-// countDroppedReply counts a reply that must not be used, and returns its outcome.
+// countDroppedReply counts a reply that must not be used, and returns the outcome of its
+// call.
 func countDroppedReply(why string) policy.CallOutcome {
 	metrics.GetOrCreateCounter(`loomgap_replies_dropped_total{Why="` + why + `"}`).Inc()
 	return policy.CallGarbage
--- a/tier/entry/endpoint.go
+++ b/tier/entry/endpoint.go
@@ -14,11 +14,12 @@
 type endpoint struct {
 	connections int
 	client      *client
-	// owner is the host that calls on this one's behalf; empty if this host
-	// has slots of its own.
+	// owner is the host that makes the calls for this host; empty if this host has
+	// slots of its own.
 	owner string
 }
 
+// endpointInputs are the parts of a view that the endpoints are computed from.
 type endpointInputs struct {
 	index   *config.Index
 	hosts   []string
@@ -29,9 +30,9 @@
 	return b.index == o.index && slices.Equal(b.hosts, o.hosts) && maps.Equal(b.leaving, o.leaving)
 }
 
-// updateEndpoints sets slots and endpoints by a new view; it runs on the control thread.
-// Ranking all hosts for all upstreams takes time, so it is done only when what
-// they depend on has changed.
+// updateEndpoints updates slots and endpoints for a new view. It does so only if their
+// inputs have changed, because ranking all hosts for all upstreams is expensive. It runs on
+// the control thread.
 func (e *engine) updateEndpoints(v *kernel.View) {
 	if v.Index == nil {
 		return
@@ -47,7 +48,7 @@
 	e.replaceEndpoints(v, hosts)
 }
 
-// replaceEndpoints gives each upstream of the data hall its slots and its endpoint.
+// replaceEndpoints sets the slots and the endpoint of each upstream of the data hall.
 func (e *engine) replaceEndpoints(v *kernel.View, hosts []string) {
 	s := &e.kernel.Settings
 	old, next := *e.endpoints.Load(), map[string]*endpoint{}
@@ -57,7 +58,7 @@
 		p := &endpoint{connections: max(u.Connections/len(hosts), 1)}
 		if shares[i].Slots == 0 {
 			p.owner = peers.Owner(u.Name, hosts)
-			shares[i].Slots = u.Slots // the owner keeps to the slots
+			shares[i].Slots = u.Slots // the owner enforces the limit
 		}
 		if o := old[u.Name]; o != nil && o.client.address == u.Address && o.connections == p.connections {
 			p.client = o.client
@@ -73,9 +74,9 @@
 			p.client.close()
 		}
 	}
-	// The control thread carries no traffic.
+	// Requests must not run on the control thread.
 	go policy.Deliver(granted)
 }
 
-// endpoint returns how to reach an upstream; nil for one of another data hall.
+// endpoint returns the endpoint of an upstream; nil if it is in another data hall.
 func (e *engine) endpoint(upstream string) *endpoint { return (*e.endpoints.Load())[upstream] }
--- a/tier/entry/engine.go
+++ b/tier/entry/engine.go
@@ -14,19 +14,20 @@
 type engine struct {
 	kernel  *kernel.Kernel
 	tickets *ticketStore
-	// adopted are the tickets of processes that stopped as planned.
+	// adopted holds the tickets of processes that shut down gracefully.
 	adopted adoptedTickets
-	// endpoints holds the upstreams of the data hall by name. The map is replaced as
-	// a whole and never changed.
+	// endpoints maps the upstreams of the data hall to their endpoints. The map is
+	// replaced as a whole and never modified.
 	endpoints atomic.Pointer[map[string]*endpoint]
-	// endpointInputs is what the endpoints were made from; used on the control thread only.
+	// endpointInputs are the inputs of the current endpoints. Used on the control thread
+	// only.
 	endpointInputs endpointInputs
-	// requests counts the request IDs given out.
+	// requests counts the request IDs assigned.
 	requests atomic.Uint64
 }
 
-// newEngine makes an engine that follows the kernel's views. The function that it
-// returns closes the connections to upstreams.
+// newEngine creates an engine that updates itself with the kernel's views. The returned
+// function closes the connections to upstreams.
 func newEngine(k *kernel.Kernel) (*engine, func()) {
 	e := &engine{
 		kernel: k,
@@ -46,8 +47,8 @@
 	}
 }
 
-// instrument answers a request within a span, whose name is given. The request is counted
-// as in flight until it is answered, and its answer is counted in the metrics.
+// instrument runs answer within a span of the given name. It counts the request as in flight
+// meanwhile, and counts the answer in the metrics.
 func (e *engine) instrument(ctx context.Context, name, id, class string, answer func(context.Context) (*entrygen.Answer, error)) (*entrygen.Answer, error) {
 	e.kernel.InFlight.Add(1)
 	defer e.kernel.InFlight.Add(-1)
--- a/tier/entry/golden_test.go
+++ b/tier/entry/golden_test.go
@@ -19,8 +19,8 @@
 	entrygen "loomgap/tier/gen/entry"
 )
 
-// TestPeerMessageFormat holds the words and messages that callers and other hosts
-// read to those that are in use.
+// TestPeerMessageFormat compares outcomes, method names, messages and tickets to a golden
+// file. Callers and other hosts depend on them.
 func TestPeerMessageFormat(t *testing.T) {
 	var out strings.Builder
 	for _, v := range []any{
@@ -39,8 +39,8 @@
 	golden.Assert(t, out.String(), "words.golden")
 }
 
-// TestMetricNames holds the names and labels of all metrics to those that
-// operators' dashboards read: each string literal of the product that names one.
+// TestMetricNames compares the names and labels of all metrics in the product's source to a
+// golden file. Operators' dashboards depend on them.
 func TestMetricNames(t *testing.T) {
 	var names []string
 	for _, module := range []string{"tier", "platform", "loomd"} {
@@ -57,7 +57,8 @@
 	golden.Assert(t, strings.Join(slices.Compact(names), "\n")+"\n", "metrics.golden")
 }
 
-// metricsIn lists the literals of a file that name a metric or a label of one.
+// metricsIn returns the string literals of a file that contain the name or a label of a
+// metric.
 func metricsIn(t *testing.T, path string) []string {
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 	assert.NilError(t, err)
--- a/tier/entry/operate.go
+++ b/tier/entry/operate.go
@@ -16,6 +16,7 @@
 	"loomgap/tier/policy"
 )
 
+// operators is the plug-in that serves operators.
 type operators struct{}
 
 var _ kernel.Plugin = operators{}
@@ -53,11 +54,12 @@
 	}, nil
 }
 
-// pathMetrics is where metrics are served.
+// pathMetrics is the URL path of the metrics.
 const pathMetrics = "/metrics"
 
 func writeMetrics(w http.ResponseWriter, _ *http.Request) { metrics.WritePrometheus(w, true) }
 
+// opsService implements the generated service for operators.
 type opsService struct {
 	kernel *kernel.Kernel
 }
@@ -89,8 +91,8 @@
 	return out, nil
 }
 
-// upstreamState names what matters most of an upstream: an upstream of an evacuated
-// hall gets nothing, whatever else it does.
+// upstreamState returns the most important state of an upstream. An upstream of an evacuated
+// hall gets no requests, whatever its other states.
 func upstreamState(u *policy.UpstreamState) string {
 	switch {
 	case u.Evacuated:
--- a/tier/entry/order.go
+++ b/tier/entry/order.go
@@ -13,20 +13,21 @@
 	"loomgap/tier/wire"
 )
 
-// methodOrder is the peer method that forwards an order to its ticket's host.
+// methodOrder is the peer method that forwards an order to the host that holds its ticket.
 const methodOrder = "Order"
 
+// order is a parsed request to write a record, which must run at most once.
 type order struct {
 	*request
 	ticket  ticket
 	payload *entrygen.OrderPayload
 	place   *query.Place
-	// shard holds the key of the record to be written.
+	// shard is the shard of the record's key.
 	shard *config.Shard
 }
 
-// newOrder parses an order and fixes its configuration and deadline. The error is
-// errNoConfig, or wraps errInvalid and names the remedy.
+// newOrder parses an order and sets its configuration and deadline. The error is
+// errNoConfig, or wraps errInvalid and tells the caller what to do.
 func (e *engine) newOrder(in *entrygen.OrderPayload) (*order, error) {
 	t, err := parseTicket(in.Ticket)
 	if err != nil {
@@ -47,8 +48,7 @@
 	return &order{request: q, ticket: t, payload: in, place: place, shard: shard}, nil
 }
 
-// Order runs a not-repeatable request at most once, here or at the host that
-// minted its ticket.
+// Order runs an order at most once, on this host or on the host that holds its ticket.
 func (e *engine) Order(ctx context.Context, in *entrygen.OrderPayload) (*entrygen.Answer, error) {
 	o, err := e.newOrder(in)
 	if errors.Is(err, errNoConfig) {
@@ -62,9 +62,9 @@
 	})
 }
 
-// answerOrder answers an order as its ticket allows: it runs the order, waits for the
-// try that runs already, gives the answer that it had, or asks the host that holds
-// the ticket.
+// answerOrder answers an order according to the state of its ticket: it runs the order,
+// waits for the running attempt, returns the stored answer, or asks the host that holds the
+// ticket.
 func (e *engine) answerOrder(ctx context.Context, o *order) (*entrygen.Answer, error) {
 	tickets := e.ticketsOf(o.ticket)
 	if tickets == nil {
@@ -91,8 +91,8 @@
 	return answer, nil
 }
 
-// ticketsOf returns the tickets that a ticket belongs to; nil if this host holds
-// none of that process.
+// ticketsOf returns the store that a ticket belongs to; nil if this host does not hold the
+// tickets of its process.
 func (e *engine) ticketsOf(t ticket) *ticketStore {
 	if t.Host == e.kernel.Settings.Host && t.Incarnation == e.kernel.Settings.Incarnation {
 		return e.tickets
@@ -100,7 +100,7 @@
 	return e.adopted.find(processID(t.Host, t.Incarnation))
 }
 
-// awaitAnswer waits for the answer of the try that runs already.
+// awaitAnswer waits until the deadline for the answer of the running attempt.
 func (e *engine) awaitAnswer(ctx context.Context, tickets *ticketStore, o *order, c claim) *entrygen.Answer {
 	ctx, cancel := context.WithTimeout(ctx, o.deadline-e.kernel.Now())
 	defer cancel()
@@ -114,9 +114,9 @@
 	return e.unknownAnswer(o.payload, "an earlier try has no answer yet; ask again with the same ticket")
 }
 
-// forward sends an order to the host that minted its ticket, or if that process
-// is gone, to those that may have adopted it. Whatever goes wrong, the answer is
-// Unknown: an earlier try may have run.
+// forward sends an order to the host that minted its ticket, or, if that process is gone, to
+// the hosts that may have adopted the ticket. If that fails the answer is Unknown, since an
+// earlier attempt may have run.
 func (e *engine) forward(ctx context.Context, o *order) *entrygen.Answer {
 	minter, known := o.view.Members[o.ticket.Host]
 	if o.ticket.Host == e.kernel.Settings.Host || known && minter.Incarnation != o.ticket.Incarnation {
@@ -133,7 +133,7 @@
 	return e.unknownAnswer(o.payload, "the host that minted the ticket was not reached; ask again with the same ticket")
 }
 
-// sendOrder sends an order to the host that holds its ticket, within the deadline.
+// sendOrder sends an order to another host and waits for the answer until the deadline.
 func (e *engine) sendOrder(ctx context.Context, host string, o *order) (*entrygen.Answer, error) {
 	left := o.deadline - e.kernel.Now()
 	ctx, cancel := context.WithTimeout(ctx, left)
@@ -160,8 +160,8 @@
 	})
 }
 
-// place sends an order to one upstream of its shard. Only proof that it did
-// not run lets it go to another.
+// place sends an order to one upstream of its shard. It tries another upstream only after
+// proof that the order did not run.
 func (e *engine) place(ctx context.Context, o *order) *entrygen.Answer {
 	fields := make([]query.Field, 0, len(o.place.Fields))
 	for _, a := range o.place.Fields {
--- a/tier/entry/request.go
+++ b/tier/entry/request.go
@@ -16,23 +16,23 @@
 	errNoConfig = errors.New("no configuration in force yet")
 )
 
-// request is the configuration and the deadline that one request keeps from its
-// admission to its answer, whatever the configuration becomes meanwhile.
+// request holds the configuration and the deadline of one request. They stay the same until
+// the answer, even if the active configuration changes meanwhile.
 type request struct {
 	id      string
 	view    *kernel.View
 	class   *config.Class
 	service *config.Service
-	// deadline is when the answer must be ready, as time since the process started;
-	// the class's margin is already taken off.
+	// deadline is when the answer must be ready, as time since the process started. The
+	// class's margin is already subtracted.
 	deadline time.Duration
-	// subject identifies a question that crashes upstreams; the zero value for an
-	// order, which runs at most once whoever repeats it.
+	// subject identifies a question, so that one that crashes upstreams is recognized;
+	// the zero value for an order, which runs at most once anyway.
 	subject policy.Subject
 }
 
-// newRequest fixes the configuration and the deadline of a request. The error is
-// errNoConfig, or wraps errInvalid and names the remedy.
+// newRequest creates a request with the active configuration. The error is errNoConfig, or
+// wraps errInvalid and tells the caller what to do.
 func (e *engine) newRequest(id, class, service string, deadlineMillis *int64) (*request, error) {
 	v := e.kernel.View()
 	if v.Index == nil {
@@ -53,14 +53,14 @@
 	return q, nil
 }
 
-// millisLeft is the time left to the deadline of a request, 1 ms at least: 0 would
-// mean that there is no deadline.
+// millisLeft returns the time left until the deadline of a request, in milliseconds. It is
+// at least 1, because 0 would mean that there is no deadline.
 func (e *engine) millisLeft(q *request) int64 {
 	return max((q.deadline - e.kernel.Now()).Milliseconds(), 1)
 }
 
-// deadlineOf returns the time that a request may take: its class's own, or what its
-// caller asks for within the class's bounds.
+// deadlineOf returns the time that a request may take: the caller's choice within the limits
+// of the class, or the default of the class.
 func deadlineOf(c *config.Class, millis *int64) (time.Duration, error) {
 	if millis == nil || *millis == 0 {
 		return time.Duration(c.Deadline), nil
--- a/tier/entry/serve.go
+++ b/tier/entry/serve.go
@@ -16,19 +16,20 @@
 	"loomgap/tier/wire"
 )
 
-// Limits of the HTTP servers of callers and operators, against clients that are slow or
-// send too much.
+// Limits of the HTTP servers for callers and operators. They protect against clients that
+// are slow or send too much.
 const (
-	// callerHeaderTimeout is the longest time for a request's header.
+	// callerHeaderTimeout limits the time to read a request's header.
 	callerHeaderTimeout = 5 * time.Second
-	// callerReadTimeout is the longest time for a whole request.
+	// callerReadTimeout limits the time to read a whole request.
 	callerReadTimeout = 10 * time.Second
-	// callerIdleTimeout is the longest pause between the requests of a connection.
+	// callerIdleTimeout limits the time between two requests of a connection.
 	callerIdleTimeout = 2 * time.Minute
-	// callerHeaderBytes is the largest header of a request, in bytes.
+	// callerHeaderBytes limits the size of a request's header.
 	callerHeaderBytes = 16 << 10
 )
 
+// plugin is the plug-in that serves callers.
 type plugin struct{}
 
 var _ kernel.Plugin = plugin{}
@@ -74,8 +75,8 @@
 	}, nil
 }
 
-// listen serves HTTP at an address. The function it returns stops the server
-// when what is in flight is done, or after a bound.
+// listen serves HTTP at an address. The returned function stops the server once its requests
+// are done, or after a timeout.
 func listen(at netip.AddrPort, flag string, h http.Handler) (func(time.Duration), error) {
 	l, err := net.Listen("tcp", at.String())
 	if err != nil {
@@ -86,8 +87,8 @@
 		IdleTimeout: callerIdleTimeout, MaxHeaderBytes: callerHeaderBytes,
 	}
 	go func() { _ = s.Serve(l) }()
-	return func(bound time.Duration) {
-		ctx, cancel := context.WithTimeout(context.Background(), bound)
+	return func(timeout time.Duration) {
+		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
 		if s.Shutdown(ctx) != nil {
 			_ = s.Close()
@@ -95,7 +96,7 @@
 	}, nil
 }
 
-// limitBody bounds the bodies of requests, and decodes all of them as JSON whatever
+// limitBody limits the size of request bodies, and has them decoded as JSON regardless of
 // their content type.
 func limitBody(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -105,8 +106,8 @@
 	})
 }
 
-// callerMiddleware continues the trace of the caller's header, and asks callers of a draining
-// host to close their connections.
+// callerMiddleware continues the trace given in the headers, and makes callers of a draining
+// host close their connections.
 func callerMiddleware(k *kernel.Kernel, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if k.Phase() == kernel.PhaseDraining {
--- a/tier/entry/service.go
+++ b/tier/entry/service.go
@@ -16,6 +16,7 @@
 	"loomgap/tier/wire"
 )
 
+// service implements the generated service for callers.
 type service struct {
 	engine *engine
 }
@@ -43,7 +44,7 @@
 	return a, toFault(err)
 }
 
-// toFault turns an error into the toFault one of the design.
+// toFault converts an invalid request error into the Fault of the generated service.
 func toFault(err error) error {
 	if errors.Is(err, errInvalid) {
 		return &entrygen.Fault{Kind: "Invalid", Message: err.Error()}
@@ -51,9 +52,10 @@
 	return err
 }
 
-// tooLargeText is the text of http.MaxBytesError.
+// tooLargeText is the error text of http.MaxBytesError.
 var tooLargeText = (&http.MaxBytesError{}).Error()
 
+// statusOf returns the HTTP status for a kind of Fault.
 func statusOf(kind string) int {
 	if kind == "Busy" {
 		return http.StatusServiceUnavailable
@@ -61,7 +63,7 @@
 	return http.StatusBadRequest
 }
 
-// faultBody is the body of an error; it has the fields of the design's Fault.
+// faultBody is the body of an error response. It has the fields of the generated Fault.
 type faultBody struct {
 	Kind    string
 	Message string
@@ -72,8 +74,8 @@
 
 func (f *faultBody) StatusCode() int { return f.status }
 
-// encodeError gives an error its body: the service's own have kind and remedy, those
-// of the generated decoder get them here.
+// encodeError returns the response body for an error. Errors of the services already have a
+// kind and a message; errors of the generated decoder get theirs here.
 func encodeError(_ context.Context, err error) goahttp.Statuser {
 	if own, ok := errors.AsType[*entrygen.Fault](err); ok {
 		return &faultBody{Kind: own.Kind, Message: own.Message, status: statusOf(own.Kind)}
@@ -81,7 +83,7 @@
 	if ops, ok := errors.AsType[*opsgen.Fault](err); ok {
 		return &faultBody{Kind: ops.Kind, Message: ops.Message, status: statusOf(ops.Kind)}
 	}
-	// The decoder keeps only the text of the error of http.MaxBytesReader.
+	// The generated decoder keeps only the text of the http.MaxBytesError.
 	if strings.Contains(err.Error(), tooLargeText) {
 		return &faultBody{Kind: "Invalid", Message: fmt.Sprintf("body over %d bytes: send a shorter statement", wire.MaxBodyBytes), status: http.StatusRequestEntityTooLarge}
 	}
--- a/tier/entry/status.go
+++ b/tier/entry/status.go
@@ -14,29 +14,29 @@
 	"loomgap/tier/wire"
 )
 
-// Times and limits of the status reader.
+// Intervals and limits of the status reader.
 const (
-	// statusInterval is the time between two rounds, and the age of what is known of an
+	// statusInterval is the time between two rounds, and the time without a report of an
 	// upstream after which its status is read.
 	statusInterval = time.Second
-	// statusTimeout is the longest time for one status call.
+	// statusTimeout limits one status call.
 	statusTimeout = 500 * time.Millisecond
-	// statusConcurrency is how many status calls are made at once.
+	// statusConcurrency limits the concurrent status calls.
 	statusConcurrency = 16
-	// statusPerRound is how many upstreams one round reads, so that the cost of a round
-	// does not grow with the fleet.
+	// statusPerRound limits the upstreams that one round reads, so that the cost of a
+	// round does not grow with the fleet.
 	statusPerRound = 50
-	// startInterval is the time between two rounds while the host starts, when it can't
-	// serve until it knows the snapshots.
+	// startInterval is the time between two rounds while the host starts. It is short,
+	// because the host cannot serve until it knows the snapshots.
 	startInterval = 100 * time.Millisecond
-	// startHeartbeats is how many heartbeat intervals a starting host waits for a peer to
-	// confirm its configuration before it serves without.
+	// startHeartbeats is the number of heartbeat intervals that a starting host waits for
+	// a peer to confirm its configuration before it serves without confirmation.
 	startHeartbeats = 10
 )
 
-// statusReader reads the status endpoints of upstreams. What they report is a hint:
-// it brings the snapshots held and signs of leaving, and is never taken as evidence
-// that an upstream is healthy.
+// statusReader polls the status endpoints of upstreams. It learns which snapshots they hold
+// and whether they are leaving. A status is only a hint and never counts as evidence that an
+// upstream is healthy.
 type statusReader struct{ *engine }
 
 func (r *statusReader) loop(ctx context.Context) {
@@ -54,8 +54,8 @@
 	}
 }
 
-// markLeaving passes the upstreams that said they leave to the control state. It
-// runs on the control thread.
+// markLeaving records in the control state the upstreams that reported that they are
+// leaving. It runs on the control thread.
 func (r *statusReader) markLeaving(s *kernel.State) {
 	now := r.kernel.Now()
 	for _, u := range r.kernel.Fleet.Leaving() {
@@ -65,9 +65,9 @@
 	}
 }
 
-// markReady makes the host ready once it has a document that is no older than a
-// peer's, and has read the status of each upstream. If no peer answers in time, the
-// host serves with the document that it has.
+// markReady makes the host ready once its document is confirmed to be the newest. If no peer
+// confirms it in time, or the document has no other host, the host serves without
+// confirmation. The caller has read the status of the upstreams before.
 func (r *statusReader) markReady() {
 	v := r.kernel.View()
 	if v.Index == nil || r.kernel.Phase() != kernel.PhaseStarting {
@@ -81,9 +81,9 @@
 	r.kernel.Log.Info().Bool("Confirmed", v.Confirmed).Msg("host ready")
 }
 
-// round reads the upstreams that no call has reported on lately, and returns how
-// many upstreams there are. While the host starts it reads all, later a few a
-// round: an upstream that is called reports with each reply.
+// round reads the status of upstreams without a recent report, and returns the number of
+// known upstreams. It reads all of them while the host starts and a limited number later,
+// since an upstream that is called reports its state with each reply.
 func (r *statusReader) round(ctx context.Context) int {
 	endpoints := *r.endpoints.Load()
 	now, limit := r.kernel.Now(), statusPerRound
@@ -126,9 +126,9 @@
 	}
 }
 
-// updateLeaving takes in what a leaving upstream reports: that it still leaves, or
-// after the hold that it is back. If it is not, its first refusal marks it as leaving
-// again. It runs on the control thread.
+// updateLeaving applies the status of an upstream marked as leaving: it extends the mark, or
+// removes it once LeavingHold has passed. If the upstream is leaving after all, its next
+// refusal marks it again. It runs on the control thread.
 func (r *statusReader) updateLeaving(s *kernel.State, name string, now time.Duration, leaving bool) {
 	if leaving {
 		s.MarkLeaving(name, now)
--- a/tier/entry/successor.go
+++ b/tier/entry/successor.go
@@ -12,46 +12,46 @@
 	"loomgap/tier/peers"
 )
 
-// methodAdopt is the peer method that hands tickets over at a planned stop.
+// methodAdopt is the peer method that hands over tickets at a graceful shutdown.
 const methodAdopt = "Adopt"
 
-// Limits of handing over.
+// Limits of the handover of tickets.
 const (
-	// ticketsPerMessage is the number of tickets in one message.
+	// ticketsPerMessage limits the tickets in one message.
 	ticketsPerMessage = 500
-	// maxAdopted is the number of processes whose tickets a host keeps.
+	// maxAdopted limits the processes whose tickets a host keeps.
 	maxAdopted = 64
-	// maxSuccessorsAsked is the number of hosts that are asked for a ticket whose process
-	// has stopped: the successor, and the next one in case hosts' views differ.
+	// maxSuccessorsAsked limits the hosts that are asked for a ticket whose process has
+	// stopped: the successor, and the next one in case the hosts' views differ.
 	maxSuccessorsAsked = 2
-	// adoptTimeout is the longest time for one message of tickets.
+	// adoptTimeout limits the time to send one message.
 	adoptTimeout = 2 * time.Second
 )
 
 // errNotSuccessor is returned by a host that has not adopted a ticket.
 var errNotSuccessor = errors.New("ticket not held here")
 
-// handedTicket is a ticket as one host hands it to another.
+// handedTicket is a ticket that one host hands over to another.
 type handedTicket struct {
 	Counter uint64
-	// Left is how long it is still to be remembered.
+	// Left is the time until the ticket expires.
 	Left time.Duration
-	// Statement is what it was first used for; empty while unused.
+	// Statement is the statement that the ticket was first used for; empty if unused.
 	Statement string `json:",omitempty"`
-	// Answer is the final answer, if it has one.
+	// Answer is the final answer, if there is one.
 	Answer *entrygen.Answer `json:",omitempty"`
 }
 
-// adoptRequest hands tickets of one process over.
+// adoptRequest hands over tickets of one process.
 type adoptRequest struct {
 	Host, Incarnation string
-	// Next is the counter of the first ticket that was never minted.
+	// Next is the counter of the next ticket that the process would have minted.
 	Next    uint64
 	Tickets []handedTicket
 }
 
-// release refuses all later claims in this process, and returns the tickets whose
-// orders are not running. Nothing here can run those any more, so another host may.
+// release makes all later claims in this process fail, and returns the tickets without a
+// running order. This process can no longer run those orders, so another host may.
 func (t *ticketStore) release(now time.Duration) []handedTicket {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -65,8 +65,8 @@
 	return out
 }
 
-// adopt adds handed tickets to those of the same process. A ticket that is known
-// already keeps its state, so a message that arrives twice frees nothing.
+// adopt adds tickets that were handed over to the store of their process. A ticket that is
+// already known keeps its state, so that a duplicate message cannot make its order run again.
 func (t *ticketStore) adopt(now time.Duration, next uint64, handed []handedTicket) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -79,23 +79,24 @@
 	}
 }
 
-// adoptedTickets holds the tickets of processes that stopped as planned.
+// adoptedTickets holds the tickets of processes that shut down gracefully.
 type adoptedTickets struct {
 	mu sync.Mutex
-	// stores has one for each process, by when they were adopted.
+	// stores has one store for each process, in the order of adoption.
 	stores []*ticketStore
 }
 
+// processID identifies one process of a host.
 func processID(host, incarnation string) string { return host + "/" + incarnation }
 
-// find returns the tickets of a process; nil if this host has not adopted them.
+// find returns the adopted tickets of a process; nil if there are none.
 func (a *adoptedTickets) find(process string) *ticketStore {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.findLocked(process)
 }
 
-// findLocked is find with mu findLocked.
+// findLocked is like find, but a.mu must be held.
 func (a *adoptedTickets) findLocked(process string) *ticketStore {
 	for _, t := range a.stores {
 		if processID(t.Host, t.Incarnation) == process {
@@ -105,8 +106,9 @@
 	return nil
 }
 
-// getOrCreate returns the tickets of a process, made empty at first; the oldest process
-// is dropped when there are too many, and its tickets are Unknown from then on.
+// getOrCreate returns the store of a process and creates it if needed. If there are too many,
+// it drops the store adopted first; orders with its tickets are answered Unknown from then
+// on.
 func (a *adoptedTickets) getOrCreate(host, incarnation string, life time.Duration) *ticketStore {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -118,14 +120,14 @@
 	return t
 }
 
-// list returns the tickets of all processes that were adopted.
+// list returns the stores of all adopted processes.
 func (a *adoptedTickets) list() []*ticketStore {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.stores)
 }
 
-// serveAdopt adopts the tickets that another host sent with hand.
+// serveAdopt adopts the tickets that another host sent with sendTickets.
 func (e *engine) serveAdopt(_ context.Context, in *adoptRequest) (any, error) {
 	if e.kernel.Phase() == kernel.PhaseDraining {
 		return nil, errors.New("this host stops too: give the tickets to another")
@@ -135,14 +137,15 @@
 	return struct{}{}, nil
 }
 
-// successors ranks the other hosts that may hold the tickets of a process that is gone.
+// successors returns the other hosts of the hall that may hold the tickets of a stopped
+// process, in the order in which to try them.
 func successors(v *kernel.View, s *kernel.Settings, process string) []string {
 	ranked := peers.Rank("heir\x00"+process, v.HallHosts(s))
 	return slices.DeleteFunc(ranked, func(h string) bool { return h == s.Host })
 }
 
-// handOver gives this host's tickets, and those it adopted, to other hosts. Each
-// ticket is sent once: if a message is lost, its tickets are Unknown.
+// handOver hands this host's tickets and those it adopted to other hosts. Each ticket is sent
+// only once; if a message is lost, orders with its tickets are answered Unknown.
 func (e *engine) handOver() {
 	for _, t := range append(e.adopted.list(), e.tickets) {
 		process := processID(t.Host, t.Incarnation)
@@ -157,6 +160,7 @@
 	}
 }
 
+// sendTickets sends one message of tickets to their successor.
 func (e *engine) sendTickets(successor string, r *adoptRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), adoptTimeout)
 	defer cancel()
@@ -165,7 +169,8 @@
 	e.kernel.Log.Info().Err(err).Str("Successor", successor).Int("Tickets", len(r.Tickets)).Msg("tickets handed over")
 }
 
-// askSuccessors sends an order to the hosts that may have adopted its ticket.
+// askSuccessors sends an order to the hosts that may have adopted its ticket, one after the
+// other.
 func (e *engine) askSuccessors(ctx context.Context, o *order) *entrygen.Answer {
 	ranked := successors(o.view, &e.kernel.Settings, processID(o.ticket.Host, o.ticket.Incarnation))
 	for _, n := range ranked[:min(maxSuccessorsAsked, len(ranked))] {
--- a/tier/entry/ticket.go
+++ b/tier/entry/ticket.go
@@ -11,8 +11,8 @@
 	entrygen "loomgap/tier/gen/entry"
 )
 
-// maxTickets bounds the tickets that one process remembers, so that a flood of requests
-// for tickets can't exhaust its memory.
+// maxTickets limits the tickets in one store, so that a flood of ticket requests cannot
+// exhaust memory.
 const maxTickets = 200_000
 
 // Errors of tickets.
@@ -21,16 +21,15 @@
 	errTicketsFull = errors.New("too many tickets are out")
 )
 
-// ticket names one not-repeatable request. Only the process that minted it may
-// ever run the request, so no agreement between hosts is needed, and a pause
-// or a cut cannot make it run twice.
+// ticket identifies one order. Only the process that holds the ticket may run the order, so
+// hosts need no consensus, and neither a pause nor a network partition can make it run twice.
 type ticket struct {
 	Host        string
 	Incarnation string
 	Counter     uint64
 }
 
-// String writes a ticket as <host>/<incarnation>/<counter>.
+// String returns the ticket as <host>/<incarnation>/<counter>.
 func (t ticket) String() string {
 	return fmt.Sprintf("%s/%s/%d", t.Host, t.Incarnation, t.Counter)
 }
@@ -45,62 +44,68 @@
 	return ticket{}, fmt.Errorf("%w %q: send the ticket as /tickets gave it", errTicket, s)
 }
 
+// claimKind is the result of claiming a ticket.
 type claimKind string
 
-// The kinds of claim.
+// The results of claiming a ticket.
 const (
-	// claimRun lets the claimer run the request; settle must follow.
+	// claimRun allows the claimer to run the order; it must call finish afterwards.
 	claimRun claimKind = "Run"
-	// claimWait tells that the request is running.
+	// claimWait means that the order is already running.
 	claimWait claimKind = "Wait"
-	// claimDone gives the answer that the request had.
+	// claimDone means that the order has a final answer.
 	claimDone claimKind = "Done"
-	// claimExpired tells that the ticket expired: the request may have run.
+	// claimExpired means that the ticket has expired, so that the order may have run.
 	claimExpired claimKind = "Forgotten"
-	// claimNotMinted tells that no such ticket was minted.
+	// claimNotMinted means that the ticket was never minted.
 	claimNotMinted claimKind = "Never"
-	// claimReleased tells that the tickets were given to another host.
+	// claimReleased means that the tickets were handed over to another host.
 	claimReleased claimKind = "Given"
-	// claimMismatch tells that the ticket was used for another request.
+	// claimMismatch means that the ticket was used for another statement.
 	claimMismatch claimKind = "Other"
 )
 
+// claim is the result of ticketStore.claim.
 type claim struct {
 	kind claimKind
-	// done is closed when a running request has its answer; nil unless kind is
+	// done is closed when the running order has finished; nil unless kind is
 	// claimWait.
 	done <-chan struct{}
 	// answer is the final answer; nil unless kind is claimDone.
 	answer *entrygen.Answer
 }
 
+// ticketState is the state of one minted ticket.
 type ticketState struct {
+	// expires is when the ticket expires, as time since the process started.
 	expires time.Duration
-	// statement is what the ticket was first used for; empty while unused.
+	// statement is the statement that the ticket was first used for; empty if unused.
 	statement string
-	// running is not nil while the request runs.
+	// running is not nil while the order runs, and is closed when it has finished.
 	running chan struct{}
-	// answer is set once the request has an answer other than NotRun.
+	// answer is the final answer, which is never NotRun; nil if there is none.
 	answer *entrygen.Answer
 }
 
-// ticketStore remembers the tickets of one process. It is safe for concurrent use.
+// ticketStore stores the tickets of one process. It is safe for concurrent use.
 type ticketStore struct {
 	ticketsConfig
 
 	mu sync.Mutex
 	// next is the counter of the next ticket.
 	next uint64
-	// oldest is the counter below which all tickets are forgotten.
+	// oldest is the lowest counter that may be in states; lower ones have expired.
 	oldest uint64
+	// states holds the tickets by counter.
 	states map[uint64]*ticketState
-	// released is true once the tickets were released away: no claim succeeds here.
+	// released is true once the tickets were handed over. No claim succeeds then.
 	released bool
 }
 
+// ticketsConfig configures a ticketStore.
 type ticketsConfig struct {
 	Host, Incarnation string
-	// Life is how long a ticket is remembered.
+	// Life is the lifetime of a ticket.
 	Life time.Duration
 }
 
@@ -121,7 +126,8 @@
 	return ticket{Host: t.Host, Incarnation: t.Incarnation, Counter: n}, nil
 }
 
-// dropExpired drops expired tickets. A running one is kept until it is settled.
+// dropExpired removes expired tickets. A ticket with a running order is kept until the order
+// has finished.
 func (t *ticketStore) dropExpired(now time.Duration) {
 	for t.oldest < t.next {
 		s := t.states[t.oldest]
@@ -133,7 +139,7 @@
 	}
 }
 
-// claim takes a ticket of this process for a request.
+// claim claims a ticket for an order with the given statement.
 func (t *ticketStore) claim(now time.Duration, counter uint64, statement string) claim {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -160,8 +166,8 @@
 	return claim{kind: claimRun}
 }
 
-// finish records the answer of a claimed ticket. After NotRun the request may
-// be tried again; any other answer is final.
+// finish records the answer of a claimed ticket. After NotRun the order may be tried again;
+// any other answer is final.
 func (t *ticketStore) finish(counter uint64, a *entrygen.Answer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/tier/entry/ticket_test.go
+++ b/tier/entry/ticket_test.go
@@ -19,7 +19,7 @@
 	assert.Equal(t, s.claim(0, a.Counter, "y").kind, claimMismatch)
 	s.finish(a.Counter, &entrygen.Answer{Outcome: outcomeNotRun})
 	assert.Equal(t, s.claim(0, a.Counter, "x").kind, claimRun, "after NotRun it may be tried again")
-	// A running order is kept past its time, so that it cannot run twice.
+	// The ticket of a running order is kept past its expiry, so that the order cannot run twice.
 	assert.Equal(t, s.claim(2*time.Minute, a.Counter, "x").kind, claimWait)
 	done := &entrygen.Answer{Outcome: outcomeComplete}
 	s.finish(a.Counter, done)
@@ -73,7 +73,7 @@
 
 	var a adoptedTickets
 	successor := a.getOrCreate("H1", "i", time.Minute)
-	// Two messages, in an order of tsuccessor own, and one of them twice.
+	// Two messages out of order, one of them twice.
 	successor.adopt(0, s.next, handed[1:])
 	assert.Equal(t, successor.claim(0, minted[2].Counter, "c").kind, claimExpired)
 	successor.adopt(0, s.next, handed[:1])
