--- a/tier/kernel/settings.go
+++ b/tier/kernel/settings.go
@@ -46,8 +46,8 @@
 	SettleMost time.Duration
 	// StopBound is the longest time that a graceful shutdown takes.
 	StopBound time.Duration
-	// LeavingHold is how long an upstream stays marked as leaving after it last said
-	// so, even if its status says otherwise.
+	// LeavingHold is how long an upstream stays marked as leaving after its last leave
+	// notice, even if its status says otherwise.
 	LeavingHold time.Duration
 	// TraceRatio is the fraction of requests whose spans are logged.
 	TraceRatio float64
