--- a/tier/entry/bench_test.go
+++ b/tier/entry/bench_test.go
@@ -20,8 +20,8 @@
 	"loomgap/tier/wire"
 )
 
-// serverEnv makes the test program serve parts, so that the caller's processor
-// time is measured alone.
+// serverEnv makes the test binary serve parts in another process, so that only the caller's
+// CPU time is measured.
 const serverEnv = "LOOMGAP_BENCH_SERVER"
 
 func TestMain(m *testing.M) {
@@ -63,22 +63,22 @@
 	b.Fatal("no server")
 }
 
-// processorTime is what this process has used.
-func processorTime() time.Duration {
+// cpuTime returns the CPU time used by this process.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func measureProcessor(b *testing.B, one func()) {
+func measureCPU(b *testing.B, one func()) {
 	b.Helper()
 	one()
 	b.ResetTimer()
-	begun := processorTime()
+	begun := cpuTime()
 	for range b.N {
 		one()
 	}
-	b.ReportMetric(float64(processorTime()-begun)/float64(b.N)/1e3, "cpu-us/op")
+	b.ReportMetric(float64(cpuTime()-begun)/float64(b.N)/1e3, "cpu-us/op")
 }
 
 func benchRequest() wire.PartRequest {
@@ -89,8 +89,8 @@
 	}
 }
 
-// BenchmarkUpstreamCall compares a call with its judgement with a bare client
-// call of the same body, by the processor time of the calling process alone.
+// BenchmarkUpstreamCall compares the CPU time of a classified call with that of a plain HTTP
+// call of the same body, both for the calling process only.
 func BenchmarkUpstreamCall(b *testing.B) {
 	startServer(b)
 	at := netip.MustParseAddrPort(benchAddress)
@@ -99,7 +99,7 @@
 	assert.NilError(b, err)
 	b.Run("bare", func(b *testing.B) {
 		client := &http.Client{}
-		measureProcessor(b, func() {
+		measureCPU(b, func() {
 			r, err := http.NewRequest(http.MethodPost, "http://"+benchAddress+wire.PathPart, bytes.NewReader(body))
 			assert.NilError(b, err)
 			r.Header.Set("Content-Type", "application/json")
@@ -114,7 +114,7 @@
 		c := newClient(&config.Upstream{Address: at}, 4)
 		defer c.close()
 		header := http.Header{"Content-Type": {"application/json"}}
-		measureProcessor(b, func() {
+		measureCPU(b, func() {
 			text, err := wire.Encode(&request)
 			assert.NilError(b, err)
 			r := c.do(context.Background(), wire.PathPart, header, text)
@@ -124,13 +124,13 @@
 	})
 }
 
-// BenchmarkPart is the processor time of encoding one request and judging one
-// reply: what a call costs without its connection.
+// BenchmarkPart measures the CPU time of encoding one request and classifying one reply: the
+// cost of a call without its connection.
 func BenchmarkPart(b *testing.B) {
 	request := benchRequest()
 	answer, err := wire.Encode(wire.PartReply{Identity: request.Identity, Snapshot: 1, UpstreamInfo: wire.UpstreamInfo{Oldest: 1, Newest: 1}, Count: 7})
 	assert.NilError(b, err)
-	measureProcessor(b, func() {
+	measureCPU(b, func() {
 		_, err := wire.Encode(&request)
 		assert.NilError(b, err)
 		r := reply{status: http.StatusOK, body: answer, reached: true}
--- a/tier/entry/client.go
+++ b/tier/entry/client.go
@@ -19,17 +19,17 @@
 	"loomgap/tier/wire"
 )
 
-// Times of upstream connections.
+// Timeouts of upstream connections.
 const (
-	// upstreamDialTimeout is the longest time for a connection to an upstream. The deadline
-	// of the request usually ends the call before.
+	// upstreamDialTimeout limits the time to connect to an upstream. Usually the deadline
+	// of the request ends the call earlier.
 	upstreamDialTimeout = time.Second
-	// upstreamIdleTimeout is below the least idle time that an upstream may have, 60 s,
-	// so that a connection is not used just when the upstream closes it.
+	// upstreamIdleTimeout is well below the shortest idle timeout of upstreams, 60 s, so
+	// that a connection is not reused while the upstream is closing it.
 	upstreamIdleTimeout = 20 * time.Second
 )
 
-// client makes calls to one upstream, over connections of its own.
+// client makes calls to one upstream over its own connections.
 type client struct {
 	address   netip.AddrPort
 	transport *http.Transport
@@ -51,16 +51,16 @@
 
 func (c *client) close() { c.transport.CloseIdleConnections() }
 
+// reply is the HTTP response to one call, or the error instead of it.
 type reply struct {
 	status int
 	body   []byte
-	// reached is false if it is certain that no byte left for the upstream.
+	// reached is false if it is certain that nothing was sent to the upstream.
 	reached bool
 	err     error
 }
 
-// do makes one call. The body has no GetBody, so the transport never sends it
-// twice.
+// do makes one call. The request has no GetBody, so that the transport never sends it twice.
 func (c *client) do(ctx context.Context, path string, header http.Header, body []byte) reply {
 	var out reply
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { out.reached = true }}
@@ -80,8 +80,8 @@
 	return out
 }
 
-// classify returns what a reply means for the call with an identity. Only a reply
-// with the call's own identity counts, refusals included.
+// classify returns the outcome of the call with the given identity. Only replies with that
+// identity count, including refusals.
 func classify(r *reply, id wire.Identity, snapshot uint64) (policy.CallOutcome, *wire.PartReply) {
 	switch {
 	case r.err != nil && !r.reached:
@@ -89,7 +89,7 @@
 	case r.err != nil && r.status == 0:
 		return policy.CallBroken, nil
 	case r.err != nil:
-		return dropped("unreadable"), nil
+		return countDroppedReply("unreadable"), nil
 	case r.status == http.StatusOK:
 		return classifyPart(r.body, id, snapshot)
 	}
@@ -100,11 +100,11 @@
 	var p wire.PartReply
 	switch err := json.Unmarshal(body, &p); {
 	case err != nil:
-		return dropped("malformed"), nil
+		return countDroppedReply("malformed"), nil
 	case p.Identity != id:
-		return dropped("crossed"), nil
+		return countDroppedReply("crossed"), nil
 	case snapshot > 0 && p.Snapshot != snapshot:
-		return dropped("snapshot"), nil
+		return countDroppedReply("snapshot"), nil
 	}
 	return policy.CallOK, &p
 }
@@ -112,7 +112,7 @@
 func classifyRefusal(body []byte, id wire.Identity) (policy.CallOutcome, *wire.PartReply) {
 	var f wire.RefusalReply
 	if err := json.Unmarshal(body, &f); err != nil || f.Identity != id {
-		return dropped("refusal"), nil
+		return countDroppedReply("refusal"), nil
 	}
 	held := &wire.PartReply{UpstreamInfo: f.UpstreamInfo}
 	switch f.Refused {
@@ -126,11 +126,12 @@
 	case wire.RefusalMoved:
 		return policy.CallMoved, held
 	}
-	return dropped("refusal"), nil
+	return countDroppedReply("refusal"), nil
 }
 
-// dropped counts a reply that must not be used, and returns its outcome.
-func dropped(why string) policy.CallOutcome {
+// countDroppedReply counts a reply that must not be used, and returns the outcome of its
+// call.
+func countDroppedReply(why string) policy.CallOutcome {
 	metrics.GetOrCreateCounter(`loomgap_replies_dropped_total{Why="` + why + `"}`).Inc()
 	return policy.CallMalformed
 }
--- a/tier/entry/operate.go
+++ b/tier/entry/operate.go
@@ -16,6 +16,7 @@
 	"loomgap/tier/policy"
 )
 
+// operators is the plug-in that serves operators.
 type operators struct{}
 
 var _ kernel.Plugin = operators{}
@@ -31,18 +32,18 @@
 func (operators) Run(_ context.Context, k *kernel.Kernel) (func(), error) {
 	mux := goahttp.NewMuxer()
 	endpoints := opsgen.NewEndpoints(&opsService{kernel: k})
-	server.New(endpoints, mux, goahttp.RequestDecoder, goahttp.ResponseEncoder, nil, fault).Mount(mux)
+	server.New(endpoints, mux, goahttp.RequestDecoder, goahttp.ResponseEncoder, nil, encodeError).Mount(mux)
 	mux.Handle(http.MethodGet, pathMetrics, writeMetrics)
-	stop, err := listen(k.Settings.Operate, "-Operate", limited(mux))
+	stop, err := listen(k.Settings.Operate, "-Operate", limitBody(mux))
 	if err != nil {
 		return nil, err
 	}
 	if !k.Settings.Metrics.IsValid() {
 		return func() { stop(time.Second) }, nil
 	}
-	only := http.NewServeMux()
-	only.HandleFunc(pathMetrics, writeMetrics)
-	stopMetrics, err := listen(k.Settings.Metrics, "-Metrics", only)
+	metricsMux := http.NewServeMux()
+	metricsMux.HandleFunc(pathMetrics, writeMetrics)
+	stopMetrics, err := listen(k.Settings.Metrics, "-Metrics", metricsMux)
 	if err != nil {
 		stop(0)
 		return nil, err
@@ -53,11 +54,12 @@
 	}, nil
 }
 
-// pathMetrics is where metrics are served.
+// pathMetrics is the URL path of the metrics.
 const pathMetrics = "/metrics"
 
 func writeMetrics(w http.ResponseWriter, _ *http.Request) { metrics.WritePrometheus(w, true) }
 
+// opsService implements the generated service for operators.
 type opsService struct {
 	kernel *kernel.Kernel
 }
@@ -89,8 +91,8 @@
 	return out, nil
 }
 
-// upstreamState names what matters most of an upstream: an upstream of an evacuated
-// hall gets nothing, whatever else it does.
+// upstreamState returns the most important state of an upstream. An upstream of an evacuated
+// hall gets no requests, whatever its other states.
 func upstreamState(u *policy.UpstreamState) string {
 	switch {
 	case u.Evacuated:
--- a/tier/entry/order.go
+++ b/tier/entry/order.go
@@ -13,20 +13,21 @@
 	"loomgap/tier/wire"
 )
 
-// methodOrder is the peer method that forwards an order to its ticket's host.
+// methodOrder is the peer method that forwards an order to the host that holds its ticket.
 const methodOrder = "Order"
 
+// order is a parsed request to write a record, which must run at most once.
 type order struct {
 	*request
 	ticket  ticket
 	payload *entrygen.OrderPayload
 	place   *query.Place
-	// shard holds the key of the record to be written.
+	// shard is the shard of the record's key.
 	shard *config.Shard
 }
 
-// newOrder parses an order and fixes its configuration and deadline. The error is
-// errNoConfig, or wraps errInvalid and names the remedy.
+// newOrder parses an order and sets its configuration and deadline. The error is
+// errNoConfig, or wraps errInvalid and tells the caller what to do.
 func (e *engine) newOrder(in *entrygen.OrderPayload) (*order, error) {
 	t, err := parseTicket(in.Ticket)
 	if err != nil {
@@ -47,76 +48,75 @@
 	return &order{request: q, ticket: t, payload: in, place: place, shard: shard}, nil
 }
 
-// Order runs a not-repeatable request at most once, here or at the host that
-// minted its ticket.
+// Order runs an order at most once, on this host or on the host that holds its ticket.
 func (e *engine) Order(ctx context.Context, in *entrygen.OrderPayload) (*entrygen.Answer, error) {
 	o, err := e.newOrder(in)
 	if errors.Is(err, errNoConfig) {
-		return e.unknown(in, "this host has no configuration yet; ask again with the same ticket"), nil
+		return e.unknownAnswer(in, "this host has no configuration yet; ask again with the same ticket"), nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	return e.observe(ctx, "order", in.Ticket, in.Class, func(ctx context.Context) (*entrygen.Answer, error) {
-		return e.settle(ctx, o)
+	return e.instrument(ctx, "order", in.Ticket, in.Class, func(ctx context.Context) (*entrygen.Answer, error) {
+		return e.answerOrder(ctx, o)
 	})
 }
 
-// settle answers an order as its ticket allows: it runs the order, waits for the
-// try that runs already, gives the answer that it had, or asks the host that holds
-// the ticket.
-func (e *engine) settle(ctx context.Context, o *order) (*entrygen.Answer, error) {
+// answerOrder answers an order according to the state of its ticket: it runs the order,
+// waits for the running attempt, returns the stored answer, or asks the host that holds the
+// ticket.
+func (e *engine) answerOrder(ctx context.Context, o *order) (*entrygen.Answer, error) {
 	tickets := e.ticketsOf(o.ticket)
 	if tickets == nil {
 		return e.forward(ctx, o), nil
 	}
 	c := tickets.claim(e.kernel.Now(), o.ticket.Counter, o.payload.Statement)
 	switch c.kind {
-	case claimNever:
+	case claimNotMinted:
 		return nil, fmt.Errorf("%w: %w %q was never minted: get one from /tickets", errInvalid, errTicket, o.id)
-	case claimOther:
+	case claimMismatch:
 		return nil, fmt.Errorf("%w: %w %q was used for another statement: get a new one", errInvalid, errTicket, o.id)
-	case claimForgotten:
-		return e.unknown(o.payload, "the ticket expired; look the record up before placing it again"), nil
-	case claimGiven:
+	case claimExpired:
+		return e.unknownAnswer(o.payload, "the ticket expired; look the record up before placing it again"), nil
+	case claimReleased:
 		return e.askSuccessors(ctx, o), nil
 	case claimDone:
 		return c.answer, nil
 	case claimWait:
-		return e.await(ctx, tickets, o, c), nil
+		return e.awaitAnswer(ctx, tickets, o, c), nil
 	default:
 	}
 	answer := e.place(ctx, o)
-	tickets.settle(o.ticket.Counter, answer)
+	tickets.finish(o.ticket.Counter, answer)
 	return answer, nil
 }
 
-// ticketsOf returns the tickets that a ticket belongs to; nil if this host holds
-// none of that process.
+// ticketsOf returns the store that a ticket belongs to; nil if this host does not hold the
+// tickets of its process.
 func (e *engine) ticketsOf(t ticket) *ticketStore {
 	if t.Host == e.kernel.Settings.Host && t.Incarnation == e.kernel.Settings.Incarnation {
 		return e.tickets
 	}
-	return e.adopted.find(processOf(t.Host, t.Incarnation))
+	return e.adopted.find(processID(t.Host, t.Incarnation))
 }
 
-// await waits for the answer of the try that runs already.
-func (e *engine) await(ctx context.Context, tickets *ticketStore, o *order, c claim) *entrygen.Answer {
+// awaitAnswer waits until the deadline for the answer of the running attempt.
+func (e *engine) awaitAnswer(ctx context.Context, tickets *ticketStore, o *order, c claim) *entrygen.Answer {
 	ctx, cancel := context.WithTimeout(ctx, o.deadline-e.kernel.Now())
 	defer cancel()
 	select {
-	case <-c.settled:
+	case <-c.done:
 	case <-ctx.Done():
 	}
 	if a := tickets.answer(o.ticket.Counter); a != nil {
 		return a
 	}
-	return e.unknown(o.payload, "an earlier try has no answer yet; ask again with the same ticket")
+	return e.unknownAnswer(o.payload, "an earlier try has no answer yet; ask again with the same ticket")
 }
 
-// forward sends an order to the host that minted its ticket, or if that process
-// is gone, to those that may have adopted it. Whatever goes wrong, the answer is
-// Unknown: an earlier try may have run.
+// forward sends an order to the host that minted its ticket, or, if that process is gone, to
+// the hosts that may have adopted the ticket. If that fails the answer is Unknown, since an
+// earlier attempt may have run.
 func (e *engine) forward(ctx context.Context, o *order) *entrygen.Answer {
 	minter, known := o.view.Members[o.ticket.Host]
 	if o.ticket.Host == e.kernel.Settings.Host || known && minter.Incarnation != o.ticket.Incarnation {
@@ -130,10 +130,10 @@
 	if o.deadline > e.kernel.Now() {
 		return e.askSuccessors(ctx, o)
 	}
-	return e.unknown(o.payload, "the host that minted the ticket was not reached; ask again with the same ticket")
+	return e.unknownAnswer(o.payload, "the host that minted the ticket was not reached; ask again with the same ticket")
 }
 
-// sendOrder sends an order to the host that holds its ticket, within the deadline.
+// sendOrder sends an order to another host and waits for the answer until the deadline.
 func (e *engine) sendOrder(ctx context.Context, host string, o *order) (*entrygen.Answer, error) {
 	left := o.deadline - e.kernel.Now()
 	ctx, cancel := context.WithTimeout(ctx, left)
@@ -160,8 +160,8 @@
 	})
 }
 
-// place sends an order to one upstream of its shard. Only proof that it did
-// not run lets it go to another.
+// place sends an order to one upstream of its shard. It tries another upstream only after
+// proof that the order did not run.
 func (e *engine) place(ctx context.Context, o *order) *entrygen.Answer {
 	fields := make([]query.Field, 0, len(o.place.Fields))
 	for _, a := range o.place.Fields {
@@ -186,15 +186,15 @@
 	var refusal *policy.Refusal
 	switch {
 	case errors.As(err, &refusal):
-		return e.refuse(o.id, o.class.Name, refusal.Reason, refusal.RetryAfter)
+		return e.notRunAnswer(o.id, o.class.Name, refusal.Reason, refusal.RetryAfter)
 	case err != nil:
-		return e.refuse(o.id, o.class.Name, err.Error(), notReadyRetry)
+		return e.notRunAnswer(o.id, o.class.Name, err.Error(), notReadyRetryAfter)
 	case result.OutcomeUnknown:
-		return e.unknown(o.payload, "the upstream's answer was lost; look the record up before placing it again")
+		return e.unknownAnswer(o.payload, "the upstream's answer was lost; look the record up before placing it again")
 	case result.Included == 0:
-		return e.refuse(o.id, o.class.Name, "no upstream took it: "+string(result.Reasons[0]), time.Duration(o.class.Deadline))
+		return e.notRunAnswer(o.id, o.class.Name, "no upstream took it: "+string(result.Reasons[0]), time.Duration(o.class.Deadline))
 	}
-	answer := e.describe(o.request, []config.Shard{*o.shard}, &result)
+	answer := e.resultAnswer(o.request, []config.Shard{*o.shard}, &result)
 	answer.Snapshot, answer.Count = placed.Snapshot, placed.Count
 	return answer
 }
--- a/tier/entry/serve.go
+++ b/tier/entry/serve.go
@@ -16,19 +16,20 @@
 	"loomgap/tier/wire"
 )
 
-// Limits of the HTTP servers of callers and operators, against clients that are slow or
-// send too much.
+// Limits of the HTTP servers for callers and operators. They protect against clients that
+// are slow or send too much.
 const (
-	// callerHeaderTimeout is the longest time for a request's header.
+	// callerHeaderTimeout limits the time to read a request's header.
 	callerHeaderTimeout = 5 * time.Second
-	// callerReadTimeout is the longest time for a whole request.
+	// callerReadTimeout limits the time to read a whole request.
 	callerReadTimeout = 10 * time.Second
-	// callerIdleTimeout is the longest pause between the requests of a connection.
+	// callerIdleTimeout limits the time between two requests of a connection.
 	callerIdleTimeout = 2 * time.Minute
-	// callerHeaderBytes is the largest header of a request, in bytes.
+	// callerHeaderBytes limits the size of a request's header.
 	callerHeaderBytes = 16 << 10
 )
 
+// plugin is the plug-in that serves callers.
 type plugin struct{}
 
 var _ kernel.Plugin = plugin{}
@@ -56,8 +57,8 @@
 	stopStatus := kernel.RunLoops(ctx, (&statusReader{engine}).loop)
 	mux := goahttp.NewMuxer()
 	endpoints := entrygen.NewEndpoints(&service{engine: engine})
-	server.New(endpoints, mux, goahttp.RequestDecoder, goahttp.ResponseEncoder, nil, fault).Mount(mux)
-	stop, err := listen(k.Settings.Listen, "-Listen", forCallers(k, limited(mux)))
+	server.New(endpoints, mux, goahttp.RequestDecoder, goahttp.ResponseEncoder, nil, encodeError).Mount(mux)
+	stop, err := listen(k.Settings.Listen, "-Listen", callerMiddleware(k, limitBody(mux)))
 	if err != nil {
 		stopStatus()
 		closeEngine()
@@ -74,8 +75,8 @@
 	}, nil
 }
 
-// listen serves HTTP at an address. The function it returns stops the server
-// when what is in flight is done, or after a bound.
+// listen serves HTTP at an address. The returned function stops the server once its requests
+// are done, or after a timeout.
 func listen(at netip.AddrPort, flag string, h http.Handler) (func(time.Duration), error) {
 	l, err := net.Listen("tcp", at.String())
 	if err != nil {
@@ -86,8 +87,8 @@
 		IdleTimeout: callerIdleTimeout, MaxHeaderBytes: callerHeaderBytes,
 	}
 	go func() { _ = s.Serve(l) }()
-	return func(bound time.Duration) {
-		ctx, cancel := context.WithTimeout(context.Background(), bound)
+	return func(timeout time.Duration) {
+		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
 		if s.Shutdown(ctx) != nil {
 			_ = s.Close()
@@ -95,9 +96,9 @@
 	}, nil
 }
 
-// limited bounds the bodies of requests, and decodes all of them as JSON whatever
+// limitBody limits the size of request bodies, and has them decoded as JSON regardless of
 // their content type.
-func limited(next http.Handler) http.Handler {
+func limitBody(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.Header.Set("Content-Type", "application/json")
 		r.Body = http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes)
@@ -105,9 +106,9 @@
 	})
 }
 
-// forCallers continues the trace of the caller's header, and asks callers of a draining
-// host to close their connections.
-func forCallers(k *kernel.Kernel, next http.Handler) http.Handler {
+// callerMiddleware continues the trace given in the headers, and makes callers of a draining
+// host close their connections.
+func callerMiddleware(k *kernel.Kernel, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if k.Phase() == kernel.PhaseDraining {
 			w.Header().Set("Connection", "close")
--- a/tier/pass/relay_client.go
+++ b/tier/pass/relay_client.go
@@ -211,7 +211,7 @@
 	s.reportCalls(reply)
 	if reply.Due && !s.overdue {
 		s.overdue = true
-		s.reporter.Overdue()
+		s.reporter.HedgePending()
 	}
 }
 
--- a/tier/pass/relay_server.go
+++ b/tier/pass/relay_server.go
@@ -211,7 +211,7 @@
 	lingering := c.lingering
 	b.mu.Unlock()
 	policy.NotifyGranted(k.Fleet.Finish(now, policy.Call{
-		Upstream: c.upstream, Pool: near, Outcome: r.Outcome, Took: now - started, Load: r.Load, NewConnReset: r.Crowded,
+		Upstream: c.upstream, Pool: near, Outcome: r.Outcome, Took: now - started, Load: r.Load, NewConnReset: r.NewConnReset,
 		Lingering: lingering,
 	}))
 }
