--- a/tier/policy/action.go
+++ b/tier/policy/action.go
@@ -2,38 +2,40 @@
 
 import "time"
 
-// ActionKind says what a run wants done.
+// ActionKind identifies what the caller of a Run must do.
 type ActionKind string
 
 const (
-	// ActionSend asks for the attempt to be sent to its upstream. Its slot is
-	// held; Fleet.Finish gives it back.
+	// ActionSend sends the attempt to its upstream. The attempt already holds a slot, which
+	// Fleet.Finish releases.
 	ActionSend ActionKind = "Send"
-	// ActionCancel asks for a sent attempt to be given up.
+	// ActionCancel cancels a sent attempt.
 	ActionCancel ActionKind = "Cancel"
-	// ActionLinger asks for a sent attempt to be given up after LingerDuration: its answer
-	// is not wanted, but shows when the upstream answers again.
+	// ActionLinger cancels a sent attempt after LingerDuration. Its answer is not needed,
+	// but shows when the upstream responds again.
 	ActionLinger ActionKind = "Linger"
-	// ActionMerge asks for the attempt's part to be merged into the answer.
+	// ActionMerge merges the attempt's part into the answer.
 	ActionMerge ActionKind = "Take"
-	// ActionReleaseSlot asks for Fleet.ReleaseSlot: a slot was granted and is not wanted.
+	// ActionReleaseSlot calls Fleet.ReleaseSlot for a slot that was granted but is not
+	// needed.
 	ActionReleaseSlot ActionKind = "Free"
-	// ActionFinish asks for the answer to be given now. It comes once.
+	// ActionFinish returns the answer now. It is issued once per run.
 	ActionFinish ActionKind = "Finish"
 )
 
-// Action is one thing to be done for a run.
+// Action is one step that the caller must carry out for a run.
 type Action struct {
 	Kind ActionKind
-	// Attempt is the number of the attempt within the run.
+	// Attempt is the index of the attempt within the run.
 	Attempt int
 	// Part is the index of the shard within the run.
 	Part     int
 	Upstream *Upstream
-	// Pool is where the latency of a sent attempt belongs.
+	// Pool records the latency of a sent attempt.
 	Pool *LatencyPool
-	// HedgeIn is how long after it was sent an attempt is hedged; 0 if it will not be.
+	// HedgeIn is the delay between sending an attempt and hedging it; 0 if it is not
+	// hedged.
 	HedgeIn time.Duration
-	// Outcome is what a cancelled attempt is to be reported as.
+	// Outcome is the outcome to report for a cancelled attempt.
 	Outcome CallOutcome
 }
--- a/tier/policy/admit.go
+++ b/tier/policy/admit.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// coverageExpected is the share of the parts that must be expected in time for a
-	// request to be admitted, if its class asks for no less.
+	// admissionCoverage is the share of the parts that must be expected in time before a
+	// request is admitted, unless its class requires less.
 	admissionCoverage = 0.9
-	// costWeight is the weight of the last request in the smoothed cost of a class.
+	// costWeight is the weight of the latest request in the smoothed cost of a class.
 	costWeight = 0.05
 )
 
-// Refusal is a request that was not run, with when to ask again.
+// Refusal is the error for a request that was not run. It says when to retry.
 type Refusal struct {
 	Reason string
-	// RetryAfter is above 0.
+	// RetryAfter is always positive.
 	RetryAfter time.Duration
 }
 
@@ -26,9 +26,9 @@
 	return fmt.Sprintf("not run: %s; ask again in %s", r.Reason, r.RetryAfter)
 }
 
-// admit decides whether a request may begin; the fleet is locked. A class has a limit of
-// requests in flight, and enough parts must be expected in that part of the time left
-// which its worth for its cost allows.
+// admit decides whether a request may start. The class must be below its limit of requests
+// in flight, and enough parts must be expected within the share of the remaining time that
+// the worth per cost of the class allows. The fleet must be locked.
 func (f *Fleet) admit(now time.Duration, q *RunConfig, rule admission) error {
 	class, parts := q.Class, float64(len(q.Replicas))
 	c := f.class(class.Name)
@@ -49,10 +49,10 @@
 	return nil
 }
 
-// expected counts the parts whose best upstream is expected to answer within the time
-// allowed, and gives the shortest expected time of the others, 0 if there are none. A
-// part without an upstream counts as in time: it is no overload, and the answer says
-// that it is missing.
+// expected counts the parts whose best upstream is expected to answer within the allowed
+// time, and returns the shortest expected time of the other parts, or 0 if there are none.
+// A part without an upstream counts as in time: it does not indicate overload, and the
+// answer reports it as missing.
 func (q *RunConfig) expected(allowed time.Duration) (inTime int, shortest time.Duration) {
 	shortest = math.MaxInt64
 	for _, upstreams := range q.Replicas {
@@ -77,32 +77,32 @@
 	admissions["Worth"] = admitWorth{}
 }
 
-// Shares of the slack that expected work may fill.
+// Shares of the remaining time that expected work may fill.
 const (
-	// allowedLeast is the share for the requests of least worth per cost.
+	// minSlackShare applies to the requests with the lowest worth per cost.
 	minSlackShare = 0.2
-	// allowedMost is the share for those of most worth per cost.
+	// maxSlackShare applies to the requests with the highest worth per cost.
 	maxSlackShare = 0.75
 )
 
-// admitAll refuses nothing: the baseline.
+// admitAll admits every request.
 type admitAll struct{}
 
 func (admitAll) allow(time.Duration, float64, float64) time.Duration { return math.MaxInt64 }
 
-// admitDeadline refuses what cannot be done in time.
+// admitDeadline refuses requests that are not expected to finish before their deadline.
 type admitDeadline struct{}
 
 func (admitDeadline) allow(slack time.Duration, _, _ float64) time.Duration { return slack }
 
-// admitWorth lets requests of more worth per cost count on more of their
-// slack, so that under overload the least worth per cost is refused first.
+// admitWorth grants requests with a higher worth per cost a larger share of their remaining
+// time, so that overload sheds the requests with the lowest worth per cost first.
 type admitWorth struct{}
 
-func (admitWorth) allow(slack time.Duration, density, top float64) time.Duration {
+func (admitWorth) allow(slack time.Duration, worthPerCall, highest float64) time.Duration {
 	rank := 1.0
-	if top > 0 {
-		rank = min(density/top, 1)
+	if highest > 0 {
+		rank = min(worthPerCall/highest, 1)
 	}
 	return time.Duration(float64(slack) * (minSlackShare + (maxSlackShare-minSlackShare)*rank))
 }
--- a/tier/policy/attempt.go
+++ b/tier/policy/attempt.go
@@ -7,8 +7,8 @@
 	"loomgap/tier/query"
 )
 
-// leaveQueues takes a part's other attempts out of their queues once one has
-// its slot. If another is being granted just now, Granted frees its slot.
+// leaveQueues removes a part's other attempts from their queues once one of them has a
+// slot. If another one is granted a slot concurrently, Granted releases it.
 func (r *Run) leaveQueues(i, granted int) {
 	for _, n := range slices.Clone(r.parts[i].active) {
 		if a := &r.attempts[n]; n != granted && a.phase == phaseQueued {
@@ -18,7 +18,7 @@
 	}
 }
 
-// withdraw takes back an attempt that was not sent: its upstream counts as not tried.
+// withdraw undoes an attempt that was not sent: its upstream counts as not tried.
 func (r *Run) withdraw(n int) {
 	a := &r.attempts[n]
 	a.phase = phaseDone
@@ -28,9 +28,9 @@
 	p.tries--
 }
 
-// startAttempt gives a part its first attempt, or its next after a refusal.
-// Where no slot is free it waits for one at every eligible replica, and the first to
-// come is taken: that costs no call.
+// startAttempt starts the first attempt of a part, or the next one after a refusal. If no
+// slot is free, the part queues at every eligible replica and uses the first slot granted,
+// which costs no extra call.
 func (r *Run) startAttempt(now time.Duration, i int, out []Action) []Action {
 	u := r.pick(now, i, anyUpstream)
 	if u == nil {
@@ -49,8 +49,8 @@
 	return out
 }
 
-// enter asks for a slot at an upstream for a new attempt of a part. It sends the attempt
-// if the slot is granted at once, else the attempt is queued there.
+// addAttempt requests a slot at an upstream for a new attempt of a part. It sends the
+// attempt if the slot is granted immediately; otherwise the attempt is queued there.
 func (r *Run) addAttempt(now time.Duration, i int, u *Upstream, out []Action) []Action {
 	p := &r.parts[i]
 	n := len(r.attempts)
@@ -74,7 +74,7 @@
 	return out
 }
 
-// send sends an attempt that has its slot.
+// send sends an attempt that holds a slot.
 func (r *Run) send(now time.Duration, n int, out []Action) []Action {
 	a := &r.attempts[n]
 	a.isolated = r.suspected() && !r.hasCalls()
@@ -92,7 +92,7 @@
 	return append(out, send)
 }
 
-// include has a part be in the answer, and gives up its other attempts.
+// includePart includes a part in the answer and cancels its other attempts.
 func (r *Run) includePart(i int, out []Action) []Action {
 	p := &r.parts[i]
 	p.closed = true
@@ -107,14 +107,14 @@
 	r.progress.open--
 }
 
-// linger reports whether an attempt that is not wanted any more may go on: one at a near
-// upstream, whose caller is not gone.
+// mayLinger reports whether an attempt that is no longer needed may continue: its upstream
+// must be near and the caller still connected.
 func (r *Run) mayLinger(a *attempt) bool {
 	return a.upstream.near && r.request.Repeatable && !r.callerGone && !r.suspected() && a.upstream.tryLinger()
 }
 
-// cancel gives up all attempts of a part. One whose answer shows when its upstream
-// answers again goes on for LingerDuration.
+// cancel cancels all attempts of a part. A call that can show when its upstream responds
+// again continues for LingerDuration.
 func (r *Run) cancel(i int, o CallOutcome, out []Action) []Action {
 	p := &r.parts[i]
 	for _, n := range p.active {
--- a/tier/policy/backoff.go
+++ b/tier/policy/backoff.go
@@ -5,20 +5,19 @@
 	"time"
 )
 
-// Constants of the backoff after sheds.
 const (
-	// backoffFirst is the backoff after the first shed.
+	// initialBackoff is the backoff after the first shed.
 	initialBackoff = 5 * time.Millisecond
-	// backoffLongest is the longest backoff.
+	// maxBackoff caps the backoff.
 	maxBackoff = time.Second
 )
 
-// backoff passes over an upstream that sheds calls, for twice as long at each
-// consecutive shed. It is called meanwhile only if its shard has no better one.
+// backoff makes an upstream that sheds calls ineligible for a time that doubles with each
+// consecutive shed. In the meantime it is called only if its shard has no better upstream.
 type backoff struct {
-	// sheds counts consecutive sheds; a good call resets it.
+	// sheds counts consecutive sheds; a successful call resets it.
 	sheds int
-	// until is when it is as good as others again, as time since the process started.
+	// until is when the backoff ends, as time since the process started.
 	until time.Duration
 }
 
@@ -29,7 +28,8 @@
 	b.sheds++
 }
 
-// exponential is a time that was multiplied by a factor some times, at most the longest.
+// exponential returns first multiplied by factor the given number of times, capped at
+// longest.
 func exponential(first time.Duration, factor float64, times int, longest time.Duration) time.Duration {
 	return time.Duration(min(float64(first)*math.Pow(factor, float64(times)), float64(longest)))
 }
--- a/tier/policy/borrowing.go
+++ b/tier/policy/borrowing.go
@@ -1,30 +1,30 @@
 package policy
 
-// Constants of borrowing.
 const (
-	// borrowFirst is the least number of calls not shed until one more slot is borrowed.
+	// minCallsToBorrow is the smallest number of calls without a shed before one more slot
+	// is borrowed.
 	minCallsToBorrow = 16
-	// borrowLatest is the greatest such number.
+	// maxCallsToBorrow is the largest such number.
 	maxCallsToBorrow = 1 << 16
-	// borrowGrowth is how many times as many calls are needed after a shed of borrowed
-	// slots.
+	// borrowGrowth multiplies the number of calls needed when calls on borrowed slots are
+	// shed.
 	borrowGrowth = 4
-	// borrowDecay is by what the number is divided when borrowing goes well.
+	// borrowDecay divides the number of calls needed when borrowing succeeds.
 	borrowDecay = 2
 )
 
-// borrowing lets this host use slots beyond its own share for as long as the upstream
-// does not shed: either the other hosts leave them idle, or the upstream queues. An
-// upstream that queues nothing sheds few calls for it, since each shed delays the
-// next attempt.
+// borrowing lets this host use slots beyond its own share as long as the upstream does not
+// shed: either the other hosts leave these slots idle, or the upstream queues. An upstream
+// without a queue sheds few calls because of it, since each shed delays the next attempt to
+// borrow.
 type borrowing struct {
-	// borrowed is how many calls over the share this host may have in progress; 0 to
-	// what the upstream has beyond the share.
+	// borrowed is how many calls beyond the share this host may have in progress, from 0 to
+	// the number of slots that the upstream has beyond the share.
 	borrowed int
 	// notShed counts calls that were not shed since borrowed last changed.
 	notShed int
-	// needed is how many calls must not be shed before one more slot is borrowed;
-	// 0 for borrowFirst.
+	// callsNeeded is how many calls must complete without a shed before one more slot is
+	// borrowed; 0 stands for minCallsToBorrow.
 	callsNeeded int
 }
 
@@ -35,8 +35,9 @@
 	b.borrowed, b.notShed = 0, 0
 }
 
-// succeeded counts a call that was not shed; room is the slots beyond the share.
-func (b *borrowing) succeeded(room int) {
+// succeeded counts a call that was not shed. borrowable is the number of slots beyond the
+// share.
+func (b *borrowing) succeeded(borrowable int) {
 	b.notShed++
 	if b.notShed < b.callsToBorrow() {
 		return
@@ -45,7 +46,7 @@
 	if b.borrowed > 0 {
 		b.callsNeeded = max(b.callsNeeded/borrowDecay, minCallsToBorrow)
 	}
-	b.borrowed = min(b.borrowed+1, room)
+	b.borrowed = min(b.borrowed+1, borrowable)
 }
 
 func (b *borrowing) callsToBorrow() int { return max(b.callsNeeded, minCallsToBorrow) }
--- a/tier/policy/budget.go
+++ b/tier/policy/budget.go
@@ -1,16 +1,16 @@
 package policy
 
 const (
-	// budgetStart is the number of tokens that a class begins with at a host.
+	// budgetStart is the number of tokens that a class starts with on a host.
 	budgetStart = 4.0
 	// budgetDepth is the number of tokens that may be saved up.
 	budgetDepth = 64.0
-	// budgetRequests is the number of requests of the present size whose tokens may be
-	// saved up, if these are more than budgetDepth.
+	// budgetRequests is the number of requests of the current size whose tokens may be
+	// saved up, if that is more than budgetDepth.
 	budgetRequests = 2
 )
 
-// budget is a token bucket that is filled by needed calls.
+// budget is a token bucket that is refilled by regular calls, not by hedges and retries.
 type budget struct {
 	tokens float64
 }
--- a/tier/policy/calls.go
+++ b/tier/policy/calls.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Finish gives the slot of a call back and learns from its outcome. The
-// waiters that got a slot are returned, for NotifyGranted.
+// Finish releases the slot of a call and updates the state of its upstream from the
+// outcome. It returns the waiters that were granted a slot, for NotifyGranted.
 func (f *Fleet) Finish(now time.Duration, c Call) []*Waiter {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -18,7 +18,8 @@
 	return c.Upstream.grant(now)
 }
 
-// ReleaseSlot gives an unused slot back.
+// ReleaseSlot releases a slot that was not used. It returns the waiters that were granted a
+// slot, for NotifyGranted.
 func (f *Fleet) ReleaseSlot(now time.Duration, u *Upstream) []*Waiter {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -26,38 +27,38 @@
 	return u.grant(now)
 }
 
-// RecordSent notes that a call is sent to an upstream now.
+// RecordSent records that a call to an upstream is being sent.
 func (f *Fleet) RecordSent(now time.Duration, u *Upstream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	u.stall.sent(now)
 }
 
-// Stalled reports whether an upstream answers nobody for the moment, as far as
-// this host knows from its own calls.
+// Stalled reports whether an upstream is currently unresponsive, judged by this host's own
+// calls.
 func (f *Fleet) Stalled(now time.Duration, u *Upstream) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return u.stalled(now)
 }
 
-// TryLinger reports whether a call whose answer is not wanted any more may go on for a
-// while; Finish is then called with Lingering set.
+// TryLinger reports whether a call whose answer is no longer needed may continue for a
+// while. If so, Finish must be called with Lingering set.
 func (f *Fleet) TryLinger(u *Upstream) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return u.tryLinger()
 }
 
-// CancelLinger releases what Linger took for a call that ended before it could linger.
+// CancelLinger undoes TryLinger for a call that ended before it could linger.
 func (f *Fleet) CancelLinger(u *Upstream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	u.stall.lingering = false
 }
 
-// AcquireOrQueue asks for a slot outside a run, as for a call on another host's behalf.
-// It reports whether the slot was granted at once, or else whether the waiter
+// AcquireOrQueue requests a slot outside a run, for example for a call on behalf of another
+// host. It reports whether the slot was granted immediately and, if not, whether the waiter
 // is queued.
 func (f *Fleet) AcquireOrQueue(w *Waiter) (granted, queued bool) {
 	f.mu.Lock()
@@ -65,8 +66,8 @@
 	return w.Upstream.acquireOrQueue(w)
 }
 
-// Acquire waits for a slot outside a run until a deadline or the end of the context,
-// and reports whether the slot was granted. It is the caller's to give back.
+// Acquire waits for a slot outside a run until the deadline or the end of the context, and
+// reports whether the slot was granted. The caller must release it.
 func (f *Fleet) Acquire(ctx context.Context, u *Upstream, deadline time.Duration, now func() time.Duration) bool {
 	got := make(chan struct{})
 	w := &Waiter{Upstream: u, Deadline: deadline, Granted: func() { close(got) }}
@@ -85,6 +86,6 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w.abandon()
-	// It may have been granted meanwhile.
+	// The slot may have been granted in the meantime.
 	return w.index == indexGranted
 }
--- a/tier/policy/choose.go
+++ b/tier/policy/choose.go
@@ -9,33 +9,32 @@
 	choosers["First"] = first{}
 }
 
-// Constants of scores, which are expected times in seconds. Penalties put upstreams in
-// tiers: each is larger than the sum of those before it, and than any latency.
+// Scores are expected times in seconds. Penalties sort upstreams into tiers: each is larger
+// than the sum of the smaller ones and than any latency.
 const (
-	// scoreJitter is the greatest random part of a score, which decides between upstreams
-	// that score alike.
+	// scoreJitter is the largest random part of a score. It spreads calls over upstreams
+	// with similar scores.
 	scoreJitter = 0.05
-	// stalledPenalty applies to an unresponsive upstream, in seconds. Only its order
-	// matters.
+	// stalledPenalty applies to an unresponsive upstream.
 	stalledPenalty = 10.0
-	// coldPenalty applies to a throttled upstream, in seconds. Only its order matters.
+	// coldPenalty applies to a throttled upstream.
 	coldPenalty = 1e5
-	// outlierPenalty applies to an outlier and to an upstream in backoff, in seconds.
-	// Only its order matters.
+	// outlierPenalty applies to an outlier and to an upstream in backoff.
 	outlierPenalty = 1e6
-	// ejectedPenalty applies to an ejected upstream, in seconds. Only its order matters.
+	// ejectedPenalty applies to an ejected upstream.
 	ejectedPenalty = 1e9
 )
 
-// jitter is a random factor of a score, 1 to 1+scoreJitter.
+// jitter returns a random factor for a score, from 1 to 1+scoreJitter.
 func jitter(r Random) float64 { return 1 + scoreJitter*r.Float64() }
 
-// leastTime takes the replica whose own calls suggest the earliest answer.
+// leastTime chooses the replica with the earliest expected answer, judged by this host's
+// own calls.
 type leastTime struct{}
 
 func (leastTime) score(now time.Duration, u *Upstream, p *LatencyPool, r Random) float64 {
 	latency := u.latency.orDefault(p.median())
-	score := latency.Seconds() * (1 + u.slots.queuedPerSlot()) * jitter(r)
+	score := latency.Seconds() * (1 + u.slots.callsPerSlot()) * jitter(r)
 	if u.outlier.marked || u.backoff.active(now) {
 		score += outlierPenalty
 	}
@@ -45,14 +44,14 @@
 	return score
 }
 
-// random takes any replica: the baseline.
+// random chooses any replica.
 type random struct{}
 
 func (random) score(_ time.Duration, _ *Upstream, _ *LatencyPool, r Random) float64 {
 	return r.Float64()
 }
 
-// first takes the first replica that is not ejected.
+// first chooses the first replica that is not ejected.
 type first struct{}
 
 func (first) score(now time.Duration, u *Upstream, _ *LatencyPool, _ Random) float64 {
@@ -63,22 +62,23 @@
 }
 
 const (
-	// farFactor multiplies the score of an upstream of another data hall than this host's:
-	// bytes between halls are expensive, and distance does not pass.
+	// farFactor multiplies the score of an upstream in another data hall: traffic between
+	// halls is expensive, and the distance does not change.
 	farFactor = 1.25
-	// faultCost is what a call without a usable answer costs in time, so that an upstream
-	// which fails a part of its calls loses to one that is slower.
+	// faultCost is the time added for a call without a usable answer, so that an upstream
+	// that fails part of its calls loses to a slower one.
 	faultCost = 500 * time.Millisecond
 )
 
-// leastLatency takes the listed upstream whose answer is expected first: by how it
-// compares with others, the calls ahead of a new one, and its faults.
+// leastLatency chooses the listed upstream with the earliest expected answer. It considers
+// how slow and how faulty the upstream is compared with others, and the calls ahead of a
+// new one.
 type leastLatency struct{}
 
 func (leastLatency) score(now time.Duration, u *Upstream, p *LatencyPool, r Random) float64 {
 	slowness, faults := u.condition.expected(now, u.Name)
 	latency := p.median().Seconds() * slowness
-	ahead := u.slots.queuedPerSlot() + u.load.expectedPerSlot(now)
+	ahead := u.slots.callsPerSlot() + u.load.expectedPerSlot(now)
 	score := latency * (1 + ahead) * jitter(r)
 	score += faults * faultCost.Seconds()
 	if u.stalled(now) {
--- a/tier/policy/class.go
+++ b/tier/policy/class.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// classTries is the number of attempts, queued ones included, for one part of a request
-	// of a class.
+	// maxClassAttempts is the number of attempts, including queued ones, that one part of a
+	// request of a class may have.
 	maxClassAttempts = 4
 	// classRetryRatio is the number of retries that each part of a request of a class
 	// earns.
 	classRetryRatio = 0.1
-	// classHedgeDivisor divides the time to the deadline: a call is hedged after that part
-	// of it while the latencies of the service are not known.
+	// classHedgeDivisor divides the time to the deadline to get the hedge delay while the
+	// latencies of the service are not known.
 	classHedgeDivisor = 3
 )
 
-// classRules are the rules of a request of a class. Its hedges and retries are paid
-// from two budgets that all requests of the class at this host share.
+// classRules are the rules for requests of a class. Their hedges and retries are paid from
+// two budgets that all requests of the class on this host share.
 type classRules struct {
 	fleet *Fleet
 	// pool holds the latencies of the service.
@@ -40,15 +40,16 @@
 	return c.fleet.class(c.class.Name).hedges.take()
 }
 
-// payRetry makes a call that was shed again at no cost: that one cost the upstream next to
-// nothing, and classTries bounds how often it happens.
+// payRetry charges nothing for retrying a call that was shed: a shed costs the upstream
+// very little, and maxClassAttempts bounds the number of retries.
 func (c *classRules) payRetry(_ time.Duration, _ int, _ *part, o CallOutcome) bool {
 	return o == CallShed || c.fleet.class(c.class.Name).retries.take()
 }
 
 func (c *classRules) attemptsLeft(p *part) bool { return p.tries < maxClassAttempts }
 
-// hedgeDelay has a call hedged when it takes longer than nearly all calls to the service.
+// hedgeDelay delays a hedge until the call takes longer than almost all calls to the
+// service.
 func (c *classRules) hedgeDelay(_ *Upstream, limit time.Duration) time.Duration {
 	if !c.pool.known() {
 		return limit / classHedgeDivisor
@@ -56,8 +57,8 @@
 	return max(c.pool.quantile(c.class.HedgeQuantile), minHedgeDelay)
 }
 
-// hedgesAtSame is true, since a call that straggles says little about the next call to
-// the same upstream.
+// hedgesSameUpstream returns true, since a straggling call says little about the next call
+// to the same upstream.
 func (c *classRules) hedgesSameUpstream() bool { return true }
 
 func (c *classRules) barred(time.Duration, *Upstream) bool { return false }
@@ -70,5 +71,6 @@
 	return query.ReasonUnreachable
 }
 
-// endsUncovered is false: a class answers with what arrives by its deadline.
+// endsWithoutCoverage returns false: a request of a class is answered with whatever arrives
+// by its deadline.
 func (c *classRules) endsWithoutCoverage() bool { return false }
--- a/tier/policy/cold.go
+++ b/tier/policy/cold.go
@@ -3,38 +3,39 @@
 import "time"
 
 const (
-	// coldOwners is how many hosts may believe at a time that they are the owner: one that
-	// was frozen or cut off from its hall does not know of the next.
+	// maxColdOwners is how many hosts may consider themselves the owner at the same time: a
+	// host that was paused or partitioned from its hall does not know about the next owner.
 	maxColdOwners = 2
-	// coldWindow is the time within which calls to a cold upstream are counted: the
-	// configuration gives their rate by the second.
+	// coldWindow is the interval in which calls to a cold upstream are counted; the
+	// configured rate is per second.
 	coldWindow = time.Second
-	// coldOwnerAge is the age of the process before which a host is no owner: for its first
-	// heartbeats it knows no other host and would own everything.
+	// minColdOwnerAge is how long a process must have run before it may be an owner. Until
+	// the first heartbeats arrive it knows no other host and would own every upstream.
 	minColdOwnerAge = 3 * time.Second
 )
 
-// Cold is what a share says about an upstream that may be cold: it started, or came back
-// from an evacuation, a moment ago and can handle only a few calls a second.
+// Cold is what a share says about an upstream that may be cold: it started or returned from
+// an evacuation recently and can handle only a few calls per second.
 type Cold struct {
-	// Remaining is how much longer it was cold when its entry of Revision was written.
+	// Remaining is the warm-up time that was left when the directory entry with Revision
+	// was written.
 	Remaining time.Duration
-	// Revision is that of its entry in the directory, Sequence the upstream's own count
-	// of its reports then. After the platform came back from a copy, another entry may
-	// have the same revision.
+	// Revision is the revision of the directory entry, Sequence the upstream's own count of
+	// its reports at that time. After the platform was restored from a copy, another entry
+	// may have the same revision.
 	Revision, Sequence uint64
-	// Warmup is how long it may be cold after its hall was evacuated.
+	// Warmup is how long the upstream may be cold after an evacuation of its hall ends.
 	Warmup time.Duration
-	// CallLimit is the most calls that it can handle within a second while it is cold, from
-	// all hosts together; 0 for no bound.
+	// CallLimit is the largest number of calls per second, from all hosts together, that
+	// the upstream can handle while it is cold; 0 for no limit.
 	CallLimit int
 	// Evacuated is true while its hall is evacuated.
 	Evacuated bool
 }
 
-// ColdCallLimit returns how many calls a cold upstream may get within a second from all
-// hosts together: its rate times a factor, and a slack besides; 0 if it has no rate,
-// which is no bound.
+// ColdCallLimit returns how many calls per second a cold upstream may get from all hosts
+// together: its rate times factor, plus slack. It returns 0, which is no limit, if the
+// upstream has no rate.
 func ColdCallLimit(rate, factor, slack float64) int {
 	if rate <= 0 {
 		return 0
@@ -42,34 +43,37 @@
 	return max(int(rate*factor+slack), 1)
 }
 
-// cold is whether an upstream is cold, and which host may call it meanwhile. It is
-// cold until its warm-up has passed. While it is cold it is throttled if its group says
-// how many calls it can handle: one host makes all its calls, so many a second.
+// cold tracks whether an upstream is cold and which host may call it in the meantime. An
+// upstream is cold until its warm-up ends. While it is cold, it is throttled if its group
+// has a call limit: a single host, the owner, then makes all of its calls within that
+// limit.
 type cold struct {
-	// entry is what its share last said.
+	// entry is what the share said last.
 	entry Cold
-	// until is when it will have warmed up.
+	// until is when the warm-up ends.
 	until time.Duration
-	// owner is the host that makes the calls while it is throttled; empty for none.
+	// owner is the host that makes the calls while the upstream is throttled; empty for
+	// none.
 	owner string
-	// sentAt is when this host sent it the last calls, at most limit of them.
+	// sentAt holds the times of this host's latest calls to the upstream, at most
+	// ownerLimit of them.
 	sentAt []time.Duration
 }
 
-// sameEntry reports whether two shares speak of the same entry.
+// sameEntry reports whether two shares refer to the same directory entry.
 func (c *Cold) sameEntry(other *Cold) bool {
 	return c.Revision == other.Revision && c.Sequence == other.Sequence
 }
 
-// update records what a share says. An entry that arrives late counts as written just
-// now.
+// update records what a share says. A new entry is treated as if it had just been written,
+// even if it arrives late.
 func (c *cold) update(now time.Duration, entry Cold) {
 	if !entry.sameEntry(&c.entry) {
 		c.until = now + entry.Remaining
 	}
 	if c.entry.Evacuated && !entry.Evacuated {
-		// It may have turned cold meanwhile, and says so only with its next
-		// heartbeat.
+		// The upstream may have become cold in the meantime, which only its next heartbeat
+		// will say.
 		c.until = max(c.until, now+entry.Warmup)
 	}
 	c.entry = entry
@@ -79,7 +83,7 @@
 
 func (c *cold) throttled(now time.Duration) bool { return c.entry.CallLimit > 0 && c.active(now) }
 
-// ownerAt is the host that makes the calls now; empty if any may.
+// ownerAt returns the host that must make the calls now; empty if any host may.
 func (c *cold) ownerAt(now time.Duration) string {
 	if !c.throttled(now) {
 		return ""
@@ -87,10 +91,10 @@
 	return c.owner
 }
 
-// limit is how many calls the owner sends within coldWindow.
+// ownerLimit returns how many calls the owner may send within coldWindow.
 func (c *cold) ownerLimit() int { return max(c.entry.CallLimit/maxColdOwners, 1) }
 
-// admits reports whether this host, as the owner, may send one more call now.
+// allows reports whether this host, as the owner, may send one more call now.
 func (c *cold) allows(now time.Duration) bool {
 	if now < minColdOwnerAge {
 		return false
--- a/tier/policy/coldowner.go
+++ b/tier/policy/coldowner.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Hosts share no state: while a cold upstream is throttled one host of its hall, the
-// owner, makes all calls to it; other hosts have the owner make theirs, as they do with
-// calls to other halls. Even shares do not keep the bound where there are more hosts than
-// it allows calls.
+// Hosts share no state. While a cold upstream is throttled, one host of its hall, the
+// owner, makes all calls to it; other hosts relay their calls through the owner, as they do
+// for calls to other halls. Dividing the limit evenly would exceed it when there are more
+// hosts than allowed calls.
 
-// ColdOwner returns the host that makes the calls to a cold upstream: one of the
-// strong hosts of its hall, the same for all that know the same hosts; empty if
-// the hall has none.
+// ColdOwner returns the host that makes the calls to a cold upstream. It is one of the
+// strong hosts of the upstream's hall, and the same for all hosts with the same view of the
+// hall. It returns an empty string if the hall has no host.
 func ColdOwner(upstream string, hall []Candidate) string {
 	hosts := strongHosts(hall, greatestCapacity(hall, 0))
 	if len(hosts) == 0 {
@@ -24,8 +24,7 @@
 	}).Host
 }
 
-// SetColdOwners sets for each throttled upstream which host makes its calls. Self is
-// this host.
+// SetColdOwners sets the owner of each throttled upstream. self is the name of this host.
 func (f *Fleet) SetColdOwners(self string, owners map[string]string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -35,8 +34,8 @@
 	}
 }
 
-// noteCold keeps cold up to date after the share of an upstream was set; the fleet is
-// locked.
+// trackCold updates the index of throttled upstreams after a share was set. The fleet must
+// be locked.
 func (f *Fleet) trackCold(now time.Duration, u *Upstream) {
 	if u.cold.throttled(now) {
 		f.cold[u.Name] = u
@@ -46,7 +45,7 @@
 	delete(f.cold, u.Name)
 }
 
-// ThrottledUpstreams names the upstreams that are throttled, with their halls.
+// ThrottledUpstreams returns the halls of the throttled upstreams by upstream name.
 func (f *Fleet) ThrottledUpstreams(now time.Duration) map[string]string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -62,23 +61,24 @@
 	return out
 }
 
-// Destination says from where calls to an upstream are to be made.
+// Destination identifies the hosts that may make the calls to an upstream.
 type Destination struct {
-	// Hall is the upstream's data hall: any host there may make the calls.
+	// Hall is the data hall of the upstream. Any host there may make the calls.
 	Hall string
-	// Owner is the one host that may, while the upstream is throttled; empty for any.
+	// Owner is the only host that may make the calls while the upstream is throttled; empty
+	// for any.
 	Owner string
 }
 
-// DestinationOf returns from where calls to a listed upstream are to be made.
+// DestinationOf returns the hosts that may make the calls to a listed upstream.
 func (f *Fleet) DestinationOf(now time.Duration, u *Upstream) Destination {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return Destination{Hall: u.hall, Owner: u.cold.ownerAt(now)}
 }
 
-// AdmitCold reports whether this host may send a call to an upstream now, and counts
-// it. Only the owner may send to one that is throttled, and no more than the bound.
+// AdmitCold reports whether this host may send a call to an upstream now, and counts the
+// call. Only the owner may call a throttled upstream, and only within its limit.
 func (f *Fleet) AdmitCold(now time.Duration, u *Upstream) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -92,6 +92,6 @@
 	return true
 }
 
-// owns reports whether this host makes the calls to a throttled upstream; the fleet is
-// locked.
+// ownsCold reports whether this host is the owner of a throttled upstream. The fleet must
+// be locked.
 func (f *Fleet) ownsCold(u *Upstream) bool { return u.cold.owner != "" && u.cold.owner == f.self }
--- a/tier/policy/conditions.go
+++ b/tier/policy/conditions.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Conditions lists the upstreams of this host's hall that do worse than others.
+// Conditions returns the upstreams of this host's hall that perform worse than others.
 func (f *Fleet) Conditions(now time.Duration) []Condition {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -22,14 +22,14 @@
 	return out
 }
 
-// hallConditions returns the report about a hall, which stays the same; the fleet is
-// locked.
+// hallConditions returns the report of a hall. It returns the same pointer on every call.
+// The fleet must be locked.
 func (f *Fleet) hallConditions(hall string) *hallConditions {
 	return findOrMake(f.conditions, hall, func() *hallConditions { return &hallConditions{at: never} })
 }
 
-// SetConditions stores a host's report about the upstreams of its hall: those
-// that it does not mention do well.
+// SetConditions stores a host's report about the upstreams of its hall. Upstreams that it
+// does not mention perform well.
 func (f *Fleet) SetConditions(now time.Duration, hall string, reported []Condition) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/tier/policy/coordinator.go
+++ b/tier/policy/coordinator.go
@@ -12,21 +12,22 @@
 const (
 	// coreCapacity is the capacity of one core with an unlimited link.
 	coreCapacity = 1000
-	// linkPerCore is the link, in Mbit/s, that carries as many upstream calls a second
-	// as one core works on: a call has 1.4 KB on the wire and takes 50 us.
+	// linkPerCore is the link bandwidth, in Mbit/s, that carries as many upstream calls per
+	// second as one core handles: a call takes 1.4 KB on the wire and 50 us of CPU time.
 	linkPerCore = 220
-	// coordinatorAdvantage is how many times the capacity of another host a coordinator
-	// has. Between hosts alike a forwarded request costs two messages and gains nothing.
+	// coordinatorAdvantage is the factor by which a coordinator's capacity must exceed that
+	// of another host. Between similar hosts, forwarding a request costs two messages and
+	// gains nothing.
 	coordinatorAdvantage = 2
-	// coordinatorSlack is the share of the slack of retries that coordinators divide where
-	// there are weaker hosts, 0 to 1. The rest is for those hosts, which make calls by
-	// themselves only where no coordinator answers.
+	// coordinatorSlack is the share of the retry slack, 0 to 1, that coordinators divide
+	// among themselves if there are weaker hosts. The rest is for those hosts, which make
+	// their own calls only when no coordinator answers.
 	coordinatorSlack = 0.8
 )
 
-// Capacity is how much a host can carry, in thousandths of what a core with an
-// unlimited link does: its core and its link work one after the other for each
-// call, so their times add up. The link is in Mbit/s; 0 is unlimited.
+// Capacity returns how much work a host can handle, in thousandths of a core with an
+// unlimited link. Core and link handle each call one after the other, so their times add
+// up. The link is in Mbit/s; 0 means unlimited.
 func Capacity(cores, linkMbits float64) int {
 	seconds := 1 / cores
 	if linkMbits > 0 {
@@ -35,28 +36,27 @@
 	return max(int(math.Round(coreCapacity/seconds)), 1)
 }
 
-// Candidate is an entry host that may carry a request out.
+// Candidate is an entry host that may execute a request for another host.
 type Candidate struct {
 	Host string
 	Hall string
-	// Capacity is as of Capacity; above 0.
+	// Capacity is the result of the function Capacity; always positive.
 	Capacity int
-	// RoundTrip is the time of a message to its hall and back; 0 if not known.
+	// RoundTrip is the round-trip time to the host's hall; 0 if unknown.
 	RoundTrip time.Duration
-	// Pending counts the requests that it was sent and has not yet acknowledged.
+	// Pending counts the requests that were sent to the host and are not acknowledged yet.
 	Pending int
 }
 
-// IsCoordinator reports whether a host of some capacity carries requests out
-// itself, where the strongest host has another.
+// IsCoordinator reports whether a host with the given capacity executes requests itself,
+// given the capacity of the strongest host.
 func IsCoordinator(capacity, strongest int) bool { return strongest < coordinatorAdvantage*capacity }
 
-// Coordinators lists the hosts that may carry a request out on behalf of another,
-// the best first; none if none does that much better than the host itself. Those
-// in the same hall go first, then those of the hall that is nearest. Hosts spread
-// over those alike: each of these then sees its part of the calls and learns how
-// upstreams do, where a host alone in hundreds calls nearly all of them for the
-// first time.
+// Coordinators returns the hosts that may execute a request on behalf of self, best first.
+// It returns none if no host is strong enough to make forwarding worthwhile. Hosts in the
+// same hall come first, then those in the nearest hall. Requests spread over otherwise
+// equal hosts, so that each coordinator sees enough calls to learn how upstreams perform; a
+// single host among hundreds calls almost every upstream for the first time.
 func Coordinators(self Candidate, all []Candidate) []Candidate {
 	strongest := greatestCapacity(all, self.Capacity)
 	if IsCoordinator(self.Capacity, strongest) {
@@ -73,7 +73,7 @@
 	return out
 }
 
-// greatestCapacity is the greatest of some hosts, and of one that is not among them.
+// greatestCapacity returns the largest capacity among hosts and other.
 func greatestCapacity(hosts []Candidate, other int) int {
 	for _, c := range hosts {
 		other = max(other, c.Capacity)
@@ -85,8 +85,8 @@
 	return slices.DeleteFunc(slices.Clone(hosts), func(c Candidate) bool { return !IsCoordinator(c.Capacity, strongest) })
 }
 
-// distance is the round trip to a candidate; hosts of one hall are nearest, and
-// those whose round trip is not known are farthest.
+// distance returns the round-trip time to a candidate. Hosts in the same hall are nearest,
+// hosts with an unknown round-trip time are farthest.
 func distance(self, c *Candidate) time.Duration {
 	switch {
 	case c.Hall == self.Hall:
@@ -97,13 +97,13 @@
 	return c.RoundTrip
 }
 
-// RendezvousHash ranks hosts for a key (rendezvous hashing): keys spread over hosts, and
-// each key has the same order of hosts everywhere, the least hash first.
+// RendezvousHash ranks hosts for a key by rendezvous hashing: the lowest hash comes first,
+// keys spread over the hosts, and every host computes the same order for a key.
 func RendezvousHash(key, host string) uint64 { return xxhash.Sum64String(key + "\x00" + host) }
 
-// RetryBudgetDivisor returns among how many hosts the slack of retries is divided, as
-// one host is to count them: all hosts where they are alike; else the coordinators
-// divide coordinatorSlack of it, and the others the rest. It is above 0.
+// RetryBudgetDivisor returns the number by which one host divides the retry slack. Similar
+// hosts divide it equally. Otherwise the coordinators divide coordinatorSlack of it and the
+// remaining hosts the rest. The result is always positive.
 func RetryBudgetDivisor(own int, capacities []int) float64 {
 	all := append(capacities, own)
 	strongest, coordinators := slices.Max(all), 0
--- a/tier/policy/crashreport.go
+++ b/tier/policy/crashreport.go
@@ -8,37 +8,38 @@
 )
 
 const (
-	// crashReportLife is how long a crash report counts: people mend what a request
-	// crashes, which takes hours.
+	// crashReportTTL is how long a crash report counts. It allows for the hours that it
+	// takes to fix a bug in the upstreams.
 	crashReportTTL = 24 * time.Hour
-	// restartLeast is less than an upstream takes to start again and to crash once more.
+	// minRestartTime is shorter than the time in which an upstream can restart and crash
+	// again.
 	minRestartTime = time.Second
 )
 
-// CrashReport is evidence that a request crashes the upstreams that run it: some crashed
-// while they ran it, and none had answered it.
+// CrashReport is evidence that a request crashes upstreams: at least one crashed while
+// running it, and none had answered it before.
 type CrashReport struct {
-	// ID is unique among the reports of all hosts, Attempt among the attempts of a
+	// ID is unique among the reports of all hosts, Attempt among the attempts to run a
 	// request.
 	ID, Attempt uint64
-	// Isolated is true if the request ran at one upstream only, and nowhere else in
-	// the same attempt: another cause is less likely then.
+	// Isolated is true if the request ran on a single upstream during the attempt, which
+	// makes another cause of the crash unlikely.
 	Isolated bool `json:"Alone,omitempty"`
 	// Upstream is the one that crashed last.
 	Upstream string
-	// Caller is where the request came from.
+	// Caller is the address that the request came from.
 	Caller netip.Addr `json:",omitzero"`
-	// Cleared is true once an upstream has answered the request to the same caller
-	// after all: the report does not count any more.
+	// Cleared is true once an upstream has answered the request for the same caller. The
+	// report then no longer counts.
 	Cleared bool `json:"Void,omitempty"`
-	// CallerOnly is true once an upstream has answered the request to another caller:
-	// the report counts for its own caller only.
+	// CallerOnly is true once an upstream has answered the request for another caller. The
+	// report then counts only for its own caller.
 	CallerOnly bool `json:"Narrow,omitempty"`
 	// Remaining is how long the report still counts.
 	Remaining time.Duration `json:"Left"`
 }
 
-// SuspectReport is all crash reports of one request, as hosts exchange them.
+// SuspectReport holds the crash reports of one request. Hosts exchange it.
 type SuspectReport struct {
 	Fingerprint Fingerprint
 	Crashes     []CrashReport `json:"Strikes"`
@@ -46,7 +47,7 @@
 
 type crash struct {
 	CrashReport
-	// until is when it ceases to count.
+	// until is when the report stops counting.
 	until time.Duration
 }
 
@@ -60,13 +61,14 @@
 	return isNew
 }
 
-// Weights of crash reports, for what is forgotten first.
+// Weights of crash reports. Reports with the lowest weight are evicted first.
 const (
-	// weightNone is of a report that does not count.
+	// weightNone is the weight of a report that does not count.
 	weightNone = iota
-	// weightShared is of a crash while other calls of the request were in progress.
+	// weightShared is the weight of a crash while other calls of the request were in
+	// progress.
 	weightShared
-	// weightIsolated is of a crash that has hardly another cause.
+	// weightIsolated is the weight of a crash that is unlikely to have another cause.
 	weightIsolated
 )
 
@@ -81,8 +83,8 @@
 	}
 }
 
-// countCrashes counts how often upstreams crashed: reports of one upstream at one time
-// are of one crash.
+// countCrashes counts the crashes behind the reports. Reports about the same upstream at
+// about the same time count as one crash.
 func countCrashes(reports []*crash) int {
 	slices.SortFunc(reports, func(a, b *crash) int {
 		return cmp.Or(cmp.Compare(a.Upstream, b.Upstream), cmp.Compare(a.until, b.until))
--- a/tier/policy/doc.go
+++ b/tier/policy/doc.go
@@ -1,56 +1,57 @@
-// Package policy holds all decisions on requests: which upstream is asked, how many
-// calls it gets at once, when a call is hedged or made again, which requests are
-// refused and when they may come back, and when the answer is given.
+// Package policy makes all decisions about requests: which upstream is called, how many
+// calls it gets concurrently, when a call is hedged or retried, which requests are refused
+// and when they may be retried, and when the answer is returned.
 //
-// It is pure: events and the present time go in, actions come out. It has no goroutine,
-// clock, random source or socket of its own, so that a test replays any race exactly.
-// Times are durations since the process started, on a monotonic clock.
+// The package is pure: it takes events with the current time and returns actions. It has
+// no goroutine, clock, random source or socket of its own, so tests can replay any race
+// deterministically. Times are durations since the process started, on a monotonic clock.
 //
-// An embedder begins with NewFleet, one for each process, gives it the upstreams by
-// Fleet.Apply, and makes a Run of each request by NewRun. Run.Begin, Granted, Reply,
-// Wake and GiveUp return actions, which package runner carries out; a call that ended is
-// reported to Fleet.Finish. Types that stand only in fields of these, as ActionKind,
-// HedgeSkipReason or CrashReport, are exported so that the fields can be read.
+// A process creates one Fleet with NewFleet, sets its upstreams with Fleet.Apply and
+// creates a Run for each request with NewRun. Run.Begin, Granted, Reply, Wake and Abort
+// return actions, which package runner carries out. Each completed call is reported to
+// Fleet.Finish. Types that occur only as fields of these types, such as ActionKind,
+// HedgeSkipReason and CrashReport, are exported so that the fields can be read.
 //
 // # Owns
 //
-// The state of all upstreams as this host sees them (Fleet), the budgets of hedges and
-// retries, and the requests suspected of crashing upstreams. Nothing is stored; all of
-// it is learnt anew after a restart.
+// The state of all upstreams as seen by this host (Fleet), the budgets for hedges and
+// retries, and the requests suspected of crashing upstreams. None of it is stored; it is
+// rebuilt from observations after a restart.
 //
 // # Relies on
 //
-// Package config for classes, routes and listings, package query for the reasons why a
-// part is missing. The user gives a monotonic time and a random source.
+// Package config for classes, routes and listings, and package query for the reasons why
+// a part is missing. The caller provides a monotonic time and a random source.
 //
 // # Concurrency
 //
-// A Fleet is safe for concurrent use; its lock guards all state of upstreams. A Run is
-// not: its events come one at a time. It locks the fleet itself.
+// A Fleet is safe for concurrent use; its lock guards the state of all upstreams. A Run is
+// not: its events must be delivered one at a time. It locks the fleet itself.
 //
 // # Files
 //
-// The state of upstreams is below, the rules above it, the run on top.
+// From the state of upstreams at the bottom, through the rules, to the run at the top:
 //
-//   - one upstream: upstream.go, made of slots.go (with borrowing.go, limit.go and
+//   - one upstream: upstream.go, composed of slots.go (with borrowing.go, limit.go and
 //     queue.go), latency.go, condition.go, outlier.go, ejection.go, backoff.go, stall.go,
-//     cold.go, load.go and status.go; kind.go tells declared from listed ones; learn.go
-//     takes in what a call showed
+//     cold.go, load.go and status.go; kind.go distinguishes declared from listed
+//     upstreams; learn.go updates the state after a call
 //   - all upstreams: fleet.go, with calls.go, statuses.go, conditions.go and snapshot.go;
 //     pool.go holds the latencies of a service
-//   - rules on an upstream: choose.go, registered by plugin.go; coldowner.go says which
-//     host calls a cold one
-//   - rules on a request: placement.go says where it may go, coordinator.go which host
-//     carries it out, admit.go and retryafter.go whether it is refused and until when,
-//     margin.go what is kept back from its deadline, budget.go and retrybudget.go what
-//     pays for the hedges and retries of a class and of a routed request (recent.go sums
-//     up a window); classstate.go holds what requests of a class share; quarantine.go
-//     judges it by what suspects.go remembers of its fingerprint.go and hosts exchange
-//     (crashreport.go)
-//   - what requests of a class and routed ones do differently: class.go and routed.go,
-//     behind rules.go
-//   - the run: run.go takes events, pick.go, hedge.go, retry.go and finish.go decide,
-//     suspicion.go and isolation.go handle requests that may crash upstreams; attempt.go
-//     carries out what was decided on part.go, by action.go; outcome.go says what became
-//     of a call, result.go of the run
+//   - rules for upstreams: choose.go ranks them, with plugin.go as its registry;
+//     coldowner.go selects the host that calls a cold upstream
+//   - rules for requests: placement.go decides where a request may go, coordinator.go
+//     which host executes it, admit.go and retryafter.go whether it is refused and until
+//     when, and margin.go how much of its deadline is reserved; budget.go and
+//     retrybudget.go (with recent.go, a sliding window) pay for the hedges and retries of
+//     classes and of routed requests; classstate.go holds the state that requests of a
+//     class share; quarantine.go judges a request by the crash reports that suspects.go
+//     keeps; crashreport.go and fingerprint.go define these reports and their key
+//   - differences between requests of a class and routed requests: class.go and
+//     routed.go, behind rules.go
+//   - the run: run.go handles events; pick.go, hedge.go, retry.go and finish.go make the
+//     decisions; suspicion.go and isolation.go handle requests that may crash upstreams;
+//     attempt.go carries out the decisions; part.go and action.go define the state of a
+//     part and the actions; outcome.go describes the outcome of a call, result.go that
+//     of the run
 package policy
--- a/tier/policy/ejection.go
+++ b/tier/policy/ejection.go
@@ -2,22 +2,21 @@
 
 import "time"
 
-// Constants of ejection.
 const (
-	// ejectAfter is the number of consecutive failures after which an upstream is taken out
-	// of rotation.
+	// ejectAfterFailures is the number of consecutive failures after which an upstream is
+	// ejected from rotation.
 	ejectAfterFailures = 3
-	// ejectFirst is how long the first ejection lasts.
+	// initialEjection is the duration of the first ejection.
 	initialEjection = time.Second
-	// ejectLongest is the longest that an ejection lasts.
+	// maxEjection caps the duration of an ejection.
 	maxEjection = 30 * time.Second
 )
 
-// ejection takes an upstream out of rotation after consecutive failures, for twice
-// as long at each further one. An ejected upstream is called only if its shard has
-// no other.
+// ejection removes an upstream from rotation after consecutive failures, for a time that
+// doubles with each further failure. An ejected upstream is called only if its shard has no
+// other.
 type ejection struct {
-	// failures counts consecutive failed calls; a good one resets it.
+	// failures counts consecutive failed calls; a successful call resets it.
 	failures int
 	// until is when calls may resume, as time since the process started.
 	until time.Duration
--- a/tier/policy/fingerprint.go
+++ b/tier/policy/fingerprint.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// fingerprintBytes is the length of a fingerprint before it is written in
-	// hexadecimal: of 1,000 suspected requests two share one once in 3.7e13 times.
+	// fingerprintBytes is the length of a fingerprint before hexadecimal encoding. It makes
+	// collisions among the suspected requests negligible.
 	fingerprintBytes = 8
-	// fingerprintBody is how much of a body counts, besides its length, so that a
-	// body of a megabyte costs no more than one of 64 KiB (about 0.05 ms).
+	// maxFingerprintBody is how much of a body is hashed, in addition to its length. It
+	// bounds the cost for large bodies.
 	maxFingerprintBody = 64 << 10
 )
 
-// Fingerprint is the same for a request and all its repeats, at whichever host, and
-// differs from those of other requests. It is empty where it is not known. The caller's
-// address is no part of it: a caller may have several.
+// Fingerprint identifies a request. It is the same for all repeats of the request on all
+// hosts and differs between requests. It is empty if unknown. It does not cover the
+// caller's address, since a caller may have several.
 type Fingerprint string
 
-// RequestContent is what a request and its repeats have in common.
+// RequestContent is the part of a request that all its repeats share.
 type RequestContent struct {
-	// Method, HostName and Target are of the request line; Target has the query.
+	// Method, HostName and Target identify the resource; Target includes the query.
 	Method, HostName, Target string
 	Body                     []byte
 }
@@ -38,8 +38,8 @@
 	return Fingerprint(hex.EncodeToString(h.Sum(nil)[:fingerprintBytes]))
 }
 
-// writeField writes a field, or the start of it, behind its whole length, so that no two
-// lists of fields give the same bytes.
+// writeField hashes a field, or its start, prefixed with its full length, so that different
+// lists of fields never produce the same bytes.
 func writeField(h hash.Hash, length int, field []byte) {
 	_, _ = h.Write(binary.BigEndian.AppendUint64(nil, uint64(length))) // a hash takes all
 	_, _ = h.Write(field)
--- a/tier/policy/finish.go
+++ b/tier/policy/finish.go
@@ -8,29 +8,29 @@
 )
 
 type progress struct {
-	// parts is how many there are; open counts those that have neither an answer nor a
-	// reason why they have none, included those in the answer.
+	// parts is the total number of parts. open counts those that are neither included nor
+	// missing, and included those that are part of the answer.
 	parts, open, included int
 }
 
-// covers reports whether the answer meets a coverage, 0 to 1, as it is.
+// covers reports whether the answer already reaches a coverage, 0 to 1.
 func (p *progress) covers(coverage float64) bool {
 	return float64(p.included) >= coverage*float64(p.parts)
 }
 
-// canCover reports whether the answer meets a coverage, 0 to 1, if all open parts come.
+// canCover reports whether the answer reaches a coverage, 0 to 1, if all open parts arrive.
 func (p *progress) canCover(coverage float64) bool {
 	possible := p.included + p.open
 	return possible == p.parts || float64(possible) >= coverage*float64(p.parts)
 }
 
-// finishIfDone finishes the run if it is time, else it starts what waits.
+// finishIfDone finishes the run if it is done, and otherwise starts deferred parts.
 func (r *Run) finishIfDone(now time.Duration, out []Action) []Action {
 	if r.finished {
 		return out
 	}
 	if !r.done(now) {
-		// Parts that cannot be started are missing.
+		// Deferred parts that cannot be started become missing, which may complete the run.
 		out = r.startDeferred(now, out)
 	}
 	if r.done(now) {
@@ -39,10 +39,10 @@
 	return out
 }
 
-// done reports whether the answer is to be given now: all parts have an answer or a
-// reason, the deadline has come, or
-//   - the answer meets the least coverage and the class's patience is over, or
-//   - it cannot meet the least coverage any more, if that ends a run by its rules.
+// done reports whether to return the answer now. This is the case if all parts are included
+// or missing, if the deadline has passed, or if
+//   - the answer reaches the required coverage and the patience of the class is over, or
+//   - it can no longer reach the required coverage and the rules end such a run.
 func (r *Run) done(now time.Duration) bool {
 	p, coverage := &r.progress, r.request.Class.Coverage
 	switch {
@@ -55,7 +55,7 @@
 	}
 }
 
-// finish ends the run: what is still open is missing, and its calls are given up.
+// finish ends the run. Open parts become missing and their calls are cancelled.
 func (r *Run) finish(now time.Duration, out []Action) []Action {
 	r.finished = true
 	r.reportAtEnd(now)
--- a/tier/policy/fleet.go
+++ b/tier/policy/fleet.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// Fleet holds the upstreams and what all requests of a host share about them.
-// It is safe for concurrent use.
+// Fleet holds the upstreams and the state that all requests of a host share about them. It
+// is safe for concurrent use.
 type Fleet struct {
-	// mu guards all below.
+	// mu guards all fields below.
 	mu     sync.Mutex
 	random Random
-	// self is the name of this host, as SetColdOwners gave it; empty before.
+	// self is the name of this host, as passed to SetColdOwners; empty until then.
 	self string
-	// upstreams holds those that have a share, by name; cold those of them that may be
+	// upstreams holds the upstreams with a share by name, cold the subset that may be
 	// throttled.
 	upstreams map[string]*Upstream
 	cold      map[string]*Upstream
 	pools     map[string]*LatencyPool
 	classes   map[string]*classState
-	// retries holds what may be spent at each group of a routed request.
+	// retries holds the remaining retries for each group of routed requests.
 	retries      map[string]*groupRetries
 	retryBudgets RetryBudgets
-	// conditions holds the last report about the upstreams of each hall.
+	// conditions holds the latest report about the upstreams of each hall.
 	conditions map[string]*hallConditions
-	// quarantine remembers the requests that crash upstreams.
+	// quarantine tracks the requests that crash upstreams.
 	quarantine quarantine
 }
 
 // FleetConfig configures a fleet.
 type FleetConfig struct {
-	// Random is used with the fleet locked only.
+	// Random is used only while the fleet is locked.
 	Random Random
 }
 
-// NewFleet makes an empty fleet.
+// NewFleet returns an empty fleet.
 func NewFleet(c FleetConfig) *Fleet {
 	return &Fleet{
 		random:     c.Random,
@@ -48,33 +48,33 @@
 	}
 }
 
-// Share is this host's part of an upstream, and what the configuration says about it.
+// Share is this host's share of an upstream, together with the upstream's configuration.
 type Share struct {
 	// Name is the name of the upstream; never empty.
 	Name string
-	// Slots is how many calls this host may always have in progress there.
+	// Slots is how many calls this host may always have in progress.
 	Slots int
-	// MaxSlots is how many it may have while the upstream does not shed; Slots if it is
-	// less.
+	// MaxSlots is how many calls it may have in progress while the upstream does not shed.
+	// It equals Slots if it is less.
 	MaxSlots int
-	// Leaving is true if the upstream is to get no new calls.
+	// Leaving is true if the upstream must not get new calls.
 	Leaving bool
-	// Listed is true for an upstream that listed itself with the platform, false for
-	// one that the document declares.
+	// Listed is true for an upstream that registered itself with the platform, false for
+	// one declared in the configuration document.
 	Listed bool
-	// Hall is the data hall of a listed upstream; Near is true if it is the
-	// hall of this host.
+	// Hall is the data hall of a listed upstream. Near is true if it is the hall of this
+	// host.
 	Hall string
 	Near bool
-	// StartedMillis is when the upstream's process started, in milliseconds since 1970 by its own
-	// clock; 0 if that is not known.
+	// StartedMillis is when the upstream's process started, in milliseconds since 1970 by
+	// its own clock; 0 if unknown.
 	StartedMillis int64
-	// Cold is what is known of the start of a listed upstream.
+	// Cold describes the warm-up of a listed upstream.
 	Cold Cold
 }
 
-// Apply sets the shares of all upstreams; one that is not named is forgotten.
-// Waiters that may now go ahead are returned, for NotifyGranted.
+// Apply sets the shares of all upstreams and removes those that are not named. It returns
+// the waiters that were granted a slot, for NotifyGranted.
 func (f *Fleet) Apply(now time.Duration, shares []Share) []*Waiter {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -92,22 +92,22 @@
 	return granted
 }
 
-// Update sets the shares of some upstreams and forgets others; what it does not name
-// stays as it is. Waiters that may now go ahead are returned, for NotifyGranted.
-func (f *Fleet) Update(now time.Duration, shares []Share, gone []string) []*Waiter {
+// Update sets the shares of some upstreams and removes others. Upstreams that it does not
+// name are unchanged. It returns the waiters that were granted a slot, for NotifyGranted.
+func (f *Fleet) Update(now time.Duration, shares []Share, removed []string) []*Waiter {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var granted []*Waiter
 	for i := range shares {
 		granted = append(granted, f.setShare(now, &shares[i])...)
 	}
-	for _, n := range gone {
+	for _, n := range removed {
 		f.removeUpstream(n)
 	}
 	return granted
 }
 
-// setShare sets the share of one upstream; the fleet is locked.
+// setShare sets the share of one upstream. The fleet must be locked.
 func (f *Fleet) setShare(now time.Duration, s *Share) []*Waiter {
 	u := f.upstreams[s.Name]
 	var granted []*Waiter
@@ -115,12 +115,12 @@
 		granted, u = u.grantAll(now), nil
 	}
 	if u == nil {
-		u = &Upstream{Name: s.Name, status: status{heardAt: never, readAt: never}}
+		u = &Upstream{Name: s.Name, status: status{reportedAt: never, readAt: never}}
 		f.upstreams[s.Name] = u
 	}
 	u.startedMillis = max(u.startedMillis, s.StartedMillis)
 	u.slots.set(s.Slots, s.MaxSlots)
-	u.leaving = s.Leaving || u.gone
+	u.leaving = s.Leaving || u.replaced
 	u.kind, u.near, u.hall = &declaredKind, s.Near, s.Hall
 	if s.Listed {
 		u.kind = &listedKind
@@ -131,34 +131,34 @@
 	return append(granted, u.grant(now)...)
 }
 
-// dismiss lets all calls go ahead that wait for a slot of an upstream whose process has
-// been replaced by a later one: what is known of it does not hold for that one.
+// grantAll grants slots to all waiters of an upstream whose process was replaced by a later
+// one, since the state of the old process does not apply to the new one.
 func (u *Upstream) grantAll(now time.Duration) []*Waiter {
 	u.slots.set(u.slots.inUse+u.slots.queue.Len(), 0)
 	return u.grant(now)
 }
 
-// forget drops an upstream; the fleet is locked.
+// removeUpstream removes an upstream. The fleet must be locked.
 func (f *Fleet) removeUpstream(name string) {
 	delete(f.upstreams, name)
 	delete(f.cold, name)
 }
 
-// Find returns the upstream of a name; nil if there is none.
+// Find returns the named upstream, or nil if there is none.
 func (f *Fleet) Find(name string) *Upstream {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.upstreams[name]
 }
 
-// Resolve returns the upstreams of each list of names; unknown ones are left out.
+// Resolve returns the upstreams for each list of names. Unknown names are left out.
 func (f *Fleet) Resolve(names [][]string) [][]*Upstream {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.resolve(names)
 }
 
-// resolve is Resolve with the fleet locked.
+// resolve is Resolve for a locked fleet.
 func (f *Fleet) resolve(names [][]string) [][]*Upstream {
 	out := make([][]*Upstream, len(names))
 	for i := range names {
@@ -172,23 +172,23 @@
 	return out
 }
 
-// LatencyPool returns the latency pool of a service, made at first use.
+// LatencyPool returns the latency pool of a service and creates it on first use.
 func (f *Fleet) LatencyPool(service string) *LatencyPool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.pool(service, poolWindow)
 }
 
-// RoutedLatencyPools give the latencies of a route's calls within this host's hall and
-// to others, made at first use.
+// RoutedLatencyPools returns the latency pools of a route, one for calls within this host's
+// hall and one for calls to other halls. It creates them on first use.
 func (f *Fleet) RoutedLatencyPools(route string) (near, far *LatencyPool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	// A route may have the name of a service.
+	// The prefixes keep routes apart from services of the same name.
 	return f.pool("near "+route, routedWindow), f.pool("far "+route, routedWindow)
 }
 
-// pool returns the pool of a name; the fleet is locked.
+// pool returns the named pool and creates it on first use. The fleet must be locked.
 func (f *Fleet) pool(name string, window int64) *LatencyPool {
 	return findOrMake(f.pools, name, func() *LatencyPool { return newPool(window) })
 }
@@ -200,26 +200,26 @@
 	return m[key]
 }
 
-// UpstreamState is a copy of what is known of an upstream, for operators.
+// UpstreamState is a copy of an upstream's state for operators.
 type UpstreamState struct {
 	Name string
-	// InUse counts this host's calls in progress there, Share those that it may always
-	// have, Queued those that wait for a slot.
+	// InUse counts this host's calls in progress, Share the calls that it may always have,
+	// and Queued the calls that wait for a slot.
 	InUse, Share, Queued int
-	// Latency is the smoothed time of its calls; 0 before the first.
+	// Latency is the smoothed call time; 0 before the first call.
 	Latency time.Duration
-	// Snapshots is the range of index snapshots that it last stated.
+	// Snapshots is the range of index snapshots that the upstream last reported.
 	Snapshots SnapshotRange
-	// Ejected is true while it is out of rotation after failures, Leaving from the
-	// first sign that it leaves.
+	// Ejected is true while the upstream is out of rotation after failures. Leaving is true
+	// from the first sign that it is shutting down.
 	Ejected, Leaving bool
-	// Evacuated is true while its hall is evacuated, Cold while it has not warmed up;
-	// ColdOwner is the host that makes its calls while it is throttled, empty for any.
+	// Evacuated is true while the upstream's hall is evacuated, Cold while it is warming
+	// up. ColdOwner is the host that makes its calls while it is throttled; empty for any.
 	Evacuated, Cold bool
 	ColdOwner       string
 }
 
-// State lists all upstreams, in no order.
+// State returns the state of all upstreams in no particular order.
 func (f *Fleet) State(now time.Duration) []UpstreamState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/tier/policy/hedge.go
+++ b/tier/policy/hedge.go
@@ -8,50 +8,52 @@
 )
 
 const (
-	// hedgeLeast is the least time after which a call is hedged.
+	// minHedgeDelay is the shortest delay after which a call is hedged.
 	minHedgeDelay = 500 * time.Microsecond
-	// hedgeRecheckDivisor divides the hedge delay: a hedge that was not possible is
-	// considered again after that part of it.
+	// hedgeRecheckDivisor divides the hedge delay to get the interval at which a hedge that
+	// was not possible is reconsidered.
 	hedgeRecheckDivisor = 4
-	// batchHedgeDelay is the fixed part of the extra time until a call of a batch is
-	// hedged: the relay's progress report may be late where that host is busy.
+	// batchHedgeDelay is the fixed part of the extra hedge delay for calls in a batch. It
+	// allows for late progress reports from a busy relay host.
 	batchHedgeDelay = 15 * time.Millisecond
-	// batchHedgeDivisor divides the hedge delay for the other part of that extra time.
+	// batchHedgeDivisor divides the hedge delay to get the proportional part of that extra
+	// delay.
 	batchHedgeDivisor = 2
 )
 
-// HedgeSkipReason says what kept a call from being hedged.
+// HedgeSkipReason says why a call was not hedged.
 type HedgeSkipReason string
 
 const (
-	// HedgeNoUpstream means that no other upstream of the part may be asked.
+	// HedgeNoUpstream means that no other upstream of the part may be called.
 	HedgeNoUpstream HedgeSkipReason = "NoUpstream"
-	// HedgeNoSlot means that this host's share of the other upstream is in use.
+	// HedgeNoSlot means that this host has no free slot at the other upstream.
 	HedgeNoSlot HedgeSkipReason = "NoSlot"
-	// HedgeCold means that the other upstream has not warmed up.
+	// HedgeCold means that the other upstream is still warming up.
 	HedgeCold HedgeSkipReason = "Cold"
-	// HedgeNoBudget means that the retry budget is spent, or that no further
-	// attempt is allowed.
+	// HedgeNoBudget means that the retry budget is exhausted or that no further attempt is
+	// allowed.
 	HedgeNoBudget HedgeSkipReason = "NoBudget"
-	// HedgeSuspected means that the request may be one that crashes upstreams, or that
-	// no upstream has answered it and another call is hedged already.
+	// HedgeSuspected means that the request may crash upstreams, or that no upstream has
+	// answered it yet and another call is already hedged.
 	HedgeSuspected HedgeSkipReason = "Doubted"
 )
 
-// hedge makes a second call for a part whose first is slow, or notes why not.
+// hedge makes a second call for a part whose first call is slow, or records why it does
+// not.
 func (r *Run) hedge(now time.Duration, i int, out []Action) []Action {
 	p := &r.parts[i]
-	u, obstacle := r.decideHedge(now, i)
-	p.unhedged = obstacle
-	if obstacle != "" {
+	u, skipReason := r.decideHedge(now, i)
+	p.hedgeSkipped = skipReason
+	if skipReason != "" {
 		return out
 	}
 	p.hedged = true
 	return r.addAttempt(now, i, u, out)
 }
 
-// decideHedge decides whether a part gets a second call, and at which upstream, or says
-// why not. The hedge is taken from its budget. There is none into a queue.
+// decideHedge returns the upstream for the second call of a part and charges the hedge to
+// its budget, or returns why the part is not hedged. A hedge never waits in a queue.
 func (r *Run) decideHedge(now time.Duration, i int) (*Upstream, HedgeSkipReason) {
 	if r.suspected() || r.hedgesOneAtATime() && r.hedgeInProgress() {
 		return nil, HedgeSuspected
@@ -71,8 +73,8 @@
 	}
 }
 
-// hedgeTarget is the upstream that may get the hedge of a part: the best eligible one
-// that was not asked, else the same one again, else any that was not asked.
+// hedgeTarget returns the upstream that may get the hedge of a part: the best eligible one
+// that was not tried, else the same one again, else any that was not tried.
 func (r *Run) hedgeTarget(now time.Duration, i int) *Upstream {
 	if u := r.pick(now, i, onlyEligible); u != nil && u.hasSlot() {
 		return u
@@ -83,11 +85,11 @@
 	return r.pick(now, i, anyUpstream)
 }
 
-// hedgesOneAtATime reports whether no upstream has answered a gather yet. It has one
-// hedge in progress at a time then: calls that all take long are slow for a reason that
-// they share, and other upstreams may share it too. Without it, a request that crashes
-// upstreams a while after they began crashes all replicas of all shards at its first
-// attempt, before the first connection is lost.
+// hedgesOneAtATime reports whether the run is limited to one hedge in progress, which
+// applies to a gather until the first upstream answers. Calls that are all slow probably
+// share a cause, which may affect other upstreams as well. Otherwise a request that crashes
+// upstreams after some processing time would crash all replicas of all shards on its first
+// attempt, before the first connection breaks.
 func (r *Run) hedgesOneAtATime() bool { return r.suspicion.open() && len(r.parts) > 1 }
 
 func (r *Run) hedgeInProgress() bool {
@@ -106,7 +108,7 @@
 	return a.phase != phaseQueued && now-a.sentAt >= a.hedgeAge
 }
 
-// hedgeTime is when the hedge of an attempt is considered next.
+// hedgeTime returns when the hedge of an attempt is considered next.
 func (r *Run) hedgeTime(now time.Duration, a *attempt) time.Duration {
 	if !r.hedges() {
 		return r.request.Deadline
@@ -118,8 +120,9 @@
 	return now + max(a.hedgeAge/hedgeRecheckDivisor, minHedgeDelay)
 }
 
-// probe asks an outlier besides the chosen replica, so that its recovery is seen without
-// anybody waiting for it. Only declared upstreams are outliers: the class pays.
+// probe calls an outlier in addition to the chosen replica, so that its recovery is noticed
+// without delaying a request. Only declared upstreams can be outliers, so the budget of the
+// class pays.
 func (r *Run) probe(now time.Duration, i int, out []Action) []Action {
 	if !r.hedges() || len(r.parts[i].active) == 0 {
 		return out
@@ -137,14 +140,14 @@
 	return out
 }
 
-// DelayHedge postpones the hedge of an attempt that is part of a batch: progress
-// is reported for the whole batch at once.
+// DelayHedge postpones the hedge of an attempt in a batch, since progress is reported for
+// the batch as a whole.
 func (r *Run) DelayHedge(n int) {
 	a := &r.attempts[n]
 	a.hedgeAge += a.hedgeAge/batchHedgeDivisor + batchHedgeDelay
 }
 
-// HedgeNow hedges attempts now that are known to take long.
+// HedgeNow hedges attempts that are known to be slow without waiting for their hedge delay.
 func (r *Run) HedgeNow(now time.Duration, attempts []int) []Action {
 	if r.finished {
 		return nil
--- a/tier/policy/isolation.go
+++ b/tier/policy/isolation.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// isolatedTimeoutFactor is how many times as long as until a hedge an isolated call may
-	// take until another is made in its place, so that one unresponsive upstream does not
-	// hold a request until its deadline.
+	// isolatedTimeoutFactor multiplies the hedge delay to get the timeout after which an
+	// isolated call is replaced, so that one unresponsive upstream does not block a request
+	// until its deadline.
 	isolatedTimeoutFactor = 4
-	// isolatedTimeoutsMost is the number of isolated calls that may take too long until the
-	// run ends: their upstreams may crash later, unseen.
+	// maxIsolatedTimeouts is the number of isolated calls that may time out before the run
+	// ends. The upstreams of such calls may still crash later, unnoticed.
 	maxIsolatedTimeouts = 2
 )
 
@@ -32,8 +32,8 @@
 	r.suspicion.deferred++
 }
 
-// startDeferred starts the parts that are deferred: all once the request is not
-// suspected, else one, if no attempt is in progress.
+// startDeferred starts deferred parts: all of them if the request is not suspected,
+// otherwise one at a time.
 func (r *Run) startDeferred(now time.Duration, out []Action) []Action {
 	for r.suspicion.deferred > 0 && (!r.suspected() || !r.hasAttempts()) {
 		i := r.bestDeferred(now)
@@ -50,8 +50,8 @@
 	return out
 }
 
-// bestDeferred is the deferred part whose upstream is expected to answer first; one is
-// deferred.
+// bestDeferred returns the deferred part whose upstream has the earliest expected answer.
+// At least one part must be deferred.
 func (r *Run) bestDeferred(now time.Duration) int {
 	best, low := -1, math.Inf(1)
 	for i := range r.parts {
@@ -69,8 +69,8 @@
 	return best
 }
 
-// deferGranted defers the part of an attempt that got its slot, if the request has come
-// to be suspected while the attempt was queued and another call is in progress.
+// deferGranted defers the part of an attempt that was granted a slot if the request became
+// suspected while the attempt was queued and another call is in progress.
 func (r *Run) deferGranted(n int) bool {
 	a := &r.attempts[n]
 	if !r.suspected() || !r.hasCalls() {
@@ -82,8 +82,8 @@
 	return true
 }
 
-// isolate gives up the calls in progress once the request is suspected: they would crash
-// their upstreams too. Their parts wait, if they may be asked for once more.
+// isolate cancels the calls in progress once the request is suspected, since they would
+// crash their upstreams too. Parts with attempts left are deferred.
 func (r *Run) isolate(out []Action) []Action {
 	if !r.suspected() || r.suspicion.reported {
 		return out
@@ -101,14 +101,13 @@
 	return out
 }
 
-// isolatedTimedOut reports whether an isolated attempt takes so long that another is to
-// be made in its place.
+// isolatedTimedOut reports whether an isolated attempt is so slow that it must be replaced.
 func (r *Run) isolatedTimedOut(now time.Duration, a *attempt) bool {
 	return a.isolated && now-a.sentAt >= isolatedTimeoutFactor*a.hedgeAge && r.suspected()
 }
 
-// replaceIsolated gives up the isolated call of a part, so that another is made; after
-// some of these the run ends.
+// replaceIsolated cancels the isolated call of a part so that another one is made. It ends
+// the run after maxIsolatedTimeouts such calls.
 func (r *Run) replaceIsolated(now time.Duration, i int, out []Action) []Action {
 	r.suspicion.isolatedTimeouts++
 	if r.suspicion.isolatedTimeouts >= maxIsolatedTimeouts {
@@ -122,7 +121,7 @@
 	return out
 }
 
-// postpone gives up the calls of a part, which is asked for once more later.
+// postpone cancels the calls of a part and defers it for another attempt.
 func (r *Run) postpone(i int, o CallOutcome, out []Action) []Action {
 	p := &r.parts[i]
 	out = r.cancel(i, o, out)
@@ -131,7 +130,7 @@
 	return out
 }
 
-// hasAttempts reports whether a call of the run is in progress or waits for its slot.
+// hasAttempts reports whether a call of the run is in progress or waits for a slot.
 func (r *Run) hasAttempts() bool {
 	return slices.ContainsFunc(r.parts, func(p part) bool { return len(p.active) > 0 })
 }
--- a/tier/policy/kind.go
+++ b/tier/policy/kind.go
@@ -1,67 +1,68 @@
 package policy
 
-// kind is what the two kinds of upstream do differently. Apply chooses one when an
-// upstream is registered, and nothing else asks which it is.
+// kind holds the differences between the two kinds of upstream. setShare selects it when it
+// sets the share of an upstream; other code reads only its fields.
 type kind struct {
-	// smoothing says how fast the latency follows new calls.
+	// smoothing sets how fast the latency follows new calls.
 	smoothing smoothing
-	// slowStart gives a new upstream one call at a time until it has answered some.
+	// slowStart limits a new upstream to one call at a time until it has answered a few.
 	slowStart bool
-	// comparesLatency marks an upstream as an outlier whose calls take much longer than
-	// those of its pool, and has it probed. Listed ones are not: each call beyond the
-	// first counts against what their group allows.
+	// comparesLatency marks an upstream as an outlier, and has it probed, if its calls take
+	// much longer than those of its pool. It is off for listed upstreams, since each call
+	// beyond the first counts against the budget of their group.
 	comparesLatency bool
-	// poolsCancelled counts calls that were cancelled in the pool, with the time that
-	// they took until then.
+	// poolsCancelled includes cancelled calls in the pool, with the time until they were
+	// cancelled.
 	poolsCancelled bool
-	// learnsLimit lowers the number of calls at a time when new connections are reset.
+	// learnsLimit lowers the concurrency limit when new connections are reset.
 	learnsLimit bool
-	// movedIsGone takes an upstream out for good once another answers at its address.
-	movedIsGone bool
-	// lingers lets a call whose answer is not wanted go on, to show when an upstream
-	// answers again.
+	// movedIsReplaced removes an upstream for good once another one answers at its address.
+	movedIsReplaced bool
+	// lingers lets a call that is no longer needed continue, to show when an upstream
+	// responds again.
 	lingers bool
-	// inHall is true if the upstream belongs to the hosts of its hall: they report its
-	// condition to other halls, and one of them makes its calls while it is cold.
+	// inHall is true if the hosts of the upstream's hall are responsible for it: they
+	// report its condition to other halls, and one of them makes its calls while it is
+	// cold.
 	inHall bool
 }
 
 const (
-	// declaredWeight is how much a new latency counts in the smoothed one, 0 to 1.
+	// declaredWeight is the weight of a new latency in the smoothed one, 0 to 1.
 	declaredWeight = 0.1
-	// declaredLeap is how many times the smoothed latency a new one counts for at most, so
-	// that one straggler does not make an upstream an outlier, but four do.
+	// declaredMaxRatio caps a new latency at a multiple of the smoothed one, so that a
+	// single straggler does not make an upstream an outlier, but four do.
 	declaredMaxRatio = 4
 )
 
-// declaredKind is that of the upstreams that the document declares, which serve the
-// requests of classes. All hosts of their hall call them directly and often: each
-// compares the replicas of a service by its own calls.
+// declaredKind is the kind of the upstreams that the configuration document declares. They
+// serve the requests of classes. All hosts of their hall call them directly and often, so
+// each host compares the replicas of a service by its own calls.
 var declaredKind = kind{
 	smoothing:       smoothing{weight: declaredWeight, maxRatio: declaredMaxRatio},
 	slowStart:       true,
 	comparesLatency: true,
 }
 
-// Constants of the latency of listed upstreams, of which one host sees few calls.
+// Smoothing for listed upstreams, which get few calls from any one host.
 const (
-	// listedWeight is how much a new latency counts in the smoothed one, 0 to 1.
+	// listedWeight is the weight of a new latency in the smoothed one, 0 to 1.
 	listedWeight = 0.25
-	// listedLeap is how many times the smoothed latency a new one counts for at most.
+	// listedMaxRatio caps a new latency at a multiple of the smoothed one.
 	listedMaxRatio = 8
 )
 
-// listedKind is that of the upstreams that list themselves with the platform, which
-// serve routed requests. Hosts of all halls call them, many of them seldom: an
-// upstream is judged by its silence (stall), by the faults and the slowness that its
-// hall reports (condition) and by its own reports, not by how its latency compares.
+// listedKind is the kind of the upstreams that register themselves with the platform. They
+// serve routed requests. Hosts of all halls call them, many of them rarely. They are
+// therefore judged by unanswered calls (stall), by the faults and the slowness that their
+// hall reports (condition) and by their own reports, not by comparing latencies.
 var listedKind = kind{
 	smoothing: smoothing{weight: listedWeight, maxRatio: listedMaxRatio},
-	// Left out, the slow calls that hedges end would make the pool's quantiles sink,
-	// and hedges come ever earlier.
-	poolsCancelled: true,
-	learnsLimit:    true,
-	movedIsGone:    true,
-	lingers:        true,
-	inHall:         true,
+	// Leaving out the slow calls that hedges cancel would lower the quantiles of the pool
+	// and trigger hedges ever earlier.
+	poolsCancelled:  true,
+	learnsLimit:     true,
+	movedIsReplaced: true,
+	lingers:         true,
+	inHall:          true,
 }
--- a/tier/policy/latency.go
+++ b/tier/policy/latency.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// smoothing says how fast a smoothed latency follows new ones.
+// smoothing sets how fast a smoothed latency follows new ones.
 type smoothing struct {
-	// weight is how much a new latency counts, 0 to 1; the first ones count more.
+	// weight is the weight of a new latency, 0 to 1. The first latencies weigh more.
 	weight float64
-	// leap is how many times the smoothed latency a new one counts for at most.
+	// maxRatio caps a new latency at a multiple of the smoothed one.
 	maxRatio time.Duration
 }
 
-// latency is how long an upstream's calls take, smoothed. It is compared with that of
-// other upstreams, and multiplied by the calls ahead of a new one.
+// latency is the smoothed call time of an upstream. It is compared with that of other
+// upstreams and multiplied by the number of calls ahead of a new one.
 type latency struct {
 	// smoothed is 0 before the first call.
 	smoothed time.Duration
-	// samples counts the latencies that were observed.
+	// samples counts the observed latencies.
 	samples int
 }
 
-// observe records how long a call took. It returns the time that the call counted for,
-// and with which weight.
+// observe records how long a call took. It returns the latency after the cap and the weight
+// that was applied to it.
 func (l *latency) observe(took time.Duration, s smoothing) (counted time.Duration, weight float64) {
 	l.samples++
 	if l.smoothed == 0 {
--- a/tier/policy/learn.go
+++ b/tier/policy/learn.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// Call is a finished call, as reported to the fleet.
+// Call describes a finished call.
 type Call struct {
 	Upstream *Upstream
 	// Pool holds the latencies of comparable calls.
 	Pool    *LatencyPool
 	Outcome CallOutcome
-	// Took is the time from dispatch to the outcome.
+	// Took is the time from sending the call to its outcome.
 	Took time.Duration
-	// Load is what the upstream reported with its answer; zero for nothing.
+	// Load is the load that the upstream reported with its answer; zero if it reported
+	// none.
 	Load Load
-	// Relayed is true for a call that another host made: it held no slot.
+	// Relayed is true for a call that another host made. It held no slot on this host.
 	Relayed bool
-	// Lingering is true for a call that went on though it was not wanted.
+	// Lingering is true for a call that continued although it was no longer needed.
 	Lingering bool
-	// NewConnReset is true for a call whose new connection was reset before any answer:
-	// the upstream may have reached its bound of connections.
+	// NewConnReset is true for a call on a new connection that was reset before any answer.
+	// The upstream may have reached its connection limit.
 	NewConnReset bool
 }
 
-// learn updates all that calls show of an upstream. The slot of the call is still in
+// learn updates the state of the upstream after a call. The slot of the call is still in
 // use.
 func (u *Upstream) learn(now time.Duration, c Call) {
 	u.condition.observeOutcome(now, c.Outcome)
@@ -43,20 +44,20 @@
 	case c.Outcome.answered():
 		u.stall.answered(now, u.slots.inUse > 1)
 	case u.slots.inUse <= 1 && !c.Relayed:
-		// The call had no answer, and no other is under way that could show one.
+		// The call had no answer, and no other call in progress could provide one.
 		u.stall.unansweredSince = 0
 		u.stall.assumeStalled(now)
 	}
 }
 
-// learnLatency records how long a call took, or how long it took at least.
+// learnLatency records the latency of a call, or a lower bound of it.
 func (u *Upstream) learnLatency(c Call) {
 	switch c.Outcome {
 	case CallOK:
 		c.Pool.record(c.Took)
 		u.observe(c.Took, c.Pool)
 	case CallCancelled:
-		// The call would have taken at least this long: a lower bound.
+		// The call would have taken at least this long.
 		if c.Took > u.latency.orDefault(c.Pool.median()) {
 			u.observe(c.Took, c.Pool)
 		}
@@ -69,7 +70,7 @@
 	}
 }
 
-// learnHealth updates ejection, backoff and the signs of leaving.
+// learnHealth updates the ejection, the backoff and whether the upstream is leaving.
 func (u *Upstream) learnHealth(now time.Duration, o CallOutcome) {
 	switch {
 	case o == CallOK:
@@ -79,8 +80,8 @@
 		u.backoff.shed(now)
 	case o == CallLeaving:
 		u.leaving = true
-	case o == CallMoved && u.kind.movedIsGone:
-		u.leaving, u.gone = true, true
+	case o == CallMoved && u.kind.movedIsReplaced:
+		u.leaving, u.replaced = true, true
 	case o.isFailure():
 		u.ejection.failed(now)
 	}
--- a/tier/policy/learn_test.go
+++ b/tier/policy/learn_test.go
@@ -64,7 +64,7 @@
 	add(u.ejection.failures == 2, "failed")
 	add(u.backoff.sheds == 2, "shed")
 	add(u.leaving, "leaving")
-	add(u.gone, "gone")
+	add(u.replaced, "gone")
 	add(u.latency.samples > 0, "timed")
 	add(p.Count() > 0, "pooled")
 	add(u.slots.limit.known(), "limited")
--- a/tier/policy/limit.go
+++ b/tier/policy/limit.go
@@ -1,30 +1,30 @@
 package policy
 
 const (
-	// limitLeast is the least limit, in calls.
+	// minCallLimit is the lowest limit, in calls.
 	minCallLimit = 2
-	// limitGrowth is how many times the limit in calls must go well until the limit grows
-	// by one.
+	// limitGrowth multiplies the limit to get the number of successful calls after which it
+	// grows by one.
 	limitGrowth = 4
 )
 
-// callLimit bounds the calls that this host has in progress at an upstream, as learnt
-// from new connections that the upstream reset: it takes no more connections then.
+// callLimit limits the calls that this host has in progress at an upstream. It is set when
+// the upstream resets new connections, which suggests that it accepts no more of them.
 type callLimit struct {
-	// calls is the limit; 0 for none, else at least limitLeast.
+	// calls is the limit; 0 for none, otherwise at least minCallLimit.
 	calls int
-	// good counts calls that went well since calls last changed.
+	// succeededCalls counts successful calls since the limit last changed.
 	succeededCalls int
 }
 
 func (l *callLimit) known() bool { return l.calls > 0 }
 
-// reset notes that a new connection was reset while so many calls were under way,
-// the one that made it included.
+// reset lowers the limit after a new connection was reset. inUse counts the calls in
+// progress at that time, including the one that was reset.
 func (l *callLimit) reset(inUse int) { l.calls, l.succeededCalls = max(inUse-1, minCallLimit), 0 }
 
-// succeeded counts a call that went well. The limit is dropped once it has grown to
-// the slots that this host has.
+// succeeded counts a successful call. The limit is removed once it has grown to the number
+// of slots that this host has.
 func (l *callLimit) succeeded(slots int) {
 	if !l.known() {
 		return
--- a/tier/policy/load.go
+++ b/tier/policy/load.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// loadLife is how long an upstream's report of its queue is believed; it counts for less
-// as it gets older.
+// loadTTL is how long an upstream's report of its queue is valid. Its weight decreases with
+// age.
 const loadTTL = 300 * time.Millisecond
 
-// Load is what an upstream reports about its work.
+// Load is the load that an upstream reports.
 type Load struct {
-	// Running and Waiting count its calls, Slots those that it runs at a time; 0
-	// slots for no report.
+	// Running and Waiting count its calls, Slots the calls that it runs concurrently. Slots
+	// is 0 if there is no report.
 	Running, Waiting, Slots int
 }
 
-// queueReport is an upstream's last report of its own queue. Hosts share no state:
-// it shows the calls of all others.
+// queueReport is an upstream's latest report of its queue. Hosts share no state, so it is
+// how the calls of other hosts become visible.
 type queueReport struct {
-	// perSlot is the calls in the queue for each of its slots.
+	// perSlot is the number of queued calls per slot.
 	perSlot float64
 	at      time.Duration
 }
@@ -27,7 +27,7 @@
 	}
 }
 
-// ahead is how many calls for each slot a new one is expected to find in the queue.
+// expectedPerSlot returns how many queued calls per slot a new call is expected to find.
 func (q *queueReport) expectedPerSlot(now time.Duration) float64 {
 	age := now - q.at
 	if age >= loadTTL {
--- a/tier/policy/margin.go
+++ b/tier/policy/margin.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// Weights of a margin. The first two are those of the retransmission timer of TCP
-// (RFC 6298), which adds four mean deviations.
+// The weights are those of the TCP retransmission timer (RFC 6298). The timer adds four
+// mean deviations, a Margin adds marginDeviations.
 const (
-	// marginMeanWeight is how much a new time counts in the mean.
+	// marginMeanWeight is the weight of a new duration in the mean.
 	marginMeanWeight = 1.0 / 8
-	// marginDeviationWeight is how much a new deviation counts in the mean deviation.
+	// marginDeviationWeight is the weight of a new deviation in the mean deviation.
 	marginDeviationWeight = 1.0 / 4
-	// marginFirstDeviation is the share of the first time that is taken for its
+	// marginFirstDeviation is the share of the first duration that serves as the initial
 	// deviation (RFC 6298).
 	marginFirstDeviation = 1.0 / 2
-	// marginDeviations is the number of mean deviations above the mean that are kept back.
+	// marginDeviations is the number of mean deviations that are added to the mean.
 	marginDeviations = 2
 )
 
-// Margin estimates how long something takes that must fit in before a deadline,
-// by its mean and mean deviation so far. It is safe for concurrent use.
+// Margin estimates how long a step takes that must complete before a deadline, from the
+// mean and the mean deviation of its past durations. It is safe for concurrent use.
 type Margin struct {
 	mu sync.Mutex
 	// mean and deviation are in nanoseconds; 0 until known.
 	mean, deviation float64
-	// known is true once a time was observed.
+	// known is true once a duration was observed.
 	known bool
 }
 
-// Observe records how long it took once.
+// Observe records one duration.
 func (m *Margin) Observe(took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -43,7 +43,7 @@
 	m.mean += marginMeanWeight * (x - m.mean)
 }
 
-// Estimate is the time to keep back; 0 while nothing was observed.
+// Estimate returns the time to reserve; 0 while nothing was observed.
 func (m *Margin) Estimate() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/tier/policy/outcome.go
+++ b/tier/policy/outcome.go
@@ -2,46 +2,47 @@
 
 import "loomgap/tier/query"
 
-// CallOutcome is what became of one upstream call.
+// CallOutcome is the outcome of one upstream call.
 type CallOutcome string
 
 const (
-	// CallOK is a whole reply that belongs to the call.
+	// CallOK is a complete reply that belongs to the call.
 	CallOK CallOutcome = "OK"
-	// CallUnreachable is a connection that could not be made; the call did not run.
+	// CallUnreachable is a failure to connect; the call did not run.
 	CallUnreachable CallOutcome = "Unreachable"
-	// CallShed is a refusal: the upstream did not run the call.
+	// CallShed is a refusal by the upstream; the call did not run.
 	CallShed CallOutcome = "Shed"
-	// CallLeaving is a refusal of an upstream that leaves; it did not run the call.
+	// CallLeaving is a refusal by an upstream that is shutting down; the call did not run.
 	CallLeaving CallOutcome = "Leaving"
-	// CallNotSent is a call that this host held back; it did not run.
+	// CallNotSent is a call that this host did not send; it did not run.
 	CallNotSent CallOutcome = "NotSent"
-	// CallBarred is a call that was not made because its upstream may get none of
-	// the route at the moment: its hall is evacuated or no home of the route, it
-	// leaves, or it is cold and has had as many calls as it can handle.
+	// CallBarred is a call that was not made because its upstream may not get calls of the
+	// route at the moment: its hall is evacuated or outside the homes of the route, the
+	// upstream is leaving, or it is cold and at its call limit.
 	CallBarred CallOutcome = "Barred"
-	// CallStalled is a call that was not made because its upstream, as the host
-	// near it knows, answers nobody for the moment.
+	// CallStalled is a call that was not made because its upstream is unresponsive,
+	// according to the host near it.
 	CallStalled CallOutcome = "Stalled"
-	// CallSnapshotGone is the answer of an upstream that lacks the snapshot.
+	// CallSnapshotGone is a reply from an upstream that does not hold the snapshot.
 	CallSnapshotGone CallOutcome = "SnapshotGone"
-	// CallMoved is the answer of an upstream that has another shard map.
+	// CallMoved is a reply from an upstream with a different shard map.
 	CallMoved CallOutcome = "Moved"
-	// CallFailed is the upstream's own failure; the call may have run.
+	// CallFailed is an error of the upstream itself; the call may have run.
 	CallFailed CallOutcome = "Failed"
-	// CallMalformed is a reply that does not belong to the call or cannot be read.
+	// CallMalformed is a reply that does not belong to the call or cannot be parsed.
 	CallMalformed CallOutcome = "Garbage"
-	// CallBroken is a connection lost after the request may have left.
+	// CallBroken is a connection lost after the request may have been sent.
 	CallBroken CallOutcome = "Broken"
-	// CallCrashed is a connection lost after the request may have left, and the
-	// upstream accepted no other: it has crashed.
+	// CallCrashed is a connection lost after the request may have been sent, to an upstream
+	// that then accepted no new connection: it has crashed.
 	CallCrashed CallOutcome = "Crashed"
-	// CallLost is a call that another host was to make and did not report on. It
-	// may have run, and says nothing about the upstream.
+	// CallLost is a call that another host should have made but did not report on. It may
+	// have run, and says nothing about the upstream.
 	CallLost CallOutcome = "Lost"
-	// CallCancelled is a call that this host gave up while others were enough.
+	// CallCancelled is a call that this host cancelled because its answer was no longer
+	// needed.
 	CallCancelled CallOutcome = "Cancelled"
-	// CallLate is a call that this host gave up at the deadline.
+	// CallLate is a call that this host cancelled at the deadline.
 	CallLate CallOutcome = "Late"
 )
 
@@ -69,7 +70,7 @@
 	}
 }
 
-// answered reports whether the upstream gave an answer of its own.
+// answered reports whether the upstream itself replied.
 func (o CallOutcome) answered() bool {
 	switch o {
 	case CallOK, CallFailed, CallShed, CallLeaving, CallSnapshotGone, CallMoved:
--- a/tier/policy/outlier.go
+++ b/tier/policy/outlier.go
@@ -3,26 +3,26 @@
 import "time"
 
 const (
-	// outlierFrom is how many medians of its service the latency of an upstream must exceed
-	// to make it an outlier.
+	// outlierEnterRatio is the multiple of the median latency of its service above which an
+	// upstream becomes an outlier.
 	outlierEnterRatio = 3
-	// outlierUntil is how many medians the latency must come down to until the
-	// upstream is no outlier. It is well below outlierFrom: calls that are hedged and
-	// cancelled show a slow upstream less slow than it is, and without the gap it
-	// would be trusted again and again.
+	// outlierExitRatio is the multiple of the median to which the latency must fall before
+	// an upstream stops being an outlier. It is well below outlierEnterRatio because
+	// cancelled calls understate the latency of a slow upstream, which would otherwise keep
+	// returning to rotation.
 	outlierExitRatio = 1.5
-	// outlierLeast is by how much the latency must exceed the median besides: where calls
-	// take microseconds, three medians are noise.
+	// minOutlierExcess is by how much the latency must also exceed the median, since for
+	// calls that take microseconds a multiple of the median is noise.
 	minOutlierExcess = time.Millisecond
-	// probeEvery is the least time between two probes of one outlier.
+	// minProbeInterval is the minimum time between two probes of an outlier.
 	minProbeInterval = 100 * time.Millisecond
 )
 
-// outlier marks an upstream whose calls take much longer than those of its service.
-// It is called only if its shard has no other, and probed beside chosen calls.
+// outlier marks an upstream whose calls take much longer than those of its service. Apart
+// from probes, it is called only if its shard has no other upstream.
 type outlier struct {
-	// marked is true from when the latency exceeds outlierFrom medians until it has
-	// come down to outlierUntil.
+	// marked is set when the latency exceeds outlierEnterRatio medians and cleared when it
+	// has fallen to outlierExitRatio medians.
 	marked bool
 	// nextProbe is the earliest time of the next probe.
 	nextProbe time.Duration
--- a/tier/policy/pick.go
+++ b/tier/policy/pick.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// onlyEligible has pick pass over upstreams that are not eligible at the moment.
+	// onlyEligible restricts pick to upstreams that are currently eligible.
 	onlyEligible = true
-	// anyUpstream has pick choose among all upstreams that may be asked.
+	// anyUpstream lets pick choose any upstream that may be called.
 	anyUpstream = false
 )
 
-// pick chooses the upstream of a part that the next call goes to: the one with the lowest
-// score of those that may be asked, and are eligible, if only those count; nil if there
-// is none. Its inputs are of this moment but for what upstreams report of themselves.
+// pick returns the upstream with the lowest score for the next call of a part, or nil if
+// there is none. With eligible set, it considers only upstreams that are currently
+// eligible. Its inputs are current except for what upstreams report about themselves.
 func (r *Run) pick(now time.Duration, i int, eligible bool) *Upstream {
 	p := &r.parts[i]
 	var best *Upstream
@@ -35,8 +35,8 @@
 	return best
 }
 
-// askable reports whether an upstream may be asked for a part at all: it does not leave,
-// was not tried, may get calls of the run, and holds the snapshot as far as is known.
+// canCall reports whether an upstream may be called for a part at all: it is not leaving,
+// was not tried, is not barred, and holds the snapshot as far as is known.
 func (r *Run) canCall(now time.Duration, p *part, u *Upstream) bool {
 	if u.leaving || slices.Contains(p.tried, u) || r.rules.barred(now, u) {
 		return false
--- a/tier/policy/placement.go
+++ b/tier/policy/placement.go
@@ -7,18 +7,19 @@
 	"loomgap/tier/query"
 )
 
-// Placement says where the requests of a route may go: data halls lie in regions,
-// routes may have homes among these, and halls may be evacuated. It applies to every
-// call to an upstream and every hand-over of a request to another host.
+// Placement decides where the requests of a route may go. Data halls belong to regions, a
+// route may be restricted to home regions, and halls may be evacuated. It applies to every
+// call to an upstream and whenever a request is forwarded to another host.
 type Placement struct {
-	// Regions says where halls lie; a hall that it does not name is no home.
+	// Regions maps halls to regions. A hall that it does not contain belongs to no home
+	// region.
 	Regions config.Regions
-	// Directory says which upstreams are listed and which halls are evacuated.
+	// Directory holds the listed upstreams and the evacuated halls.
 	Directory *config.Directory
 }
 
-// DenyReason returns why an upstream may not get requests of a route with these
-// homes; empty if it may.
+// DenyReason returns why an upstream may not get requests of a route with the given homes;
+// empty if it may.
 func (p *Placement) DenyReason(l *config.Listing, homes []string) query.Reason {
 	switch {
 	case l.Leaving:
@@ -32,20 +33,20 @@
 	}
 }
 
-// AllowedUpstreams names the upstreams of a group that may get requests of a route with
-// these homes, in order of name. If there is none, the reason says why.
+// AllowedUpstreams returns the names of the upstreams of a group that may get requests of a
+// route with the given homes, sorted by name. If there is none, reason says why.
 func (p *Placement) AllowedUpstreams(group string, homes []string) (names []string, reason query.Reason) {
 	listed := p.Directory.Group(group)
 	names = make([]string, 0, len(listed))
 	reason = query.ReasonUnreachable
 	for i := range listed {
-		barrier := p.DenyReason(&listed[i], homes)
-		if barrier == "" {
+		denied := p.DenyReason(&listed[i], homes)
+		if denied == "" {
 			names = append(names, listed[i].Name)
 			continue
 		}
-		if barrier != query.ReasonUnreachable {
-			reason = barrier
+		if denied != query.ReasonUnreachable {
+			reason = denied
 		}
 	}
 	if len(names) > 0 {
@@ -54,9 +55,9 @@
 	return names, reason
 }
 
-// AllowedHosts returns the candidates that may be handed a request of a route with
-// these homes: by their own halls. The region of the caller may be another than that
-// of the host that it reached, where the caller's own hosts are down, and is ignored.
+// AllowedHosts returns the candidates that may execute a request of a route with the given
+// homes, judged by the halls of the candidates. It ignores the region of the caller, which
+// may have reached a host in another region because its own hosts are down.
 func (p *Placement) AllowedHosts(all []Candidate, homes []string) []Candidate {
 	if len(homes) == 0 {
 		return all
--- a/tier/policy/plugin.go
+++ b/tier/policy/plugin.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Random is the source of random numbers, handed in.
+// Random is a source of random numbers.
 type Random interface {
 	Float64() float64
 	IntN(n int) int
@@ -15,23 +15,23 @@
 
 var _ Random = (*rand.Rand)(nil)
 
-// errUnknown is wrapped when a plug-in is asked for that nobody registered.
+// errNotRegistered reports a plug-in name that is not registered.
 var errNotRegistered = errors.New("not registered")
 
-// chooser scores a replica; the lowest score is chosen.
+// chooser scores a replica. The replica with the lowest score is chosen.
 type chooser interface {
-	// score is called with the fleet locked. It must not keep u.
+	// score is called with the fleet locked. It must not retain u.
 	score(now time.Duration, u *Upstream, p *LatencyPool, r Random) float64
 }
 
-// admission says how much of the time left may be spent by expected work.
+// admission limits the expected work of a request to a share of its remaining time.
 type admission interface {
-	// allow gives the part of slack that a request of this worth per cost may
-	// count on, when the best class has the worth per cost top.
-	allow(slack time.Duration, density, top float64) time.Duration
+	// allow returns the part of slack that the expected work of a request may fill.
+	// worthPerCall is the worth per cost of the class, highest the largest of all classes.
+	allow(slack time.Duration, worthPerCall, highest float64) time.Duration
 }
 
-// Plug-ins by name; each file that has some adds them in its init function.
+// Plug-ins by name. They register themselves in init functions.
 var (
 	choosers   = map[string]chooser{}
 	admissions = map[string]admission{}
--- a/tier/policy/pool.go
+++ b/tier/policy/pool.go
@@ -7,44 +7,42 @@
 )
 
 const (
-	// poolLowest is the least latency that is told from others, in microseconds.
+	// minPoolLatency is the lowest recorded latency, in microseconds.
 	minPoolLatency = 1
-	// poolHighest is the greatest latency, in microseconds: a minute, longer than any
-	// request of today takes.
+	// maxPoolLatency is the highest recorded latency, in microseconds. Requests take less
+	// than a minute.
 	maxPoolLatency = 60_000_000
-	// poolDigits is the number of significant digits of a latency, 1 to 5 for the
-	// histogram.
+	// poolDigits is the number of significant digits of a latency in the histogram, 1 to 5.
 	poolDigits = 2
-	// poolRefresh is the number of new latencies after which quantiles are read from the
-	// histogram anew.
+	// poolRefresh is the number of new latencies after which the cached quantiles are
+	// discarded.
 	poolRefresh = 64
-	// poolWindow is the number of latencies after which older ones are dropped, in the pool
-	// of a service.
+	// poolWindow is the number of latencies in a window of a service's pool.
 	poolWindow = 20_000
-	// routedWindow is the same in the pool of a route, whose requests go to other upstreams
-	// from one moment to the next.
+	// routedWindow is the number of latencies in a window of a route's pool. It is smaller
+	// because the upstreams of a route change quickly.
 	routedWindow = 2_000
-	// poolSettled divides the window: quantiles are those of the window before until so
-	// large a part of the present one has come.
+	// poolSettledDivisor divides the window. Quantiles come from the previous window until
+	// the current one has reached that size.
 	poolSettledDivisor = 4
-	// poolEnough is the number of latencies from which on a pool is known.
+	// minPoolSamples is the number of latencies from which the pool is considered known.
 	minPoolSamples = 50
-	// poolFallback is the median of a pool that is not known.
+	// defaultMedian is the median of a pool that is not known.
 	defaultMedian = 10 * time.Millisecond
 )
 
-// LatencyPool holds the latencies of all replicas of one service. A quantile of one
-// upstream would hide that the upstream is slow; the pool's shows it. It is used with
-// the fleet locked.
+// LatencyPool holds the latencies of all replicas of a service. Comparing an upstream with
+// the quantiles of the pool shows that it is slow, which its own quantiles would hide. It
+// is used with the fleet locked.
 type LatencyPool struct {
-	// current and previous are the histograms of the present window and the one before.
+	// current and previous are the histograms of the current and the previous window.
 	current  *hdrhistogram.Histogram
 	previous *hdrhistogram.Histogram
-	// window is how many latencies are looked at before older ones are dropped.
+	// window is the number of latencies after which a new window starts.
 	window int64
-	// fresh counts latencies since the cached quantiles were made.
+	// fresh counts the latencies since the cached quantiles were discarded.
 	fresh int
-	// quantiles caches what was read from the histogram.
+	// quantiles caches values read from the histogram.
 	quantiles map[float64]time.Duration
 }
 
@@ -58,7 +56,7 @@
 }
 
 func (p *LatencyPool) record(d time.Duration) {
-	// A value between the bounds of the histogram is never an error.
+	// RecordValue does not fail for values between the bounds of the histogram.
 	_ = p.current.RecordValue(min(max(d.Microseconds(), minPoolLatency), maxPoolLatency))
 	p.fresh++
 	if p.current.TotalCount() >= p.window {
@@ -73,10 +71,10 @@
 
 func (p *LatencyPool) known() bool { return p.Count() >= minPoolSamples }
 
-// Count is how many latencies are looked at.
+// Count returns the number of latencies in both windows.
 func (p *LatencyPool) Count() int64 { return p.current.TotalCount() + p.previous.TotalCount() }
 
-// median is the middle latency, or a fixed guess while little is known.
+// median returns the median latency, or defaultMedian while the pool is not known.
 func (p *LatencyPool) median() time.Duration {
 	if !p.known() {
 		return defaultMedian
@@ -84,8 +82,8 @@
 	return p.quantile(0.5)
 }
 
-// quantile is a latency quantile of the recent calls, 0 to 1. It is read from the
-// histogram once in many latencies and cached between.
+// quantile returns a latency quantile of the recent calls for q from 0 to 1. It caches the
+// value until poolRefresh new latencies were recorded.
 func (p *LatencyPool) quantile(q float64) time.Duration {
 	if d, ok := p.quantiles[q]; ok {
 		return d
--- a/tier/policy/quarantine.go
+++ b/tier/policy/quarantine.go
@@ -6,50 +6,50 @@
 )
 
 const (
-	// quarantineAttempts is the number of attempts of a request, and of crashes, that must
-	// be reported until it is refused; one of them isolated.
+	// minQuarantineAttempts is the number of attempts with crashes, and of crashes, that
+	// must be reported before a request is quarantined. At least one of them must be
+	// isolated.
 	minQuarantineAttempts = 2
-	// otherCallersLeast is the number of callers whose reports have the request of another
-	// caller refused.
+	// minOtherCallers is the number of other callers whose reports quarantine a request for
+	// a caller without reports of its own.
 	minOtherCallers = 2
-	// quarantineFirst is how long after its last report a request is refused at first. Then
-	// it may show again what it does, at one upstream: it crashes some six in its first
-	// day.
+	// initialQuarantine is how long a request is first quarantined after its latest
+	// isolated report. When it ends, the request may run again on one upstream at a time,
+	// so that a request that keeps crashing upstreams crashes only a few per day.
 	initialQuarantine = 2 * time.Minute
-	// quarantineGrowth is how many times as long a request is refused with each further
-	// isolated crash, up to crashReportLife.
+	// quarantineGrowth multiplies the duration of the quarantine with each further isolated
+	// crash, up to crashReportTTL.
 	quarantineGrowth = 5
 )
 
-// ReasonQuarantined is the reason of a refusal of a request that crashes upstreams.
+// ReasonQuarantined is the reason given when a quarantined request is refused.
 const ReasonQuarantined = "the request has crashed the upstreams that ran it"
 
-// Verdict is what is to be done with a request.
+// Verdict says how to handle a request.
 type Verdict string
 
 const (
-	// VerdictClean has the request run as any other.
+	// VerdictClean means that the request runs like any other.
 	VerdictClean Verdict = "Sound"
-	// VerdictSuspected lets it run at one upstream, and at others only once that one
-	// has answered.
+	// VerdictSuspected means that the request runs on one upstream at a time until one has
+	// answered.
 	VerdictSuspected Verdict = "Suspected"
-	// VerdictQuarantined has it refused.
+	// VerdictQuarantined means that the request is refused.
 	VerdictQuarantined Verdict = "Quarantined"
 )
 
-// RequestIdentity is a request as it is remembered: what it asks for, and who asks. What it
-// asks for crashes upstreams, whoever asks, until an answer to another caller shows
-// that it depends on who does.
+// RequestIdentity identifies a request and its caller in crash reports. A request that
+// crashes upstreams is assumed to do so for every caller, until an answer to another caller
+// shows that it depends on the caller.
 type RequestIdentity struct {
 	Fingerprint Fingerprint
-	// Caller is the address that the request came from; the zero value if it is not
-	// known.
+	// Caller is the address that the request came from; the zero value if unknown.
 	Caller netip.Addr
 }
 
-// judge returns the verdict on a request of a caller, and for how long it is refused.
-// Reports of one other caller do not have it refused, nor do those of one upstream that
-// crashed under many attempts.
+// verdict returns the verdict on a request of a caller, and how long the request remains
+// quarantined. The reports of a single other caller do not quarantine it, and neither do
+// many reports about a single crash of one upstream.
 func (s *suspect) verdict(now time.Duration, caller netip.Addr) (Verdict, time.Duration) {
 	var all, isolated []*crash
 	attempts, callers := map[uint64]bool{}, map[netip.Addr]bool{}
@@ -99,16 +99,16 @@
 	return worst
 }
 
-// Verdict returns what is to be done with a request, and for how long it is refused.
-func (f *Fleet) Verdict(now time.Duration, of RequestIdentity) (Verdict, time.Duration) {
+// Verdict returns the verdict on a request, and how long the request remains quarantined.
+func (f *Fleet) Verdict(now time.Duration, id RequestIdentity) (Verdict, time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.quarantine.suspect(of.Fingerprint).verdict(now, of.Caller)
+	return f.quarantine.suspect(id.Fingerprint).verdict(now, id.Caller)
 }
 
-// WorstVerdict returns the verdict on a request for the caller that fares worst.
-func (f *Fleet) WorstVerdict(now time.Duration, of Fingerprint) Verdict {
+// WorstVerdict returns the most severe verdict on a request over all reported callers.
+func (f *Fleet) WorstVerdict(now time.Duration, fp Fingerprint) Verdict {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.quarantine.suspect(of).worstVerdict(now)
+	return f.quarantine.suspect(fp).worstVerdict(now)
 }
--- a/tier/policy/queue.go
+++ b/tier/policy/queue.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// queuePerSlot bounds the queue of an upstream, in calls for each slot of the share.
+// queuePerSlot limits the queue of an upstream, in calls per slot of the share.
 const queuePerSlot = 256
 
-// The place of a waiter that is not in a queue; one that is has its index, 0 or more.
+// Values of Waiter.index for a waiter that is not queued.
 const (
-	// placeOut is that of a waiter that was not granted a slot.
+	// indexNone is the index of a waiter without a slot.
 	indexNone = -1
-	// placeGranted is that of a waiter that was.
+	// indexGranted is the index of a waiter that was granted a slot.
 	indexGranted = -2
 )
 
 // Waiter is a call that waits for a slot.
 type Waiter struct {
 	Upstream *Upstream
-	// Deadline orders the queue; a waiter past it is never granted.
+	// Deadline orders the queue. A waiter is never granted a slot after its deadline.
 	Deadline time.Duration
-	// Granted is called, with no lock held, when the slot is there.
+	// Granted is called without locks held when the waiter is granted a slot.
 	Granted func()
-	// place is its index in the queue, placeOut or placeGranted.
+	// index is the position in the queue, or indexNone or indexGranted.
 	index int
 }
 
-// NotifyGranted tells waiters that they got their slots. No lock may be held.
+// NotifyGranted calls Granted of each waiter. The caller must not hold any lock.
 func NotifyGranted(granted []*Waiter) {
 	for _, w := range granted {
 		w.Granted()
 	}
 }
 
-// enter grants a waiter a slot, or else queues it unless the queue is full.
+// acquireOrQueue grants a slot to a waiter, or queues it unless the queue is full.
 func (u *Upstream) acquireOrQueue(w *Waiter) (granted, queued bool) {
 	w.index = indexNone
 	if u.hasSlot() {
@@ -49,15 +49,15 @@
 	return false, true
 }
 
-// abandon takes the waiter out of its queue, if it is in one.
+// abandon removes the waiter from its queue, if it is queued.
 func (w *Waiter) abandon() {
 	if w.index >= 0 {
 		heap.Remove(&w.Upstream.slots.queue, w.index)
 	}
 }
 
-// grant gives free slots to the waiters with the earliest deadlines. Waiters
-// past their deadline are dropped; their requests have been answered by then.
+// grant grants free slots to the waiters with the earliest deadlines. It drops waiters past
+// their deadline, whose requests were answered by then.
 func (u *Upstream) grant(now time.Duration) []*Waiter {
 	var out []*Waiter
 	for u.slots.queue.Len() > 0 && u.hasSlot() {
@@ -72,7 +72,7 @@
 	return out
 }
 
-// waiters is a queue by deadline, for container/heap.
+// waiters is a queue ordered by deadline, for container/heap.
 type waiters []*Waiter
 
 var _ heap.Interface = (*waiters)(nil)
--- a/tier/policy/recent.go
+++ b/tier/policy/recent.go
@@ -2,40 +2,41 @@
 
 import "time"
 
-// recentSlots is into how many parts a window is divided, to tell what has left it.
+// windowBuckets is the number of buckets into which a window is divided.
 const windowBuckets = 10
 
-// recent sums up what was counted within the last window, to the precision of a slot of
-// it; what is older by up to a slot still counts. The zero value is empty.
+// windowedSum sums the amounts added within a sliding window, with the precision of one
+// bucket: amounts that are up to one bucket too old still count. The zero value is empty.
 type windowedSum struct {
-	// sums holds one sum a slot and one for the slot that is under way; last is the number
-	// of the slot under way when something was last counted.
+	// buckets holds one sum for each bucket of the window and one for the current bucket.
+	// lastBucket is the number of the current bucket when an amount was last added or the
+	// sum was read.
 	buckets    [windowBuckets + 1]float32
 	lastBucket int64
 }
 
-// move empties the slots that have left the window.
-func (r *windowedSum) advance(now, window time.Duration) (slot int64) {
-	slot = int64(now / max(window/windowBuckets, 1))
-	for n := max(r.lastBucket+1, slot-windowBuckets); n <= slot; n++ {
-		r.buckets[n%int64(len(r.buckets))] = 0
+// advance clears the buckets that have left the window and returns the current one.
+func (w *windowedSum) advance(now, window time.Duration) (bucket int64) {
+	bucket = int64(now / max(window/windowBuckets, 1))
+	for n := max(w.lastBucket+1, bucket-windowBuckets); n <= bucket; n++ {
+		w.buckets[n%int64(len(w.buckets))] = 0
 	}
-	r.lastBucket = max(r.lastBucket, slot)
-	return slot
+	w.lastBucket = max(w.lastBucket, bucket)
+	return bucket
 }
 
-func (r *windowedSum) add(now, window time.Duration, amount float64) {
+func (w *windowedSum) add(now, window time.Duration, amount float64) {
 	if window > 0 && amount > 0 {
-		slot := r.advance(now, window)
-		r.buckets[slot%int64(len(r.buckets))] += float32(amount)
+		bucket := w.advance(now, window)
+		w.buckets[bucket%int64(len(w.buckets))] += float32(amount)
 	}
 }
 
-// sum is the sum of all that may have been counted within the window.
-func (r *windowedSum) sum(now, window time.Duration) float64 {
-	r.advance(now, window)
+// sum returns the sum of the amounts that may have been added within the window.
+func (w *windowedSum) sum(now, window time.Duration) float64 {
+	w.advance(now, window)
 	total := float32(0)
-	for _, s := range r.buckets {
+	for _, s := range w.buckets {
 		total += s
 	}
 	return float64(total)
--- a/tier/policy/retry.go
+++ b/tier/policy/retry.go
@@ -3,29 +3,29 @@
 import "time"
 
 const (
-	// shedPauseLeast is the least pause before an upstream that shed a call is asked again,
-	// in median latencies of like calls.
+	// minShedPause is the minimum pause before an upstream that shed a call is called
+	// again, as a multiple of the median latency.
 	minShedPause = 0.5
-	// shedPauseSpread is by how many medians the pause is longer at most, at random, so
-	// that calls which were shed together do not come back together.
+	// shedPauseSpread is the largest random addition to the pause, as a multiple of the
+	// median latency. It keeps calls that were shed together from being retried together.
 	shedPauseSpread = 1.0
 )
 
 type nextStep string
 
 const (
-	// stepWait leaves the part to its other call.
+	// stepWait waits for the other call of the part.
 	stepWait nextStep = "Wait"
 	// stepGiveUp makes the part missing.
 	stepGiveUp nextStep = "GiveUp"
-	// stepRetry asks another upstream at once.
+	// stepRetry calls another upstream immediately.
 	stepRetry nextStep = "Retry"
-	// stepPause asks an upstream that shed the call again after a pause.
+	// stepPause retries an upstream that shed the call after a pause.
 	stepPause nextStep = "Pause"
 )
 
-// decideRetry decides what follows a failed call of a part. A retry is taken from its
-// budget.
+// decideRetry returns the next step after a failed call of a part and charges a retry to
+// its budget.
 func (r *Run) decideRetry(now time.Duration, i int, o CallOutcome) nextStep {
 	p := &r.parts[i]
 	switch {
@@ -38,7 +38,7 @@
 	case r.pick(now, i, onlyEligible) != nil:
 		return stepRetry
 	case o == CallShed:
-		// No other upstream is eligible: after a pause one that sheds may take it.
+		// No other upstream is eligible. One that sheds may accept the call after a pause.
 		return stepPause
 	case r.pick(now, i, anyUpstream) != nil:
 		return stepRetry
--- a/tier/policy/retryafter.go
+++ b/tier/policy/retryafter.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// leastRetryAfter is the least time after which a refused caller is to come back.
+	// minRetryAfter is the shortest time after which a refused caller may retry.
 	minRetryAfter = 10 * time.Millisecond
-	// retryAfterSpread is the share by which that time is longer at most, at random, so
-	// that callers refused together do not come back together.
+	// retryAfterSpread is the largest random extension of that time, as a share of it. It
+	// keeps callers that were refused together from retrying together.
 	retryAfterSpread = 1.0
 )
 
-// RetryIn returns in what time enough parts of a request have an upstream that is
-// neither backed off after it shed calls nor ejected: 0 if they have one now, or if
-// too few parts have an upstream at all, so that nothing is known.
+// RetryIn returns how long it takes until enough parts of a request have an upstream that
+// is neither in backoff nor ejected. It returns 0 if they have one now, or if too few parts
+// have an upstream at all, in which case the time is unknown.
 func (f *Fleet) RetryIn(now time.Duration, replicas [][]*Upstream, coverage float64) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -35,8 +35,8 @@
 	return waits[need-1]
 }
 
-// shortestTime is the shortest of some times of upstreams, those that leave left out; the
-// longest time there is if all leave.
+// shortestTime returns the minimum of a time over the upstreams that are not leaving, or
+// the largest possible time if all are leaving.
 func shortestTime(us []*Upstream, of func(*Upstream) time.Duration) time.Duration {
 	shortest := time.Duration(math.MaxInt64)
 	for _, u := range us {
@@ -47,8 +47,8 @@
 	return shortest
 }
 
-// retryAfter is when the caller of a refused request of a class is to come back: after
-// the excess of the work expected over what is allowed, and no sooner than one call takes.
+// retryAfter returns when the caller of a refused request may retry. It covers the excess
+// of the expected work over the allowed work, and at least the duration of one call.
 func (f *Fleet) retryAfter(p *LatencyPool, excess time.Duration) time.Duration {
 	base := max(excess, p.median(), minRetryAfter)
 	return time.Duration(float64(base) * (1 + retryAfterSpread*f.random.Float64())).Round(time.Millisecond)
--- a/tier/policy/retrybudget.go
+++ b/tier/policy/retrybudget.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// draw takes a token. With less than one left it takes what is left, and succeeds with
-// that probability: many hosts that earn little each then take as many tokens together
-// as they earn, on average.
+// takeProbabilistic takes a token. If less than one token is left, it takes the rest and
+// succeeds with the corresponding probability, so that many hosts that each earn little can
+// still spend what they earn in total.
 func (b *budget) takeProbabilistic(r Random) bool {
 	if b.take() {
 		return true
@@ -15,49 +15,51 @@
 }
 
 const (
-	// retryBudgetShare is the share of the allowed retries that is used at most, since
-	// hosts count in windows of their own.
+	// retryBudgetShare is the share of the allowed retries that hosts may use. The rest
+	// allows for windows that are not aligned between hosts.
 	retryBudgetShare = 0.95
-	// drawBelow is the depth, in retries, below which retries are drawn by chance: there
-	// are many hosts then, and chance evens out.
+	// probabilisticDepth is the depth, in retries, below which tokens are taken
+	// probabilistically. Such a low depth means that there are many hosts, so that the
+	// average evens out.
 	probabilisticDepth = 3.0
-	// retriesAtStart is the share of the depth that a host begins with, and of the reserve
-	// that it has for the first window: all hosts may be started again at once, and what
-	// they spent before still counts.
+	// initialRetryShare is the share of the depth that a host starts with, and of the
+	// reserve that it has during the first window. All hosts may restart at the same time,
+	// and retries spent before the restart still count.
 	initialRetryShare = 0.25
 )
 
-// RetryBudget bounds the calls beyond the first, hedges and retries, that this
-// host makes at a group.
+// RetryBudget limits the calls beyond the first, hedges and retries, that this host makes
+// to a group.
 type RetryBudget struct {
 	// Ratio is how many retries one request earns.
 	Ratio float64
-	// Depth is how many earned retries may be saved up, and how many calls beyond the
-	// first a host may make within Window, earned or not, before it needs earned ones.
+	// Depth is how many earned retries may be saved up. It also limits the calls beyond the
+	// first that a host may make within Window without having earned them.
 	Depth float64
-	// Window is the time within which a group counts calls beyond the first; 0 for a
-	// host that makes none beyond what it has saved up.
+	// Window is the interval in which a group counts calls beyond the first; 0 for a host
+	// that may only spend saved retries.
 	Window time.Duration
 }
 
-// ShareRetryBudget returns one host's part of what a group allows in each window:
-// a ratio of its requests, and a slack besides that so many hosts divide.
+// ShareRetryBudget returns one host's share of the retries that a group allows in each
+// window: a ratio of the requests, plus a slack that is divided by hosts.
 func ShareRetryBudget(ratio, slack, hosts float64) RetryBudget {
 	return RetryBudget{Ratio: ratio * retryBudgetShare, Depth: slack * retryBudgetShare / max(hosts, 1)}
 }
 
-// WithWindow returns the budget with the window in which groups count.
+// WithWindow returns the budget with the window in which groups count calls.
 func (b RetryBudget) WithWindow(window time.Duration) RetryBudget {
 	b.Window = window
 	return b
 }
 
-// RetryBudgets are this host's budgets for the groups of routed requests.
+// RetryBudgets holds this host's budgets for the groups of routed requests.
 type RetryBudgets struct {
-	// Shards is the budget of each group that is a shard, Single that of each other.
-	// Coordinators make most calls to shards, and every host its own calls to others.
+	// Shards is the budget of each group that is a shard, Single that of every other group.
+	// They differ because coordinators make most calls to shards, while every host makes
+	// its own calls to other groups.
 	Shards, Single RetryBudget
-	// IsShard names the groups that are shards of any route; it is not changed.
+	// IsShard contains the groups that are shards of any route. It is read-only.
 	IsShard map[string]bool
 }
 
@@ -68,7 +70,7 @@
 	return r.Single
 }
 
-// SetRetryBudgets sets the budgets. What is saved up beyond a new depth is lost.
+// SetRetryBudgets sets the budgets. Saved retries beyond a new depth are lost.
 func (f *Fleet) SetRetryBudgets(r RetryBudgets) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -78,27 +80,26 @@
 	}
 }
 
-// groupRetries is what this host may still spend on hedges and retries at a group.
+// groupRetries holds the hedges and retries that this host may still make to a group.
 //
-// Earned retries are saved up, and pay hedges first: a host whose requests at a group are
-// frequent lives by them. Where they are rare, as in a fleet of hundreds of hosts, a
-// request earns nearly nothing, while the slack that the group allows in each window is
-// most of what it allows. That is the reserve: it pays the retries of calls that failed,
-// since without these a part is missing, and never hedges.
+// Earned retries are saved up and pay for hedges first, which suffices for a host with
+// frequent requests to the group. In a fleet of hundreds of hosts, requests are rare and
+// earn almost nothing, while most of what the group allows is the slack per window. That
+// slack is the reserve: it pays only for retries of failed calls, without which a part
+// would be missing, and never for hedges.
 type groupRetries struct {
 	saved budget
-	// spent counts what was spent in the last window.
+	// spent sums what was spent within the window.
 	spent windowedSum
 }
 
-// takeHedge takes a hedge at a group; the fleet is locked. Where there are so many hosts
-// that none may save up a few retries, chance decides.
+// takeHedge pays for a hedge to a group from the saved retries. The fleet must be locked.
 func (f *Fleet) takeHedge(now time.Duration, group string) bool {
 	return f.takeSaved(now, group, f.retriesOf(group))
 }
 
-// takeRetry takes a retry at a group, from the reserve if nothing is saved up; the fleet
-// is locked.
+// takeRetry pays for a retry to a group, from the reserve if no retry is saved up. The
+// fleet must be locked.
 func (f *Fleet) takeRetry(now time.Duration, group string) bool {
 	b := f.retriesOf(group)
 	return f.takeSaved(now, group, b) || f.takeReserve(now, group, b)
@@ -117,10 +118,11 @@
 	return taken
 }
 
-// takeReserve takes a retry if all that this host has spent within the window, with it
-// and with what is saved up, is no more than its part of the slack. What its requests
-// earn comes on top of that, once for each request: hosts that went by the number of
-// their requests in a window would each spend at its peak, which all do not have at once.
+// takeReserve pays for a retry from the reserve. It succeeds if everything spent within the
+// window, plus this retry and the saved ones, stays within this host's share of the slack.
+// Earned retries add to that only once per request: if each host derived its limit from its
+// requests within a window, each would spend at its own peak, and the peaks do not
+// coincide.
 func (f *Fleet) takeReserve(now time.Duration, group string, b *groupRetries) bool {
 	budget := f.retryBudgets.of(group)
 	if budget.Window <= 0 {
@@ -137,15 +139,15 @@
 	return true
 }
 
-// retriesOf returns what may be spent at a group; the fleet is locked.
+// retriesOf returns the remaining retries for a group. The fleet must be locked.
 func (f *Fleet) retriesOf(group string) *groupRetries {
 	return findOrMake(f.retries, group, func() *groupRetries {
 		return &groupRetries{saved: budget{f.retryBudgets.of(group).Depth * initialRetryShare}}
 	})
 }
 
-// earnRetry lets one request earn its part of the retries at a group; the fleet
-// is locked.
+// earnRetry adds what one request earns to the retries for a group. The fleet must be
+// locked.
 func (f *Fleet) earnRetry(group string) {
 	r := f.retryBudgets.of(group)
 	f.retriesOf(group).saved.fill(r.Ratio, r.Depth)
--- a/tier/policy/rules.go
+++ b/tier/policy/rules.go
@@ -6,39 +6,40 @@
 	"loomgap/tier/query"
 )
 
-// rules are what requests of a class and routed requests do differently. NewRun
-// chooses one of the two, and the run never asks which: class.go shows all that a
-// request of a class does in its own way, routed.go all that a routed one does. Rules
-// are used with the fleet locked.
+// rules holds the differences between requests of a class and routed requests. NewRun
+// selects the implementation, classRules or routedRules, and the run does not depend on
+// which one it is. The methods are called with the fleet locked.
 type rules interface {
-	// earn adds what an admitted request of so many parts earns to the budgets that pay
-	// for hedges and retries.
+	// earn credits the budgets for hedges and retries with what an admitted request with
+	// the given number of parts earns.
 	earn(parts int)
-	// payHedge takes a hedge of a part from its budget, and reports whether it could.
+	// payHedge charges a hedge of a part to its budget and reports whether the budget
+	// allowed it.
 	payHedge(now time.Duration, i int, p *part) bool
-	// payRetry takes a retry of a part, whose last call had the outcome, from its
-	// budget, and reports whether it could.
+	// payRetry charges a retry of a part, whose last call had outcome o, to its budget and
+	// reports whether the budget allowed it.
 	payRetry(now time.Duration, i int, p *part, o CallOutcome) bool
-	// attemptsLeft reports whether a part may go to one more upstream.
+	// attemptsLeft reports whether a part may call another upstream.
 	attemptsLeft(p *part) bool
 
-	// hedgeDelay is how long after its start a call to an upstream is hedged; limit is
+	// hedgeDelay returns how long after its start a call to an upstream is hedged. limit is
 	// the time from the start of the run to its deadline.
 	hedgeDelay(u *Upstream, limit time.Duration) time.Duration
-	// hedgesAtSame reports whether the upstream of a slow call may get its hedge too.
+	// hedgesSameUpstream reports whether the hedge of a slow call may go to the same
+	// upstream.
 	hedgesSameUpstream() bool
 
-	// barred reports whether an upstream may get no call of the run at the moment.
+	// barred reports whether an upstream may not get calls of the run at the moment.
 	barred(now time.Duration, u *Upstream) bool
-	// hallFactor multiplies the score of an upstream: more than 1 for one whose hall
+	// hallFactor returns the factor for the score of an upstream; more than 1 if its hall
 	// is not preferred.
 	hallFactor(u *Upstream) float64
-	// poolOf is where the latencies of calls to an upstream belong.
+	// poolOf returns the pool for the latencies of calls to an upstream.
 	poolOf(u *Upstream) *LatencyPool
-	// absence is why a part has no upstream to ask.
+	// missingReason returns why a part has no upstream to call.
 	missingReason(now time.Duration, i int, p *part) query.Reason
-	// endsUncovered reports whether a run ends as soon as its least coverage is out of
-	// reach.
+	// endsWithoutCoverage reports whether a run ends as soon as it can no longer reach the
+	// required coverage.
 	endsWithoutCoverage() bool
 }
 
--- a/tier/policy/run.go
+++ b/tier/policy/run.go
@@ -7,50 +7,49 @@
 	"loomgap/tier/config"
 )
 
-// RunConfig describes one request.
+// RunConfig describes a request.
 type RunConfig struct {
 	Fleet *Fleet
 	// Pool holds the latencies of the service.
 	Pool *LatencyPool
-	// Class is the request's class; it is not changed.
+	// Class is the class of the request. It is read-only.
 	Class *config.Class
-	// Deadline is when the answer must be given, margin taken off.
+	// Deadline is when the answer must be returned, after subtracting the margin.
 	Deadline time.Duration
-	// Replicas are the upstreams of each shard, in order of key.
+	// Replicas holds the upstreams of each shard, in key order.
 	Replicas [][]*Upstream
-	// Snapshot is the index snapshot that every part must have; 0 for a write.
+	// Snapshot is the index snapshot that every part must use; 0 for a write.
 	Snapshot uint64
 	// Repeatable is false for a request that must run at most once.
 	Repeatable bool
-	// Identity is what the request is remembered by if it crashes upstreams; the zero
-	// value if it is never to be suspected.
+	// Identity identifies the request in crash reports; the zero value if it must never be
+	// suspected.
 	Identity RequestIdentity
-	// Routed is what a routed request adds; nil for a request of a class.
+	// Routed holds the settings of a routed request; nil for a request of a class.
 	Routed *RoutedConfig
-	// Granted is called, with no lock held, when a queued attempt has its slot.
+	// Granted is called without locks held when a queued attempt is granted a slot.
 	Granted func(attempt int)
 }
 
-// Run is the life of one request: events and the time go in, actions come out.
-// It is not safe for concurrent use.
+// Run is the state machine of one request: it takes events with the current time and
+// returns actions. It is not safe for concurrent use.
 type Run struct {
 	fleet *Fleet
-	// request is what NewRun was given; it is not changed.
+	// request is the argument of NewRun. It is read-only.
 	request RunConfig
-	// rules are what depends on whether the request is routed.
+	// rules holds the behaviour that differs between classes and routed requests.
 	rules     rules
 	chooser   chooser
 	admission admission
 	parts     []part
-	// attempts holds all attempts of the run; an attempt is known by its index.
+	// attempts holds all attempts of the run. An attempt is identified by its index.
 	attempts []attempt
 	progress progress
 	times    wakeTimes
-	// finished is true once ActionFinish was given, or the request refused.
-	finished bool
-	// callerGone is true once the caller is gone.
+	// finished is true once ActionFinish was issued or the request was refused.
+	finished   bool
 	callerGone bool
-	// unknown is true once a not-repeatable attempt may have run unseen.
+	// unknown is true once a non-repeatable attempt may have run without an answer.
 	unknown   bool
 	suspicion suspicion
 }
@@ -58,18 +57,18 @@
 type wakeTimes struct {
 	// begun is when the request was admitted.
 	begun time.Duration
-	// patience is when an answer that meets the least coverage is given, though parts
-	// of it are missing.
+	// patience is when an answer with the required coverage is returned although parts are
+	// missing.
 	patience time.Duration
-	// next is when Wake is to be called.
+	// next is when Wake must be called.
 	next time.Duration
 }
 
-// spareAttempts is the room for hedges and retries that a run is made with, so that few
-// runs need more memory for them.
+// spareAttempts is the initial capacity for hedges and retries, so that few runs allocate
+// more.
 const spareAttempts = 4
 
-// NewRun prepares a request.
+// NewRun returns a run for a request. Begin starts it.
 func NewRun(c RunConfig) (*Run, error) {
 	chooser, err := named("chooser", choosers, c.Class.Choice)
 	if err != nil {
@@ -92,8 +91,8 @@
 	return r, nil
 }
 
-// Begin admits the request and starts it. A refused request has not run, and
-// never will: the error is a *Refusal.
+// Begin admits and starts the request. If the request is refused, which means that it has
+// not run and never will, the error is a *Refusal.
 func (r *Run) Begin(now time.Duration) ([]Action, error) {
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
@@ -120,7 +119,7 @@
 	return r.finishIfDone(now, out), nil
 }
 
-// Granted is to be called when a queued attempt has its slot.
+// Granted must be called when a queued attempt is granted a slot.
 func (r *Run) Granted(now time.Duration, n int) []Action {
 	a := &r.attempts[n]
 	if r.finished || a.phase != phaseQueued || r.parts[a.part].closed || now >= r.request.Deadline {
@@ -130,7 +129,8 @@
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
 	if a.upstream.leaving {
-		// It began to leave while the attempt waited: nothing new goes there.
+		// The upstream started to leave while the attempt waited and must not get new
+		// calls.
 		a.phase = phaseDone
 		p := &r.parts[a.part]
 		p.active = removeFirst(p.active, n)
@@ -148,8 +148,8 @@
 	return []Action{{Kind: ActionReleaseSlot, Attempt: n, Part: a.part, Upstream: a.upstream}}
 }
 
-// Reply is to be called with what became of a sent attempt. The part may be merged only
-// if ActionTake comes back.
+// Reply must be called with the outcome of a sent attempt. The caller may merge the part
+// only if Reply returns ActionMerge.
 func (r *Run) Reply(now time.Duration, n int, o CallOutcome) []Action {
 	a := &r.attempts[n]
 	if a.phase != phaseSent {
@@ -185,7 +185,7 @@
 	return r.finishIfDone(now, out)
 }
 
-// Wake is to be called at the time that Next gives.
+// Wake must be called at the time returned by WakeAt.
 func (r *Run) Wake(now time.Duration) []Action {
 	if r.finished {
 		return nil
@@ -206,7 +206,8 @@
 	return r.finishIfDone(now, out)
 }
 
-// wakePart does what is due for a part: a retry that was put off, or a hedge.
+// wakePart does what is due for a part: a postponed retry, a replacement of an isolated
+// call, or a hedge.
 func (r *Run) wakePart(now time.Duration, i int, out []Action) []Action {
 	p := &r.parts[i]
 	switch {
@@ -222,10 +223,10 @@
 	}
 }
 
-// WakeAt is when Wake is to be called.
+// WakeAt returns when Wake must be called.
 func (r *Run) WakeAt() time.Duration { return r.times.next }
 
-// Abort is to be called when the caller is gone.
+// Abort must be called when the caller has disconnected.
 func (r *Run) Abort(now time.Duration) []Action {
 	if r.finished {
 		return nil
@@ -236,11 +237,10 @@
 	return r.finish(now, nil)
 }
 
-// wakeBy makes sure that the run is woken by a time. A wake that turns out to
-// be needless does no harm.
+// wakeBy ensures that the run is woken no later than t. Unnecessary wake-ups are harmless.
 func (r *Run) wakeBy(t time.Duration) { r.times.next = min(r.times.next, t) }
 
-// nextWake is the earliest time at which anything of the run is due.
+// nextWake returns the earliest time at which anything of the run is due.
 func (r *Run) nextWake(now time.Duration) time.Duration {
 	next := r.request.Deadline
 	if r.times.patience > now {
--- a/tier/policy/slots.go
+++ b/tier/policy/slots.go
@@ -1,19 +1,19 @@
 package policy
 
-// warmSamples is the number of calls that an upstream must have answered before it gets
-// more than one at a time.
+// slowStartSamples is the number of calls that an upstream must have answered before it
+// gets more than one at a time.
 const slowStartSamples = 10
 
-// slots counts the calls that this host has in progress at an upstream, and those that
-// wait for a slot.
+// slots counts the calls that this host has in progress at an upstream and those that wait
+// for a slot.
 type slots struct {
-	// share is how many calls this host may always have in progress there; 0 means that
-	// another host of the hall calls on this one's behalf.
+	// share is how many calls this host may always have in progress; 0 means that another
+	// host of the hall makes the calls for this one.
 	share int
-	// ceiling is the slots of the upstream; at least share.
+	// ceiling is the number of slots of the upstream; at least share.
 	ceiling int
-	// inUse counts granted calls that have not been given back. It is at most
-	// share+borrowed, but for a while after that has shrunk.
+	// inUse counts granted slots that were not released yet. It is at most share+borrowed,
+	// except for a while after that sum has decreased.
 	inUse     int
 	borrowing borrowing
 	limit     callLimit
@@ -30,7 +30,8 @@
 
 func (s *slots) withBorrowed() int { return s.share + s.borrowing.borrowed }
 
-// allowed is how many calls this host may have in progress now, but for the slow start.
+// allowed returns how many calls this host may have in progress now, without considering
+// slow start.
 func (s *slots) allowed() int {
 	if s.limit.known() {
 		return min(s.withBorrowed(), s.limit.calls)
@@ -38,10 +39,11 @@
 	return s.withBorrowed()
 }
 
-// ahead is how many calls a new one finds there, for each slot of the share.
-func (s *slots) queuedPerSlot() float64 {
+// callsPerSlot returns how many calls, running and queued, a new call finds per slot of the
+// share.
+func (s *slots) callsPerSlot() float64 {
 	return float64(s.inUse+s.queue.Len()) / float64(max(s.share, 1))
 }
 
-// excess is how many calls have to end before a new one gets a slot of the share.
+// excess returns how many calls must end before a new call gets a slot of the share.
 func (s *slots) excess() int { return max(s.inUse+s.queue.Len()-s.share+1, 0) }
--- a/tier/policy/slots_test.go
+++ b/tier/policy/slots_test.go
@@ -25,7 +25,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			assert.Equal(t, tt.slots.allowed(), tt.allowed)
 			assert.Equal(t, tt.slots.excess(), tt.excess)
-			assert.Equal(t, tt.slots.queuedPerSlot(), tt.ahead)
+			assert.Equal(t, tt.slots.callsPerSlot(), tt.ahead)
 		})
 	}
 }
--- a/tier/policy/snapshot.go
+++ b/tier/policy/snapshot.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// candidateSnapshots is the number of snapshots, the newest first, that are compared for
-// one request.
+// candidateSnapshots is the number of snapshots, newest first, that are compared for a
+// request.
 const candidateSnapshots = 16
 
-// Plan resolves the replicas of each shard and picks the snapshot that covers
-// the most shards, the newest of those that cover as many. The snapshot is 0
-// if no upstream has stated what it holds.
+// Plan resolves the replicas of each shard and picks the snapshot that covers the most
+// shards, or the newest one of those that cover equally many. The snapshot is 0 if no
+// upstream has reported which ones it holds.
 func (f *Fleet) Plan(replicas [][]string) ([][]*Upstream, uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -24,8 +24,8 @@
 	return out, best(out, candidates)
 }
 
-// best returns the candidate that covers the most parts, the newest of several; 0 if
-// there is none.
+// best returns the candidate that covers the most parts, preferring newer ones; 0 if there
+// is no candidate.
 func best(parts [][]*Upstream, candidates []uint64) uint64 {
 	slices.Sort(candidates)
 	slices.Reverse(candidates)
--- a/tier/policy/stall.go
+++ b/tier/policy/stall.go
@@ -2,32 +2,36 @@
 
 import "time"
 
-// Constants of stalls. Without the rule, more gathers are partial.
+// Avoiding unresponsive upstreams reduces the number of incomplete gathers.
 const (
-	// stalledFactor is how many latencies may pass without any answer until an upstream is
-	// considered unresponsive.
+	// stalledFactor is the number of latencies without any answer after which an upstream
+	// is considered unresponsive.
 	stalledFactor = 2
-	// stalledLeast is the least such time; it also holds while the latency is not known.
+	// minStallTime is the minimum time without any answer. It also applies while the
+	// latency is unknown.
 	minStallTime = 10 * time.Millisecond
-	// stalledFor is how long an upstream is considered unresponsive while no call of this
-	// host waits there that could show otherwise. Pauses of upstreams take some 100 ms.
+	// assumedStallDuration is how long an upstream is considered unresponsive while this
+	// host has no call in progress that could show otherwise. It matches typical pauses of
+	// an upstream's process.
 	assumedStallDuration = 100 * time.Millisecond
-	// LingerDuration is how long a call goes on whose answer is not wanted any more; longer than
-	// upstreams pause, so that it shows the end of a pause without a probe. Without
-	// lingering calls worth falls by up to 0.011.
+	// LingerDuration is how long a call that is no longer needed may continue. It exceeds
+	// typical pauses of upstreams, so that the call shows the end of a pause without a
+	// probe.
 	LingerDuration = 300 * time.Millisecond
 )
 
-// stall detects an upstream that accepts calls and answers none for a moment, as
-// while its process pauses. It is called only if its shard has none but worse ones.
+// stall detects an upstream that accepts calls but temporarily answers none, for example
+// while its process is paused. Such an upstream is called only if its shard has no better
+// one.
 type stall struct {
-	// unansweredSince is when the first call was sent after the last answer came; 0 if
-	// no answer is pending.
+	// unansweredSince is when the first call after the latest answer was sent; 0 if no
+	// answer is pending.
 	unansweredSince time.Duration
-	// until is how long the upstream is considered unresponsive though no call of this
-	// host is pending there.
+	// until is when the upstream stops being considered unresponsive if this host has no
+	// call in progress there.
 	until time.Duration
-	// lingering is true while a call goes on to show when the upstream answers again.
+	// lingering is true while a call continues only to show when the upstream responds
+	// again.
 	lingering bool
 }
 
@@ -39,7 +43,7 @@
 
 func (s *stall) assumeStalled(now time.Duration) { s.until = now + assumedStallDuration }
 
-// answered notes an answer; pending is true if other calls wait for theirs.
+// answered records an answer. pending is true if other calls still wait for theirs.
 func (s *stall) answered(now time.Duration, pending bool) {
 	s.unansweredSince, s.until = 0, 0
 	if pending {
--- a/tier/policy/status_test.go
+++ b/tier/policy/status_test.go
@@ -45,12 +45,12 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := status{heardAt: never}
+			s := status{reportedAt: never}
 			for i, w := range tt.said {
 				s.update(time.Duration(i)*time.Second, w)
 			}
 			assert.Equal(t, s.window, tt.want)
-			assert.Equal(t, s.heardAt, time.Duration(len(tt.said)-1)*time.Second)
+			assert.Equal(t, s.reportedAt, time.Duration(len(tt.said)-1)*time.Second)
 		})
 	}
 }
--- a/tier/policy/statuses.go
+++ b/tier/policy/statuses.go
@@ -15,13 +15,13 @@
 	u.leaving = u.leaving || leaving
 }
 
-// SilentSince lists upstreams that have reported nothing since a time, at most limit of
-// them: the one whose status was read longest ago first.
+// SilentSince returns the names of upstreams that have reported nothing since a time, at
+// most limit of them, least recently read first.
 func (f *Fleet) SilentSince(since time.Duration, limit int) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	all := slices.Collect(maps.Values(f.upstreams))
-	all = slices.DeleteFunc(all, func(u *Upstream) bool { return u.status.heardAt > since })
+	all = slices.DeleteFunc(all, func(u *Upstream) bool { return u.status.reportedAt > since })
 	slices.SortFunc(all, func(a, b *Upstream) int {
 		return cmp.Or(cmp.Compare(a.status.readAt, b.status.readAt), cmp.Compare(a.Name, b.Name))
 	})
@@ -32,7 +32,7 @@
 	return out
 }
 
-// RecordStatusRead notes that an upstream's status is being read.
+// RecordStatusRead records that the status of an upstream is being read.
 func (f *Fleet) RecordStatusRead(now time.Duration, name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -41,7 +41,7 @@
 	}
 }
 
-// Leaving lists the upstreams known to leave.
+// Leaving returns the names of the upstreams known to be leaving.
 func (f *Fleet) Leaving() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/tier/policy/suspects.go
+++ b/tier/policy/suspects.go
@@ -8,36 +8,37 @@
 )
 
 const (
-	// suspectsMost is the number of requests that are remembered: with crashReportsMost
-	// each, they take about 1 MB.
+	// maxSuspects is the number of requests that are tracked. With maxCrashReports each,
+	// they take about 1 MB.
 	maxSuspects = 1024
-	// crashReportsMost is the number of crash reports that are remembered of a request.
+	// maxCrashReports is the number of crash reports that are kept per request.
 	maxCrashReports = 8
-	// MaxReports is the number of requests that hosts report to each other at once:
-	// 3 KB, less when compressed.
+	// MaxReports is the number of requests that a host reports to another in one message,
+	// about 3 KB before compression.
 	MaxReports = 16
 )
 
 type suspect struct {
-	// crashes has at most crashReportsMost items, each with its own ID.
+	// crashes has at most maxCrashReports items with unique IDs.
 	crashes []crash
-	// unsent is true while other hosts are to be sent it.
+	// unsent is true while the suspect must still be sent to other hosts.
 	unsent bool
 }
 
-// quarantine remembers the requests that crash upstreams. It belongs to the fleet
-// and is used with the fleet locked. What it holds is a set of crash reports that only
-// grows, each of which may be cleared once and expires: hosts that have exchanged their
-// reports agree, in whatever order they came.
+// quarantine tracks the requests that crash upstreams. It belongs to the fleet and is used
+// with the fleet locked. Its content is a grow-only set of crash reports, each of which may
+// be cleared once and expires. Hosts that have exchanged their reports therefore agree,
+// regardless of the order in which reports arrived.
 type quarantine struct {
-	// suspects has at most suspectsMost items.
+	// suspects has at most maxSuspects items.
 	suspects map[Fingerprint]*suspect
-	// notify is called when other hosts are to be sent reports, urgently if a request is
-	// refused from now on; it must not block.
+	// notify is called when reports must be sent to other hosts. urgent is true if a
+	// request has just become quarantined. It must not block.
 	notify func(urgent bool)
 }
 
-// suspect is what is remembered of a request; without crash reports if it is not known.
+// suspect returns the record of a request; one without crash reports if the request is not
+// tracked.
 func (q *quarantine) suspect(f Fingerprint) *suspect {
 	if s := q.suspects[f]; s != nil {
 		return s
@@ -45,19 +46,19 @@
 	return &suspect{}
 }
 
-// report takes in a crash that this host saw.
-func (q *quarantine) report(now time.Duration, of RequestIdentity, c CrashReport) {
-	c.Remaining, c.Caller = crashReportTTL, of.Caller
-	q.merge(now, &SuspectReport{Fingerprint: of.Fingerprint, Crashes: []CrashReport{c}})
+// report adds a crash that this host observed.
+func (q *quarantine) report(now time.Duration, id RequestIdentity, c CrashReport) {
+	c.Remaining, c.Caller = crashReportTTL, id.Caller
+	q.merge(now, &SuspectReport{Fingerprint: id.Fingerprint, Crashes: []CrashReport{c}})
 }
 
-// clear notes that an upstream has answered the request: what crashed others was
-// something else, or depends on the caller.
-func (q *quarantine) clear(of RequestIdentity) {
-	s := q.suspect(of.Fingerprint)
+// clear records that an upstream has answered the request. The crashes then had another
+// cause or depend on the caller.
+func (q *quarantine) clear(id RequestIdentity) {
+	s := q.suspect(id.Fingerprint)
 	for i := range s.crashes {
 		c := &s.crashes[i]
-		same := c.Caller == of.Caller
+		same := c.Caller == id.Caller
 		s.unsent = c.learn(same, !same) || s.unsent
 	}
 	q.notifyIfUnsent(s, false)
@@ -80,14 +81,15 @@
 	q.notifyIfUnsent(s, before != VerdictQuarantined && s.worstVerdict(now) == VerdictQuarantined)
 }
 
-// notifyOf has other hosts be sent what is known of a request, if they were not yet.
+// notifyIfUnsent requests that the record of a request is sent to other hosts, unless that
+// was done already.
 func (q *quarantine) notifyIfUnsent(s *suspect, urgent bool) {
 	if s.unsent && q.notify != nil {
 		q.notify(urgent)
 	}
 }
 
-// add takes one crash report in, and reports whether it was new.
+// add adds a crash report and reports whether anything changed.
 func (s *suspect) add(now time.Duration, c *CrashReport) bool {
 	left := min(c.Remaining, crashReportTTL)
 	i := slices.IndexFunc(s.crashes, func(o crash) bool { return o.ID == c.ID })
@@ -106,14 +108,15 @@
 	return true
 }
 
-// least is the crash report that matters least, and of such the oldest.
+// leastRelevant returns the crash report with the lowest weight, the oldest one among
+// equals.
 func (s *suspect) leastRelevant(now time.Duration) crash {
 	return slices.MinFunc(s.crashes, func(a, b crash) int {
 		return cmp.Or(cmp.Compare(a.weight(now), b.weight(now)), cmp.Compare(a.until, b.until))
 	})
 }
 
-// weight is how much a request matters: as much as the report that matters most.
+// weight returns the weight of a request, which is the highest weight of its reports.
 func (s *suspect) weight(now time.Duration) int {
 	out := weightNone
 	for i := range s.crashes {
@@ -130,7 +133,7 @@
 	return last
 }
 
-// report describes the crash reports that have not expired, cleared ones included.
+// report returns the crash reports that have not expired, including cleared ones.
 func (s *suspect) report(now time.Duration, f Fingerprint) SuspectReport {
 	out := SuspectReport{Fingerprint: f}
 	for i := range s.crashes {
@@ -142,9 +145,9 @@
 	return out
 }
 
-// makeRoom forgets the request that matters least, if there are as many as may be
-// remembered: one without reports that count, then one without an isolated crash, then
-// the one whose reports are oldest.
+// evictIfFull removes the least relevant request if maxSuspects requests are tracked: first
+// those without reports that count, then those without an isolated crash, then those with
+// the oldest reports.
 func (q *quarantine) evictIfFull(now time.Duration) {
 	if len(q.suspects) < maxSuspects {
 		return
@@ -153,14 +156,14 @@
 	delete(q.suspects, slices.MinFunc(known, func(a, b Fingerprint) int { return q.compare(now, a, b) }))
 }
 
-// compare orders requests by how much they matter, the least first.
+// compare orders requests by relevance, least relevant first.
 func (q *quarantine) compare(now time.Duration, a, b Fingerprint) int {
 	x, y := q.suspects[a], q.suspects[b]
 	return cmp.Or(cmp.Compare(x.weight(now), y.weight(now)), cmp.Compare(x.expiresAt(), y.expiresAt()), cmp.Compare(a, b))
 }
 
-// reports lists what is known of requests, what matters most first; with unsent only
-// what was not listed so before.
+// reports returns the reports of requests, most relevant first. With unsent set, it returns
+// only those that were not returned that way before.
 func (q *quarantine) reports(now time.Duration, unsent bool) []SuspectReport {
 	var all []Fingerprint
 	for f, s := range q.suspects {
@@ -182,38 +185,39 @@
 	return out
 }
 
-// OnCrashReports has a function called whenever other hosts are to be sent crash reports,
-// urgently if a request is refused from now on: its repeats may be on their way. It is
-// called with the fleet locked and must not block.
+// OnCrashReports sets the function that is called whenever crash reports must be sent to
+// other hosts. urgent is true if a request has just become quarantined, since repeats of it
+// may be on their way to other hosts. It is called with the fleet locked and must not
+// block.
 func (f *Fleet) OnCrashReports(notify func(urgent bool)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.quarantine.notify = notify
 }
 
-// HasSuspects reports whether any request is remembered.
+// HasSuspects reports whether any request is tracked.
 func (f *Fleet) HasSuspects() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.quarantine.suspects) > 0
 }
 
-// UnsentReports lists what other hosts are to be sent now, ReportsMost at most; the
-// rest is listed next time.
+// UnsentReports returns at most MaxReports reports that must be sent to other hosts now.
+// The rest is returned by the next call.
 func (f *Fleet) UnsentReports(now time.Duration) []SuspectReport {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.quarantine.reports(now, true)
 }
 
-// Reports lists what is known of the requests that matter most.
+// Reports returns the reports of the most relevant requests.
 func (f *Fleet) Reports(now time.Duration) []SuspectReport {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.quarantine.reports(now, false)
 }
 
-// MergeReports takes in what another host reported.
+// MergeReports merges reports from another host.
 func (f *Fleet) MergeReports(now time.Duration, reports []SuspectReport) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/tier/policy/suspicion.go
+++ b/tier/policy/suspicion.go
@@ -5,34 +5,35 @@
 	"time"
 )
 
-// suspectAfter is the number of upstreams that must crash while running a request, with
-// none having answered it, before the request is suspected of causing the crashes.
+// suspectAfter is the number of upstreams that must crash while running a request that none
+// has answered before the request is suspected of causing the crashes.
 const suspectAfter = 2
 
-// suspicion is what a run knows of whether its request crashes upstreams. Such a request
-// takes an upstream of each shard, and another with each retry. While it is suspected it
-// runs as isolated attempts, one upstream at a time, until one has answered.
+// suspicion tracks whether the request of a run crashes upstreams. Such a request takes
+// down an upstream of each shard, and another one with each retry. While it is suspected,
+// it runs as isolated attempts, on one upstream at a time, until one has answered.
 type suspicion struct {
-	// subject is what the request is remembered by; where its fingerprint is empty
-	// it is never suspected.
+	// identity identifies the request. It is never suspected if its fingerprint is empty.
 	identity RequestIdentity
 	// reported is true if the request had crash reports before the run.
 	reported bool
-	// crashes counts the upstreams that crashed under the run; lastCrashed is the last.
+	// crashes counts the upstreams that crashed during the run; lastCrashed is the name of
+	// the last one.
 	crashes     int
 	lastCrashed string
-	// isolatedTimeouts counts the isolated calls that took too long.
+	// isolatedTimeouts counts the isolated calls that timed out.
 	isolatedTimeouts int
 	// cleared is true once an upstream has answered.
 	cleared bool
-	// attemptID is what all crash reports of the run have in common; 0 before the first.
+	// attemptID is the ID that all crash reports of the run share; 0 before the first
+	// report.
 	attemptID uint64
 	// deferred counts the parts that wait for the answer of an isolated call.
 	deferred int
 }
 
-// open reports whether the request may still turn out to crash upstreams: it can be
-// remembered, and none has answered it.
+// open reports whether the request may still turn out to crash upstreams: it has a
+// fingerprint, and no upstream has answered it.
 func (s *suspicion) open() bool { return s.identity.Fingerprint != "" && !s.cleared }
 
 func (s *suspicion) countCrash(u *Upstream) {
@@ -40,14 +41,14 @@
 	s.lastCrashed = u.Name
 }
 
-// suspected reports whether the request may be one that crashes upstreams. It runs at
-// one of them at a time then.
+// suspected reports whether the request may crash upstreams and must therefore run on one
+// upstream at a time.
 func (r *Run) suspected() bool {
 	s := &r.suspicion
 	return s.open() && (s.reported || s.crashes >= suspectAfter)
 }
 
-// noteAnswer notes that an upstream has answered: the request crashes none.
+// recordAnswer records that an upstream has answered, which clears the request.
 func (r *Run) recordAnswer() {
 	if !r.suspicion.open() {
 		return
@@ -56,8 +57,9 @@
 	r.fleet.quarantine.clear(r.suspicion.identity)
 }
 
-// noteCrash notes that an upstream crashed while it may have run the request, and reports
-// whether the run is to end: the upstream ran nothing else of it.
+// recordCrash records that an upstream crashed while it may have run the request. It
+// reports whether the run must end, which is the case for an isolated attempt, since the
+// upstream ran no other call of the request.
 func (r *Run) recordCrash(now time.Duration, a *attempt) bool {
 	s := &r.suspicion
 	s.countCrash(a.upstream)
@@ -70,9 +72,9 @@
 	return a.isolated
 }
 
-// noteLateCrash notes that an upstream crashed under a call that is not wanted any more.
-// A run may end before any upstream does, where too few shards are left to be asked;
-// without this nothing would be learnt of its request then.
+// recordLateCrash records that an upstream crashed during a call that was no longer needed.
+// A run may end before any of its upstreams crashes because too few shards are left; the
+// crash would otherwise go unnoticed.
 func (r *Run) recordLateCrash(now time.Duration, a *attempt) {
 	s := &r.suspicion
 	if !s.open() {
@@ -86,8 +88,8 @@
 	}
 }
 
-// reportAtEnd reports a crash when the run ends, if all that is known of the request is
-// that an upstream crashed, and no call is in progress that might have shown more.
+// reportAtEnd reports a crash when the run ends, if a crash is the only evidence about the
+// request and no call in progress can add to it.
 func (r *Run) reportAtEnd(now time.Duration) {
 	s := &r.suspicion
 	if s.open() && s.attemptID == 0 && s.crashes > 0 && !r.hasCalls() {
@@ -105,5 +107,5 @@
 	})
 }
 
-// uniqueID draws a number above 0 that no other host draws.
+// uniqueID returns a random positive number that is unique among hosts.
 func (f *Fleet) uniqueID() uint64 { return 1 + uint64(f.random.IntN(math.MaxInt)) }
--- a/tier/policy/upstream.go
+++ b/tier/policy/upstream.go
@@ -2,41 +2,40 @@
 
 import "time"
 
-// Upstream is what this host knows about one upstream: what its own calls have shown,
-// what the upstream reports about itself, and what other hosts report about it. Each
-// matter is a type of its own. The fields belong to the fleet and are used with the
-// fleet locked.
+// Upstream is what this host knows about one upstream, from its own calls, from the
+// upstream's reports and from the reports of other hosts. The fields belong to the fleet
+// and are used with the fleet locked.
 type Upstream struct {
-	// Name is the name in the document or in the directory.
+	// Name is the name in the configuration document or in the directory.
 	Name string
-	// born is when its process started, as of Share; 0 if that is not known. A later one
-	// of the same name is another Upstream.
+	// startedMillis is when the process started, as in Share; 0 if unknown. A process that
+	// started later under the same name is a different Upstream.
 	startedMillis int64
-	// kind is what the two kinds of upstream do differently; never nil once Apply has
-	// registered the upstream.
+	// kind holds the behaviour that differs between the two kinds of upstream; never nil
+	// once Apply has registered the upstream.
 	kind *kind
-	// hall is its data hall, near is true if that is this host's; both are set for
-	// listed upstreams only.
+	// hall is the data hall, and near is true if it is the hall of this host. Both are set
+	// only for listed upstreams.
 	hall string
 	near bool
-	// leaving is true from the first sign that it leaves, from whatever source: it
-	// gets no new calls.
+	// leaving is true from the first sign, from any source, that the upstream is shutting
+	// down. It then gets no new calls.
 	leaving bool
-	// gone is true once another upstream answered at its address; its name never comes
-	// back, so that leaving stays true.
-	gone bool
+	// replaced is true once a different upstream answered at its address. Its name never
+	// returns, so leaving stays true.
+	replaced bool
 
-	// How many calls it gets.
+	// Limits on the number of calls.
 	slots slots
 	cold  cold
 
-	// Whether it is passed over.
+	// Reasons to avoid the upstream.
 	ejection ejection
 	backoff  backoff
 	outlier  outlier
 	stall    stall
 
-	// How it compares with others.
+	// Comparison with other upstreams.
 	latency   latency
 	condition condition
 	load      queueReport
@@ -53,8 +52,8 @@
 
 func (u *Upstream) stalled(now time.Duration) bool { return u.stall.active(now, u.latency.smoothed) }
 
-// linger reports whether a call whose answer is not wanted may go on, and notes that it
-// does; one does at a time, and none where calls queue.
+// tryLinger reports whether a call that is no longer needed may continue, and records it.
+// Only one call lingers at a time, and none while calls are queued at the upstream.
 func (u *Upstream) tryLinger() bool {
 	if !u.kind.lingers || u.stall.lingering || u.load.perSlot > 0 {
 		return false
@@ -63,9 +62,9 @@
 	return true
 }
 
-// eligible reports whether the upstream is as good as any for a call now. One that is
-// not is called only if its shard has no eligible one, and if it is leaving not at all.
-// An unresponsive upstream is eligible, with a worse score.
+// eligible reports whether the upstream is preferred for calls now. An upstream that is not
+// eligible is called only if its shard has no eligible one, and never if it is leaving. An
+// unresponsive upstream is eligible but has a worse score.
 func (u *Upstream) eligible(now time.Duration) bool {
 	switch {
 	case u.leaving, u.outlier.marked, u.ejection.active(now), u.backoff.active(now), u.cold.throttled(now):
--- a/tier/policy/upstream_test.go
+++ b/tier/policy/upstream_test.go
@@ -107,7 +107,7 @@
 	}
 	wait()
 	wait()
-	first.gone, first.leaving = true, true
+	first.replaced, first.leaving = true, true
 	first.ejection.failed(0)
 
 	NotifyGranted(f.Update(0, []Share{share}, nil))
