--- a/tier/policy/admit.go
+++ b/tier/policy/admit.go
@@ -28,7 +28,7 @@
 
 // admit decides whether a request may start. The class must be below its limit of requests
 // in flight, and enough parts must be expected within the share of the remaining time that
-// the worth per cost of the class allows. The fleet must be locked.
+// the worth per call of the class allows. The fleet must be locked.
 func (f *Fleet) admit(now time.Duration, q *RunConfig, rule admission) error {
 	class, parts := q.Class, float64(len(q.Replicas))
 	c := f.class(class.Name)
@@ -79,9 +79,9 @@
 
 // Shares of the remaining time that expected work may fill.
 const (
-	// minSlackShare applies to the requests with the lowest worth per cost.
+	// minSlackShare applies to the requests with the lowest worth per call.
 	minSlackShare = 0.2
-	// maxSlackShare applies to the requests with the highest worth per cost.
+	// maxSlackShare applies to the requests with the highest worth per call.
 	maxSlackShare = 0.75
 )
 
@@ -95,8 +95,8 @@
 
 func (admitDeadline) allow(slack time.Duration, _, _ float64) time.Duration { return slack }
 
-// admitWorth grants requests with a higher worth per cost a larger share of their remaining
-// time, so that overload sheds the requests with the lowest worth per cost first.
+// admitWorth grants requests with a higher worth per call a larger share of their remaining
+// time, so that overload sheds the requests with the lowest worth per call first.
 type admitWorth struct{}
 
 func (admitWorth) allow(slack time.Duration, worthPerCall, highest float64) time.Duration {
--- a/tier/policy/attempt.go
+++ b/tier/policy/attempt.go
@@ -108,7 +108,7 @@
 }
 
 // mayLinger reports whether an attempt that is no longer needed may continue: its upstream
-// must be near and the caller still connected.
+// must be near, the caller still connected, and the request repeatable and not suspected.
 func (r *Run) mayLinger(a *attempt) bool {
 	return a.upstream.near && r.request.Repeatable && !r.callerGone && !r.suspected() && a.upstream.tryLinger()
 }
--- a/tier/policy/condition.go
+++ b/tier/policy/condition.go
@@ -40,7 +40,7 @@
 type hallConditions struct {
 	// reported holds the upstreams that perform worse than others; the rest perform well.
 	reported map[string]Condition
-	// at is when the report arrived; never before the first report.
+	// at is when the report arrived; set to never until the first report.
 	at time.Duration
 }
 
--- a/tier/policy/crashreport.go
+++ b/tier/policy/crashreport.go
@@ -55,10 +55,10 @@
 	return !c.Cleared && now < c.until && (!c.CallerOnly || c.Caller == caller)
 }
 
-func (c *crash) learn(cleared, callerOnly bool) bool {
-	isNew := cleared && !c.Cleared || callerOnly && !c.CallerOnly
+func (c *crash) merge(cleared, callerOnly bool) bool {
+	changed := cleared && !c.Cleared || callerOnly && !c.CallerOnly
 	c.Cleared, c.CallerOnly = c.Cleared || cleared, c.CallerOnly || callerOnly
-	return isNew
+	return changed
 }
 
 // Weights of crash reports. Reports with the lowest weight are evicted first.
--- a/tier/policy/fingerprint.go
+++ b/tier/policy/fingerprint.go
@@ -41,6 +41,6 @@
 // writeField hashes a field, or its start, prefixed with its full length, so that different
 // lists of fields never produce the same bytes.
 func writeField(h hash.Hash, length int, field []byte) {
-	_, _ = h.Write(binary.BigEndian.AppendUint64(nil, uint64(length))) // a hash takes all
+	_, _ = h.Write(binary.BigEndian.AppendUint64(nil, uint64(length))) // hash.Hash never fails
 	_, _ = h.Write(field)
 }
--- a/tier/policy/finish.go
+++ b/tier/policy/finish.go
@@ -8,8 +8,8 @@
 )
 
 type progress struct {
-	// parts is the total number of parts. open counts those that are neither included nor
-	// missing, and included those that are part of the answer.
+	// parts is the total number of parts, open the number of parts that are neither
+	// included nor missing yet, and included the number of parts in the answer.
 	parts, open, included int
 }
 
--- a/tier/policy/pool.go
+++ b/tier/policy/pool.go
@@ -9,8 +9,8 @@
 const (
 	// minPoolLatency is the lowest recorded latency, in microseconds.
 	minPoolLatency = 1
-	// maxPoolLatency is the highest recorded latency, in microseconds. Requests take less
-	// than a minute.
+	// maxPoolLatency is the highest recorded latency, in microseconds. A minute is longer
+	// than any request takes.
 	maxPoolLatency = 60_000_000
 	// poolDigits is the number of significant digits of a latency in the histogram, 1 to 5.
 	poolDigits = 2
--- a/tier/policy/retrybudget.go
+++ b/tier/policy/retrybudget.go
@@ -34,7 +34,7 @@
 	// Ratio is how many retries one request earns.
 	Ratio float64
 	// Depth is how many earned retries may be saved up. It also limits the calls beyond the
-	// first that a host may make within Window without having earned them.
+	// first, earned or not, that a host may make within Window before it needs earned ones.
 	Depth float64
 	// Window is the interval in which a group counts calls beyond the first; 0 for a host
 	// that may only spend saved retries.
@@ -120,9 +120,9 @@
 
 // takeReserve pays for a retry from the reserve. It succeeds if everything spent within the
 // window, plus this retry and the saved ones, stays within this host's share of the slack.
-// Earned retries add to that only once per request: if each host derived its limit from its
-// requests within a window, each would spend at its own peak, and the peaks do not
-// coincide.
+// Earned retries come on top of that and are credited once per request. A limit based on
+// the number of requests within a window would let every host spend according to its own
+// peak, although not all hosts peak at once.
 func (f *Fleet) takeReserve(now time.Duration, group string, b *groupRetries) bool {
 	budget := f.retryBudgets.of(group)
 	if budget.Window <= 0 {
--- a/tier/policy/run.go
+++ b/tier/policy/run.go
@@ -45,7 +45,7 @@
 	// attempts holds all attempts of the run. An attempt is identified by its index.
 	attempts []attempt
 	progress progress
-	times    wakeTimes
+	times    runTimes
 	// finished is true once ActionFinish was issued or the request was refused.
 	finished   bool
 	callerGone bool
@@ -54,7 +54,7 @@
 	suspicion suspicion
 }
 
-type wakeTimes struct {
+type runTimes struct {
 	// begun is when the request was admitted.
 	begun time.Duration
 	// patience is when an answer with the required coverage is returned although parts are
@@ -96,8 +96,8 @@
 func (r *Run) Begin(now time.Duration) ([]Action, error) {
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
-	subject := r.suspicion.identity
-	verdict, left := r.fleet.quarantine.suspect(subject.Fingerprint).verdict(now, subject.Caller)
+	id := r.suspicion.identity
+	verdict, left := r.fleet.quarantine.suspect(id.Fingerprint).verdict(now, id.Caller)
 	if verdict == VerdictQuarantined {
 		r.finished = true
 		return nil, &Refusal{Reason: ReasonQuarantined, RetryAfter: left}
@@ -124,7 +124,7 @@
 	a := &r.attempts[n]
 	if r.finished || a.phase != phaseQueued || r.parts[a.part].closed || now >= r.request.Deadline {
 		a.phase = phaseDone
-		return r.freeSlot(n)
+		return r.releaseSlot(n)
 	}
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
@@ -134,16 +134,16 @@
 		a.phase = phaseDone
 		p := &r.parts[a.part]
 		p.active = removeFirst(p.active, n)
-		return r.finishIfDone(now, append(r.freeSlot(n), r.failed(now, a.part, CallLeaving)...))
+		return r.finishIfDone(now, append(r.releaseSlot(n), r.failed(now, a.part, CallLeaving)...))
 	}
 	if r.deferGranted(n) {
-		return r.finishIfDone(now, r.freeSlot(n))
+		return r.finishIfDone(now, r.releaseSlot(n))
 	}
 	r.leaveQueues(a.part, n)
 	return r.finishIfDone(now, r.send(now, n, nil))
 }
 
-func (r *Run) freeSlot(n int) []Action {
+func (r *Run) releaseSlot(n int) []Action {
 	a := &r.attempts[n]
 	return []Action{{Kind: ActionReleaseSlot, Attempt: n, Part: a.part, Upstream: a.upstream}}
 }
--- a/tier/policy/status.go
+++ b/tier/policy/status.go
@@ -21,9 +21,10 @@
 // was read.
 type status struct {
 	window SnapshotRange
-	// reportedAt is when the upstream last reported anything; never before the first report.
+	// reportedAt is when the upstream last reported anything; set to never until the first
+	// report.
 	reportedAt time.Duration
-	// readAt is when its status was last read; never before the first time.
+	// readAt is when its status was last read; set to never until the first time.
 	readAt time.Duration
 }
 
--- a/tier/policy/suspects.go
+++ b/tier/policy/suspects.go
@@ -59,7 +59,7 @@
 	for i := range s.crashes {
 		c := &s.crashes[i]
 		same := c.Caller == id.Caller
-		s.unsent = c.learn(same, !same) || s.unsent
+		s.unsent = c.merge(same, !same) || s.unsent
 	}
 	q.notifyIfUnsent(s, false)
 }
@@ -95,7 +95,7 @@
 	i := slices.IndexFunc(s.crashes, func(o crash) bool { return o.ID == c.ID })
 	switch {
 	case i >= 0:
-		return s.crashes[i].learn(c.Cleared, c.CallerOnly)
+		return s.crashes[i].merge(c.Cleared, c.CallerOnly)
 	case left <= 0:
 		return false
 	}
