--- a/tier/policy/admit_test.go
+++ b/tier/policy/admit_test.go
@@ -27,5 +27,5 @@
 			assert.Equal(t, tt.rule.allow(slack, tt.density, tt.top).Round(time.Microsecond), tt.want)
 		})
 	}
-	assert.Assert(t, admitAll{}.allow(0, 0, 0) > 24*time.Hour, "no request is refused")
+	assert.Assert(t, admitAll{}.allow(0, 0, 0) > 24*time.Hour, "every request must be admitted")
 }
--- a/tier/policy/borrowing_test.go
+++ b/tier/policy/borrowing_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestBorrowing(t *testing.T) {
-	// A step is so many calls that are not shed; 0 is one that is.
+	// A step is a number of calls that are not shed; 0 is a call that is shed.
 	const shed = 0
 	tests := []struct {
 		name           string
@@ -42,7 +42,8 @@
 	}
 }
 
-// TestBorrowingIsNotDelayedForEver has an upstream shed whenever a slot is borrowed.
+// TestBorrowingIsNotDelayedForEver checks the cap on the calls needed when the upstream
+// sheds after each borrowed slot.
 func TestBorrowingIsNotDelayedForEver(t *testing.T) {
 	b := borrowing{}
 	for range 20 {
--- a/tier/policy/budget_test.go
+++ b/tier/policy/budget_test.go
@@ -36,11 +36,9 @@
 	}
 }
 
-// TestWeakHostsHedgeRequestsToSingleUpstreams replays 12 strong and 48 weak hosts
-// with ten requests a second to single upstreams among them, of which one in twenty
-// meets a slow one and wants a hedge. Divided among all hosts alike, the slack lets
-// 99% of these through, and never more than the group allows; divided as that of
-// shards, of which coordinators have four fifths, 71%.
+// TestWeakHostsHedgeRequestsToSingleUpstreams guards against too small retry budgets for
+// groups that are not shards. If coordinators got most of their slack, as for shards, weak
+// hosts could make few hedges.
 func TestWeakHostsHedgeRequestsToSingleUpstreams(t *testing.T) {
 	const (
 		strong, weak = 12, 48
@@ -65,29 +63,29 @@
 			hosts = append(hosts, f)
 		}
 		var taken []time.Duration
-		asked := 0
+		requested := 0
 		for now := time.Duration(0); now < 10*time.Minute; now += time.Duration(r.ExpFloat64() * float64(time.Second) / perSecond) {
 			f := hosts[r.IntN(len(hosts))]
 			f.earnRetry("Single")
 			if r.Float64() >= wanted {
 				continue
 			}
-			asked++
+			requested++
 			if f.takeRetry(0, "Single") {
 				taken = append(taken, now)
 			}
 		}
-		return float64(len(taken)) / float64(asked), mostWithin(taken, window), ratio*perSecond*window.Seconds() + slack
+		return float64(len(taken)) / float64(requested), mostWithin(taken, window), ratio*perSecond*window.Seconds() + slack
 	}
 	asShards, _, _ := replay(func(own int) float64 { return RetryBudgetDivisor(own, capacities[1:]) })
-	alike, most, bound := replay(func(int) float64 { return strong + weak })
-	t.Logf("hedges let through: %.2f divided as that of shards, %.2f among all alike; %d of %.0f in %s", asShards, alike, most, bound, window)
-	assert.Assert(t, alike > 0.95 && asShards < 0.8)
+	equal, most, bound := replay(func(int) float64 { return strong + weak })
+	t.Logf("share of hedges allowed: %.2f with the slack divided as for shards, %.2f with equal shares; at most %d of %.0f within %s", asShards, equal, most, bound, window)
+	assert.Assert(t, equal > 0.95 && asShards < 0.8)
 	assert.Assert(t, float64(most) <= bound)
 }
 
-// TestRetryBudgetsGoByGroup has a fleet with room at single upstreams only.
-func TestRetryBudgetsGoByGroup(t *testing.T) {
+// TestRetryBudgetPerGroup checks that each group uses the budget of its kind.
+func TestRetryBudgetPerGroup(t *testing.T) {
 	f := NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(1, 2))})
 	f.SetRetryBudgets(RetryBudgets{Single: RetryBudget{Ratio: 1, Depth: 10}, IsShard: map[string]bool{"Shard": true}})
 	for range 10 {
@@ -97,5 +95,5 @@
 	assert.Assert(t, !f.takeRetry(0, "Shard"))
 	assert.Assert(t, f.takeRetry(0, "Single"))
 	f.SetRetryBudgets(RetryBudgets{IsShard: map[string]bool{"Shard": true}})
-	assert.Assert(t, !f.takeRetry(0, "Single"), "what was saved up beyond the new depth is lost")
+	assert.Assert(t, !f.takeRetry(0, "Single"), "saved retries beyond the new depth are lost")
 }
--- a/tier/policy/choose_test.go
+++ b/tier/policy/choose_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestScoresKeepTheirTiers has the worst of each tier beat the best of the next.
-func TestScoresKeepTheirTiers(t *testing.T) {
+// TestScoreTiers checks that the worst score of each tier beats the best of the next.
+func TestScoreTiers(t *testing.T) {
 	const now = time.Minute
 	later := now + time.Second
 	slow := latency{smoothed: 5 * time.Second, samples: 1}
@@ -36,9 +36,9 @@
 	}
 }
 
-// TestLeastLatencyCountsWhatDelaysACall compares upstreams that differ in one thing by
-// more than the jitter.
-func TestLeastLatencyCountsWhatDelaysACall(t *testing.T) {
+// TestLeastLatencyFactors compares upstreams that differ in a single factor by more than
+// the jitter.
+func TestLeastLatencyFactors(t *testing.T) {
 	const now = time.Minute
 	near := func(change func(u *Upstream)) Upstream {
 		u := Upstream{near: true, condition: condition{observedAt: now}}
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestUnseenUpstreamIsAskedAgain has an upstream that was slow not be called for a
-// while: it scores better than one that is known to be as slow.
+// TestUnseenUpstreamIsAskedAgain checks that an upstream that was slow scores better once
+// the observation is old.
 func TestUnseenUpstreamIsAskedAgain(t *testing.T) {
 	const now = time.Minute
 	r, p := rand.New(rand.NewPCG(1, 0)), newPool(poolWindow)
--- a/tier/policy/cold_test.go
+++ b/tier/policy/cold_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// coldFleet is a fleet with one cold upstream of this host's hall.
+// coldFleet returns a fleet with one cold upstream in this host's hall.
 func coldFleet(calls int) (*Fleet, *Upstream) {
 	f := NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(1, 2))})
 	share := Share{Name: "U", Slots: 100, Listed: true, Hall: "A", Near: true, Cold: Cold{Remaining: 10 * time.Second, Revision: 1, CallLimit: calls}}
@@ -33,19 +33,19 @@
 func TestOnlyTheOwnerCallsAColdUpstream(t *testing.T) {
 	f, u := coldFleet(11)
 	now := time.Minute
-	assert.Assert(t, !f.AdmitCold(now, u), "nobody owns it")
+	assert.Assert(t, !f.AdmitCold(now, u), "the upstream has no owner")
 	f.SetColdOwners("Self", map[string]string{"U": "Other"})
 	assert.Assert(t, !f.AdmitCold(now, u))
 	assert.Equal(t, f.DestinationOf(now, u), Destination{Hall: "A", Owner: "Other"})
 	f.SetColdOwners("Self", map[string]string{"U": "Self"})
 	assert.Assert(t, f.AdmitCold(now, u))
-	assert.Assert(t, f.AdmitCold(now+10*time.Second, u), "it has warmed up")
+	assert.Assert(t, f.AdmitCold(now+10*time.Second, u), "the upstream has warmed up")
 	assert.Equal(t, f.DestinationOf(now+10*time.Second, u), Destination{Hall: "A"})
 }
 
-// TestOwnerKeepsToWhatAColdUpstreamCanHandle loads an owner: within any second it
-// sends no more than its part of the bound, and as much as that.
-func TestOwnerKeepsToWhatAColdUpstreamCanHandle(t *testing.T) {
+// TestColdOwnerStaysWithinLimit checks that an owner under load sends as many calls as its
+// limit allows, and no more.
+func TestColdOwnerStaysWithinLimit(t *testing.T) {
 	f, u := coldFleet(11)
 	f.SetColdOwners("Self", map[string]string{"U": "Self"})
 	var sent []time.Duration
@@ -58,7 +58,7 @@
 	assert.Assert(t, len(sent) >= 9*(11/maxColdOwners)-1, "%d sent", len(sent))
 }
 
-// mostWithin is the largest number of times within any span; they are in order.
+// mostWithin returns the largest number of times within any span. The times must be sorted.
 func mostWithin(at []time.Duration, span time.Duration) int {
 	most := 0
 	for i := range at {
@@ -71,7 +71,7 @@
 	return most
 }
 
-func TestColdStateFollowsItsEntry(t *testing.T) {
+func TestColdUpdate(t *testing.T) {
 	second := time.Second
 	tests := []struct {
 		name    string
@@ -113,19 +113,19 @@
 	assert.Equal(t, ColdOwner("U", nil), "")
 }
 
-// divider says whether a host may send to a cold upstream now.
-type divider interface {
+// coldLimiter decides whether a host may send a call to a cold upstream now.
+type coldLimiter interface {
 	admit(host int, now time.Duration) bool
 }
 
-// evenShare gives each host an even part of the bound, saved up to one request.
-type evenShare struct {
+// evenLimiter gives each host an even share of the limit and saves up at most one call.
+type evenLimiter struct {
 	each   float64
 	tokens []float64
 	at     []time.Duration
 }
 
-func (e *evenShare) admit(host int, now time.Duration) bool {
+func (e *evenLimiter) admit(host int, now time.Duration) bool {
 	e.tokens[host] = min(e.tokens[host]+e.each*(now-e.at[host]).Seconds(), 1)
 	e.at[host] = now
 	if e.tokens[host] < 1 {
@@ -135,50 +135,50 @@
 	return true
 }
 
-// byChance lets each request through by chance, so that a third of the bound is
-// used on average at the load that it knows of.
-type byChance struct {
+// randomLimiter admits calls at random so that on average a third of the limit is used at
+// the known load.
+type randomLimiter struct {
 	random *rand.Rand
 	part   float64
 }
 
-func (b *byChance) admit(int, time.Duration) bool { return b.random.Float64() < b.part }
+func (r *randomLimiter) admit(int, time.Duration) bool { return r.random.Float64() < r.part }
 
-// byOwner is what ColdOwner and AdmitCold do together: any host hands its requests
-// to the owner.
-type byOwner struct {
+// ownerLimiter uses AdmitCold: every host relays its calls through the owner.
+type ownerLimiter struct {
 	fleet    *Fleet
 	upstream *Upstream
 }
 
-func (b *byOwner) admit(_ int, now time.Duration) bool { return b.fleet.AdmitCold(now, b.upstream) }
+func (o *ownerLimiter) admit(_ int, now time.Duration) bool {
+	return o.fleet.AdmitCold(now, o.upstream)
+}
 
-// TestWaysToDivideAColdUpstream loads a cold upstream from many hosts with five
-// times what it can handle, all at once at first as after a loss of power: the seconds in
-// which it gets too much, and the part of the bound that is used. The owner alone
-// keeps the bound at any number of hosts.
-func TestWaysToDivideAColdUpstream(t *testing.T) {
+// TestColdCallLimitAcrossHosts compares ways to divide the call limit of a cold upstream
+// among hosts at five times the load it allows, starting with a burst as after a power
+// failure. The owner must stay within the limit for any number of hosts.
+func TestColdCallLimitAcrossHosts(t *testing.T) {
 	const (
 		bound = 11
 		lasts = 8 * time.Second
 		load  = 5 * bound
 	)
 	for _, hosts := range []int{8, 60, 300, 1000} {
-		ways := map[string]func() divider{
-			"even share": func() divider {
-				e := &evenShare{each: float64(bound) / float64(hosts), tokens: make([]float64, hosts), at: make([]time.Duration, hosts)}
+		ways := map[string]func() coldLimiter{
+			"even share": func() coldLimiter {
+				e := &evenLimiter{each: float64(bound) / float64(hosts), tokens: make([]float64, hosts), at: make([]time.Duration, hosts)}
 				for i := range e.tokens {
 					e.tokens[i], e.at[i] = 1, time.Minute
 				}
 				return e
 			},
-			"chance": func() divider {
-				return &byChance{random: rand.New(rand.NewPCG(3, uint64(hosts))), part: bound / 3.0 / load}
+			"chance": func() coldLimiter {
+				return &randomLimiter{random: rand.New(rand.NewPCG(3, uint64(hosts))), part: bound / 3.0 / load}
 			},
-			"owner": func() divider {
+			"owner": func() coldLimiter {
 				f, u := coldFleet(bound)
 				f.SetColdOwners("Self", map[string]string{"U": "Self"})
-				return &byOwner{fleet: f, upstream: u}
+				return &ownerLimiter{fleet: f, upstream: u}
 			},
 		}
 		for name, make := range ways {
@@ -192,7 +192,7 @@
 			}
 			most := mostWithin(sent, coldWindow)
 			used := float64(len(sent)) / lasts.Seconds() / bound
-			t.Logf("%4d hosts, %-10s: at most %2d in a second of %d allowed, %.2f of the bound used", hosts, name, most, bound, used)
+			t.Logf("%4d hosts, %-10s: at most %2d calls per second of %d allowed, %.2f of the limit used", hosts, name, most, bound, used)
 			if name == "owner" {
 				assert.Assert(t, most <= bound/maxColdOwners && used > 0.4)
 			}
--- a/tier/policy/condition_test.go
+++ b/tier/policy/condition_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestWhatIsWorthReporting(t *testing.T) {
+func TestWorthReporting(t *testing.T) {
 	const now = time.Minute
 	tests := []struct {
 		name      string
--- a/tier/policy/conditions_test.go
+++ b/tier/policy/conditions_test.go
@@ -8,10 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestConditionsAreReportedAndBelieved has a near host see that one of its upstreams
-// is slow. A far host that gets the report passes it over without a call of its own,
-// and comes back once it is not reported any more.
-func TestConditionsAreReportedAndBelieved(t *testing.T) {
+// TestConditionReportsAffectOtherHosts checks that a far host avoids an upstream that a
+// near host reports as slow, and returns to it once it is no longer reported.
+func TestConditionReportsAffectOtherHosts(t *testing.T) {
 	near := routedFleet(4, RetryBudget{})
 	pool, _ := near.RoutedLatencyPools("Find")
 	finish := func(f *Fleet, name string, took time.Duration) {
@@ -44,9 +43,9 @@
 	assert.Equal(t, first(time.Second+conditionTTL+1), "N1", "an old report is not believed")
 }
 
-// TestWhatIsNotReportedDoesWell has a host that saw an upstream slow learn from one
-// that sees more of its calls that it does well.
-func TestWhatIsNotReportedDoesWell(t *testing.T) {
+// TestUnreportedUpstreamPerformsWell checks that a host lowers its own estimate of an
+// upstream that the upstream's hall does not report.
+func TestUnreportedUpstreamPerformsWell(t *testing.T) {
 	f := routedFleet(1, RetryBudget{})
 	u := f.Find("F0")
 	u.condition.slowness, u.latency.samples, u.condition.observedAt = 20, 5, 0
--- a/tier/policy/coordinator_test.go
+++ b/tier/policy/coordinator_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// TestHostsSpreadOverCoordinators has 300 hosts choose among three.
+// TestHostsSpreadOverCoordinators checks how 300 hosts spread over three coordinators.
 func TestHostsSpreadOverCoordinators(t *testing.T) {
 	all := []Candidate{{Host: "A", Capacity: 426}, {Host: "B", Capacity: 426}, {Host: "C", Capacity: 426}}
 	chosen := map[string]int{}
@@ -69,9 +69,9 @@
 	}
 }
 
-// TestRetrySharesStayWithinTheSlack adds up what all hosts take of the slack, in
-// fleets of hosts alike and of several strengths.
-func TestRetrySharesStayWithinTheSlack(t *testing.T) {
+// TestRetryBudgetDivisorsStayWithinSlack checks that the shares of all hosts add up to the
+// slack, for equal and for mixed capacities.
+func TestRetryBudgetDivisorsStayWithinSlack(t *testing.T) {
 	fleets := map[string][]int{
 		"one":     {1000},
 		"alike":   {400, 400, 400, 400, 400, 400, 400},
--- a/tier/policy/doc_test.go
+++ b/tier/policy/doc_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestDocNamesAllFiles holds the map of files in the package comment to those that there
-// are.
+// TestDocNamesAllFiles checks that the package comment lists exactly the files of the
+// package.
 func TestDocNamesAllFiles(t *testing.T) {
 	comment, err := os.ReadFile("doc.go")
 	assert.NilError(t, err)
--- a/tier/policy/fingerprint_test.go
+++ b/tier/policy/fingerprint_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestFingerprint changes one thing of a request at a time.
+// TestFingerprint changes one part of a request at a time.
 func TestFingerprint(t *testing.T) {
 	sample := func() *RequestContent {
 		return &RequestContent{
--- a/tier/policy/hedge_test.go
+++ b/tier/policy/hedge_test.go
@@ -7,7 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestDecideHedge has the one call of a routed part, at two upstreams, take long.
+// TestDecideHedge checks the decision for a routed part with two upstreams whose only call
+// is slow.
 func TestDecideHedge(t *testing.T) {
 	tests := []struct {
 		name     string
--- a/tier/policy/latency_test.go
+++ b/tier/policy/latency_test.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// TestLatencyFollows has calls take longer from one moment on: later ones count for
-// the weight of the smoothing.
-func TestLatencyFollows(t *testing.T) {
+// TestLatencyFollowsChange checks the cap and the weight of a call that takes longer than
+// all previous ones.
+func TestLatencyFollowsChange(t *testing.T) {
 	const ms = time.Millisecond
 	l := latency{}
 	for range 100 {
--- a/tier/policy/layers_test.go
+++ b/tier/policy/layers_test.go
@@ -14,19 +14,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// layers names the files of the package from the lowest layer up; those not named are
-// the top one, the run of a request. A file uses nothing of a higher layer, so that it
-// can be read without it.
+// layers lists the files of the package from the lowest layer up. Files that are not listed
+// form the top layer, the run of a request. A file uses nothing from a higher layer, so
+// that it can be read without it.
 var layers = [][]string{
-	// What a call can end as, and single matters of an upstream.
+	// Outcomes of calls and the individual aspects of an upstream.
 	{
 		"outcome.go", "kind.go", "ejection.go", "backoff.go", "outlier.go", "stall.go",
 		"cold.go", "borrowing.go", "limit.go", "latency.go", "condition.go", "load.go", "status.go", "pool.go",
 	},
-	// An upstream, which composes them, and the calls that wait for its slots.
+	// An upstream, composed of these aspects, and the calls that wait for its slots.
 	{"slots.go", "queue.go", "upstream.go", "learn.go"},
-	// What a host knows of all upstreams and of all requests, and the rules that go by
-	// it.
+	// The state of all upstreams and requests on a host, and the rules based on it.
 	{
 		"fleet.go", "calls.go", "statuses.go", "conditions.go", "coldowner.go", "snapshot.go", "coordinator.go",
 		"placement.go", "margin.go", "plugin.go", "choose.go", "budget.go", "recent.go", "retrybudget.go",
@@ -34,7 +33,7 @@
 	},
 }
 
-// TestLayers lists uses of a higher layer.
+// TestLayers reports uses of a higher layer.
 func TestLayers(t *testing.T) {
 	names, err := filepath.Glob("*.go")
 	assert.NilError(t, err)
@@ -71,12 +70,12 @@
 	assert.Assert(t, found > 1000, "%d uses found", found)
 	for _, l := range layers {
 		for _, n := range l {
-			assert.Check(t, slices.Contains(names, n), "%s is no file of the package", n)
+			assert.Check(t, slices.Contains(names, n), "%s is not a file of the package", n)
 		}
 	}
 }
 
-// noImports leaves imported packages out: only uses within the package count.
+// noImports fails every import, since only uses within the package count.
 type noImports struct{}
 
 var _ types.Importer = noImports{}
--- a/tier/policy/learn_test.go
+++ b/tier/policy/learn_test.go
@@ -9,10 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestWhatAnOutcomeShows lists for each outcome of a call, and each kind of upstream,
-// what is learnt of an upstream that was in backoff, had failed and was considered
-// unresponsive.
-func TestWhatAnOutcomeShows(t *testing.T) {
+// TestLearnFromOutcome lists what each outcome changes for each kind of upstream, starting
+// from an unresponsive upstream in backoff with one failure.
+func TestLearnFromOutcome(t *testing.T) {
 	tests := []struct {
 		outcome          CallOutcome
 		declared, listed string
@@ -37,14 +36,14 @@
 	for _, tt := range tests {
 		for k, want := range map[*kind]string{&declaredKind: tt.declared, &listedKind: tt.listed} {
 			t.Run(fmt.Sprint(tt.outcome, k == &listedKind), func(t *testing.T) {
-				assert.Equal(t, shownBy(tt.outcome, k), want)
+				assert.Equal(t, learntChanges(tt.outcome, k), want)
 			})
 		}
 	}
 }
 
-// shownBy names what one call, the only one under way, changes of an upstream.
-func shownBy(o CallOutcome, k *kind) string {
+// learntChanges names the changes to an upstream after its only call in progress.
+func learntChanges(o CallOutcome, k *kind) string {
 	const now = time.Minute
 	u := Upstream{
 		kind: k, slots: slots{share: 4, ceiling: 4, inUse: 1}, ejection: ejection{failures: 1},
@@ -71,9 +70,9 @@
 	return strings.Join(out, " ")
 }
 
-// TestCallsOfOtherHostsShowNoStall has a call that another host made end without an
-// answer: it may be that host which does not answer.
-func TestCallsOfOtherHostsShowNoStall(t *testing.T) {
+// TestRelayedCallsDoNotMarkStalled checks that a call relayed by another host does not mark
+// the upstream as stalled, since the other host may be the one that does not answer.
+func TestRelayedCallsDoNotMarkStalled(t *testing.T) {
 	u := Upstream{kind: &listedKind}
 	u.learn(time.Minute, Call{Upstream: &u, Pool: newPool(poolWindow), Outcome: CallLost, Relayed: true})
 	assert.Assert(t, !u.stalled(time.Minute))
--- a/tier/policy/load_test.go
+++ b/tier/policy/load_test.go
@@ -30,7 +30,8 @@
 	}
 }
 
-// TestQueueReportOutlastsAnswersWithoutOne has an answer come without a report.
+// TestQueueReportOutlastsAnswersWithoutOne checks that an answer without a report keeps the
+// previous report.
 func TestQueueReportOutlastsAnswersWithoutOne(t *testing.T) {
 	q := queueReport{}
 	q.update(time.Minute, Load{Waiting: 4, Slots: 4})
--- a/tier/policy/margin_test.go
+++ b/tier/policy/margin_test.go
@@ -18,6 +18,6 @@
 	for i := range 100 {
 		m.Observe(time.Duration(10+20*(i%2)) * ms)
 	}
-	// Half of the answers take 30 ms: the margin holds them.
+	// Half of the durations are 30 ms, which the margin must cover.
 	assert.Assert(t, m.Estimate() >= 30*ms && m.Estimate() < 50*ms, m.Estimate())
 }
--- a/tier/policy/outlier_test.go
+++ b/tier/policy/outlier_test.go
@@ -32,9 +32,9 @@
 	}
 }
 
-func TestOutlierIsProbedNowAndThen(t *testing.T) {
+func TestOutlierProbeInterval(t *testing.T) {
 	o := outlier{}
-	assert.Assert(t, !o.probeDue(time.Second), "it is no outlier")
+	assert.Assert(t, !o.probeDue(time.Second), "the upstream is not an outlier")
 	o.marked = true
 	assert.Assert(t, o.probeDue(time.Second))
 	o.probed(time.Second)
--- a/tier/policy/placement_test.go
+++ b/tier/policy/placement_test.go
@@ -12,10 +12,10 @@
 	"loomgap/tier/query"
 )
 
-// TestNoDecisionLeavesTheHomes draws regions, upstreams, evacuations and homes: no
-// upstream and no host is chosen that lies elsewhere, none that is usable is left out,
-// and where none is, the reason is one that holds.
-func TestNoDecisionLeavesTheHomes(t *testing.T) {
+// TestPlacementStaysWithinHomes checks with random regions, upstreams, evacuations and
+// homes that exactly the allowed upstreams and hosts are returned, with a reason if there
+// is no upstream.
+func TestPlacementStaysWithinHomes(t *testing.T) {
 	halls := []string{"A", "B", "C", "D", ""}
 	rapid.Check(t, func(t *rapid.T) {
 		regions := config.Regions{}
@@ -55,7 +55,7 @@
 	})
 }
 
-func TestBarrierNamesItsReason(t *testing.T) {
+func TestDenyReason(t *testing.T) {
 	d, _ := (*config.Directory)(nil).With(&config.DirectoryChange{Revision: 1, Evacuated: []config.Evacuation{{Hall: "B", Revision: 1}}})
 	p := Placement{Regions: config.Regions{"A": "East", "B": "East", "C": "West"}, Directory: d}
 	tests := []struct {
--- a/tier/policy/pool_test.go
+++ b/tier/policy/pool_test.go
@@ -20,8 +20,8 @@
 	assert.Assert(t, near(p.median(), 20*ms), p.median())
 }
 
-// TestPoolDropsOldLatencies has calls take longer from one moment on: the quantiles
-// are those of the calls before until a part of the new window has come.
+// TestPoolDropsOldLatencies checks that quantiles come from the previous window until part
+// of the new one has arrived.
 func TestPoolDropsOldLatencies(t *testing.T) {
 	const (
 		ms     = time.Millisecond
@@ -57,7 +57,7 @@
 	assert.Assert(t, near(p.quantile(0.99), time.Minute), p.quantile(0.99))
 }
 
-// near allows for the digits of the histogram.
+// near allows for the precision of the histogram.
 func near(got, want time.Duration) bool {
 	return got >= want*99/100 && got <= want*101/100
 }
--- a/tier/policy/quarantine_test.go
+++ b/tier/policy/quarantine_test.go
@@ -11,15 +11,15 @@
 	"pgregory.net/rapid"
 )
 
-// callers are the addresses that requests of these tests come from.
+// callers are the addresses that the requests come from.
 var callers = []netip.Addr{netip.MustParseAddr("192.0.2.1"), netip.MustParseAddr("192.0.2.2")}
 
 func newFleetFor(seed uint64) *Fleet {
 	return NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(seed, 0))})
 }
 
-// TestJudge has a request collect crash reports, and time pass.
-func TestJudge(t *testing.T) {
+// TestVerdict checks the verdict on a request for sets of crash reports of different ages.
+func TestVerdict(t *testing.T) {
 	shared := func(attempt uint64) CrashReport {
 		return CrashReport{ID: 100 + attempt, Attempt: attempt, Upstream: "A"}
 	}
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestAnswerClearsReports has an upstream answer a request that crashed two: it is
-// sound here and, once they are sent that, at other hosts, whatever they knew.
+// TestAnswerClearsReports checks that an answer clears a quarantined request on this host
+// and, after an exchange of reports, on other hosts, even if old reports arrive later.
 func TestAnswerClearsReports(t *testing.T) {
 	f, other := newFleetFor(1), newFleetFor(2)
 	now := time.Minute
@@ -88,8 +88,8 @@
 	}
 }
 
-// TestHostsAgreeOnCrashReports has hosts see crashes and answers and report to each other in any
-// order, twice or in part; in the end, when all have told all, all judge alike.
+// TestHostsAgreeOnCrashReports checks that hosts agree on all verdicts after a complete
+// exchange of reports, regardless of earlier partial or repeated exchanges.
 func TestHostsAgreeOnCrashReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var hosts []*Fleet
@@ -97,16 +97,16 @@
 			hosts = append(hosts, newFleetFor(uint64(i)))
 		}
 		names := []Fingerprint{"F", "G"}
-		any := func() *Fleet { return rapid.SampledFrom(hosts).Draw(t, "host") }
+		anyHost := func() *Fleet { return rapid.SampledFrom(hosts).Draw(t, "host") }
 		now, id := time.Minute, uint64(0)
 		for range rapid.IntRange(1, 6).Draw(t, "steps") {
 			now += time.Second
-			h, f := any(), rapid.SampledFrom(names).Draw(t, "fingerprint")
+			h, f := anyHost(), rapid.SampledFrom(names).Draw(t, "fingerprint")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
 				h.quarantine.clear(RequestIdentity{Fingerprint: f, Caller: rapid.SampledFrom(callers).Draw(t, "caller")})
 			case 1:
-				any().MergeReports(now, h.Reports(now))
+				anyHost().MergeReports(now, h.Reports(now))
 			default:
 				id++
 				h.quarantine.report(now, RequestIdentity{Fingerprint: f, Caller: rapid.SampledFrom(callers).Draw(t, "caller")}, CrashReport{ID: id, Attempt: id, Isolated: rapid.Bool().Draw(t, "alone"), Upstream: fmt.Sprint("U", id%4)})
@@ -129,8 +129,8 @@
 	})
 }
 
-// TestReportsExpire has two hosts send each other a crash report for as
-// long as it counts, each message a while on its way.
+// TestReportsExpire checks that hosts that keep exchanging a crash report do not extend its
+// lifetime.
 func TestReportsExpire(t *testing.T) {
 	a, b := newFleetFor(1), newFleetFor(2)
 	now := time.Minute
@@ -148,8 +148,8 @@
 	assert.Equal(t, len(b.Reports(now)), 0)
 }
 
-// TestSuspectsAreBounded has more requests suspected than are remembered: one that is
-// quarantined stays, and messages stay small.
+// TestSuspectsAreBounded checks the limits on tracked requests and on messages, and that a
+// quarantined request is not evicted.
 func TestSuspectsAreBounded(t *testing.T) {
 	f := newFleetFor(1)
 	now := time.Minute
@@ -170,12 +170,12 @@
 	first := f.UnsentReports(now)
 	assert.Equal(t, len(first), MaxReports)
 	assert.Equal(t, first[0].Fingerprint, Fingerprint("Quarantined"))
-	assert.Assert(t, f.UnsentReports(now)[0].Fingerprint != "Quarantined", "sent once")
+	assert.Assert(t, f.UnsentReports(now)[0].Fingerprint != "Quarantined", "reports are sent only once")
 }
 
-// TestCallersAreToldApart has a request of two callers be known to crash upstreams, or
-// to crash none for one of them.
-func TestCallersAreToldApart(t *testing.T) {
+// TestVerdictPerCaller checks the verdicts for two callers of a request when one of them
+// gets an answer.
+func TestVerdictPerCaller(t *testing.T) {
 	mine, other := RequestIdentity{Fingerprint: "F", Caller: callers[0]}, RequestIdentity{Fingerprint: "F", Caller: callers[1]}
 	now := time.Minute
 	tests := []struct {
@@ -207,9 +207,9 @@
 	}
 }
 
-// TestUpstreamThatCrashesAgainIsAnotherCrash has one upstream crash under a request twice, with
-// its restart between.
-func TestUpstreamThatCrashesAgainIsAnotherCrash(t *testing.T) {
+// TestRepeatedCrashOfOneUpstreamCounts checks that two crashes of one upstream, separated
+// by a restart, count as two.
+func TestRepeatedCrashOfOneUpstreamCounts(t *testing.T) {
 	f := newFleetFor(1)
 	now := time.Minute
 	for id := range uint64(2) {
@@ -220,9 +220,9 @@
 	assert.Equal(t, verdict, VerdictQuarantined)
 }
 
-// BenchmarkMakeRoom has a request be suspected while as many as may be are remembered:
-// 0.11 ms, where each was judged for it 5.3 ms (one core, beside other work).
-func BenchmarkMakeRoom(b *testing.B) {
+// BenchmarkEvictIfFull measures an eviction while the maximum number of requests is
+// tracked.
+func BenchmarkEvictIfFull(b *testing.B) {
 	f := newFleetFor(1)
 	for i := range maxSuspects {
 		for k := range maxCrashReports {
--- a/tier/policy/queue_test.go
+++ b/tier/policy/queue_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestAcquire waits for a slot in virtual time.
+// TestAcquire uses virtual time.
 func TestAcquire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		started := time.Now()
@@ -20,18 +20,18 @@
 		u := f.Find("U1")
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		assert.Assert(t, f.Acquire(ctx, u, time.Second, now), "a free slot is given at once")
+		assert.Assert(t, f.Acquire(ctx, u, time.Second, now), "a free slot is granted immediately")
 		begun := now()
-		assert.Assert(t, !f.Acquire(ctx, u, time.Second, now), "none comes free before the deadline")
+		assert.Assert(t, !f.Acquire(ctx, u, time.Second, now), "no slot is released before the deadline")
 		assert.Equal(t, now()-begun, time.Second)
 		got := make(chan bool)
 		go func() { got <- f.Acquire(ctx, u, now()+time.Second, now) }()
 		synctest.Wait()
 		NotifyGranted(f.ReleaseSlot(now(), u))
-		assert.Assert(t, <-got, "the slot that comes free is given")
+		assert.Assert(t, <-got, "the released slot is granted")
 		begun = now()
 		time.AfterFunc(time.Millisecond, cancel)
-		assert.Assert(t, !f.Acquire(ctx, u, now()+time.Second, now), "nobody waits for it any more")
+		assert.Assert(t, !f.Acquire(ctx, u, now()+time.Second, now), "the context is cancelled")
 		assert.Equal(t, now()-begun, time.Millisecond)
 		NotifyGranted(f.ReleaseSlot(now(), u))
 		assert.Equal(t, f.State(now())[0].InUse, 0)
--- a/tier/policy/retry_test.go
+++ b/tier/policy/retry_test.go
@@ -7,7 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestDecideRetry has the one call of a routed part, at two upstreams, fail.
+// TestDecideRetry checks the decision for a routed part with two upstreams whose only call
+// failed.
 func TestDecideRetry(t *testing.T) {
 	shedding := func(u *Upstream) { u.backoff.until = time.Minute }
 	leaving := func(u *Upstream) { u.leaving = true }
@@ -17,7 +18,7 @@
 		write    bool
 		attempts int
 		budget   float64
-		// other changes the upstream that was not asked.
+		// other changes the upstream that was not called.
 		other func(u *Upstream)
 		want  nextStep
 	}{
--- a/tier/policy/routed_test.go
+++ b/tier/policy/routed_test.go
@@ -11,11 +11,10 @@
 	"loomgap/tier/config"
 )
 
-// routedFleet is a fleet of listed upstreams, two for each of some groups; the
-// second of each is far.
-func routedFleet(groups int, repeats RetryBudget) *Fleet {
+// routedFleet returns a fleet of listed upstreams, a near and a far one for each group.
+func routedFleet(groups int, budget RetryBudget) *Fleet {
 	f := NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(1, 2))})
-	setRetryBudget(f, repeats)
+	setRetryBudget(f, budget)
 	var shares []Share
 	for g := range groups {
 		shares = append(shares,
@@ -68,13 +67,13 @@
 	return false
 }
 
-// setRetryBudget sets one budget for all groups.
+// setRetryBudget sets the same budget for all groups.
 func setRetryBudget(f *Fleet, r RetryBudget) { f.SetRetryBudgets(RetryBudgets{Shards: r, Single: r}) }
 
-// TestRepeatsOfAllHosts lets few and many hosts hedge and retry whatever they may, in
-// virtual time, with bursts, restarts and hosts that nobody knows of. In no
-// window are there more repeats than allowed.
-func TestRepeatsOfAllHosts(t *testing.T) {
+// TestRetriesOfAllHostsStayWithinLimit simulates fleets of different sizes whose hosts
+// hedge and retry as much as they may, with bursts, restarts and hosts unknown to the
+// others. No window may have more hedges and retries than allowed.
+func TestRetriesOfAllHostsStayWithinLimit(t *testing.T) {
 	const (
 		ratio  = 0.2
 		slack  = 54.0
@@ -82,16 +81,16 @@
 	)
 	tests := []struct {
 		hosts int
-		// used is the least part of the earned repeats that is made use of.
-		// Where a host may save up less than one, much is lost.
+		// used is the minimum share of the earned retries that must be used. Much is lost
+		// where a host may save up less than one retry.
 		used float64
 	}{{8, 0.7}, {100, 0.3}, {400, 0.05}}
 	for _, tt := range tests {
-		t.Run(fmt.Sprint(tt.hosts), func(t *testing.T) { repeatsOf(t, tt.hosts, ratio, slack, window, tt.used) })
+		t.Run(fmt.Sprint(tt.hosts), func(t *testing.T) { simulateRetries(t, tt.hosts, ratio, slack, window, tt.used) })
 	}
 }
 
-func repeatsOf(t *testing.T, hosts int, ratio, slack float64, window int, least float64) {
+func simulateRetries(t *testing.T, hosts int, ratio, slack float64, window int, least float64) {
 	random := rand.New(rand.NewPCG(20261202, 0))
 	fleets := make([]*Fleet, hosts)
 	const tickTime = 100 * time.Millisecond
@@ -104,10 +103,10 @@
 	for i := range fleets {
 		start(i, 0)
 	}
-	var requests, repeats []int
+	var requests, retries []int
 	used := 0
 	for tick := range 3000 {
-		requests, repeats = append(requests, 0), append(repeats, 0)
+		requests, retries = append(requests, 0), append(retries, 0)
 		for i := range fleets {
 			if random.IntN(3000) == 0 {
 				start(i, tick)
@@ -121,14 +120,14 @@
 				f.earnRetry("G")
 				requests[tick]++
 			}
-			// Idle for some windows, a host has saved up all it may.
+			// Idle periods let a host save up the maximum.
 			for want := random.IntN(20); tick%250 < 200 && want > 0; want-- {
 				take := f.takeRetry
 				if want%2 == 0 {
 					take = f.takeHedge
 				}
 				if take(now, "G") {
-					repeats[tick]++
+					retries[tick]++
 					used++
 				}
 			}
@@ -136,13 +135,13 @@
 		if tick < 2*window {
 			continue
 		}
-		extra, most := sum(repeats[tick-window:tick]), 0
+		extra, most := sum(retries[tick-window:tick]), 0
 		for _, from := range []int{tick - window, tick - 2*window, tick - 3*window/2} {
 			most = max(most, sum(requests[from:from+window]))
 		}
-		assert.Assert(t, float64(extra) <= ratio*float64(most)+slack, "tick %d: %d repeats for %d requests", tick, extra, most)
+		assert.Assert(t, float64(extra) <= ratio*float64(most)+slack, "tick %d: %d hedges and retries for %d requests", tick, extra, most)
 	}
-	assert.Assert(t, float64(used) > least*ratio*float64(sum(requests)), "only %d repeats used", used)
+	assert.Assert(t, float64(used) > least*ratio*float64(sum(requests)), "only %d hedges and retries used", used)
 }
 
 func sum(v []int) int {
@@ -194,7 +193,7 @@
 	s := sends(actions)
 	assert.Equal(t, len(s), 4)
 	assert.Assert(t, !finished(r.Reply(time.Millisecond, s[0].Attempt, CallFailed)))
-	assert.Assert(t, finished(r.Reply(time.Millisecond, s[1].Attempt, CallFailed)), "two of four cannot be three quarters")
+	assert.Assert(t, finished(r.Reply(time.Millisecond, s[1].Attempt, CallFailed)), "two of four parts cannot reach a coverage of 0.75")
 }
 
 func TestRoutedRunWithoutBudgetDoesNotRepeat(t *testing.T) {
@@ -207,9 +206,9 @@
 	assert.Assert(t, finished(r.Reply(time.Second, s.Attempt, CallBroken)))
 }
 
-// TestStalledUpstreamIsLeft has the near upstream stand still: later requests
-// go to the far one until the near one answers again.
-func TestStalledUpstreamIsLeft(t *testing.T) {
+// TestStalledUpstreamIsAvoided checks that requests go to the far upstream while the near
+// one is unresponsive, and return once it answers.
+func TestStalledUpstreamIsAvoided(t *testing.T) {
 	f := routedFleet(1, RetryBudget{Ratio: 1, Depth: 10})
 	answer := func(now time.Duration, r *Run, a Action, took time.Duration) {
 		f.Finish(now, Call{Upstream: a.Upstream, Pool: a.Pool, Outcome: CallOK, Took: took})
@@ -240,8 +239,8 @@
 	assert.Equal(t, sends(actions)[0].Upstream.Name, "N0")
 }
 
-// TestOneCallLingers has two calls that lose to their hedges: one of them goes
-// on to show when the upstream answers again.
+// TestOneCallLingers checks that at most one of two calls that lost to their hedges
+// continues.
 func TestOneCallLingers(t *testing.T) {
 	f := routedFleet(1, RetryBudget{Ratio: 1, Depth: 10})
 	lingers := 0
@@ -262,9 +261,9 @@
 	assert.Assert(t, lingers <= 1)
 }
 
-// TestUpstreamThatShedsAPartIsLeft has the near upstream turn away two calls of
-// five, with a good answer between: the far one gets nearly all of the rest.
-func TestUpstreamThatShedsAPartIsLeft(t *testing.T) {
+// TestPartlySheddingUpstreamIsAvoided checks that an upstream that sheds two of five calls,
+// with successful calls in between, gets few requests.
+func TestPartlySheddingUpstreamIsAvoided(t *testing.T) {
 	f := routedFleet(1, RetryBudget{Ratio: 1, Depth: 100})
 	now, near := time.Duration(0), 0
 	for i := range 200 {
@@ -288,13 +287,12 @@
 	assert.Assert(t, near < 15, "%d of 100 requests went to the upstream that sheds", near)
 }
 
-// TestLingeringIsGivenBack has a call end just before it is to linger: the next
-// one may linger.
-func TestLingeringIsGivenBack(t *testing.T) {
+// TestCancelLinger checks that another call may linger after one ended before it could.
+func TestCancelLinger(t *testing.T) {
 	f := routedFleet(1, RetryBudget{Ratio: 1, Depth: 100})
 	u := f.Find("N0")
 	assert.Assert(t, f.TryLinger(u))
-	assert.Assert(t, !f.TryLinger(u), "one lingers at a time")
+	assert.Assert(t, !f.TryLinger(u), "only one call lingers at a time")
 	f.CancelLinger(u)
 	assert.Assert(t, f.TryLinger(u))
 	u.slots.inUse++
@@ -302,8 +300,8 @@
 	assert.Assert(t, f.TryLinger(u))
 }
 
-// TestOverdueCallsAreHedged has the news of a batch lack one call: that one is
-// hedged at once, and no call of a batch is hedged before it is overdue.
+// TestOverdueCallsAreHedged checks that a call missing from a batch's progress report is
+// hedged immediately, and that no call of a batch is hedged before it is overdue.
 func TestOverdueCallsAreHedged(t *testing.T) {
 	f := routedFleet(2, RetryBudget{Ratio: 1, Depth: 100})
 	r, actions := routedRun(t, f, 0, 2, 2, 1, true)
@@ -320,9 +318,9 @@
 	assert.Equal(t, hedges[0].Part, first[1].Part)
 }
 
-// TestLostCallsSayNothingOfTheirUpstream has a host that was to make calls fail
-// several times: its upstream is not left for that.
-func TestLostCallsSayNothingOfTheirUpstream(t *testing.T) {
+// TestLostCallsDoNotAffectUpstream checks that failures of a relaying host do not count
+// against the upstream.
+func TestLostCallsDoNotAffectUpstream(t *testing.T) {
 	for _, o := range []CallOutcome{CallLost, CallNotSent} {
 		f := routedFleet(1, RetryBudget{})
 		near, _ := f.RoutedLatencyPools("Find")
@@ -334,8 +332,8 @@
 	}
 }
 
-// TestRetriesWithoutRequestsAreBounded lets a group get no requests: what may be
-// spent is what a host begins with, and after requests never more than the depth.
+// TestRetriesWithoutRequestsAreBounded checks that without requests a host can spend only
+// its initial retries, and after requests never more than the depth.
 func TestRetriesWithoutRequestsAreBounded(t *testing.T) {
 	f := NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(1, 2))})
 	setRetryBudget(f, ShareRetryBudget(0.2, 80, 8))
@@ -355,9 +353,9 @@
 	assert.Equal(t, spend(), int(depth))
 }
 
-// TestLimitIsLearntFromResets has an upstream reset new connections while this host
-// has several calls there: it gets fewer at a time, and more again as calls go well.
-func TestLimitIsLearntFromResets(t *testing.T) {
+// TestCallLimitAfterConnectionResets checks that an upstream that resets new connections
+// gets fewer concurrent calls, and more again as calls succeed.
+func TestCallLimitAfterConnectionResets(t *testing.T) {
 	f := NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(1, 2))})
 	f.Apply(0, []Share{{Name: "U", Slots: 6, Listed: true, Near: true}})
 	u, p := f.Find("U"), newPool(poolWindow)
--- a/tier/policy/run_test.go
+++ b/tier/policy/run_test.go
@@ -14,8 +14,7 @@
 	"loomgap/tier/config"
 )
 
-// TestMain fixes the seed of rapid, so that every run has the same verdict;
-// -rapid.seed explores others.
+// TestMain fixes the seed of rapid to make runs reproducible; -rapid.seed sets another.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
@@ -24,8 +23,8 @@
 	os.Exit(m.Run())
 }
 
-// machine drives runs through random events and checks what must always hold.
-type machine struct {
+// runModel drives runs through random events and checks their invariants.
+type runModel struct {
 	t         *rapid.T
 	fleet     *Fleet
 	upstreams []*Upstream
@@ -33,28 +32,28 @@
 	runs      []*tracked
 }
 
-// tracked is a run with the account that the test keeps of it.
+// tracked is a run with the state that the test tracks for it.
 type tracked struct {
 	run        *Run
 	repeatable bool
 	shards     int
-	// sent holds the attempts sent and not yet replied to.
+	// sent holds the attempts that were sent and have no reply yet.
 	sent     map[int]*Upstream
 	taken    map[int]int
 	finished int
-	// proofless is true once a sent attempt ended without proof of not running.
-	proofless bool
-	// everSent counts attempts sent.
-	everSent int
-	granted  []int
-	// suspected is true for a run whose request had strikes before; survived once an
-	// upstream has answered it.
+	// mayHaveRun is true once a sent attempt ended without proof that it did not run.
+	mayHaveRun bool
+	// sentTotal counts the attempts sent.
+	sentTotal int
+	granted   []int
+	// suspected is true for a run whose request had crash reports before; survived is true
+	// once an upstream has answered it.
 	suspected, survived bool
 }
 
-func newMachine(t *rapid.T) *machine {
+func newMachine(t *rapid.T) *runModel {
 	seed := rapid.Uint64().Draw(t, "seed")
-	m := &machine{t: t, fleet: NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(seed, 0))})}
+	m := &runModel{t: t, fleet: NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(seed, 0))})}
 	names := []string{"A", "B", "C"}
 	var shares []Share
 	for _, n := range names {
@@ -71,7 +70,7 @@
 	return m
 }
 
-func (m *machine) begin() {
+func (m *runModel) begin() {
 	t := m.t
 	c := config.DefaultClass()
 	c.Name, c.Admission = "Any", "None"
@@ -107,21 +106,21 @@
 	m.perform(x, actions)
 }
 
-func (m *machine) perform(x *tracked, actions []Action) {
+func (m *runModel) perform(x *tracked, actions []Action) {
 	t := m.t
 	for _, a := range actions {
 		switch a.Kind {
 		case ActionSend:
-			assert.Assert(t, x.finished == 0, "sent after the end")
-			assert.Assert(t, !a.Upstream.leaving, "new work to a leaving upstream")
+			assert.Assert(t, x.finished == 0, "sent after the run finished")
+			assert.Assert(t, !a.Upstream.leaving, "new call to a leaving upstream")
 			if x.suspected && !x.survived {
-				assert.Assert(t, len(x.sent) == 0, "a suspected request runs at two upstreams")
+				assert.Assert(t, len(x.sent) == 0, "a suspected request runs on two upstreams")
 			}
 			if !x.repeatable {
-				assert.Assert(t, len(x.sent) == 0 && !x.proofless, "a second try without proof that the first did not run")
+				assert.Assert(t, len(x.sent) == 0 && !x.mayHaveRun, "second attempt without proof that the first did not run")
 			}
 			x.sent[a.Attempt] = a.Upstream
-			x.everSent++
+			x.sentTotal++
 		case ActionMerge:
 			x.taken[a.Part]++
 			assert.Equal(t, x.taken[a.Part], 1, "a part merged twice")
@@ -135,8 +134,8 @@
 	}
 }
 
-// finished checks the account of a run at its end.
-func (m *machine) finished(x *tracked) {
+// finished checks the result of a run at its end.
+func (m *runModel) finished(x *tracked) {
 	t := m.t
 	assert.Equal(t, x.finished, 1)
 	r := x.run.Result()
@@ -149,14 +148,14 @@
 	}
 	assert.Equal(t, included, r.Included)
 	assert.Equal(t, len(r.Reasons), x.shards)
-	assert.Equal(t, r.Attempts, x.everSent)
+	assert.Equal(t, r.Attempts, x.sentTotal)
 	if !x.repeatable && included == 0 && !r.OutcomeUnknown {
-		assert.Assert(t, !x.proofless && len(x.sent) == 0, "not run, but it may have run")
+		assert.Assert(t, !x.mayHaveRun && len(x.sent) == 0, "reported as not run, but may have run")
 	}
 }
 
-// deliver passes the slots granted meanwhile on to their runs.
-func (m *machine) deliver() {
+// deliver passes granted slots on to their runs.
+func (m *runModel) deliver() {
 	for again := true; again; {
 		again = false
 		for _, x := range m.runs {
@@ -170,25 +169,25 @@
 	}
 }
 
-// anyOutcome has success more than once, so that runs get far.
-var anyOutcome = []CallOutcome{
+// drawnOutcomes repeats success so that runs make progress.
+var drawnOutcomes = []CallOutcome{
 	CallOK, CallOK, CallOK, CallOK, CallOK, CallOK, CallUnreachable, CallShed, CallLeaving, CallNotSent, CallSnapshotGone, CallMoved, CallMalformed, CallBroken, CallBroken, CallCrashed, CallCrashed, CallLate,
 }
 
-// reply ends one sent attempt of any run, also of a finished one.
-func (m *machine) reply(x *tracked, n int, o CallOutcome) {
+// reply ends a sent attempt of any run, including finished ones.
+func (m *runModel) reply(x *tracked, n int, o CallOutcome) {
 	u := x.sent[n]
 	delete(x.sent, n)
 	x.survived = x.survived || o == CallOK
 	if !o.NotRun() && o != CallOK {
-		x.proofless = true
+		x.mayHaveRun = true
 	}
 	granted := m.fleet.Finish(m.now, Call{Upstream: u, Pool: m.fleet.LatencyPool("Data"), Outcome: o, Took: time.Millisecond})
 	m.perform(x, x.run.Reply(m.now, n, o))
 	NotifyGranted(granted)
 }
 
-func (m *machine) step() {
+func (m *runModel) step() {
 	t := m.t
 	m.now += time.Duration(rapid.IntRange(0, 9000).Draw(t, "gap")) * time.Microsecond
 	var open []*tracked
@@ -210,7 +209,7 @@
 		x := rapid.SampledFrom(open).Draw(t, "run")
 		for n := range 64 {
 			if x.sent[n] != nil {
-				m.reply(x, n, rapid.SampledFrom(anyOutcome).Draw(t, "outcome"))
+				m.reply(x, n, rapid.SampledFrom(drawnOutcomes).Draw(t, "outcome"))
 				break
 			}
 		}
@@ -220,8 +219,8 @@
 	}
 }
 
-// drainAll ends everything and checks that no slot leaked.
-func (m *machine) drainAll() {
+// drainAll ends all runs and checks that no slot leaked.
+func (m *runModel) drainAll() {
 	m.now += time.Second
 	for again := true; again; {
 		again = false
@@ -245,9 +244,9 @@
 	}
 }
 
-func TestRunKeepsItsPromises(t *testing.T) {
-	// Rare interleavings, as of a hedge and its loser, need more than the usual
-	// hundred histories.
+func TestRunInvariants(t *testing.T) {
+	// Rare interleavings, such as of a hedge and the call that lost to it, need more than
+	// the default number of checks.
 	assert.NilError(t, flag.Set("rapid.checks", "2000"))
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMachine(t)
@@ -276,7 +275,7 @@
 	assert.Equal(t, s, uint64(0))
 }
 
-func TestEveryChoiceOfTheDocumentIsRegistered(t *testing.T) {
+func TestConfiguredPluginsAreRegistered(t *testing.T) {
 	for _, n := range config.Choices {
 		_, err := named("chooser", choosers, n)
 		assert.NilError(t, err)
@@ -289,9 +288,9 @@
 	assert.ErrorIs(t, err, errNotRegistered)
 }
 
-// TestLoserIsNotMerged has both calls of a hedged shard answer in full, while
-// the other shard keeps the run open.
-func TestLoserIsNotMerged(t *testing.T) {
+// TestLosingHedgeIsNotMerged checks that only the first answer is merged if both calls of a
+// hedged shard succeed while another shard keeps the run open.
+func TestLosingHedgeIsNotMerged(t *testing.T) {
 	f := NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(1, 0))})
 	f.Apply(0, []Share{{Name: "A", Slots: 4}, {Name: "B", Slots: 4}})
 	upstreams := f.resolve([][]string{{"A", "B"}})[0]
--- a/tier/policy/slots_test.go
+++ b/tier/policy/slots_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestFewerSlotsBoundWhatIsBorrowed has the division of an upstream change.
-func TestFewerSlotsBoundWhatIsBorrowed(t *testing.T) {
+// TestShrinkingSlotsReduceBorrowed changes the share and the slots of an upstream.
+func TestShrinkingSlotsReduceBorrowed(t *testing.T) {
 	s := slots{borrowing: borrowing{borrowed: 3}}
 	s.set(2, 5)
 	assert.Equal(t, s.allowed(), 5)
--- a/tier/policy/state_golden_test.go
+++ b/tier/policy/state_golden_test.go
@@ -15,14 +15,14 @@
 	"gotest.tools/v3/golden"
 )
 
-// TestRegisteredNames pins the names that a document may give for its choosers and
-// admission rules.
+// TestRegisteredNames pins the names of choosers and admission rules that a configuration
+// document may use.
 func TestRegisteredNames(t *testing.T) {
 	assert.DeepEqual(t, slices.Sorted(maps.Keys(choosers)), []string{"First", "LeastLatency", "LeastTime", "Random"})
 	assert.DeepEqual(t, slices.Sorted(maps.Keys(admissions)), []string{"Deadline", "None", "Worth"})
 }
 
-// TestConditionOnTheWire pins the form in which hosts exchange conditions.
+// TestConditionOnTheWire pins the encoding in which hosts exchange conditions.
 func TestConditionOnTheWire(t *testing.T) {
 	tests := []struct {
 		condition Condition
@@ -38,8 +38,8 @@
 	}
 }
 
-// tracer drives a fleet of both kinds of upstream through random events and writes
-// down what it knows.
+// tracer drives a fleet with either kind of upstream through random events and records its
+// state.
 type tracer struct {
 	fleet  *Fleet
 	random *rand.Rand
@@ -72,7 +72,7 @@
 	CallStalled, CallNotSent, CallBarred, CallLost, CallFailed, CallMalformed, CallSnapshotGone, CallMoved,
 }
 
-// apply changes a share now and then: cold entries, evacuations, fewer slots.
+// apply changes a random share: cold entries, evacuations, numbers of slots.
 func (t *tracer) apply() {
 	s := &t.shares[t.random.IntN(len(t.shares))]
 	s.Slots = 1 + t.random.IntN(4)
@@ -139,8 +139,8 @@
 		t.fleet.RecordStatus(t.now, u, SnapshotRange{Oldest: 1, Newest: uint64(t.random.IntN(5)), Known: t.random.IntN(2) == 0}, t.random.IntN(40) == 0)
 		return fmt.Sprint("note ", t.fleet.SilentSince(t.now-100*time.Millisecond, 2))
 	case what == 21:
-		told := []Condition{{Upstream: u.Name, Slowness: t.random.IntN(8), FaultPercent: t.random.IntN(100)}}
-		t.fleet.SetConditions(t.now, string(rune('A'+t.random.IntN(2))), told[:t.random.IntN(2)])
+		reported := []Condition{{Upstream: u.Name, Slowness: t.random.IntN(8), FaultPercent: t.random.IntN(100)}}
+		t.fleet.SetConditions(t.now, string(rune('A'+t.random.IntN(2))), reported[:t.random.IntN(2)])
 		return fmt.Sprint("conditions ", len(t.fleet.Conditions(t.now)))
 	case what == 22:
 		return fmt.Sprint("cold ", t.fleet.AdmitCold(t.now, u), t.fleet.DestinationOf(t.now, u), t.fleet.ThrottledUpstreams(t.now))
@@ -152,7 +152,7 @@
 	}
 }
 
-// state is all that decisions read of the upstreams.
+// state returns all inputs of decisions about the upstreams.
 func (t *tracer) state() string {
 	var out []string
 	all := t.fleet.State(t.now)
@@ -167,16 +167,16 @@
 	return strings.Join(out, "\n")
 }
 
-// TestStateOfUpstreams replays random events on both kinds of upstream: what the
-// decisions read of them is the same to the digit after each step.
+// TestStateOfUpstreams replays random events for both kinds of upstream and compares the
+// inputs of decisions after each step with a golden file.
 func TestStateOfUpstreams(t *testing.T) {
 	const (
 		steps = 20000
-		// A fleet is replaced after some steps: upstreams that left for good would
-		// end the run.
+		// The fleet is replaced regularly because upstreams that left for good would end
+		// the test.
 		steadySteps = 1000
-		// written is how many steps apart the state is written out; the digest
-		// covers every step.
+		// written is the number of steps between written states; the digest covers every
+		// step.
 		written = 200
 	)
 	for _, listed := range []bool{false, true} {
--- a/tier/policy/status_test.go
+++ b/tier/policy/status_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestStatusIsReadOfSilentUpstreams has some upstreams say nothing: those are named,
-// the one read longest ago first.
+// TestStatusIsReadOfSilentUpstreams checks that silent upstreams are returned, least
+// recently read first.
 func TestStatusIsReadOfSilentUpstreams(t *testing.T) {
 	f := NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(1, 0))})
 	f.Apply(0, []Share{{Name: "A", Slots: 1}, {Name: "B", Slots: 1}, {Name: "C", Slots: 1}})
--- a/tier/policy/suspicion_test.go
+++ b/tier/policy/suspicion_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// suspectRun begins a gather of some shards for a request with a fingerprint.
+// suspectRun begins a gather over some shards for a request with a fingerprint.
 func suspectRun(t *testing.T, f *Fleet, now time.Duration, groups int) (*Run, []Action) {
 	t.Helper()
 	r, _ := routedRun(t, f, now, groups, 2, 1, true)
@@ -30,7 +30,7 @@
 	return out
 }
 
-// count counts the actions of a kind.
+// count returns the number of actions of a kind.
 func count(actions []Action, k ActionKind) int {
 	n := 0
 	for _, a := range actions {
@@ -46,8 +46,8 @@
 	return v
 }
 
-// TestSuspectedRunHasOneCall has two upstreams crash under a gather before any has
-// answered: the calls in progress are given up, and one is made in isolation.
+// TestSuspectedRunHasOneCall checks that a gather cancels its calls and continues with one
+// isolated call after two upstreams crashed before any has answered.
 func TestSuspectedRunHasOneCall(t *testing.T) {
 	now := 10 * time.Millisecond
 	f := routedFleet(6, RetryBudget{Ratio: 1, Depth: 100})
@@ -66,11 +66,11 @@
 
 	three := r.Reply(now, sends(one)[0].Attempt, CallCrashed)
 	assert.Equal(t, len(sends(three)), 0, "%v", three)
-	assert.Assert(t, finished(three), "the first shard may not be asked a third time, and all are needed")
+	assert.Assert(t, finished(three), "the first shard has no attempts left, and all shards are required")
 }
 
-// TestSuspicionEndsWithAnAnswer has the isolated call be answered: all shards
-// that waited are asked, and the request is sound again.
+// TestSuspicionEndsWithAnAnswer checks that an answer to the isolated call starts all
+// deferred shards and clears the request.
 func TestSuspicionEndsWithAnAnswer(t *testing.T) {
 	now := 10 * time.Millisecond
 	f := routedFleet(6, RetryBudget{Ratio: 1, Depth: 100})
@@ -86,8 +86,8 @@
 	assert.Equal(t, verdictOf(f, now), VerdictClean)
 }
 
-// TestIsolatedCrashIsReported tells an upstream that crashed from one that resets a
-// connection.
+// TestIsolatedCrashIsReported distinguishes a crash from other failures of an isolated
+// call.
 func TestIsolatedCrashIsReported(t *testing.T) {
 	tests := []struct {
 		outcome CallOutcome
@@ -115,7 +115,7 @@
 	}
 }
 
-// TestQuarantinedRequestIsRefused refuses it at once, and says for how long.
+// TestQuarantinedRequestIsRefused checks the refusal and its RetryAfter.
 func TestQuarantinedRequestIsRefused(t *testing.T) {
 	f := routedFleet(6, RetryBudget{})
 	for id, u := range []string{"A", "B"} {
@@ -129,8 +129,8 @@
 	assert.Equal(t, refusal.RetryAfter, quarantineGrowth*initialQuarantine-time.Second)
 }
 
-// TestResetConnectionsAreNoCrash has upstreams reset connections, as they also do when
-// they are well: the request is not suspected.
+// TestResetConnectionsAreNoCrash checks that reset connections, which also occur on healthy
+// upstreams, do not make a request suspected.
 func TestResetConnectionsAreNoCrash(t *testing.T) {
 	f := routedFleet(6, RetryBudget{Ratio: 1, Depth: 100})
 	r, first := suspectRun(t, f, 0, 6)
@@ -142,8 +142,8 @@
 	assert.Equal(t, verdictOf(f, time.Millisecond), VerdictClean)
 }
 
-// TestIsolatedCallThatHangsIsReplaced has the upstreams of isolated calls be unresponsive: the
-// second is asked after a while, and the run ends before its deadline.
+// TestIsolatedCallThatHangsIsReplaced checks that an isolated call to an unresponsive
+// upstream is replaced once, and that the run then ends before its deadline.
 func TestIsolatedCallThatHangsIsReplaced(t *testing.T) {
 	f := routedFleet(6, RetryBudget{Ratio: 1, Depth: 100})
 	f.quarantine.report(0, RequestIdentity{Fingerprint: "F"}, CrashReport{ID: 1, Upstream: "Gone"})
@@ -158,5 +158,5 @@
 			return
 		}
 	}
-	t.Fatal("the run goes on")
+	t.Fatal("the run did not finish")
 }
--- a/tier/policy/upstream_test.go
+++ b/tier/policy/upstream_test.go
@@ -94,9 +94,10 @@
 	}
 }
 
-// TestLaterStartIsAnotherUpstream has an upstream with a call in progress and one that
-// waits start again under its name: nothing that was learnt of it holds any more.
-func TestLaterStartIsAnotherUpstream(t *testing.T) {
+// TestRestartedUpstreamStartsFresh checks that an upstream that restarted under the same
+// name keeps nothing of the state of its predecessor, and that waiting calls are granted
+// slots.
+func TestRestartedUpstreamStartsFresh(t *testing.T) {
 	f := NewFleet(FleetConfig{})
 	share := Share{Name: "U", Slots: 1, Listed: true, StartedMillis: 1000}
 	f.Apply(0, []Share{share})
@@ -111,7 +112,7 @@
 	first.ejection.failed(0)
 
 	NotifyGranted(f.Update(0, []Share{share}, nil))
-	assert.Assert(t, f.Find("U") == first, "the same start is the same upstream")
+	assert.Assert(t, f.Find("U") == first, "the same start time means the same upstream")
 	share.StartedMillis = 2000
 	NotifyGranted(f.Update(0, []Share{share}, nil))
 	second := f.Find("U")
@@ -119,5 +120,5 @@
 	assert.Equal(t, second.ejection, ejection{})
 	assert.Equal(t, granted, 1, "the call that waited goes ahead")
 	NotifyGranted(f.Update(0, []Share{{Name: "U", Slots: 1, Listed: true, StartedMillis: 1000}}, nil))
-	assert.Assert(t, f.Find("U") == second, "an earlier start changes nothing")
+	assert.Assert(t, f.Find("U") == second, "an earlier start time is ignored")
 }
--- a/tier/policy/words_test.go
+++ b/tier/policy/words_test.go
@@ -13,9 +13,9 @@
 	"loomgap/tier/query"
 )
 
-// TestWordsStay pins the words that answers, logs, metrics and messages between hosts
-// show: operators and other hosts know them by these.
-func TestWordsStay(t *testing.T) {
+// TestPublicStringsAreStable pins the strings in answers, logs, metrics and messages
+// between hosts, on which operators and other hosts depend.
+func TestPublicStringsAreStable(t *testing.T) {
 	tests := []struct {
 		name string
 		got  []string
@@ -48,8 +48,8 @@
 	return out
 }
 
-// TestReasonOfEachOutcome pins what a part lacks after its last call, and what each
-// outcome proves.
+// TestReasonOfEachOutcome pins the reason for a missing part after each outcome, and what
+// each outcome proves.
 func TestReasonOfEachOutcome(t *testing.T) {
 	tests := []struct {
 		outcome                           CallOutcome
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestReportsOnTheWire pins what hosts of different versions tell each other of requests
-// that crash upstreams.
+// TestReportsOnTheWire pins the encoding of crash reports, which hosts of different
+// versions exchange.
 func TestReportsOnTheWire(t *testing.T) {
 	full := CrashReport{ID: 1, Attempt: 2, Isolated: true, Upstream: "U", Caller: netip.MustParseAddr("192.0.2.1"), Cleared: true, CallerOnly: true, Remaining: time.Second}
 	tests := []struct {
