--- a/tier/policy/cold.go
+++ b/tier/policy/cold.go
@@ -21,7 +21,7 @@
 	// was written.
 	Remaining time.Duration
 	// Revision is the revision of the directory entry, Sequence the upstream's own count of
-	// its reports at that time. After the platform was restored from a copy, another entry
+	// its reports at that time. After the platform was restored from a backup, another entry
 	// may have the same revision.
 	Revision, Sequence uint64
 	// Warmup is how long the upstream may be cold after an evacuation of its hall ends.
--- a/tier/policy/fleet.go
+++ b/tier/policy/fleet.go
@@ -227,7 +227,7 @@
 	for _, u := range f.upstreams {
 		out = append(out, UpstreamState{
 			Name: u.Name, InUse: u.slots.inUse, Share: u.slots.share, Queued: u.slots.queue.Len(),
-			Latency: u.latency.smoothed, Snapshots: u.status.window, Ejected: u.ejection.active(now), Leaving: u.leaving,
+			Latency: u.latency.smoothed, Snapshots: u.status.snapshots, Ejected: u.ejection.active(now), Leaving: u.leaving,
 			Evacuated: u.cold.entry.Evacuated, Cold: u.cold.active(now), ColdOwner: u.cold.ownerAt(now),
 		})
 	}
--- a/tier/policy/pick.go
+++ b/tier/policy/pick.go
@@ -41,7 +41,7 @@
 	if u.leaving || slices.Contains(p.tried, u) || r.rules.barred(now, u) {
 		return false
 	}
-	lacks := u.status.window.Known && !u.status.window.holds(r.request.Snapshot)
+	lacks := u.status.snapshots.Known && !u.status.snapshots.holds(r.request.Snapshot)
 	return r.request.Snapshot == 0 || !lacks
 }
 
--- a/tier/policy/routed_test.go
+++ b/tier/policy/routed_test.go
@@ -224,17 +224,17 @@
 		answer(now, r, a, 10*time.Millisecond)
 	}
 	r, actions := routedRun(t, f, now, 1, 2, 1, true)
-	stuck := sends(actions)[0]
-	assert.Equal(t, stuck.Upstream.Name, "N0")
-	f.RecordSent(now, stuck.Upstream)
+	stalled := sends(actions)[0]
+	assert.Equal(t, stalled.Upstream.Name, "N0")
+	f.RecordSent(now, stalled.Upstream)
 	now += 60 * time.Millisecond
-	assert.Assert(t, f.Stalled(now, stuck.Upstream))
+	assert.Assert(t, f.Stalled(now, stalled.Upstream))
 	_, actions = routedRun(t, f, now, 1, 2, 1, true)
 	assert.Equal(t, sends(actions)[0].Upstream.Name, "F0")
 	far := f.Find("F0")
 	far.latency, far.condition.slowness = latency{smoothed: 40 * time.Millisecond, samples: 10}, 4
-	answer(now, r, stuck, 60*time.Millisecond)
-	assert.Assert(t, !f.Stalled(now, stuck.Upstream))
+	answer(now, r, stalled, 60*time.Millisecond)
+	assert.Assert(t, !f.Stalled(now, stalled.Upstream))
 	_, actions = routedRun(t, f, now+time.Second, 1, 2, 1, true)
 	assert.Equal(t, sends(actions)[0].Upstream.Name, "N0")
 }
--- a/tier/policy/run_test.go
+++ b/tier/policy/run_test.go
@@ -46,9 +46,9 @@
 	// sentTotal counts the attempts sent.
 	sentTotal int
 	granted   []int
-	// suspected is true for a run whose request had crash reports before; survived is true
+	// suspected is true for a run whose request had crash reports before; answered is true
 	// once an upstream has answered it.
-	suspected, survived bool
+	suspected, answered bool
 }
 
 func newMachine(t *rapid.T) *runModel {
@@ -113,7 +113,7 @@
 		case ActionSend:
 			assert.Assert(t, x.finished == 0, "sent after the run finished")
 			assert.Assert(t, !a.Upstream.leaving, "new call to a leaving upstream")
-			if x.suspected && !x.survived {
+			if x.suspected && !x.answered {
 				assert.Assert(t, len(x.sent) == 0, "a suspected request runs on two upstreams")
 			}
 			if !x.repeatable {
@@ -178,7 +178,7 @@
 func (m *runModel) reply(x *tracked, n int, o CallOutcome) {
 	u := x.sent[n]
 	delete(x.sent, n)
-	x.survived = x.survived || o == CallOK
+	x.answered = x.answered || o == CallOK
 	if !o.NotRun() && o != CallOK {
 		x.mayHaveRun = true
 	}
--- a/tier/policy/snapshot.go
+++ b/tier/policy/snapshot.go
@@ -16,8 +16,8 @@
 	var candidates []uint64
 	for _, upstreams := range out {
 		for _, u := range upstreams {
-			if u.status.window.Known && !u.leaving && !slices.Contains(candidates, u.status.window.Newest) {
-				candidates = append(candidates, u.status.window.Newest)
+			if u.status.snapshots.Known && !u.leaving && !slices.Contains(candidates, u.status.snapshots.Newest) {
+				candidates = append(candidates, u.status.snapshots.Newest)
 			}
 		}
 	}
@@ -41,7 +41,7 @@
 func covered(parts [][]*Upstream, snapshot uint64) int {
 	n := 0
 	for _, replicas := range parts {
-		if slices.ContainsFunc(replicas, func(u *Upstream) bool { return !u.leaving && u.status.window.holds(snapshot) }) {
+		if slices.ContainsFunc(replicas, func(u *Upstream) bool { return !u.leaving && u.status.snapshots.holds(snapshot) }) {
 			n++
 		}
 	}
--- a/tier/policy/status.go
+++ b/tier/policy/status.go
@@ -20,7 +20,7 @@
 // status is what an upstream last reported about itself, in an answer or when its status
 // was read.
 type status struct {
-	window SnapshotRange
+	snapshots SnapshotRange
 	// reportedAt is when the upstream last reported anything; set to never until the first
 	// report.
 	reportedAt time.Duration
@@ -32,7 +32,7 @@
 // one, which arrived out of order.
 func (s *status) update(now time.Duration, w SnapshotRange) {
 	s.reportedAt = now
-	if w.Known && (!s.window.Known || w.Newest >= s.window.Newest) {
-		s.window = w
+	if w.Known && (!s.snapshots.Known || w.Newest >= s.snapshots.Newest) {
+		s.snapshots = w
 	}
 }
--- a/tier/policy/status_test.go
+++ b/tier/policy/status_test.go
@@ -49,7 +49,7 @@
 			for i, w := range tt.said {
 				s.update(time.Duration(i)*time.Second, w)
 			}
-			assert.Equal(t, s.window, tt.want)
+			assert.Equal(t, s.snapshots, tt.want)
 			assert.Equal(t, s.reportedAt, time.Duration(len(tt.said)-1)*time.Second)
 		})
 	}
