--- a/tier/policy/status_test.go
+++ b/tier/policy/status_test.go
@@ -45,18 +45,18 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := status{heardAt: never}
+			s := status{reportedAt: never}
 			for i, w := range tt.said {
 				s.update(time.Duration(i)*time.Second, w)
 			}
-			assert.Equal(t, s.window, tt.want)
-			assert.Equal(t, s.heardAt, time.Duration(len(tt.said)-1)*time.Second)
+			assert.Equal(t, s.snapshots, tt.want)
+			assert.Equal(t, s.reportedAt, time.Duration(len(tt.said)-1)*time.Second)
 		})
 	}
 }
 
-// TestStatusIsReadOfSilentUpstreams has some upstreams say nothing: those are named,
-// the one read longest ago first.
+// TestStatusIsReadOfSilentUpstreams checks that silent upstreams are returned, least
+// recently read first.
 func TestStatusIsReadOfSilentUpstreams(t *testing.T) {
 	f := NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(1, 0))})
 	f.Apply(0, []Share{{Name: "A", Slots: 1}, {Name: "B", Slots: 1}, {Name: "C", Slots: 1}})
