--- a/tier/peers/announcement.go
+++ b/tier/peers/announcement.go
@@ -12,91 +12,91 @@
 	"loomgap/tier/kernel"
 )
 
-// methodAnnounce is the method by which a host that knows what is published announces
-// it: its parameters are an announcement, the reply is an announceReply.
+// methodAnnounce is the method by which a host announces what the platform publishes. Its
+// parameters are an announcement, the reply is an announceReply.
 const methodAnnounce = "Announce"
 
 const (
-	// announceEvery is the time between announcements if nothing changes.
+	// announceInterval is the time between announcements if nothing changes.
 	announceInterval = 400 * time.Millisecond
-	// announceGap is the least time between two announcements without a change, so that the
-	// regular one is left out after one of a change.
+	// minAnnounceInterval is the shortest time between two announcements without a change:
+	// the periodic one is skipped right after one that reported a change.
 	minAnnounceInterval = announceInterval / 2
-	// announceFresher is by how much fresher a read is announced at once. A read takes a
-	// second where something has just changed: announced a regular time later, and passed
-	// on by another host still later, it looks as if the reader had lost the platform, and
-	// hosts of all halls take over from it.
+	// freshReadThreshold is by how much a read must be newer than the last announced one to
+	// be announced at once. A read can wait for a second after a change. If it were announced
+	// an interval later, and forwarded later still by another host, the reader would look as
+	// if it had lost the platform, and hosts of all halls would take over from it.
 	freshReadThreshold = 500 * time.Millisecond
-	// announceBound is how long a call that announces may take.
+	// announceTimeout limits a call that announces.
 	announceTimeout = time.Second
 )
 
-// errStaleSource is the reason of a platform that counts as lost without a failed read.
-var errStaleRead = errors.New("no answer for some time")
+// errStaleRead is logged when the platform counts as lost although no read has failed.
+var errStaleRead = errors.New("last successful read of the platform is too old")
 
-// announcement reports what is published: a host that announces sends it to its own
-// hall, and if it reads the platform to one host of each other hall, which announces it
-// there.
+// announcement reports what the platform publishes. A host that announces sends it to its
+// own hall. If the host reads the platform itself, it also sends it to one host of each
+// other hall, which announces it there.
 type announcement struct {
 	Host string
 	Peer netip.AddrPort
 	Hall string
-	// Age is how long ago it was read from the platform, Lost true if that is too
-	// long ago to rely on.
+	// Age is the time since the platform was read, Lost is true if that is too long ago to
+	// rely on.
 	Age  time.Duration
 	Lost bool `json:",omitempty"`
-	// Confirmed is true if the sender knows that its document was the newest then.
+	// Confirmed is true if the sender knows that its document was the newest at that time.
 	Confirmed bool `json:",omitempty"`
-	// Version, Era and Revision name the document in force there, Directory is the digest
-	// of the upstreams listed.
+	// Version, Era and Revision identify the sender's document in force, Directory is the
+	// digest of its listed upstreams.
 	Version   uint64 `json:",omitempty"`
 	Era       uint64 `json:",omitempty"`
 	Revision  uint64
 	Directory uint64
-	// DirectoryEra and DirectoryRevision are the platform's position up to which it is
-	// whole.
+	// DirectoryEra and DirectoryRevision are the platform's position up to which the
+	// sender's directory is complete.
 	DirectoryEra      uint64 `json:",omitempty"`
 	DirectoryRevision uint64
-	// DirectorySettled is the last era that is known there to be settled.
+	// DirectorySettled is the last era that the sender knows to be settled.
 	DirectorySettled uint64 `json:",omitempty"`
-	// Change is what changed since the announcement before.
+	// Change is what changed since the previous announcement.
 	Change *config.DirectoryChange `json:",omitempty"`
 }
 
 // announceReply answers an announcement.
 type announceReply struct {
-	// Announcement is the receiver's own, if it announces to the same hall: the sender
-	// may not know that.
+	// Announcement is the receiver's own, set if it announces to the same hall: the sender
+	// may not know of it.
 	Announcement *announcement `json:",omitempty"`
 }
 
-// edition is how new the document in force at the sender is.
+// edition returns the edition of the sender's document in force.
 func (m *announcement) edition() config.Edition {
 	return config.Edition{Version: m.Version, Position: config.Position{Era: m.Era, Revision: m.Revision}}
 }
 
-// announcer announces what this host read or was announced. Its fields are used on the
-// control thread only.
+// announcer announces what this host read itself or received in announcements of other
+// halls. Its fields are used on the control thread only.
 type announcer struct {
 	kernel *kernel.Kernel
 	// directory and edition (of the document) are what was last announced, at sentAt.
 	directory *config.Directory
 	edition   config.Edition
 	sentAt    time.Duration
-	// sentReadAt is when what was last announced had been read from the platform.
+	// sentReadAt is when the data last announced was read from the platform.
 	sentReadAt time.Duration
-	// viewDirectory and viewIndex are what the last view had.
+	// viewDirectory and viewIndex are those of the last view.
 	viewDirectory *config.Directory
 	viewIndex     *config.Index
 }
 
-// onView announces what changed in a new view; it runs on the control thread.
+// onView announces the changes in a new view. It runs on the control thread.
 func (a *announcer) onView(v *kernel.View) {
 	if v.Directory == a.viewDirectory && v.Index == a.viewIndex {
 		return
 	}
 	a.viewDirectory, a.viewIndex = v.Directory, v.Index
-	// The control thread must not wait for a place among its own jobs.
+	// Queueing a job from the control thread could block on its own queue.
 	go a.kernel.Do(a.announce)
 }
 
@@ -104,8 +104,8 @@
 	a.kernel.DoEvery(ctx, announceInterval, a.announce)
 }
 
-// announce sends an announcement if something changed or it is time; it runs on
-// the control thread.
+// announce sends an announcement if something changed or the interval has passed. It runs
+// on the control thread.
 func (a *announcer) announce(s *kernel.State) {
 	if !canAnnounce(s) {
 		return
@@ -113,15 +113,15 @@
 	now := a.kernel.Now()
 	m := newAnnouncement(a.kernel, s, now)
 	if m.Lost && s.Reading {
-		// The read under way may take longer still to fail.
+		// A pending read may take even longer to fail.
 		markPlatformDown(a.kernel, s, errStaleRead)
 	}
 	if !a.isDue(&m, now) {
 		return
 	}
-	// Hosts that this one has not told before, or not lately, know the directory from
-	// others. Those that lack something fetch it, packed once. Without it, a host that
-	// takes over sends all that is listed to each host of its hall.
+	// Send a change only to hosts that received the last announcement recently. Others know
+	// the directory from elsewhere and fetch what they lack. Otherwise a host that takes over
+	// would send the whole directory to each host of its hall.
 	if m.Directory != a.directory.Digest() && a.directory != nil && now-a.sentAt <= announcerTimeout {
 		change := s.Directory.Since(a.directory)
 		m.Change = &change
@@ -131,9 +131,8 @@
 	for _, host := range hall {
 		go a.send(host, m)
 	}
-	// Other halls rely on this host only for what it reads itself. One that the
-	// platform turns away, and that relies on what others read, would be taken for
-	// the reader again and again.
+	// Other halls rely on this host only for what it reads itself. Otherwise a host that the
+	// platform refuses would be taken for the reader again whenever it hears of others' reads.
 	m.Age = now - s.OwnReadAt
 	m.Lost = s.OwnReadAt == 0 || m.Age > maxReadAge(&a.kernel.Settings)
 	for _, host := range otherHalls {
@@ -141,14 +140,14 @@
 	}
 }
 
-// canAnnounce reports whether this host announces and has something to announce. One that
-// starts may get an announcement before it has the directory: without one it must not
-// announce.
+// canAnnounce reports whether this host announces and has something to announce. A
+// starting host may receive an announcement before it has the directory, and must not
+// announce without one.
 func canAnnounce(s *kernel.State) bool {
 	return s.Announcing && s.AnnouncedReadAt > 0 && s.Directory != nil
 }
 
-// newAnnouncement is the announcement to the own hall, without what changed.
+// newAnnouncement returns the announcement to this host's hall, without Change.
 func newAnnouncement(k *kernel.Kernel, s *kernel.State, now time.Duration) announcement {
 	age, edition := now-s.AnnouncedReadAt, s.Edition()
 	return announcement{
@@ -160,17 +159,17 @@
 	}
 }
 
-// isDue reports whether an announcement is to be sent now: at once if something changed
-// and was read a short while ago, or if the platform was read long after what was last
-// announced, else at regular times.
+// isDue reports whether to send an announcement now: at once if something changed and the
+// read is recent, or if the read is much newer than the last announced one, otherwise
+// periodically.
 func (a *announcer) isDue(m *announcement, now time.Duration) bool {
 	changed := m.Directory != a.directory.Digest() || m.edition() != a.edition
 	fresher := now-m.Age-a.sentReadAt >= freshReadThreshold
 	return (changed || fresher) && !m.Lost || now-a.sentAt >= minAnnounceInterval
 }
 
-// recipients decides who gets an announcement: the live hosts of this hall that stay,
-// and if this host reads the platform, the first such host of each other hall.
+// recipients returns who gets an announcement: the active hosts of this hall, and if this
+// host reads the platform, the highest ranked active host of each other hall.
 func (a *announcer) recipients(s *kernel.State) (hall, otherHalls []string) {
 	hall, others := byHall(s.Members, a.kernel.Settings.Hall, (*kernel.Member).Staying)
 	if !s.Reading {
@@ -211,7 +210,7 @@
 	})
 }
 
-// reply has a host that announces to a hall hear of the other one that does.
+// reply returns this host's own announcement to another announcer of the same hall.
 func (a *announcementServer) reply(s *kernel.State, m *announcement) announceReply {
 	if m.Hall != a.kernel.Settings.Hall || !canAnnounce(s) {
 		return announceReply{}
@@ -220,19 +219,19 @@
 	return announceReply{Announcement: &own}
 }
 
-// learn takes in an announcement. What is still missing then is fetched whole. It runs
+// apply merges an announcement into the state and fetches what is still missing. It runs
 // on the control thread.
 func (a *announcementServer) apply(s *kernel.State, m *announcement) {
 	now := a.kernel.Now()
 	recordAnnouncer(a.kernel, s, m)
-	// A change is no directory: a host that has none yet would have a few upstreams
-	// at a high revision, and those that fetch its whole directory would take all
-	// others for removed.
+	// Without a directory, an incremental change would leave this host with a few upstreams
+	// at a high revision, and hosts that fetch its directory would take all others for
+	// removed.
 	if m.Change != nil && (s.Directory != nil || m.Change.Whole) {
 		s.List(m.Change)
 	}
-	// A change may be applied to a list with holes, so what is listed then is
-	// compared. The sender knows all up to its revision.
+	// The change may have been applied to an incomplete directory, so compare the result.
+	// The sender's directory is complete up to its revision.
 	a.compareDirectory(s, m, now)
 	if m.edition().Newer(s.Edition()) {
 		a.fetcher.fetchDocument(m.Peer)
@@ -241,8 +240,8 @@
 	}
 }
 
-// compareDirectory fetches the directory of the sender if it lists something else, and
-// takes over the era of its history if it lists the same.
+// compareDirectory fetches the sender's directory if it differs and is not older, and adopts
+// the era of its history if it is the same.
 func (a *announcementServer) compareDirectory(s *kernel.State, m *announcement, now time.Duration) {
 	at, known := config.Position{Era: m.DirectoryEra, Revision: m.DirectoryRevision}, s.Directory.Position()
 	switch {
@@ -257,7 +256,7 @@
 	}
 }
 
-// noteAnnouncer notes who announces, and whether the platform answers it.
+// recordAnnouncer records that a host announces, and whether the platform answers it.
 func recordAnnouncer(k *kernel.Kernel, s *kernel.State, m *announcement) {
 	now := k.Now()
 	lost := m.Lost || m.Age > maxReadAge(&k.Settings)
--- a/tier/peers/codec.go
+++ b/tier/peers/codec.go
@@ -15,19 +15,18 @@
 	"loomgap/tier/wire"
 )
 
-// frameCodec writes each JSON-RPC object, compressed, behind its length in 4
-// bytes, most significant first. A frame over wire.MaxReply ends the
-// connection, so a peer that sends garbage cannot fill the memory.
+// frameCodec writes each JSON-RPC object as a compressed frame after its length in 4
+// bytes, most significant byte first. A frame over wire.MaxReply ends the connection, so
+// that an invalid length cannot exhaust the memory.
 type frameCodec struct{}
 
 var _ jsonrpc2.ObjectCodec = frameCodec{}
 
-// lengthBytes is the size of the length before each frame. Frames are bounded by
-// wire.MaxReply, which it holds.
+// lengthBytes is the size of the length prefix of a frame.
 const lengthBytes = 4
 
-// dictionary is text that messages have in common. Both ends need the same
-// one, so a change of it is a change of the protocol.
+// dictionary is the preset compression dictionary, made of text that messages have in
+// common. Both ends must use the same one, so changing it changes the protocol.
 var dictionary = []byte(`"Host":"","Incarnation":"","Counter":,"Revision":,"Hall":"","Peer":"0.0.0.0:0","Digest":"","Published":,` +
 	`"PlatformAge":,"Directory":,"DirectoryRevision":,"Leaving":true,{"Members":[{"Host":"front-hall-","Incarnation":"18` +
 	`HTTP/1.1\r\nHost: .example\r\nUser-Agent: \r\nAccept: */*\r\nAccept-Encoding: \r\nContent-Length: \r\n` +
@@ -38,7 +37,7 @@
 	`"Upstreams":["i-","i-"],"Top":50,"FirstMillis":,"DeadlineMillis":,{"method":"GatherRest","params":{"ID":"` +
 	`{"method":"Beat","params":{"jsonrpc":"2.0"}`)
 
-// inflaters are kept, since making one costs more than a message.
+// inflaters are reused, since creating one costs more than reading a message.
 var inflaters = sync.Pool{New: func() any { return flate.NewReaderDict(bytes.NewReader(nil), dictionary) }}
 
 func (frameCodec) WriteObject(stream io.Writer, v any) error {
@@ -75,20 +74,20 @@
 	r := inflaters.Get().(io.ReadCloser)
 	defer inflaters.Put(r)
 	if err := r.(flate.Resetter).Reset(bytes.NewReader(packed), dictionary); err != nil {
-		return fmt.Errorf("expand frame: %w", err)
+		return fmt.Errorf("decompress frame: %w", err)
 	}
 	text, err := io.ReadAll(io.LimitReader(r, wire.MaxReply+1))
 	if err != nil {
-		return fmt.Errorf("expand frame: %w", err)
+		return fmt.Errorf("decompress frame: %w", err)
 	}
 	if len(text) > wire.MaxReply {
-		return fmt.Errorf("frame expands: %w", wire.ErrTooLarge)
+		return fmt.Errorf("decompressed frame: %w", wire.ErrTooLarge)
 	}
 	return decode(text, v)
 }
 
-// encode writes a message as text. The library's messages encode themselves; a
-// second pass over their text by json.Marshal would only copy and check it.
+// encode returns the JSON text of a message. The library's messages encode themselves;
+// json.Marshal would validate and copy their text once more.
 func encode(v any) ([]byte, error) {
 	if m, ok := v.(json.Marshaler); ok {
 		return m.MarshalJSON()
@@ -96,9 +95,8 @@
 	return json.Marshal(v)
 }
 
-// decode reads a message from its text. The library's messages decode and check
-// themselves: a call of 10 KB between two hosts takes 830 to 1,080 us in place of 1,070
-// to 1,340, one of 100 bytes 55 to 63 in place of 66 to 104 (BenchmarkCall, one core).
+// decode parses the JSON text of a message. The library's messages decode and validate
+// themselves; json.Unmarshal would scan their text once more.
 func decode(text []byte, v any) error {
 	if u, ok := v.(json.Unmarshaler); ok {
 		return u.UnmarshalJSON(text)
--- a/tier/peers/compare.go
+++ b/tier/peers/compare.go
@@ -9,9 +9,9 @@
 	"loomgap/tier/kernel"
 )
 
-// compareDirectory fetches the directory of a peer if this host has to learn from peers,
-// or if the two know different eras of the platform's history and what the peer knows
-// counts: it knows the later era, or the later one is not settled yet.
+// compareDirectory fetches a peer's directory if it differs and this host cannot read the
+// platform itself. It also does so if the two know different eras of the platform's
+// history and the peer's is later, or this host's era is not settled yet.
 func (g *gossip) compareDirectory(s *kernel.State, now time.Duration, from netip.AddrPort, h *heartbeat) {
 	if h.Directory == s.Directory.Digest() {
 		return
@@ -39,10 +39,11 @@
 	}
 }
 
-// confirms reports whether a heartbeat shows that the document in force is the newest.
-// Where the platform's reads may be old, it does only if its sender has the same one and
-// knows from the platform that it is: else two hosts that start confirm one another's old
-// read. Without an adapter nothing shows that, and a peer without a newer one has to do.
+// confirms reports whether a heartbeat shows that the document in force is the newest. With
+// an adapter, a read of the platform may be stale, so the sender must have the same
+// document and know from the platform that it is the newest: otherwise two starting hosts
+// would confirm each other's stale read. Without an adapter there is no such knowledge, and
+// a peer without a newer document suffices.
 func (g *gossip) confirms(s *kernel.State, h *heartbeat) bool {
 	if g.kernel.Settings.Adapter == "" {
 		return !h.edition().Newer(s.Edition())
--- a/tier/peers/conn.go
+++ b/tier/peers/conn.go
@@ -20,25 +20,24 @@
 )
 
 const (
-	// writeBound is how long a peer may leave what is written unread. Without it an
-	// unresponsive peer would hold up all callers of its connection, since each write waits
-	// for the one before.
+	// writeTimeout limits one write to a peer. Without it, a peer that stops reading would
+	// block all callers of its connection, since writes are serialized.
 	writeTimeout = 2 * time.Second
-	// silentBound is how long a peer may leave calls unanswered until its connection is
-	// replaced: longer than an answer takes on a busy host (up to 100 ms). Without it a
-	// connection that has gone silent, without a reset, keeps its host out of reach,
-	// though a new one to the same host may work.
+	// unresponsiveTimeout is how long calls may stay unanswered until the connection is
+	// replaced; it is longer than an answer takes on a busy host. Without it, a connection
+	// that stalls without a reset would keep the host unreachable, although a new connection
+	// to it may work.
 	unresponsiveTimeout = 300 * time.Millisecond
 )
 
-// peerConn is a connection to a peer. It counts bytes and notes for how long the peer
-// has not answered. It is safe for concurrent use.
+// peerConn is a connection to a peer. It counts bytes and tracks how long the peer has not
+// answered. It is safe for concurrent use.
 type peerConn struct {
 	net.Conn
 	now func() time.Duration
 
-	// awaitingSince is when the first call was sent since bytes last came, in nanoseconds
-	// of now; 0 if none was.
+	// unansweredSince is when the first call was sent since bytes last arrived, in
+	// nanoseconds of now; 0 if no call is unanswered.
 	unansweredSince atomic.Int64
 }
 
@@ -61,11 +60,10 @@
 }
 
 func (c *peerConn) callSent() {
-	c.unansweredSince.CompareAndSwap(0, max(int64(c.now()), 1)) // 0 is none
+	c.unansweredSince.CompareAndSwap(0, max(int64(c.now()), 1)) // 0 means that no call is unanswered
 }
 
-// silentFor returns for how long nothing has come since the first unanswered
-// call; 0 if no call is unanswered.
+// unansweredFor returns the time since the first unanswered call; 0 if there is none.
 func (c *peerConn) unansweredFor() time.Duration {
 	since := c.unansweredSince.Load()
 	if since == 0 {
@@ -74,16 +72,16 @@
 	return c.now() - time.Duration(since)
 }
 
-// outgoing is a connection that this host made to a peer.
+// outgoing is a connection that this host opened to a peer.
 type outgoing struct {
 	rpc *jsonrpc2.Conn
 	raw *peerConn
 
 	mu sync.Mutex
-	// calls counts the calls under way.
+	// calls counts the calls in progress.
 	calls int
-	// replaced is true once new calls go on another connection; the connection
-	// is closed when the last call on it has ended.
+	// replaced is true once new calls use another connection. This one is closed when its
+	// last call has ended.
 	replaced bool
 }
 
@@ -108,14 +106,14 @@
 	o.closeIfIdle()
 }
 
-// closeIfDone is used with mu locked.
+// closeIfIdle closes a replaced connection without calls. It must be called with mu locked.
 func (o *outgoing) closeIfIdle() {
 	if o.replaced && o.calls == 0 {
 		go func() { _ = o.rpc.Close() }()
 	}
 }
 
-// connected returns the connection to an address; nil if there is none that answers.
+// responsiveConn returns the connection to an address, or nil if there is none that answers.
 func (n *node) responsiveConn(to netip.AddrPort) *outgoing {
 	n.mu.Lock()
 	o := n.conns[to]
@@ -129,7 +127,7 @@
 	return nil
 }
 
-// dial returns a connection to an address, made if there is none.
+// dial returns the connection to an address, and opens one if there is none.
 func (n *node) dial(ctx context.Context, to netip.AddrPort) (*outgoing, error) {
 	if o := n.responsiveConn(to); o != nil {
 		return o, nil
@@ -142,7 +140,7 @@
 	return n.register(to, &outgoing{rpc: n.serveOn(c), raw: c}), nil
 }
 
-// register makes a connection the one to use, unless another was faster.
+// register makes o the connection to an address, unless another one was registered first.
 func (n *node) register(to netip.AddrPort, o *outgoing) *outgoing {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/tier/peers/crash_reports.go
+++ b/tier/peers/crash_reports.go
@@ -17,48 +17,45 @@
 )
 
 // Methods by which hosts report requests that are suspected of crashing upstreams. The
-// parameters of both are a strikesMessage.
+// parameters of both are a crashReportsMessage.
 const (
-	// methodStrikes reports new strikes; there is no answer.
+	// methodCrashReports sends new crash reports; there is no reply.
 	methodCrashReports = "Strikes"
-	// methodKnownStrikes reports the strikes known here, and is answered by those known
-	// there.
+	// methodExchangeCrashReports sends all known crash reports, and the reply contains those
+	// known to the receiver.
 	methodExchangeCrashReports = "KnownStrikes"
 )
 
 const (
-	// strikesGap is the least time between two reports of new strikes. It bounds what
-	// is sent however many upstreams crash: 64 KB a second of each of 300 hosts that see
-	// 3,000 strikes within a second, uncompressed (virtual time). The first goes at
-	// once, since callers repeat a request within some 10 ms, and so does one by which a
-	// request is refused.
+	// crashReportInterval is the shortest time between two messages of new crash reports. It
+	// limits the traffic if many upstreams crash. The first message is sent at once, since
+	// callers retry a request within milliseconds, and so is one by which a request is
+	// refused.
 	crashReportInterval = 250 * time.Millisecond
-	// strikesInHall is how many hosts of this hall new strikes are reported to; whoever
-	// learns from a report reports to as many others. With 8, one host in 3,000 is left
-	// out (e to the power of -8), and then learns by exchange.
+	// hallReportTargets is how many hosts of this hall new crash reports are sent to. Each
+	// receiver forwards them to as many others. With 8, the expected share of hosts that a
+	// report misses is e^-8, or one in 3,000; these learn of it by an exchange.
 	hallReportTargets = 8
-	// strikesElsewhere is how many hosts of each other hall new strikes are reported to.
+	// otherHallReportTargets is how many hosts of each other hall new crash reports are sent to.
 	otherHallReportTargets = 2
-	// strikesTargets is the most hosts that one report goes to, whatever the halls.
+	// maxReportTargets limits the hosts that one message is sent to, in all halls together.
 	maxReportTargets = 16
-	// exchangeEvery is how often a host that knows of strikes exchanges them with
-	// another, so that a host that was cut off, or has started, learns of them within
-	// seconds.
+	// exchangeInterval is how often a host with crash reports exchanges them with another, so
+	// that a host that was partitioned or has started learns of them within seconds.
 	exchangeInterval = time.Second
-	// exchangeElsewhere has every so many exchanges go to another hall.
+	// otherHallExchangeEvery is the interval, in exchanges, of those with another hall.
 	otherHallExchangeEvery = 3
 	// exchangePartners is how many hosts an exchange is made with.
 	exchangePartners = 1
-	// startExchanges is how many hosts a host that starts asks.
+	// startExchanges is how many hosts a starting host exchanges crash reports with.
 	startExchanges = 2
-	// maxFingerprint is the most bytes of a fingerprint in a message.
+	// maxFingerprintBytes limits a fingerprint in a message.
 	maxFingerprintBytes = 64
-	// maxReportedStrikes is the most strikes of one request in a message. A host remembers
-	// fewer.
+	// maxCrashesPerRequest limits the crashes of one request in a message. A host keeps fewer.
 	maxCrashesPerRequest = 64
 )
 
-// errBadStrikes is wrapped when a message of another host cannot be one of strikes.
+// errInvalidCrashReports is wrapped when a message of another host is not valid.
 var errInvalidCrashReports = errors.New("bad strikes")
 
 type crashReportsMessage struct {
@@ -79,98 +76,98 @@
 	return nil
 }
 
-// strikeReporter reports strikes to other hosts and takes in their reports. It decides
-// nothing about requests: the fleet holds the strikes and the rules.
+// crashReporter sends crash reports to other hosts and receives theirs. It takes no decisions
+// about requests: these are up to policy.Fleet, which keeps the reports.
 type crashReporter struct {
 	kernel *kernel.Kernel
-	// pending holds one item while there are new strikes to report, urgent one while
-	// they must not wait.
+	// pending holds one item while there are new crash reports to send, urgent holds one while
+	// they must be sent at once.
 	pending, urgent chan struct{}
 }
 
-// ServeCrashReports shares what this host knows of requests that crash upstreams. The
-// clean-up function ends that.
+// ServeCrashReports exchanges crash reports with other hosts until the returned function is
+// called.
 func ServeCrashReports(k *kernel.Kernel) func() {
-	s := &crashReporter{kernel: k, pending: make(chan struct{}, 1), urgent: make(chan struct{}, 1)}
-	k.Handle(methodCrashReports, s.onCrashReports)
-	k.Handle(methodExchangeCrashReports, s.onExchange)
-	k.Fleet.OnCrashReports(s.notify)
-	stop := kernel.RunLoops(context.Background(), s.loop)
+	c := &crashReporter{kernel: k, pending: make(chan struct{}, 1), urgent: make(chan struct{}, 1)}
+	k.Handle(methodCrashReports, c.onCrashReports)
+	k.Handle(methodExchangeCrashReports, c.onExchange)
+	k.Fleet.OnCrashReports(c.notify)
+	stop := kernel.RunLoops(context.Background(), c.loop)
 	return func() {
 		k.Fleet.OnCrashReports(nil)
 		stop()
 	}
 }
 
-// notify has new strikes reported; it does not block.
-func (s *crashReporter) notify(urgent bool) {
-	to := s.pending
+// notify has new crash reports sent. It does not block.
+func (c *crashReporter) notify(urgent bool) {
+	to := c.pending
 	if urgent {
-		to = s.urgent
+		to = c.urgent
 	}
 	select {
 	case to <- struct{}{}:
-	default: // one is pending already
+	default: // already notified
 	}
 }
 
-func (s *crashReporter) loop(ctx context.Context) {
+func (c *crashReporter) loop(ctx context.Context) {
 	tick := time.Tick(exchangeInterval)
 	started := false
 	for rounds := 0; ; {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.urgent:
-			s.reportNew(ctx)
-		case <-s.pending:
-			s.reportNew(ctx)
-			s.waitInterval(ctx)
+		case <-c.urgent:
+			c.reportNew(ctx)
+		case <-c.pending:
+			c.reportNew(ctx)
+			c.waitInterval(ctx)
 		case <-tick:
 			rounds++
 			switch {
 			case !started:
-				// Until another host is known there is nobody to ask.
-				hosts := s.partners(false, startExchanges)
-				s.exchangeAll(ctx, hosts)
+				// Until another host is known, there is nobody to ask.
+				hosts := c.partners(false, startExchanges)
+				c.exchangeAll(ctx, hosts)
 				started = len(hosts) > 0
-			case s.kernel.Fleet.HasSuspects():
-				s.exchangeAll(ctx, s.partners(rounds%otherHallExchangeEvery == 0, exchangePartners))
+			case c.kernel.Fleet.HasSuspects():
+				c.exchangeAll(ctx, c.partners(rounds%otherHallExchangeEvery == 0, exchangePartners))
 			}
 		}
 	}
 }
 
-// waitGap waits the least time between two reports, but for an urgent one.
-func (s *crashReporter) waitInterval(ctx context.Context) {
+// waitInterval waits for crashReportInterval, or until an urgent report is sent.
+func (c *crashReporter) waitInterval(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-s.urgent:
-		s.reportNew(ctx)
+	case <-c.urgent:
+		c.reportNew(ctx)
 	case <-time.After(crashReportInterval):
 	}
 }
 
-func (s *crashReporter) reportNew(ctx context.Context) {
-	k := s.kernel
+func (c *crashReporter) reportNew(ctx context.Context) {
+	k := c.kernel
 	reports := k.Fleet.UnsentReports(k.Now())
 	if len(reports) == 0 {
 		return
 	}
 	if len(reports) == policy.ReportsMost {
-		s.notify(false) // there may be more
+		c.notify(false) // there may be more
 	}
 	for i := range reports {
-		s.logReport(&reports[i])
+		c.logReport(&reports[i])
 	}
 	m := crashReportsMessage{Reports: reports}
-	for _, host := range s.targets() {
-		go s.send(ctx, host, &m)
+	for _, host := range c.targets() {
+		go c.send(ctx, host, &m)
 	}
 }
 
-func (s *crashReporter) logReport(r *policy.SuspectReport) {
-	k := s.kernel
+func (c *crashReporter) logReport(r *policy.SuspectReport) {
+	k := c.kernel
 	verdict := k.Fleet.Worst(k.Now(), r.Fingerprint)
 	metrics.GetOrCreateCounter(`loomgap_suspects_total{Verdict="` + string(verdict) + `"}`).Inc()
 	var upstreams, callers []string
@@ -185,10 +182,10 @@
 		Strs("Upstreams", upstreams).Strs("Callers", callers).Msg("strikes of a request changed")
 }
 
-// targets decides which hosts new strikes are reported to: some of this hall and of
-// each other, drawn at random among the live ones.
-func (s *crashReporter) targets() []string {
-	near, far := s.others()
+// targets returns the hosts that new crash reports are sent to: some of this hall and of each
+// other, drawn at random among those that can be called.
+func (c *crashReporter) targets() []string {
+	near, far := c.others()
 	out := sample(rand.Perm, near, hallReportTargets)
 	for _, hosts := range far {
 		out = append(out, sample(rand.Perm, hosts, otherHallReportTargets)...)
@@ -196,10 +193,10 @@
 	return out[:min(len(out), maxReportTargets)]
 }
 
-// partners decides which n hosts strikes are exchanged with, of other halls or of this
-// one, drawn at random among the live ones.
-func (s *crashReporter) partners(otherHalls bool, n int) []string {
-	near, far := s.others()
+// partners returns n hosts to exchange crash reports with, of other halls or of this one,
+// drawn at random among those that can be called.
+func (c *crashReporter) partners(otherHalls bool, n int) []string {
+	near, far := c.others()
 	all := slices.Concat(slices.Collect(maps.Values(far))...)
 	if !otherHalls && len(near) > 0 || len(all) == 0 {
 		all = near
@@ -207,62 +204,62 @@
 	return sample(rand.Perm, all, n)
 }
 
-func (s *crashReporter) others() (near []string, far map[string][]string) {
-	return byHall(s.kernel.View().Members, s.kernel.Settings.Hall, (*kernel.Member).Callable)
+func (c *crashReporter) others() (near []string, far map[string][]string) {
+	return byHall(c.kernel.View().Members, c.kernel.Settings.Hall, (*kernel.Member).Callable)
 }
 
-func (s *crashReporter) send(ctx context.Context, host string, m *crashReportsMessage) {
+func (c *crashReporter) send(ctx context.Context, host string, m *crashReportsMessage) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := s.kernel.Peers.Notify(ctx, host, methodCrashReports, m); err != nil {
-		s.kernel.Log.Info().Err(err).Str("Peer", host).Msg("strikes not told")
+	if err := c.kernel.Peers.Notify(ctx, host, methodCrashReports, m); err != nil {
+		c.kernel.Log.Info().Err(err).Str("Peer", host).Msg("strikes not told")
 	}
 }
 
-func (s *crashReporter) onCrashReports(_ context.Context, params json.RawMessage) (any, error) {
-	return struct{}{}, s.decodeAndApply(params)
+func (c *crashReporter) onCrashReports(_ context.Context, params json.RawMessage) (any, error) {
+	return struct{}{}, c.decodeAndApply(params)
 }
 
-func (s *crashReporter) exchangeAll(ctx context.Context, hosts []string) {
-	m := crashReportsMessage{Reports: s.kernel.Fleet.Reports(s.kernel.Now())}
+func (c *crashReporter) exchangeAll(ctx context.Context, hosts []string) {
+	m := crashReportsMessage{Reports: c.kernel.Fleet.Reports(c.kernel.Now())}
 	for _, host := range hosts {
-		go s.exchange(ctx, host, &m)
+		go c.exchange(ctx, host, &m)
 	}
 }
 
-// exchange reports the strikes known here to a host and takes in those known there.
-func (s *crashReporter) exchange(ctx context.Context, host string, m *crashReportsMessage) {
+// exchange sends the known crash reports to a host and applies those in its reply.
+func (c *crashReporter) exchange(ctx context.Context, host string, m *crashReportsMessage) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var reply crashReportsMessage
-	err := s.kernel.Peers.Call(ctx, host, methodExchangeCrashReports, m, &reply)
+	err := c.kernel.Peers.Call(ctx, host, methodExchangeCrashReports, m, &reply)
 	if err == nil {
-		err = s.apply(&reply)
+		err = c.apply(&reply)
 	}
 	if err != nil {
-		s.kernel.Log.Info().Err(err).Str("Peer", host).Msg("strikes not exchanged")
+		c.kernel.Log.Info().Err(err).Str("Peer", host).Msg("strikes not exchanged")
 	}
 }
 
-func (s *crashReporter) onExchange(_ context.Context, params json.RawMessage) (any, error) {
-	if err := s.decodeAndApply(params); err != nil {
+func (c *crashReporter) onExchange(_ context.Context, params json.RawMessage) (any, error) {
+	if err := c.decodeAndApply(params); err != nil {
 		return nil, err
 	}
-	return crashReportsMessage{Reports: s.kernel.Fleet.Reports(s.kernel.Now())}, nil
+	return crashReportsMessage{Reports: c.kernel.Fleet.Reports(c.kernel.Now())}, nil
 }
 
-func (s *crashReporter) decodeAndApply(params json.RawMessage) error {
+func (c *crashReporter) decodeAndApply(params json.RawMessage) error {
 	var m crashReportsMessage
 	if err := json.Unmarshal(params, &m); err != nil {
 		return fmt.Errorf("%w: %w", errInvalidCrashReports, err)
 	}
-	return s.apply(&m)
+	return c.apply(&m)
 }
 
-func (s *crashReporter) apply(m *crashReportsMessage) error {
+func (c *crashReporter) apply(m *crashReportsMessage) error {
 	if err := m.check(); err != nil {
 		return err
 	}
-	s.kernel.Fleet.TakeReports(s.kernel.Now(), m.Reports)
+	c.kernel.Fleet.TakeReports(c.kernel.Now(), m.Reports)
 	return nil
 }
--- a/tier/peers/discovery.go
+++ b/tier/peers/discovery.go
@@ -11,19 +11,20 @@
 	"loomgap/tier/kernel"
 )
 
-// A host that hears no announcement asks for one: it sends a heartbeat to a host that ranks
-// first in its hall. The reply is an announcement if that host announces, and from then on
-// it knows the one that asked. Without it, a host that the announcer has not met yet, as
-// one that has just started in a large hall, believes that nobody announces: it takes over
-// though stronger hosts do, announces to the whole hall, and falls behind under that load.
+// A host that receives no announcement asks for one: it sends a heartbeat to one of the
+// highest ranked hosts of its hall. If that host announces, its reply contains the
+// announcement, and it learns of the sender. Without this, a host that the announcer does not
+// know yet, such as one that has just started in a large hall, would conclude that nobody
+// announces: it would take over from stronger hosts, announce to the whole hall, and be
+// overloaded by that.
 
 const (
-	// seekEvery is how often a host checks whether it hears announcements.
+	// discoveryInterval is how often a host checks whether it receives announcements.
 	discoveryInterval = 400 * time.Millisecond
-	// seekAfter is how long a host hears none before it asks: long enough before
-	// announceLost that an answer comes before it takes over.
+	// discoveryTimeout is how long a host receives none before it asks. It leaves enough of
+	// announcerTimeout for an answer to arrive before the host takes over.
 	discoveryTimeout = announcerTimeout / 2
-	// seekAmong is how many hosts, the first by rank, are asked in turn.
+	// discoveryCandidates is how many of the highest ranked hosts are asked in turn.
 	discoveryCandidates = 3
 )
 
@@ -31,7 +32,8 @@
 	g.kernel.DoEvery(ctx, discoveryInterval, g.discoverAnnouncer)
 }
 
-// seek asks for an announcement if this host needs one; it runs on the control thread.
+// discoverAnnouncer asks for an announcement if this host needs one. It runs on the control
+// thread.
 func (g *gossip) discoverAnnouncer(s *kernel.State) {
 	now := g.kernel.Now()
 	if to := discoveryTarget(s, &g.kernel.Settings, now, g.announcementRequests); to.IsValid() {
@@ -41,9 +43,10 @@
 	}
 }
 
-// seekFrom decides whom a host asks for an announcement; nobody if it has heard one lately, if
-// it announces itself, or if no live host of its hall ranks before it. It asks the first
-// ones in turn, beginning anywhere, so that all hosts of a hall that starts do not ask one.
+// discoveryTarget returns the host to ask for an announcement. There is none if this host has
+// received an announcement recently, announces itself, or if no live host of its hall ranks
+// before it. Hosts begin at different candidates, so that a starting hall does not ask only
+// one host.
 func discoveryTarget(s *kernel.State, settings *kernel.Settings, now time.Duration, asked int) netip.AddrPort {
 	for _, a := range s.HallAnnouncers {
 		if now-a.At < discoveryTimeout {
--- a/tier/peers/feed.go
+++ b/tier/peers/feed.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// changePause is the pause after a change, so that a burst of changes costs one read.
+	// changeDebounce is the pause after a change, so that a burst of changes costs one read.
 	changeDebounce = 300 * time.Millisecond
-	// rolePause is how often a host that does not read checks whether it is to.
+	// roleCheckInterval is how often a host that does not read checks whether it should.
 	roleCheckInterval = 200 * time.Millisecond
 )
 
@@ -38,7 +38,7 @@
 	source, closeSource := a.Open(k.Settings.Platform)
 	f := &feed{kernel: k, source: source, announcer: &announcer{kernel: k}}
 	k.Do(func(s *kernel.State) { s.FeedDown = true })
-	// What another hall's reader announces is passed on at once.
+	// Forward what a reader in another hall announces at once.
 	k.OnView(f.announcer.onView)
 	stop := kernel.RunLoops(ctx, f.loop, f.announcer.loop)
 	return func() {
@@ -47,21 +47,21 @@
 	}, nil
 }
 
-// feed reads a source while this host is the reader (reader.go) and hands what it read
-// to the control thread. Its fields are used by the goroutine of loop, and by the control
-// thread while that waits for it.
+// feed reads a source while this host is the reader (reader.go) and applies what it read
+// on the control thread. Its fields are used by the goroutine of loop, and by the control
+// thread while that goroutine waits for it.
 type feed struct {
 	kernel    *kernel.Kernel
 	source    kernel.Source
 	announcer *announcer
-	// position is up to where everything was read, in one era of the platform; zero for
-	// nothing yet. It only says where to read on.
+	// position is where the next watch continues: everything of its era up to there was
+	// read. It is zero before the first read.
 	position config.Position
-	// exact is true if the next whole read must not be an old one.
+	// consistentRead is true if the next full read must not be a stale one.
 	consistentRead bool
-	// watched is true once a watch has shown that nothing newer was missed.
+	// caughtUp is true once a watch has shown that the last full read missed nothing.
 	caughtUp bool
-	// goneAt is when the platform last no longer had the history after position.
+	// historyGoneAt is when the platform last no longer had the history after position.
 	historyGoneAt time.Duration
 	outage        outage
 	removalHold   removalHold
@@ -94,12 +94,12 @@
 	}
 }
 
-// isReader reports whether this host reads the platform now. A host that has read
-// before goes on from where it was.
+// isReader updates this host's role and reports whether it reads the platform now. A host
+// that becomes the reader again continues from its last position.
 func (f *feed) isReader() (reading bool) {
 	f.kernel.DoAndWait(func(s *kernel.State) {
 		if updateRole(f.kernel, s) {
-			// Those that rank behind must not take over too.
+			// Prevent hosts that rank lower from taking over as well.
 			f.announcer.announce(s)
 		}
 		reading = s.Reading
@@ -113,7 +113,7 @@
 		return f.source.Read(ctx, f.consistentRead)
 	}
 	if !f.caughtUp {
-		// The first read may have been an old one.
+		// The first read may have been a stale one.
 		return f.source.Watch(ctx, f.position, 0)
 	}
 	if f.eraTracker.begin(now) {
@@ -130,7 +130,8 @@
 			Msg("history is gone, reading everything")
 		f.position, f.consistentRead, f.caughtUp = config.Position{}, true, false
 		if f.historyGoneAt > 0 && now-f.historyGoneAt < changeDebounce {
-			// A platform that forgets at once would be read without end.
+			// Without a pause, a platform that keeps losing its history would be read in a
+			// busy loop.
 			kernel.Sleep(ctx, changeDebounce)
 		}
 		f.historyGoneAt = now
@@ -143,8 +144,8 @@
 	kernel.Sleep(ctx, f.outage.nextDelay())
 }
 
-// markFeedDown notes that this host has to learn from peers what is published; it runs
-// on the control thread.
+// markPlatformDown records that this host has to learn from peers what is published. It
+// runs on the control thread.
 func markPlatformDown(k *kernel.Kernel, s *kernel.State, err error) {
 	if s.FeedDown {
 		return
@@ -153,7 +154,7 @@
 	k.Log.Warn().Err(err).Int64("PlatformAgeMillis", (k.Now() - s.PlatformReadAt).Milliseconds()).Msg("platform lost")
 }
 
-// take hands what was read to the control thread and waits until it is in force.
+// apply puts what was read in force on the control thread and waits for that.
 func (f *feed) apply(p *kernel.Published) {
 	now := f.kernel.Now()
 	for _, err := range p.Problems {
@@ -163,7 +164,7 @@
 	wasUnavailable := f.outage.isUnavailable(now, maxReadAge(&f.kernel.Settings))
 	f.outage.succeeded(now)
 	f.consistentRead = false
-	// A whole read may be an old one; the watch that follows shows.
+	// A full read may be stale, which the next watch shows.
 	f.caughtUp = !p.Directory.Whole
 	f.position = p.Position
 	f.kernel.DoAndWait(func(s *kernel.State) {
@@ -177,10 +178,9 @@
 	})
 }
 
-// install puts what was read in force; it runs on the control thread while the feed
-// waits.
+// install puts what was read in force. It runs on the control thread while the feed waits.
 func (f *feed) install(s *kernel.State, p *kernel.Published, now time.Duration, wasUnavailable bool) {
-	// If others read the platform all the while, nothing lapsed.
+	// If other hosts read the platform in the meantime, no entries expired.
 	if wasUnavailable && now-s.PlatformReadAt > maxReadAge(&f.kernel.Settings) {
 		f.removalHold.platformReturned(now)
 	}
@@ -196,7 +196,7 @@
 	f.announcer.announce(s)
 }
 
-// applyDirectory applies what was read of the directory, and removals held back before.
+// applyDirectory applies a directory change, and removals whose hold has ended.
 func (f *feed) applyDirectory(s *kernel.State, p *kernel.Published, now time.Duration) {
 	change := p.Directory
 	s.Index.DropUnboundWarmups(change.Listed)
--- a/tier/peers/fetch.go
+++ b/tier/peers/fetch.go
@@ -14,8 +14,8 @@
 	"loomgap/tier/wire"
 )
 
-// Methods by which a host gets from another what it lacks. They have no parameters and
-// are answered by a wire.PackedDocument: the document in force, or the directory as a
+// Methods by which a host fetches what it lacks from another. They have no parameters and
+// return a wire.PackedDocument: the document in force, or the directory as a
 // config.DirectoryChange.
 const (
 	methodDocument  = "Document"
@@ -23,55 +23,53 @@
 )
 
 const (
-	// maxDirectory is the most bytes of text that a directory of a peer may have.
+	// maxDirectoryBytes limits the text of a directory that is fetched from a peer.
 	maxDirectoryBytes = 8 << 20
-	// directoryAgain is how long a host waits, after it asked for the directory on an
-	// announcement, until it does so again.
+	// directoryFetchInterval is the shortest time between two throttled fetches of the
+	// directory.
 	directoryFetchInterval = 500 * time.Millisecond
-	// firstFetchBound is how long the first try of a fetch may take. A change must be in
-	// force within seconds, also at a host whose connections have all gone silent.
+	// firstFetchTimeout limits the first attempt of a fetch. A change must be in force within
+	// seconds, also at a host all of whose connections have stalled.
 	firstFetchTimeout = 500 * time.Millisecond
 )
 
-// errEmptyDirectory is the answer of a peer that has no directory itself.
+// errEmptyDirectory reports a peer that has no directory itself.
 var errEmptyDirectory = errors.New("peer has no directory")
 
-// fetches gets documents and directories from other hosts, one of each at a time, and
+// fetcher fetches documents and directories from other hosts, one of each at a time, and
 // serves them to others.
 type fetcher struct {
 	kernel *kernel.Kernel
 	node   *node
-	// document and directory are true while one is being fetched; directoryAt is when
-	// a directory was last fetched on an announcement, 0 for never. They are used on
-	// the control thread.
+	// fetchingDocument and fetchingDirectory are true while a fetch is in progress;
+	// directoryFetchedAt is when the last throttled fetch of the directory began, 0 for
+	// never. They are used on the control thread.
 	fetchingDocument, fetchingDirectory bool
 	directoryFetchedAt                  time.Duration
-	// newer is called on the control thread once a fetched document is in force.
+	// onNewDocument is called on the control thread once a fetched document is in force.
 	onNewDocument func(*kernel.State)
 
-	// documents and directories hold what was last packed for a peer: where many hosts
+	// documentCache and directoryCache hold what was last packed for a peer: when many hosts
 	// start, each asks for the same.
 	documentCache  packCache[*config.Index]
 	directoryCache packCache[*config.Directory]
 }
 
-// packing is the packed form of what was last sent to a peer. It is safe for concurrent
-// use.
+// packCache caches the packed form of the last value. It is safe for concurrent use.
 type packCache[T comparable] struct {
 	mu     sync.Mutex
 	from   T
 	packed wire.PackedDocument
 }
 
-// pack returns the packed form of a value, which it makes unless the value is the same as
-// the last time.
-func (p *packCache[T]) pack(from T, make func(T) (wire.PackedDocument, error)) (wire.PackedDocument, error) {
+// pack returns the packed form of a value, and makes it only if the value has changed.
+func (p *packCache[T]) pack(from T, build func(T) (wire.PackedDocument, error)) (wire.PackedDocument, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.from == from {
 		return p.packed, nil
 	}
-	packed, err := make(from)
+	packed, err := build(from)
 	if err != nil {
 		return wire.PackedDocument{}, err
 	}
@@ -86,8 +84,8 @@
 	return f
 }
 
-// fetchDocument gets the document in force at a peer, unless one is being fetched. It
-// runs on the control thread and does not wait.
+// fetchDocument starts to fetch the document in force at a peer, unless a fetch is in
+// progress. It runs on the control thread and does not wait.
 func (f *fetcher) fetchDocument(from netip.AddrPort) {
 	if f.fetchingDocument {
 		return
@@ -112,7 +110,7 @@
 	}()
 }
 
-// read gets a text of at most limit bytes from a peer.
+// read fetches a text of at most limit bytes from a peer.
 func (f *fetcher) read(from netip.AddrPort, method string, limit int64) (text string, edition config.Edition, err error) {
 	var packed wire.PackedDocument
 	if err := f.node.fetch(from, method, &packed); err != nil {
@@ -135,8 +133,8 @@
 	})
 }
 
-// fetchDirectory gets the directory of a peer, unless one is being fetched. It runs on
-// the control thread and does not wait.
+// fetchDirectory starts to fetch the directory of a peer, unless a fetch is in progress. It
+// runs on the control thread and does not wait.
 func (f *fetcher) fetchDirectory(from netip.AddrPort) {
 	if f.fetchingDirectory {
 		return
@@ -149,8 +147,8 @@
 		}
 		f.kernel.Do(func(s *kernel.State) {
 			f.fetchingDirectory = false
-			// A host that reads the platform itself knows better, unless the platform
-			// may have come back from a copy that is older than what the peer knows.
+			// What this host reads from the platform itself takes precedence, unless the
+			// platform may have been restored from a copy older than the peer's directory.
 			if err == nil && (s.FeedDown || !s.Reading || s.Directory.Unsettled()) {
 				s.List(change)
 				f.kernel.Log.Info().Stringer("Peer", from).Uint64("DirectoryEra", change.Era).Uint64("DirectoryRevision", change.Revision).
@@ -160,7 +158,7 @@
 	}()
 }
 
-// fetchDirectoryAgain is fetchDirectory, but not again within directoryAgain.
+// fetchDirectoryThrottled is fetchDirectory at most once per directoryFetchInterval.
 func (f *fetcher) fetchDirectoryThrottled(now time.Duration, from netip.AddrPort) {
 	if f.fetchingDirectory || f.directoryFetchedAt > 0 && now-f.directoryFetchedAt < directoryFetchInterval {
 		return
@@ -201,8 +199,8 @@
 	return wire.Pack(0, text)
 }
 
-// fetch calls a method without parameters. If the first try gets no answer, its
-// connection may have gone silent: the second is then made on another.
+// fetch calls a method without parameters. If the first attempt times out, its connection
+// may have stalled: the second attempt uses a new one.
 func (n *node) fetch(from netip.AddrPort, method string, result any) error {
 	err := n.callWithin(firstFetchTimeout, from, method, struct{}{}, result)
 	if errors.Is(err, context.DeadlineExceeded) {
--- a/tier/peers/heartbeat.go
+++ b/tier/peers/heartbeat.go
@@ -12,27 +12,27 @@
 	"loomgap/tier/kernel"
 )
 
-// methodHeartbeat is the method by which hosts exchange heartbeats: both the parameters
-// and the reply are a heartbeat.
+// methodHeartbeat is the method by which hosts exchange heartbeats. Both the parameters and
+// the reply are a heartbeat.
 const methodHeartbeat = "Beat"
 
 const (
-	// handoverShare is the part of a host's live members that another knows at most, to
-	// which it hands them all over.
+	// fullSyncThreshold is the fraction of this host's live members below which a sender's
+	// member count is answered by a full sync.
 	fullSyncThreshold = 0.98
-	// startInterval is the time between the heartbeats of a host that starts, when it knows
+	// startInterval is the time between the first heartbeats of a starting host, which knows
 	// nobody: all hosts may have been started at once.
 	startInterval = 200 * time.Millisecond
 	// startHeartbeats is how many heartbeats a host sends at that interval.
 	startHeartbeats = 8
-	// confirmFresh is how long ago a document must have been the newest one, for a
-	// heartbeat to confirm it.
+	// maxConfirmedAge is how long ago the sender's document may have been confirmed for a
+	// heartbeat to confirm it here.
 	maxConfirmedAge = 2 * announcerTimeout
-	// heartbeatBound is how long a heartbeat may take. A host of the same hall that has
-	// not answered by then is asked once more, and suspected if it does not answer that.
+	// heartbeatTimeout limits one attempt of a heartbeat. A host of the same hall that does
+	// not answer two attempts is suspected.
 	heartbeatTimeout = 500 * time.Millisecond
-	// maxMembers is the most members that are known without a document, so that what a peer
-	// makes up does not fill the memory.
+	// maxMembers limits the members that are known without a document, so that made-up
+	// entries cannot exhaust the memory.
 	maxMembers = 16_384
 )
 
@@ -40,73 +40,74 @@
 type heartbeat struct {
 	// Members begins with the sender.
 	Members []memberEntry
-	// Version, Era, Revision and Digest name the document in force.
+	// Version, Era, Revision and Digest identify the sender's document in force.
 	Version  uint64 `json:",omitempty"`
 	Era      uint64 `json:",omitempty"`
 	Revision uint64
 	Digest   string
-	// Published, of PublishedEra, is the latest revision known there; Refused is why the
-	// newest refused document was refused.
+	// Published, of PublishedEra, is the latest revision known to the sender; Refused is why
+	// the newest refused document was refused.
 	PublishedEra uint64 `json:",omitempty"`
 	Published    uint64
 	Refused      string `json:",omitempty"`
-	// PlatformAge is how long ago the platform was read, as far as the sender knows.
+	// PlatformAge is the time since the platform was read, as far as the sender knows.
 	PlatformAge time.Duration
 	// Hall is the data hall of the sender.
 	Hall string
-	// Directory is the digest of the listed upstreams, DirectoryEra and
-	// DirectoryRevision the platform's position up to which the list is whole.
+	// Directory is the digest of the listed upstreams, DirectoryEra and DirectoryRevision are
+	// the platform's position up to which the list is complete.
 	Directory         uint64 `json:",omitempty"`
 	DirectoryEra      uint64 `json:",omitempty"`
 	DirectoryRevision uint64 `json:",omitempty"`
 	// Leaving are upstreams of the hall that are known to leave.
 	Leaving []leavingReport `json:",omitempty"`
-	// Suspicions are hosts that did not answer heartbeats.
+	// Suspicions are members that did not answer heartbeats.
 	Suspicions []suspicion `json:",omitempty"`
-	// Known is how many members the sender knows, silent ones included: one that has found
-	// many of them silent lacks nothing.
+	// Known is how many members the sender knows, including unresponsive ones: a host that
+	// finds many of them unresponsive needs no full sync.
 	Known int `json:",omitempty"`
-	// Confirmed is true if the sender knows that its document was the newest so long ago.
+	// Confirmed is true if the sender knows that its document was the newest one
+	// ConfirmedAge ago.
 	Confirmed    bool          `json:",omitempty"`
 	ConfirmedAge time.Duration `json:",omitempty"`
-	// Announcement is what the sender announces to its hall; in replies to hosts of that
-	// hall only, and nil if it does not announce.
+	// Announcement is what the sender announces to its hall. It is set only in replies to
+	// hosts of that hall, and nil if the sender does not announce.
 	Announcement *announcement `json:",omitempty"`
 }
 
-// edition is how new the document in force at the sender is.
+// edition returns the edition of the sender's document in force.
 func (h *heartbeat) edition() config.Edition {
 	return config.Edition{Version: h.Version, Position: config.Position{Era: h.Era, Revision: h.Revision}}
 }
 
 type leavingReport struct {
 	Upstream string
-	// Age is how long ago the sign was given.
+	// Age is the time since the upstream was reported to leave.
 	Age time.Duration
 }
 
-// gossip exchanges heartbeats. All its fields are used on the control thread only.
+// gossip exchanges heartbeats. Its fields are used on the control thread only.
 type gossip struct {
 	kernel  *kernel.Kernel
 	node    *node
 	fetcher *fetcher
-	// announcements takes in what replies announce; nil where no adapter is set.
+	// announcements applies the announcements in replies; nil if no adapter is set.
 	announcements *announcementServer
 	table         *memberTable
 	random        *rand.Rand
 	// sent counts the rounds of heartbeats sent.
 	sent int
-	// asked counts how often this host asked for an announcement.
+	// announcementRequests counts how often this host asked for an announcement.
 	announcementRequests int
-	// hurrying is true while an extra heartbeat is due.
+	// urgentScheduled is true while an extra heartbeat is scheduled.
 	urgentScheduled bool
-	// pauses is how many pauses of this process were taken into account.
+	// seenPauses is the value of State.Pauses that was last handled.
 	seenPauses int
-	// index is the document that the control state's members were last made with.
+	// memberIndex is the document that the members in the control state were last built with.
 	memberIndex *config.Index
 }
 
-// newGossip makes what exchanges heartbeats; its fetches are still to be set.
+// newGossip returns a gossip without a fetcher, which the caller must set.
 func newGossip(k *kernel.Kernel, n *node, random *rand.Rand) *gossip {
 	self := memberEntry{Host: k.Settings.Host, Incarnation: k.Settings.Incarnation}
 	if k.Settings.Adapter != "" {
@@ -116,7 +117,7 @@
 	return &gossip{kernel: k, node: n, random: random, table: table}
 }
 
-// loop sends heartbeats at regular times, and at once when a planned stop begins.
+// loop sends heartbeats periodically, and at once when a planned stop begins.
 func (g *gossip) loop(ctx context.Context) {
 	tick := time.NewTicker(min(startInterval, g.kernel.Settings.Beat))
 	defer tick.Stop()
@@ -157,7 +158,7 @@
 	}
 }
 
-// hurry sends an extra heartbeat in a moment, if something is to be passed on at once.
+// scheduleUrgent sends an extra heartbeat after urgentDelay if there is an urgent update.
 func (g *gossip) scheduleUrgent() {
 	if g.urgentScheduled || !g.table.takeUrgent() {
 		return
@@ -198,8 +199,7 @@
 	var reply heartbeat
 	err := g.node.callWithin(heartbeatTimeout, to, methodHeartbeat, message, &reply)
 	if err != nil {
-		// The connection may have gone silent, or have been lost with a process that
-		// was started again.
+		// The connection may have stalled, or have been lost when the peer restarted.
 		err = g.node.callWithin(heartbeatTimeout, to, methodHeartbeat, message, &reply)
 	}
 	if err != nil {
@@ -210,8 +210,8 @@
 	g.kernel.Do(func(s *kernel.State) { g.apply(s, to, &reply) })
 }
 
-// unanswered notes that a host did not answer a heartbeat. One of another hall is not
-// suspected: it may be the way to its hall that is cut.
+// recordUnanswered records that a host did not answer a heartbeat. A host of another hall
+// is not suspected: the link to its hall may be down.
 func (g *gossip) recordUnanswered(s *kernel.State, to netip.AddrPort, sentAt time.Duration) {
 	for n, m := range s.Members {
 		if m.Peer == to && m.Hall == g.kernel.Settings.Hall {
@@ -236,7 +236,7 @@
 	})
 }
 
-// reply is the answer to a heartbeat. A host that knows few others gets many.
+// reply returns the answer to a heartbeat, with a full sync for a host that knows few others.
 func (g *gossip) reply(s *kernel.State, in *heartbeat) heartbeat {
 	now := g.kernel.Now()
 	out := g.message(s, now)
@@ -250,7 +250,7 @@
 	return out
 }
 
-// learn takes in a heartbeat, or the reply to one, of the host at an address.
+// apply merges a heartbeat, or the reply to one, of the host at an address.
 func (g *gossip) apply(s *kernel.State, from netip.AddrPort, h *heartbeat) {
 	now := g.kernel.Now()
 	g.table.merge(now, g.filterEntries(s, h.Members))
@@ -275,18 +275,18 @@
 	}
 }
 
-// learnLeaving takes in signs of leaving, of upstreams of the document only.
-func (g *gossip) applyLeaving(s *kernel.State, now time.Duration, signs []leavingReport) {
-	for _, u := range signs {
+// applyLeaving merges reports that upstreams leave. Upstreams not in the document are ignored.
+func (g *gossip) applyLeaving(s *kernel.State, now time.Duration, reports []leavingReport) {
+	for _, u := range reports {
 		if s.Index != nil && s.Index.Upstream(u.Upstream) != nil {
 			s.MarkLeaving(u.Upstream, now-max(u.Age, 0))
 		}
 	}
 }
 
-// credible returns the entries of hosts of the document, so that what a peer makes up
-// does not fill the memory. Before there is a document all count, and where the
-// platform lists no hosts, those with an address, up to maxMembers.
+// filterEntries drops entries of hosts that are not in the document, so that made-up entries
+// cannot exhaust the memory. Without a document it keeps all entries. With an adapter, which
+// lists no hosts, it keeps entries with an address, up to maxMembers.
 func (g *gossip) filterEntries(s *kernel.State, entries []memberEntry) []memberEntry {
 	if g.kernel.Settings.Adapter != "" {
 		return slices.DeleteFunc(entries, func(e memberEntry) bool {
--- a/tier/peers/members.go
+++ b/tier/peers/members.go
@@ -11,40 +11,41 @@
 )
 
 const (
-	// heartbeatEntries is the most members that one heartbeat lists, so that its size
-	// does not grow with the fleet.
+	// heartbeatEntries is the most members that one heartbeat lists, so that its size does
+	// not grow with the fleet.
 	heartbeatEntries = 24
-	// newsEntries is how many of these are members of which something changed. The rest
-	// are drawn from all, so that no member's entry stays out for long.
+	// updateEntries is how many of these are members with recent changes. The rest are drawn
+	// from all members, so that each is listed regularly.
 	updateEntries = 12
-	// handoverEntries is the most members that are listed for a host that knows few.
+	// fullSyncEntries is the most members that one full sync lists.
 	fullSyncEntries = 1024
-	// silentHeartbeats is after how many intervals between heartbeats without a newer
-	// entry a member is silent; as many again for each heartbeatEntries of members,
-	// since news of one member is rarer in a large fleet. A suspicion is much faster.
+	// unresponsiveIntervals is the number of heartbeat intervals without a newer entry after
+	// which a member is unresponsive. It applies once more for each heartbeatEntries of
+	// members, since a member is listed less often in a larger fleet. A suspicion takes
+	// effect much earlier.
 	unresponsiveIntervals = 6
-	// forgetHeartbeats is after how many intervals a member without a newer entry is
-	// forgotten, and never before it was silent for as long as it took to be silent.
+	// forgetIntervals is the number of heartbeat intervals without a newer entry after which
+	// a member is forgotten. It takes at least twice as long as becoming unresponsive.
 	forgetIntervals = 120
 )
 
 // memberEntry is what heartbeats report of one entry host.
 type memberEntry struct {
 	Host string
-	// Incarnation names the process; a later one of the host has a larger one.
+	// Incarnation identifies the process; a later process of the host has a larger one.
 	Incarnation string
 	// Counter rises with each heartbeat of the process.
 	Counter uint64
-	// Leaving is true once the process said that it stops; it stays true.
+	// Leaving is true once the process has reported that it stops, and stays true.
 	Leaving bool `json:",omitempty"`
-	// Revision is the configuration in force there.
+	// Revision is that of the document in force there.
 	Revision uint64
-	// Hall and Peer are where the host is, if no document says it.
+	// Hall and Peer are the host's hall and address, used if no document lists the host.
 	Hall string         `json:",omitempty"`
 	Peer netip.AddrPort `json:",omitzero"`
 	// Capacity is as of policy.Capacity; 0 if the host did not report it.
 	Capacity int `json:",omitempty"`
-	// Age is how long ago the member itself was heard, directly or through others.
+	// Age is the time since the member itself was heard, directly or through others.
 	Age time.Duration `json:",omitempty"`
 }
 
@@ -52,7 +53,7 @@
 	return cmp.Or(cmp.Compare(e.Incarnation, o.Incarnation), cmp.Compare(e.Counter, o.Counter)) > 0
 }
 
-// sameAs reports whether two entries differ at most in what each heartbeat changes.
+// sameAs reports whether two entries differ at most in fields that change all the time.
 func (e *memberEntry) sameAs(o *memberEntry) bool {
 	other := *o
 	other.Counter, other.Revision, other.Age = e.Counter, e.Revision, e.Age
@@ -62,14 +63,14 @@
 // memberRecord is the newest entry of a member. All times are since the process started.
 type memberRecord struct {
 	memberEntry
-	// risenAt is when a newer entry last came.
+	// updatedAt is when the newest entry arrived.
 	updatedAt    time.Duration
 	suspectState suspectState
-	// live is whether it counted as live when that was last worked out.
+	// live is the last result of isLive.
 	live bool
-	// place is its index in the table's order.
+	// orderIndex is the record's index in the table's order.
 	orderIndex int
-	// untold is in how many messages it is still listed as news.
+	// transmitsLeft is how many more messages list the member as an update.
 	transmitsLeft int
 }
 
@@ -81,26 +82,26 @@
 	Random   policy.Random
 }
 
-// memberTable is what one host knows of the others, by their heartbeats: a member is
-// live, silent or forgotten by when it was last heard and by who suspects it. It is pure:
-// the time is handed in. What it does for a message costs no more in a larger fleet. It
-// is not safe for concurrent use.
+// memberTable holds what one host knows of the others from heartbeats: a member is live,
+// unresponsive or forgotten, depending on when it was last heard and on suspicions of it.
+// The caller passes the time. The cost of a message does not grow with the fleet. It is
+// not safe for concurrent use.
 type memberTable struct {
 	memberTableConfig
-	// records holds the other hosts by name, order the same ones in no order.
+	// records holds the other hosts by name, order the same ones in arbitrary order.
 	records map[string]*memberRecord
 	order   []*memberRecord
-	// news are those with untold above 0.
+	// updates are the records with transmitsLeft above 0.
 	updates []*memberRecord
-	// suspects are those that are suspected, or were a moment ago.
+	// suspects are the members with an open suspicion.
 	suspects []*memberRecord
-	// urgent is true while there is something to pass on at once.
+	// urgent is true while there is an update to send at once.
 	urgent bool
-	// endedAt is when a suspicion last ended; 0 for never.
+	// refutedAt is when a suspicion was last refuted; 0 for never.
 	refutedAt time.Duration
-	// lives counts the records that are live.
+	// liveCount is the number of live records.
 	liveCount int
-	// touched are the names of members that changed since changes was last called.
+	// changedHosts are the members that changed since takeChanges was last called.
 	changedHosts []string
 }
 
@@ -108,7 +109,7 @@
 	return &memberTable{memberTableConfig: c, records: map[string]*memberRecord{}}
 }
 
-// tick begins a heartbeat of this host. It is where members turn silent, and are
+// tick begins a heartbeat of this host. It is where members become unresponsive or are
 // forgotten.
 func (t *memberTable) tick(now time.Duration, revision uint64) {
 	t.Self.Counter++
@@ -141,7 +142,7 @@
 	t.Self.Counter++
 }
 
-// merge takes in what another host reported. A process that is leaving stays so.
+// merge applies the entries that another host reported. A process that is leaving stays so.
 func (t *memberTable) merge(now time.Duration, entries []memberEntry) {
 	for i := range entries {
 		if e := &entries[i]; e.Host != t.Self.Host {
@@ -185,7 +186,7 @@
 	t.updateLive(now, r)
 }
 
-// updateLive notes whether a member counts as live now.
+// updateLive updates whether a member is live.
 func (t *memberTable) updateLive(now time.Duration, r *memberRecord) {
 	if live := t.isLive(now, r); live != r.live {
 		r.live = live
@@ -198,9 +199,8 @@
 	}
 }
 
-// isLive decides whether a member counts as live: no suspicion of it has stood for too
-// long, and its newest entry came no longer ago than silentHeartbeats intervals, in a
-// large fleet more.
+// isLive reports whether a member is live: no suspicion of it has expired, and its newest
+// entry arrived within unresponsiveAfter.
 func (t *memberTable) isLive(now time.Duration, r *memberRecord) bool {
 	if t.suspicionExpired(now, r) {
 		return false
@@ -208,14 +208,14 @@
 	return now-r.updatedAt <= t.unresponsiveAfter()
 }
 
-// silentAfter is how long no newer entry of a member may come until it is silent, if
-// nobody suspects it.
+// unresponsiveAfter is the time without a newer entry after which a member is unresponsive,
+// if nobody suspects it.
 func (t *memberTable) unresponsiveAfter() time.Duration {
 	return unresponsiveIntervals * t.Interval * time.Duration(1+len(t.records)/heartbeatEntries)
 }
 
-// restartSilence counts the silence of all members from now on: after a pause of this
-// process their silence shows nothing, nor that they did not answer it.
+// resetTimers restarts the timers of all members and drops all suspicions: after a pause of
+// this process, missing entries and answers show nothing about the members.
 func (t *memberTable) resetTimers(now time.Duration) {
 	for _, r := range t.order {
 		r.updatedAt, r.suspectState = now, suspectState{heardAt: now}
@@ -224,11 +224,11 @@
 	t.suspects = nil
 }
 
-// timesTold is how many messages list a member that is news. It grows with the logarithm
-// of the fleet, as the time does in which news reaches all.
+// maxTransmits is how many messages list a member as an update. It grows with the logarithm
+// of the fleet, as does the time in which an update reaches all hosts.
 func (t *memberTable) maxTransmits() int { return 2 * bits.Len(uint(len(t.records))) }
 
-// tell has the next messages list a member.
+// queueUpdate has the next messages list a member.
 func (t *memberTable) queueUpdate(r *memberRecord) {
 	if r.transmitsLeft == 0 {
 		t.updates = append(t.updates, r)
@@ -236,14 +236,15 @@
 	r.transmitsLeft = t.maxTransmits()
 }
 
-// tellFirst is tell before all other news, for a member that others may take for silent.
+// queueUpdateFirst queues a member before all other updates, since others may take it for
+// unresponsive.
 func (t *memberTable) queueUpdateFirst(r *memberRecord) {
 	t.updates = slices.Insert(removeFirst(t.updates, r), 0, r)
 	r.transmitsLeft = t.maxTransmits()
 }
 
-// entries returns the entries for one heartbeat: this host, then members of which
-// something changed, then live members, drawn at random if they are too many.
+// entries returns the entries for one heartbeat: this host, then recently changed members,
+// then live members, drawn at random if they are too many.
 func (t *memberTable) entries(now time.Duration) []memberEntry {
 	out := append(make([]memberEntry, 0, heartbeatEntries), t.Self)
 	if len(t.order) < heartbeatEntries {
@@ -263,19 +264,19 @@
 	return t.appendRandom(now, heartbeatEntries, listed, out)
 }
 
-// handsOverTo reports whether a host that knows so many members is to get many.
+// needsFullSync reports whether a host that knows this many members needs a full sync.
 func (t *memberTable) needsFullSync(known int) bool {
 	return t.liveCount > heartbeatEntries && float64(known) < fullSyncThreshold*float64(t.liveCount)
 }
 
-// handover returns the entries for a host that knows few members: as many live ones as
-// one message may have. Without it, a host that starts in a large fleet meets the others
-// one heartbeat at a time.
+// fullSync returns as many live members as one message may list, for a host that knows few.
+// Without it, a host that starts in a large fleet would learn of the others only a few per
+// heartbeat.
 func (t *memberTable) fullSync(now time.Duration) []memberEntry {
 	return t.appendRandom(now, fullSyncEntries, nil, []memberEntry{t.Self})
 }
 
-// draw appends live members that are not listed yet, drawn at random, up to a number.
+// appendRandom appends live members that are not listed yet, drawn at random, up to limit.
 func (t *memberTable) appendRandom(now time.Duration, limit int, listed map[*memberRecord]bool, out []memberEntry) []memberEntry {
 	drawsAll := len(t.order) < limit
 	for i := 0; i < len(t.order) && len(out) < limit; i++ {
@@ -294,22 +295,22 @@
 	t.order[i].orderIndex, t.order[j].orderIndex = i, j
 }
 
-// entry is what a message sent now reports of a member.
+// entry returns what a message sent now reports of a member.
 func (r *memberRecord) entry(now time.Duration) memberEntry {
 	e := r.memberEntry
 	e.Age = (now - r.suspectState.heardAt).Truncate(agePrecision)
 	return e
 }
 
-// changes returns the names of the members that changed since it was last called, some
-// of them twice.
+// takeChanges returns the names of the members that changed since its last call, possibly
+// with duplicates.
 func (t *memberTable) takeChanges() []string {
 	out := t.changedHosts
 	t.changedHosts = nil
 	return out
 }
 
-// removeFirst removes the first of some items that equals another.
+// removeFirst removes the first occurrence of an item.
 func removeFirst[T comparable](items []T, item T) []T {
 	if i := slices.Index(items, item); i >= 0 {
 		return slices.Delete(items, i, i+1)
--- a/tier/peers/node.go
+++ b/tier/peers/node.go
@@ -16,19 +16,19 @@
 	"loomgap/tier/kernel"
 )
 
-// ErrNoPeer is wrapped when a host cannot be reached or is not known.
+// ErrNoPeer is wrapped when a host is unknown or cannot be reached.
 var ErrNoPeer = errors.New("peer not reached")
 
 const (
-	// dialBound is how long making a connection to a peer may take.
+	// dialTimeout limits opening a connection to a peer.
 	dialTimeout = time.Second
-	// callBound is how long a heartbeat, a fetch or an exchange of strikes may take.
+	// callTimeout limits a fetch or an exchange of crash reports.
 	callTimeout = 2 * time.Second
-	// acceptPause is the pause after a connection could not be accepted: shorter than
-	// silentBound, at which callers replace the connection.
+	// acceptRetryDelay is the pause after a connection could not be accepted. It is shorter
+	// than unresponsiveTimeout, after which callers replace the connection.
 	acceptRetryDelay = 100 * time.Millisecond
-	// codeHandlerFailed is the JSON-RPC error code of a handler's own error: the first
-	// of those that JSON-RPC 2.0 leaves to servers.
+	// codeHandlerFailed is the JSON-RPC error code of an error that a handler returned: the
+	// first of those that JSON-RPC 2.0 reserves for servers.
 	codeHandlerFailed = -32000
 )
 
@@ -39,9 +39,9 @@
 	kernel   *kernel.Kernel
 	listener net.Listener
 	mu       sync.Mutex
-	// conns holds the outgoing connection of each address; used with mu locked.
+	// conns holds the outgoing connection to each address; guarded by mu.
 	conns map[netip.AddrPort]*outgoing
-	// serving holds the incoming connections; used with mu locked.
+	// incoming holds the incoming connections; guarded by mu.
 	incoming map[*jsonrpc2.Conn]bool
 }
 
@@ -73,8 +73,8 @@
 	}
 }
 
-// accept takes connections of peers until the listener is closed. Any other failure, as
-// having no file descriptor left, passes: without going on, this host would accept no
+// accept accepts connections of peers until the listener is closed. It retries after any
+// other error, such as running out of file descriptors: otherwise this host would accept no
 // peer until it is restarted.
 func (n *node) accept() {
 	for {
@@ -103,7 +103,7 @@
 func (n *node) serveOn(c *peerConn) *jsonrpc2.Conn {
 	stream := jsonrpc2.NewBufferedStream(c, frameCodec{})
 	handler := jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(n.serve))
-	// The library's own log lines are dropped: errors come back from calls.
+	// The library's own log lines are dropped, since calls return the errors.
 	quiet := jsonrpc2.SetLogger(log.New(io.Discard, "", 0))
 	return jsonrpc2.NewConn(context.Background(), stream, handler, quiet)
 }
--- a/tier/peers/partners.go
+++ b/tier/peers/partners.go
@@ -13,38 +13,39 @@
 const (
 	// hallPartners is how many hosts of its own hall a heartbeat goes to.
 	hallPartners = 2
-	// suspectPartners is how many hosts of its hall that are suspected it goes to besides.
+	// suspectPartners is how many suspected hosts of its hall a heartbeat also goes to.
 	suspectPartners = 1
-	// otherHallPartners is how many hosts of other halls a heartbeat that goes there is
-	// sent to.
+	// otherHallPartners is how many hosts of other halls a heartbeat goes to, if it goes to
+	// other halls.
 	otherHallPartners = 1
-	// meetHeartbeats is for how many heartbeats a host that announces has them go to all
-	// halls, after those of its start.
+	// introductionHeartbeats is how many heartbeats after its start phase an announcer sends
+	// to all halls.
 	introductionHeartbeats = 15
-	// silentPartners is how many silent hosts a heartbeat that goes to one is sent to.
+	// unresponsivePartners is how many unresponsive hosts a heartbeat goes to, if it goes to any.
 	unresponsivePartners = 1
-	// seedPartners is how many seeds a heartbeat that goes to seeds is sent to.
+	// seedPartners is how many seeds a heartbeat goes to, if it goes to any.
 	seedPartners = 2
-	// otherHallEvery has every so many heartbeats go to another hall too.
+	// otherHallEvery is the interval, in heartbeats, of those that also go to another hall.
 	otherHallEvery = 3
-	// otherHallRarer is how many times more rarely those of a host go there whose hall has
-	// a reader, which sends them: bytes between halls are dear.
+	// nonAnnouncerFactor multiplies otherHallEvery for a host that does not announce, since
+	// traffic between halls is expensive and the announcer of its hall already covers it.
 	nonAnnouncerFactor = 5
-	// silentEvery has every so many heartbeats go to a silent host too.
+	// unresponsiveEvery is the interval, in heartbeats, of those that also go to an
+	// unresponsive host.
 	unresponsiveEvery = 2
-	// seedEvery has every so many heartbeats go to seeds that are no members: so a host
-	// that was cut off finds the others again.
+	// seedEvery is the interval, in heartbeats, of those that also go to seeds that are not
+	// members, so that a partitioned host finds the others again.
 	seedEvery = 5
 )
 
-// partners decides whom a heartbeat goes to: a bounded number of hosts, whatever the
-// size of the fleet. Its inputs are the members (live or silent, by the last
-// heartbeats), the document's hosts, the seeds and the count of heartbeats sent.
+// partners returns the hosts that a heartbeat goes to. Their number is bounded regardless of
+// the size of the fleet. They are chosen from the members, the document's hosts and the
+// seeds, depending on how many heartbeats were sent.
 func (g *gossip) partners(s *kernel.State) []netip.AddrPort {
 	hall, unresponsive, other := g.sortHosts(s)
 	out := g.partnersAmong(s, hall)
 	if len(hall) == 0 {
-		// Nobody is left whose heartbeats would show that a silent host is back.
+		// No live host is left to report that an unresponsive one is back.
 		out = g.sample(unresponsive, hallPartners)
 	}
 	switch {
@@ -62,7 +63,7 @@
 	return out
 }
 
-// suspects lists the hosts of this hall that are suspected.
+// suspects returns the suspected hosts of this hall.
 func (g *gossip) suspects(s *kernel.State) []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, n := range g.table.suspected(g.kernel.Settings.Hall) {
@@ -71,7 +72,7 @@
 	return out
 }
 
-// hallPartners draws the hosts of this hall that a heartbeat goes to.
+// hallPartners returns the hosts of this hall that a heartbeat goes to.
 func (g *gossip) hallPartners(s *kernel.State) []netip.AddrPort {
 	hall, _, _ := g.sortHosts(s)
 	return g.partnersAmong(s, hall)
@@ -81,16 +82,18 @@
 	return append(g.sample(g.suspects(s), suspectPartners), g.sample(hall, hallPartners)...)
 }
 
-// meets reports whether this host has started lately, and not so lately that all hosts of
-// a hall that starts still take themselves for the one that announces.
+// recentlyStarted reports whether this host has started recently. It is false during the
+// first heartbeats, in which all hosts of a starting hall may take themselves for the
+// announcer.
 func (g *gossip) recentlyStarted() bool {
 	sent := g.sent - startHeartbeats
 	return sent > 0 && sent <= introductionHeartbeats
 }
 
-// oneOfEachHall draws a live host of each other hall. The host that announces has its
-// heartbeats go there after its start, so that halls meet, and while this hall suspects
-// hosts: else a lost relay is found by each call anew.
+// oneOfEachHall returns a random live host of each other hall. The announcer sends heartbeats
+// there after its start, so that halls learn of each other, and while there are recent
+// suspicions in this hall: otherwise each call from another hall would discover a lost relay
+// anew.
 func (g *gossip) oneOfEachHall(s *kernel.State) []netip.AddrPort {
 	_, others := byHall(s.Members, g.kernel.Settings.Hall, (*kernel.Member).Callable)
 	var out []netip.AddrPort
@@ -101,8 +104,9 @@
 	return out
 }
 
-// sortHosts divides the other hosts into those of this hall, silent ones, and those of
-// other halls. With an adapter the silent ones are of any hall, else of this hall only.
+// sortHosts divides the other hosts into responsive ones of this hall, unresponsive ones, and
+// hosts of other halls. The unresponsive ones are of any hall with an adapter, else of this
+// hall only.
 func (g *gossip) sortHosts(s *kernel.State) (hall, unresponsive, other []netip.AddrPort) {
 	for _, h := range g.hosts(s) {
 		m, known := s.Members[h.Name]
@@ -121,9 +125,9 @@
 	return hall, unresponsive, other
 }
 
-// crosses reports whether this heartbeat goes to another hall too. Where one host of a
-// hall reads the platform, that one informs the other halls. A host that has to learn
-// from peers asks there each time.
+// sendsToOtherHall reports whether this heartbeat also goes to another hall. Where one host
+// of a hall reads the platform, that host informs the other halls. A host that has to learn
+// from peers asks other halls each time.
 func (g *gossip) sendsToOtherHall(s *kernel.State) bool {
 	switch {
 	case s.FeedDown:
@@ -135,7 +139,7 @@
 	}
 }
 
-// hosts lists the other entry hosts: those of the document, or where the platform
+// hosts returns the other entry hosts: those of the document, or with an adapter, which
 // lists none, the members.
 func (g *gossip) hosts(s *kernel.State) []config.Host {
 	if g.kernel.Settings.Adapter == "" {
@@ -151,7 +155,7 @@
 	return out
 }
 
-// unknownSeeds lists the seeds that are no members as far as is known.
+// unknownSeeds returns the seeds that are not known to be members.
 func (g *gossip) unknownSeeds(s *kernel.State) []netip.AddrPort {
 	known := map[netip.AddrPort]bool{g.kernel.Settings.Peer: true}
 	for _, m := range s.Members {
@@ -164,8 +168,8 @@
 	return sample(g.random.Perm, from, n)
 }
 
-// byHall lists the members that a test picks: those of one hall, and those of each
-// other.
+// byHall returns the names of the members that match: those of one hall, and those of the
+// others by hall.
 func byHall(members map[string]kernel.Member, hall string, match func(*kernel.Member) bool) (near []string, far map[string][]string) {
 	far = map[string][]string{}
 	for n, m := range members {
@@ -180,7 +184,7 @@
 	return near, far
 }
 
-// hostsOf lists the hosts of a document but one; none if there is no document.
+// hostsOf returns the hosts of a document except one; none if there is no document.
 func hostsOf(x *config.Index, except string) []config.Host {
 	if x == nil {
 		return nil
@@ -188,7 +192,7 @@
 	return slices.DeleteFunc(slices.Clone(x.Document.Hosts), func(h config.Host) bool { return h.Name == except })
 }
 
-// sample returns at most n items of a list, as a permutation draws them.
+// sample returns at most n items of a list, in the order of a permutation.
 func sample[T any](permutation func(int) []int, from []T, n int) []T {
 	var out []T
 	for _, i := range permutation(len(from))[:min(n, len(from))] {
--- a/tier/peers/plugin.go
+++ b/tier/peers/plugin.go
@@ -8,11 +8,10 @@
 	"loomgap/tier/kernel"
 )
 
-// defaultHeartbeat is the time between heartbeats if the settings give none. CAPACITY.md
-// gives the cost by the size of a hall.
+// defaultHeartbeat is the time between heartbeats if the settings give none.
 const defaultHeartbeat = time.Second
 
-// plugin joins the entry hosts.
+// plugin starts the exchanges between entry hosts.
 type plugin struct{}
 
 var _ kernel.Plugin = plugin{}
--- a/tier/peers/reader.go
+++ b/tier/peers/reader.go
@@ -10,59 +10,57 @@
 	"loomgap/tier/policy"
 )
 
-// Which host reads the platform, where an adapter is set.
+// Which host reads the platform, if an adapter is set.
 //
-// Hosts are ranked (readerRanking). In each hall the first host, among those whose
-// announcements arrive, announces to its hall what is published; the first of all that
-// announce reads the platform, and announces to the other halls too. So a hall reads the
-// platform itself if no announcement of a reader in another hall arrives for announceLost
-// (the halls are cut off, or that reader is gone), or if that reader announces that the
-// platform does not answer it. A host that takes over waits a step for each live one that
-// ranks before it, and no more than failedReadersMost try a platform that does not
-// answer.
+// Hosts are ranked (readerRanking). In each hall, the first host among those whose
+// announcements arrive announces to its hall what is published. The first of all announcers
+// reads the platform, and also announces to the other halls. So a hall reads the platform
+// itself if no announcement of a reader in another hall arrives for announcerTimeout (the
+// halls are partitioned, or that reader is gone), or if that reader announces that the
+// platform does not answer it. Before it takes over, a host waits one step for each live host
+// that ranks before it. At most maxFailedReaders hosts try a platform that does not answer.
 //
-// Each change of a host's role is the log line "turn to read the platform"; Tells is
-// whether it announces to its hall, Reads whether it reads the platform.
+// Each change of a host's role is logged as "turn to read the platform": Tells is whether it
+// announces to its hall, Reads whether it reads the platform.
 
 const (
-	// announceLost is how long a host goes without announcements before another takes over:
-	// three lost messages. A change must be in force within seconds though the reader is
-	// gone.
+	// announcerTimeout is how long a host goes without announcements before another takes
+	// over; it is longer than three announcement intervals. Even if the reader fails, a change
+	// must be in force within seconds.
 	announcerTimeout = 1300 * time.Millisecond
-	// takeoverStep is how long each host of a hall waits for each one ranked before it,
-	// once nobody announces any more. Without it, all hosts of a hall take over at once
-	// and hold up requests by announcing to one another.
+	// takeoverStep is how long each host of a hall waits for each host that ranks before it,
+	// once nobody announces any more. Without it, all hosts of a hall would take over at once
+	// and delay requests by announcing to each other.
 	takeoverStep = 50 * time.Millisecond
-	// takeoverStepsMost is the most steps that a host waits: a second.
+	// maxTakeoverSteps limits the steps that a host waits.
 	maxTakeoverSteps = 20
-	// spreadSteps is over how many steps the announcers of several halls are spread: they
-	// do not know how they rank among one another.
+	// announcerSpreadSteps is the number of steps over which the takeover by announcers of
+	// different halls is spread, since they do not know each other's rank.
 	announcerSpreadSteps = 5
-	// failedReadersMost is how many hosts of a hall, or halls, try to read a platform that
-	// does not answer: it may turn some hosts away and serve others.
+	// maxFailedReaders is how many hosts of a hall, or halls, try to read a platform that
+	// does not answer: it may refuse some hosts and serve others.
 	maxFailedReaders = 3
-	// secondReadLeast is the least age of a starting host at which it may read the
-	// platform beyond its first read, which may be an old one since an old one costs a
-	// tenth: by then hosts have met, in three heartbeats. Without this wait each of 295
-	// hosts that start together asks the platform whether its first read was old, some
-	// 295 calls a start.
+	// minSecondReadAge is the age of a starting host from which on it may read the platform
+	// again. The first read may be stale, since a stale one is cheaper. By this age, hosts
+	// have exchanged heartbeats, so that not each of many hosts that start together verifies
+	// its first read at the platform.
 	minSecondReadAge = 300 * time.Millisecond
-	// secondReadSpread is over how long the second reads of starting hosts are spread; it
-	// ends before a change is due.
+	// secondReadSpread is the time over which the second reads of starting hosts are spread.
+	// It ends before a change has to be in force.
 	secondReadSpread = 1200 * time.Millisecond
-	// slowAnswer is how long the answer to a watch may take beyond the time that the
-	// watch waits: that of a platform 60 times slower than its 4 ms, and a busy host.
+	// maxAnswerDelay is how long the answer to a watch may take beyond its wait, for a slow
+	// platform and a busy host.
 	maxAnswerDelay = 500 * time.Millisecond
 )
 
-// watchKey is what hosts are ranked for by rendezvous hashing.
+// watchKey is the rendezvous hashing key by which hosts are ranked for reading the platform.
 const watchKey = "watch"
 
-// staleAfter is the age of a reader's last read from which on it does not count as one.
+// maxReadAge is the age of its last read up to which a host counts as a reader.
 func maxReadAge(s *kernel.Settings) time.Duration { return s.WatchWait + maxAnswerDelay }
 
-// updateRole decides anew whether this host announces and reads, and logs a change; it
-// returns true if there was one. It runs on the control thread.
+// updateRole updates whether this host announces and reads, logs a change, and reports
+// whether there was one. It runs on the control thread.
 func updateRole(k *kernel.Kernel, s *kernel.State) bool {
 	announces, reads := decideRole(k, s)
 	changed := announces != s.Announcing || reads != s.Reading
@@ -73,17 +71,16 @@
 			Int64("PlatformAgeMillis", (k.Now() - s.PlatformReadAt).Milliseconds()).Msg("turn to read the platform")
 	}
 	if !reads {
-		// Others read for this host.
+		// Other hosts read for this one.
 		s.FeedDown = false
 	}
 	return changed
 }
 
-// roleOf decides whether this host is to announce to its hall what is published, and
-// whether it is to read that from the platform. Its inputs are the members, the last
-// announcement of each host that announces, and the age of this process. A host that
-// knows of nothing yet reads at once, and announces nothing: others know more. It runs on
-// the control thread.
+// decideRole decides whether this host announces to its hall what is published, and whether
+// it reads that from the platform. It depends on the members, the last announcement of each
+// announcer, and the age of this process. A host without a directory reads at once and does
+// not announce, since others know more. It runs on the control thread.
 func decideRole(k *kernel.Kernel, s *kernel.State) (announces, reads bool) {
 	if s.Directory == nil {
 		return false, true
@@ -100,19 +97,19 @@
 	return true, r.isFirst(now, s.OtherReaders, spread)
 }
 
-// secondReadAt is the age from which on a host may read the platform beyond its first
-// read. The one whose time comes first announces to the others before theirs comes.
+// secondReadAt is the age from which on a host may read the platform again after its first
+// read. The host with the smallest one announces to the others before they read.
 func secondReadAt(host string) time.Duration {
 	return minSecondReadAge + time.Duration(xxhash.Sum64String("start "+host)%uint64(secondReadSpread))
 }
 
-// readerRanking orders hosts for reading the platform and announcing what was read:
-// stronger ones first, since each change goes to all hosts of a hall, then by
-// rendezvous hashing.
+// readerRanking ranks hosts for reading the platform and announcing what was read: by
+// capacity first, since each change is sent to all hosts of a hall, then by rendezvous
+// hashing.
 type readerRanking struct {
 	settings *kernel.Settings
 	members  map[string]kernel.Member
-	// strongest is the greatest capacity of all hosts.
+	// strongest is the largest capacity of all hosts.
 	strongest int
 }
 
@@ -124,7 +121,7 @@
 	return r
 }
 
-// compare orders two hosts, the better first.
+// compare orders two hosts, the higher ranked first.
 func (r *readerRanking) compare(a, b string) int {
 	return cmp.Or(
 		cmp.Compare(r.capacityClass(a), r.capacityClass(b)),
@@ -133,8 +130,8 @@
 	)
 }
 
-// weakness is 0 for a strong host and 1 for another. One that is not known counts as
-// strong as this one.
+// capacityClass is 0 for a strong host and 1 for another. A host of unknown capacity counts
+// as strong as this one.
 func (r *readerRanking) capacityClass(host string) int {
 	capacity := cmp.Or(r.members[host].Capacity, r.settings.Capacity())
 	if policy.IsCoordinator(capacity, r.strongest) {
@@ -145,8 +142,8 @@
 
 func (r *readerRanking) ranksBefore(host string) bool { return r.compare(host, r.settings.Host) < 0 }
 
-// hostsBefore counts the live hosts of the hall that rank before this one and have
-// never announced: each has its time to take over before.
+// countRankedBefore counts the active hosts of the hall that rank before this one and have
+// never announced: each of them is given time to take over first.
 func (r *readerRanking) countRankedBefore(s *kernel.State) int {
 	n := 0
 	for host, m := range s.Members {
@@ -158,27 +155,27 @@
 	return n
 }
 
-// isFirst reports whether this host is first among those that announce: no host that
-// ranks before it has announced within announceLost that the platform answers it, fewer
-// than failedReadersMost of them announce that it does not, and so many takeover steps
-// have passed since the last of them was found lost.
+// isFirst reports whether this host is first among the announcers: no host that ranks before
+// it has announced within announcerTimeout that the platform answers it, fewer than
+// maxFailedReaders of them announce that it does not, and the takeover steps have passed
+// since the last of them failed.
 func (r *readerRanking) isFirst(now time.Duration, announcers map[string]kernel.AnnouncerReport, steps int) bool {
-	failing := 0
-	vacantAt := time.Duration(0)
+	failedReaders := 0
+	vacantSince := time.Duration(0)
 	for host, a := range announcers {
 		if !r.ranksBefore(host) {
 			continue
 		}
 		switch {
 		case now-a.At >= announcerTimeout:
-			vacantAt = max(vacantAt, a.At+announcerTimeout)
+			vacantSince = max(vacantSince, a.At+announcerTimeout)
 		case a.Lost:
-			failing++
-			vacantAt = max(vacantAt, a.Since)
+			failedReaders++
+			vacantSince = max(vacantSince, a.Since)
 		default:
 			return false
 		}
 	}
 	wait := time.Duration(min(steps, maxTakeoverSteps)) * takeoverStep
-	return failing < maxFailedReaders && now-vacantAt >= wait
+	return failedReaders < maxFailedReaders && now-vacantSince >= wait
 }
--- a/tier/peers/removal_hold.go
+++ b/tier/peers/removal_hold.go
@@ -7,66 +7,65 @@
 )
 
 const (
-	// lapseHold is how long an upstream stays listed that was gone when the platform came
-	// back: its entry may have lapsed meanwhile, and it lists itself again within about two
-	// seconds.
+	// removalHoldTime is how long an upstream that was missing when the platform came back
+	// stays listed: its entry may have expired during the outage, and the upstream registers
+	// again within about two seconds.
 	removalHoldTime = 2500 * time.Millisecond
-	// lapseLate is how long after its return the platform may still remove what lapsed
-	// while it was away.
+	// lateRemovalWindow is how long after its return the platform may still remove entries
+	// that expired during the outage.
 	lateRemovalWindow = time.Second
 )
 
-// lapse holds removals of upstreams back that the platform's own absence may have
-// caused. All times are since the process started.
+// removalHold delays removals of upstreams that may result from an outage of the platform.
+// All times are since the process started.
 type removalHold struct {
-	// until is when removals that come are no longer held back.
+	// holdUntil is the time from which on new removals are no longer held.
 	holdUntil time.Duration
-	// removals are held back until due.
+	// removals are held until due.
 	removals []config.Removal
 	due      time.Duration
 }
 
-func (l *removalHold) platformReturned(now time.Duration) { l.holdUntil = now + lateRemovalWindow }
+func (h *removalHold) platformReturned(now time.Duration) { h.holdUntil = now + lateRemovalWindow }
 
-// historyReturned is platformReturned for a platform that came back with another history:
-// what was held for the one before is decided by this one.
-func (l *removalHold) historyReturned(now time.Duration) {
-	*l = removalHold{holdUntil: now + lateRemovalWindow}
+// historyReturned is platformReturned for a platform that came back with another history.
+// It drops the removals held so far: the new history decides on them.
+func (h *removalHold) historyReturned(now time.Duration) {
+	*h = removalHold{holdUntil: now + lateRemovalWindow}
 }
 
-// hold takes the removals out of a change of a directory and keeps them, if the
-// platform was away a moment ago. What an operator has written does not lapse, so an
-// evacuation that a whole directory lacks has ended.
-func (l *removalHold) hold(now time.Duration, d *config.Directory, c *config.DirectoryChange) {
-	if now >= l.holdUntil {
+// hold moves the removals out of a directory change and keeps them, if the platform has just
+// returned. Entries that an operator has written do not expire, so an evacuation that a
+// whole directory lacks has ended.
+func (h *removalHold) hold(now time.Duration, d *config.Directory, c *config.DirectoryChange) {
+	if now >= h.holdUntil {
 		return
 	}
-	l.removals = append(l.removals, c.Removed...)
+	h.removals = append(h.removals, c.Removed...)
 	if c.Whole {
-		l.removals = append(l.removals, d.Lapsed(c)...)
+		h.removals = append(h.removals, d.Lapsed(c)...)
 		c.Resumed = append(c.Resumed, d.LackingEvacuations(c)...)
 	}
-	if len(l.removals) > 0 && l.due <= now {
-		l.due = now + removalHoldTime
+	if len(h.removals) > 0 && h.due <= now {
+		h.due = now + removalHoldTime
 	}
 	c.Removed, c.Whole = nil, false
 }
 
-// release returns the removals that are due and holds them no longer.
-func (l *removalHold) release(now time.Duration) []config.Removal {
-	if now < l.due {
+// release returns the removals that are due and stops holding them.
+func (h *removalHold) release(now time.Duration) []config.Removal {
+	if now < h.due {
 		return nil
 	}
-	due := l.removals
-	l.removals = nil
+	due := h.removals
+	h.removals = nil
 	return due
 }
 
-// wait shortens the time that a read may take so that held removals are released in
-// time.
-func (l *removalHold) wait(now, limit time.Duration) time.Duration {
-	if len(l.removals) == 0 {
+// wait limits the duration of a read so that held removals are released in time.
+func (h *removalHold) wait(now, limit time.Duration) time.Duration {
+	if len(h.removals) == 0 {
 		return limit
 	}
-	return min(limit, max(l.due-now, 0))
+	return min(limit, max(h.due-now, 0))
 }
--- a/tier/peers/restore.go
+++ b/tier/peers/restore.go
@@ -9,66 +9,66 @@
 	"loomgap/tier/kernel"
 )
 
-// A platform that comes back from a copy of itself begins another era of its history. The
-// copy may hold upstreams that have left, lack some that live, and say ready of one that
-// leaves; whoever writes to the platform puts that right within seconds. Until then the
-// era is unsettled: what was read whole counts as copied, and gives way to what is known
-// of the era before (config.Directory); what the copy lacks is held as after an absence
-// (lapse.go). Then the reader reads everything once more, and what stands in the platform
-// holds.
+// A platform that is restored from a copy of itself begins another era of its history. The
+// copy may list upstreams that have left, lack live ones, and report a leaving one as ready.
+// The platform's writers correct that within seconds. Until then the era is unsettled: what a
+// full read returns is marked as copied, and what is known of the earlier era takes precedence
+// (config.Directory). Upstreams that the copy lacks are held as after an outage
+// (removal_hold.go). Then the reader reads everything once more, and the platform's content
+// applies.
 
-// settleAfter is how long after a reader first read an era what stands in the platform
-// holds. An upstream that is gone is listed by a copy for three silent status reports of
-// 1.2 s each; the rest is a margin for a platform that answers late.
+// settleAfter is the time from a reader's first read of an era until the platform's content
+// applies. A copy lists an upstream that is gone until it has missed three status reports,
+// 1.2 s apart; the rest is a margin for a platform that answers late.
 const settleAfter = 5 * time.Second
 
-// restore follows the eras of the platform for the host that reads it. All times are
+// eraTracker follows the eras of the platform for the host that reads it. All times are
 // since the process started.
 type eraTracker struct {
 	// era is that of the last read; 0 for none.
 	era uint64
-	// settleAt is when the platform is read once more, so that the era is settled; 0 if
-	// it need not be.
+	// settleAt is when to read the platform once more to settle the era; 0 if that is not
+	// needed.
 	settleAt time.Duration
-	// settling is true while that read is under way.
+	// settling is true while that read is in progress.
 	settling bool
 }
 
 // begin reports whether it is time for the read that settles the era.
-func (r *eraTracker) begin(now time.Duration) bool {
-	r.settling = r.settleAt > 0 && now >= r.settleAt
-	return r.settling
+func (e *eraTracker) begin(now time.Duration) bool {
+	e.settling = e.settleAt > 0 && now >= e.settleAt
+	return e.settling
 }
 
-// failed notes that a read failed, so that it settles nothing.
-func (r *eraTracker) failed() { r.settling = false }
+// failed records that a read failed, so that it settles nothing.
+func (e *eraTracker) failed() { e.settling = false }
 
-// wait shortens the time that a read may take so that the era is settled in time.
-func (r *eraTracker) wait(now, limit time.Duration) time.Duration {
-	if r.settleAt == 0 {
+// wait limits the duration of a read so that the era is settled in time.
+func (e *eraTracker) wait(now, limit time.Duration) time.Duration {
+	if e.settleAt == 0 {
 		return limit
 	}
-	return min(limit, max(r.settleAt-now, 0))
+	return min(limit, max(e.settleAt-now, 0))
 }
 
-// follow notes the era of what was read, and marks in it what may come from the copy
-// that the era began with. It reports whether the platform has come back with another
-// history than the one known here. It runs on the control thread.
-func (r *eraTracker) observe(k *kernel.Kernel, s *kernel.State, p *kernel.Published, now time.Duration) (returned bool) {
+// observe records the era of what was read, and marks what may come from the copy that the
+// era began with. It reports whether the platform has come back with another history than
+// the known one. It runs on the control thread.
+func (e *eraTracker) observe(k *kernel.Kernel, s *kernel.State, p *kernel.Published, now time.Duration) (returned bool) {
 	era, known := p.Position.Era, s.Directory.Position()
-	settles := r.settling && era == r.era
-	r.settling = false
-	if era != r.era {
-		r.era, r.settleAt = era, now+settleAfter
+	settles := e.settling && era == e.era
+	e.settling = false
+	if era != e.era {
+		e.era, e.settleAt = era, now+settleAfter
 	}
 	if returned = known.Era > 0 && era > known.Era; returned {
 		logRestored(k, s, p.Position)
 	}
 	switch {
 	case era == 0 || !s.Directory.Unsettled() && s.Directory.Position().Era == era:
-		r.settleAt = 0
+		e.settleAt = 0
 	case settles:
-		r.settleAt = 0
+		e.settleAt = 0
 		p.Directory.Settled = era
 		backdateDocument(p)
 	case p.Directory.Whole:
@@ -78,16 +78,16 @@
 	return returned
 }
 
-// doubtDocument has a document that was read whole count as one of the era before, if its
-// author gave it no number: it may come from the copy.
+// backdateDocument assigns a document of a full read to the previous era if it has no
+// version: it may come from the copy.
 func backdateDocument(p *kernel.Published) {
 	if p.Document != nil && p.Edition.Version == 0 && p.Edition.Era > 1 {
 		p.Edition.Era--
 	}
 }
 
-// logReturn notes that the platform came back with another history, and what was known of
-// the one before: until when, and up to where.
+// logRestored logs that the platform came back with another history, and how much of the
+// earlier one is known: until when, and up to which position.
 func logRestored(k *kernel.Kernel, s *kernel.State, at config.Position) {
 	known := s.Directory.Position()
 	metrics.GetOrCreateCounter("loomgap_platform_returns_total").Inc()
@@ -96,7 +96,7 @@
 		Int64("PlatformAgeMillis", (k.Now() - s.PlatformReadAt).Milliseconds()).Msg("platform came back with another history")
 }
 
-// logSettled notes what changed once an era is settled.
+// logSettled logs what changes once an era is settled.
 func logSettled(k *kernel.Kernel, s *kernel.State, c *config.DirectoryChange) {
 	k.Log.Info().Uint64("DirectoryEra", c.Era).Uint64("DirectoryRevision", c.Revision).Int("Lacking", len(s.Directory.Lacking(c))).
 		Int("Resumed", len(s.Directory.LackingEvacuations(c))).Msg("history settled")
--- a/tier/peers/roster.go
+++ b/tier/peers/roster.go
@@ -8,7 +8,7 @@
 	"loomgap/tier/kernel"
 )
 
-// updateMembers writes what changed of the members into the control state.
+// updateMembers writes changed members to the control state.
 func (g *gossip) updateMembers(s *kernel.State) {
 	changed := g.table.takeChanges()
 	if s.Index != g.memberIndex {
@@ -24,8 +24,8 @@
 	}
 }
 
-// member is what the control state has of a member. If the document lists a host, its
-// hall and address are the document's.
+// member returns the control state's form of a member. If the document lists the host, its
+// hall and address are taken from the document.
 func (g *gossip) member(s *kernel.State, r *memberRecord) kernel.Member {
 	m := kernel.Member{
 		Host: r.Host, Incarnation: r.Incarnation, Live: r.live, Leaving: r.Leaving, Revision: r.Revision,
--- a/tier/peers/shares.go
+++ b/tier/peers/shares.go
@@ -8,8 +8,8 @@
 	"loomgap/tier/policy"
 )
 
-// Rank orders hosts for a key by rendezvous hashing, the best first. Hosts that see
-// the same names get the same order without exchanging a message.
+// Rank orders hosts for a key by rendezvous hashing, the best first. Hosts that know the same
+// names get the same order without exchanging a message.
 func Rank(key string, hosts []string) []string {
 	type ranked struct {
 		host string
@@ -29,10 +29,10 @@
 	return out
 }
 
-// Owner is the host that calls an upstream on behalf of hosts without a slot of it.
+// Owner returns the host that calls an upstream on behalf of hosts without a slot of it.
 func Owner(key string, hosts []string) string { return Rank(key, hosts)[0] }
 
-// Shares gives this host's part of the slots of every upstream of its hall.
+// Shares returns this host's share of the slots of each upstream of its hall.
 func Shares(v *kernel.View, s *kernel.Settings) []policy.Share {
 	if v.Index == nil {
 		return nil
@@ -53,8 +53,8 @@
 	return out
 }
 
-// divide gives each host its part of a number of slots. The parts of all hosts add up
-// to the slots exactly, if they see the same hosts.
+// divide returns one host's share of a number of slots. The shares of all hosts add up to
+// slots exactly, if they know the same hosts.
 func divide(key string, slots int, hosts []string, host string) int {
 	position := slices.Index(Rank(key, hosts), host)
 	if position < 0 {
--- a/tier/peers/suspicion.go
+++ b/tier/peers/suspicion.go
@@ -5,50 +5,51 @@
 	"time"
 )
 
-// How a host that is gone is found.
+// How a failed host is detected.
 //
-// A host of the same hall that answers neither a heartbeat nor the one that is sent again
-// at once is suspected by the sender, as of when the first was sent. Heartbeats pass
-// suspicions on, and in the hall of the suspect extra ones do at once. A suspicion stands
-// where the host has not been heard since, by anyone. Whoever knows better lists the host
-// as news, which ends the suspicion wherever it arrives; hosts of its hall send their next
-// heartbeat to the suspect, so that one which lives shows it. A suspicion that has stood
-// for suspectHeartbeats makes the host silent.
+// A host of the same hall that answers neither a heartbeat nor an immediate second attempt is
+// suspected by the sender, as of the first attempt. Heartbeats spread suspicions, and in the
+// hall of the suspect extra heartbeats do so at once. A suspicion stands until some host has
+// heard the suspect after that attempt. Such a host lists the suspect as an update, which
+// refutes the suspicion wherever it arrives. Hosts of the suspect's hall also send their next
+// heartbeat to it, so that a live one can answer. A suspicion that stands for
+// suspicionTimeoutIntervals makes the host unresponsive.
 //
-// Each host is asked by a few others at each interval. So the time until one is found does
-// not grow with the fleet, and the time until all know grows with its logarithm.
+// Each host receives heartbeats from a few others at each interval. So the time to detect a
+// failure does not grow with the fleet, and the time until all hosts know of it grows with the
+// fleet's logarithm.
 
 const (
-	// suspectHeartbeats is for how many intervals a suspicion stands before its host is
-	// silent. Others tell it meanwhile that the host lives: one that pauses for an
-	// interval has sent heartbeats again by then.
+	// suspicionTimeoutIntervals is for how many heartbeat intervals a suspicion stands before
+	// its host is unresponsive. It lets others refute the suspicion: a host that pauses for
+	// one interval has sent heartbeats again by then.
 	suspicionTimeoutIntervals = 2
-	// awayHeartbeats is for how many intervals more it stands for a host of another hall,
-	// where it takes longer to hear that the host lives.
+	// otherHallExtraIntervals is for how many more intervals a suspicion of a host of another
+	// hall stands, since a refutation takes longer to arrive from there.
 	otherHallExtraIntervals = 2
-	// suspicionHeartbeats is for how many intervals a suspicion is passed on.
+	// suspicionSpreadIntervals is for how many intervals a suspicion is spread.
 	suspicionSpreadIntervals = 10
-	// endedHeartbeats is for how many intervals other halls are told that one has ended.
+	// refutationSpreadIntervals is for how many intervals a refutation is spread to other halls.
 	refutationSpreadIntervals = 3
-	// suspicionEntries is the most suspicions that one heartbeat lists.
+	// maxSuspicionEntries is the most suspicions that one heartbeat lists.
 	maxSuspicionEntries = 64
-	// urgentGap is how long a host waits before it passes on at once what it learnt of a
-	// suspicion, so that what comes meanwhile goes with it.
+	// urgentDelay is how long an urgent update of a suspicion waits, so that further updates
+	// are sent in the same heartbeat.
 	urgentDelay = 150 * time.Millisecond
-	// agePrecision is that of the ages that entries report, so that they are short.
+	// agePrecision is the precision of the ages in messages, which keeps their text short.
 	agePrecision = 10 * time.Millisecond
 )
 
-// suspect is whether one member is suspected. All times are since the process started.
+// suspectState tracks whether a member is suspected. All times are since the process started.
 type suspectState struct {
-	// heardAt is when the member itself was last heard, by any host as far as is known.
+	// heardAt is when any host last heard the member itself, as far as is known.
 	heardAt time.Duration
-	// since is when a heartbeat was sent that it did not answer; 0 for none. It is
-	// later than heardAt.
+	// unansweredSince is when a heartbeat was sent that the member did not answer; 0 for none.
+	// It is later than heardAt.
 	unansweredSince time.Duration
 }
 
-// heard notes that the member was heard, and reports whether that ends a suspicion.
+// heard records that the member was heard, and reports whether that refutes a suspicion.
 func (s *suspectState) heard(at time.Duration) bool {
 	s.heardAt = max(s.heardAt, at)
 	if s.unansweredSince == 0 || s.heardAt <= s.unansweredSince {
@@ -58,7 +59,7 @@
 	return true
 }
 
-// raise notes a heartbeat without an answer, and reports whether it begins a suspicion.
+// raise records an unanswered heartbeat, and reports whether a suspicion begins with it.
 func (s *suspectState) raise(sentAt time.Duration) bool {
 	if sentAt <= s.heardAt {
 		return false
@@ -70,7 +71,8 @@
 	return first
 }
 
-// confirmed reports whether a suspicion has stood for so long that the member is silent.
+// suspicionExpired reports whether a suspicion has stood long enough for the member to be
+// unresponsive.
 func (t *memberTable) suspicionExpired(now time.Duration, r *memberRecord) bool {
 	timeout := suspicionTimeoutIntervals * t.Interval
 	if r.Hall != t.Self.Hall {
@@ -82,13 +84,13 @@
 // suspicion is what heartbeats report of a member that did not answer.
 type suspicion struct {
 	Host string
-	// Incarnation is that of the process which did not answer.
+	// Incarnation is that of the process that did not answer.
 	Incarnation string
-	// Age is how long ago the heartbeat was sent that it did not answer.
+	// Age is the time since the unanswered heartbeat was sent.
 	Age time.Duration
 }
 
-// unanswered notes that a member answered no heartbeat since one was sent.
+// recordUnanswered records that a member has not answered a heartbeat sent at sentAt.
 func (t *memberTable) recordUnanswered(now time.Duration, host string, sentAt time.Duration) {
 	if r := t.records[host]; r != nil {
 		t.raise(now, r, sentAt)
@@ -103,25 +105,25 @@
 	t.updateLive(now, r)
 }
 
-// hurry has what is known of a suspect passed on at once, if it is of this hall.
+// markUrgent has an update of a member sent at once, if the member is of this hall.
 func (t *memberTable) markUrgent(r *memberRecord) { t.urgent = t.urgent || r.Hall == t.Self.Hall }
 
-// takeUrgent reports whether there is something to pass on at once, and that it will be.
+// takeUrgent reports whether there is an urgent update, and resets that.
 func (t *memberTable) takeUrgent() bool {
 	urgent := t.urgent
 	t.urgent = false
 	return urgent
 }
 
-// updateSuspects has suspicions that have stood for long enough take effect.
+// updateSuspects makes members unresponsive whose suspicions have expired.
 func (t *memberTable) updateSuspects(now time.Duration) {
 	for _, r := range t.suspects {
 		t.updateLive(now, r)
 	}
 }
 
-// mergeSuspicions takes in the suspicions of another host. A member that was heard since
-// becomes news.
+// mergeSuspicions merges the suspicions of another host. A member that was heard since then
+// is queued as an update, which refutes the suspicion.
 func (t *memberTable) mergeSuspicions(now time.Duration, suspicions []suspicion) {
 	for _, s := range suspicions {
 		r := t.records[s.Host]
@@ -137,8 +139,8 @@
 	}
 }
 
-// suspicions lists the suspicions for one heartbeat: if they are too many, each message
-// goes on where the last one ended.
+// suspicions returns the suspicions for one heartbeat. If they are too many, each heartbeat
+// continues where the last one ended.
 func (t *memberTable) suspicions(now time.Duration) []suspicion {
 	var out []suspicion
 	for range t.suspects {
@@ -154,7 +156,7 @@
 	return out
 }
 
-// suspecting reports whether other halls are to hear of suspicions, or of the end of some.
+// hasRecentSuspicions reports whether suspicions or refutations are to be spread to other halls.
 func (t *memberTable) hasRecentSuspicions(now time.Duration) bool {
 	if t.refutedAt > 0 && now-t.refutedAt <= refutationSpreadIntervals*t.Interval {
 		return true
@@ -164,7 +166,7 @@
 	})
 }
 
-// suspected names the suspected members of a hall that are not silent yet.
+// suspected returns the names of the suspected members of a hall that are still live.
 func (t *memberTable) suspected(hall string) []string {
 	var out []string
 	for _, r := range t.suspects {
--- a/tier/peers/watch.go
+++ b/tier/peers/watch.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	// readBound is how long an answer may take beside the time that the read waits.
+	// readTimeout is how long an answer may take beyond the wait of the read.
 	readTimeout = 2 * time.Second
-	// readPause is the pause of a host that does not watch, and after a live list that did
-	// not change; after a failed read the pause is once to twice as long.
+	// readInterval is the pause of a host that does not watch, and after a live list without
+	// changes. After a failed read, the pause is once to twice as long.
 	readInterval = 500 * time.Millisecond
 	// watchersPerHall is how many hosts of a hall watch the platform.
 	watchersPerHall = 2
-	// moreWatchers is how many more hosts of a hall watch at most while the platform does
-	// not answer it.
+	// maxExtraWatchers is how many more hosts of a hall watch while the platform does not
+	// answer the others.
 	maxExtraWatchers = 2
-	// silentTurn is how long beyond WatchWait the hall reads nothing before one more host
-	// watches, each time again.
+	// extraWatcherInterval is the time beyond WatchWait without a read of the hall after which
+	// one more host watches.
 	extraWatcherInterval = 5 * time.Second
-	// defaultWatchWait is how long a read waits for a change if the settings give nothing.
+	// defaultWatchWait is how long a read waits for a change if the settings give none.
 	defaultWatchWait = 10 * time.Second
-	// replyFactor is how many times the bytes of the largest document a reply may have: the
-	// document is a string in JSON there, which is longer.
+	// replySizeFactor is the largest size of a reply relative to the largest document, which
+	// the reply contains as a longer JSON string.
 	replySizeFactor = 2
 )
 
-// watchPlugin reads what the platform publishes by loomgap's own protocol.
+// watchPlugin reads the platform by loomgap's own protocol.
 type watchPlugin struct{}
 
 var _ kernel.Plugin = watchPlugin{}
@@ -70,15 +70,15 @@
 type watcher struct {
 	kernel *kernel.Kernel
 	client *http.Client
-	// listed is the state of each name as last listed; used on the control thread.
+	// listed is the last listed state of each upstream; used on the control thread.
 	listed map[string]wire.LiveState
-	// document and live are up to where the document and the live list were read. They
-	// only say where to read on; each is used by the loop that reads it.
+	// document and live are where the next reads of the document and of the live list
+	// continue; each is used by one loop only.
 	document, live config.Position
 }
 
-// loop reads while this host is one of those that watch; with atStart, also until there
-// is a document.
+// loop reads while this host is one of the watchers; with atStart, also until there is a
+// document.
 func (w *watcher) loop(ctx context.Context, read func(context.Context) error, atStart bool) {
 	for ctx.Err() == nil {
 		if !w.isWatcher(atStart) {
@@ -93,19 +93,18 @@
 	}
 }
 
-// watches decides whether a host is among those of its hall that watch the platform: the
-// first watchersPerHall by rendezvous hashing are, and one more for each silent turn, up
-// to moreWatchers. A silent turn is a time of WatchWait and silentTurn in which the hall
-// read nothing.
+// shouldWatch reports whether a host is one of the watchers of its hall: the first
+// watchersPerHall by rendezvous hashing, and one more for each missed read, up to
+// maxExtraWatchers. A read is missed if the hall has read nothing for WatchWait and
+// extraWatcherInterval.
 func shouldWatch(hosts []string, host string, missedReads int) bool {
 	ranked := Rank(watchKey, hosts)
 	n := min(watchersPerHall+min(missedReads, maxExtraWatchers), len(ranked))
 	return slices.Contains(ranked[:n], host)
 }
 
-// isWatcher reports whether this host watches the platform now; /status shows it as
-// Watching. Its inputs are the live hosts of the hall and when any of them last read the
-// platform.
+// isWatcher reports whether this host watches the platform now; /status shows it as Watching.
+// It depends on the live hosts of the hall and on when any of them last read the platform.
 func (w *watcher) isWatcher(atStart bool) bool {
 	v := w.kernel.View()
 	if v.Index == nil {
@@ -122,9 +121,9 @@
 	return watching
 }
 
-// hosts lists the hosts of the hall that may watch. A host that has just started knows
-// few live ones, and counts all of the document as live: else each of a hall that comes
-// back would watch.
+// hosts returns the hosts of the hall that may watch. A host that has just started knows few
+// live ones and counts all of the document as live: otherwise each host of a restarting hall
+// would watch.
 func (w *watcher) hosts(v *kernel.View) []string {
 	if w.kernel.Now() > unresponsiveIntervals*w.kernel.Settings.Beat {
 		return v.Hall(&w.kernel.Settings)
@@ -151,11 +150,11 @@
 	}
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return fmt.Errorf("platform request: %w", err)
+		return fmt.Errorf("create platform request: %w", err)
 	}
 	reply, err := w.client.Do(r)
 	if err != nil {
-		return fmt.Errorf("platform: %w", err)
+		return fmt.Errorf("request platform: %w", err)
 	}
 	defer reply.Body.Close()
 	if reply.StatusCode != http.StatusOK {
@@ -171,7 +170,7 @@
 	}
 	at := config.Position{Era: d.Era, Revision: d.Revision}
 	if before := w.document; at.Compare(before) < 0 {
-		return fmt.Errorf("platform is stale: it serves revision %d of era %d, %d of era %d was seen", at.Revision, at.Era, before.Revision, before.Era)
+		return fmt.Errorf("stale platform: revision %d of era %d served after revision %d of era %d", at.Revision, at.Era, before.Revision, before.Era)
 	}
 	w.document = at
 	w.kernel.DoAndWait(func(s *kernel.State) {
@@ -182,8 +181,8 @@
 	return nil
 }
 
-// editionOf is how new a document is. One from below the first revision of its era is of
-// the era before: the platform came back from a copy that held it.
+// editionOf returns the edition of a document. A document from before the first revision of
+// its era belongs to the previous era: the platform was restored from a copy that held it.
 func editionOf(d *wire.DocumentReply) config.Edition {
 	at := config.Position{Era: d.Era, Revision: d.Revision}
 	if at.Era > 1 && at.Revision < d.EraFrom {
@@ -201,11 +200,11 @@
 	if at == w.live {
 		kernel.Sleep(ctx, readInterval)
 	}
-	returned := at.Era != w.live.Era
+	restored := at.Era != w.live.Era
 	w.live = at
 	w.kernel.Do(func(s *kernel.State) {
-		if returned {
-			// The list is a copy: one that it calls live may have begun to leave since.
+		if restored {
+			// After a restore, the list may call an upstream live that has begun to leave since.
 			clear(w.listed)
 		}
 		w.applyLiveList(s, l.Entries)
@@ -213,7 +212,7 @@
 	return nil
 }
 
-// learnLive takes in the live list. Only a change from leaving to live shows that an
+// applyLiveList applies the live list. Only a change from leaving to live shows that an
 // upstream is back, since the list lags.
 func (w *watcher) applyLiveList(s *kernel.State, entries []wire.LiveEntry) {
 	now := w.kernel.Now()
