--- a/tier/peers/announcement_test.go
+++ b/tier/peers/announcement_test.go
@@ -15,7 +15,7 @@
 	"loomgap/tier/policy"
 )
 
-// newHallKernel makes a kernel of a host in hall A.
+// newTestKernel returns the kernel of a host in hall A.
 func newTestKernel(t *testing.T, host string) *kernel.Kernel {
 	k, stop := kernel.New(kernel.Config{
 		Settings: kernel.Settings{Host: host, Hall: "A"}, Log: zerolog.Nop(), Started: time.Now(),
@@ -25,13 +25,13 @@
 	return k
 }
 
-// serverWithoutFetches takes in announcements of a host that fetches nothing.
+// newServerWithoutFetches returns a server that applies announcements and fetches nothing.
 func newServerWithoutFetches(k *kernel.Kernel) *announcementServer {
 	return &announcementServer{kernel: k, fetcher: &fetcher{kernel: k, fetchingDocument: true, fetchingDirectory: true}}
 }
 
-// TestReaderTellsOneHostOfEachOtherHall looks at whom a reader tells, and whom a
-// host that only passes news on.
+// TestReaderAnnouncesToOneHostOfEachOtherHall checks that only the reader announces to other
+// halls, while any announcer announces to its own.
 func TestReaderAnnouncesToOneHostOfEachOtherHall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := newTestKernel(t, "Self")
@@ -40,27 +40,27 @@
 			hall := string(rune('A' + i%3))
 			s.Members[n] = kernel.Member{Host: n, Hall: hall, Live: true, Leaving: i == 1}
 		}
-		tl := &announcer{kernel: k}
-		hall, readers := tl.recipients(s)
+		a := &announcer{kernel: k}
+		hall, readers := a.recipients(s)
 		assert.Equal(t, len(hall), 3)
 		assert.Equal(t, len(readers), 2)
 		s.Reading = false
-		hall, readers = tl.recipients(s)
+		hall, readers = a.recipients(s)
 		assert.Equal(t, len(hall), 3)
 		assert.Equal(t, len(readers), 0)
 	})
 }
 
-// TestNewsOfAnotherHallAreToldOn has a host hear from the reader in another hall:
-// it tells its own hall at once, and does not read itself.
+// TestAnnouncementOfAnotherHallIsForwarded checks that an announcer forwards at once what a
+// reader in another hall announces, and reads the platform only once that reader is gone.
 func TestAnnouncementOfAnotherHallIsForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		names := rankedHosts(2)
 		k := newTestKernel(t, names[1])
-		told := &announcementCounter{}
-		k.Peers = told
-		tl := &announcer{kernel: k}
-		k.OnView(tl.onView)
+		counter := &announcementCounter{}
+		k.Peers = counter
+		a := &announcer{kernel: k}
+		k.OnView(a.onView)
 		server := newServerWithoutFetches(k)
 		change := &config.DirectoryChange{Revision: 5, Listed: []config.Listing{{Name: "U1", Group: "G", Hall: "A", Slots: 1, Revision: 5}}}
 		time.Sleep(time.Second)
@@ -71,23 +71,23 @@
 			server.apply(s, &announcement{Host: names[0], Hall: "B", Age: 100 * time.Millisecond, Change: change, DirectoryRevision: 5})
 		})
 		synctest.Wait()
-		assert.Assert(t, told.hosts["Mate"])
+		assert.Assert(t, counter.hosts["Mate"])
 		assert.DeepEqual(t, listedNames(k), []string{"U1"})
 		reads := make(chan bool, 1)
 		k.Do(func(s *kernel.State) {
-			tells, r := decideRole(k, s)
-			assert.Assert(t, tells)
+			announces, r := decideRole(k, s)
+			assert.Assert(t, announces)
 			reads <- r
 		})
 		assert.Assert(t, !<-reads)
 		time.Sleep(announcerTimeout + takeoverStep*announcerSpreadSteps)
 		k.Do(func(s *kernel.State) { _, r := decideRole(k, s); reads <- r })
-		assert.Assert(t, <-reads, "the reader is gone")
+		assert.Assert(t, <-reads, "does not read after the reader is gone")
 	})
 }
 
-// TestHolesInTheDirectoryAreFilled has a host that lacks an upstream hear of a
-// change of another one: it gets the whole list from the sender.
+// TestMissingDirectoryEntriesAreFetched checks that a host fetches the directory if it still
+// differs from the sender's after a change.
 func TestMissingDirectoryEntriesAreFetched(t *testing.T) {
 	listings := func(names ...string) *config.DirectoryChange {
 		c := &config.DirectoryChange{Revision: 3}
@@ -96,9 +96,9 @@
 		}
 		return c
 	}
-	teller, _, at := newTestNode(t)
-	newFetcher(teller, nil, nil)
-	teller.Do(func(s *kernel.State) { s.List(listings("U1", "U2", "U3")) })
+	source, _, at := newTestNode(t)
+	newFetcher(source, nil, nil)
+	source.Do(func(s *kernel.State) { s.List(listings("U1", "U2", "U3")) })
 	lacking, n, _ := newTestNode(t)
 	server := &announcementServer{kernel: lacking, fetcher: newFetcher(lacking, n, nil)}
 	lacking.Do(func(s *kernel.State) {
@@ -106,7 +106,7 @@
 		first.Revision = 1
 		s.List(first)
 		change := &config.DirectoryChange{Revision: 3, Listed: listings("U1", "U2", "U3").Listed[2:]}
-		server.apply(s, &announcement{Host: "T", Peer: at, Directory: teller.View().Directory.Digest(), DirectoryRevision: 3, Change: change})
+		server.apply(s, &announcement{Host: "T", Peer: at, Directory: source.View().Directory.Digest(), DirectoryRevision: 3, Change: change})
 	})
 	for end := time.Now().Add(20 * time.Second); lacking.View().Directory.Size() < 3; time.Sleep(time.Millisecond) {
 		assert.Assert(t, time.Now().Before(end), "%v", listedNames(lacking))
@@ -128,9 +128,8 @@
 	return nil
 }
 
-// TestReaderThatIsTurnedAwaySaysSo has the host that ranks first hear from other
-// halls what is published while the platform turns it away: its own hall hears
-// fresh news from it, other halls do not take it for a reader.
+// TestRefusedReaderReportsPlatformLost checks that a reader that the platform refuses does
+// not count as a reader in other halls, while it forwards to its own hall what they announce.
 func TestRefusedReaderReportsPlatformLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := newTestKernel(t, "Self")
@@ -159,8 +158,8 @@
 	})
 }
 
-// newAnnouncerWithMate returns the state of a host that announces to one other of its
-// hall, and a function that has it announce and returns what the other heard last.
+// newAnnouncerWithMate returns the state of a host that announces to one other host of its
+// hall, and a function that makes it announce and returns what the other received last.
 func newAnnouncerWithMate(k *kernel.Kernel) (*kernel.State, func() announcement) {
 	sent := &announcementRecorder{last: map[string]announcement{}}
 	k.Peers = sent
@@ -179,9 +178,8 @@
 	}
 }
 
-// TestHostThatTakesOverSendsChangesOnly has a host with many upstreams begin to announce,
-// go on, stop for a while and begin again: what it sends is what changed since it last
-// did, and never all that is listed.
+// TestHostThatTakesOverAnnouncesChangesOnly checks that an announcer never sends the whole
+// directory, also when it begins to announce or resumes after a while.
 func TestHostThatTakesOverAnnouncesChangesOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := newTestKernel(t, "Self")
@@ -198,7 +196,7 @@
 		time.Sleep(time.Second)
 		list(500)
 		first := announceToMate()
-		assert.Assert(t, first.Change == nil && first.Directory == s.Directory.Digest(), "it sends what others know from others")
+		assert.Assert(t, first.Change == nil && first.Directory == s.Directory.Digest(), "the first announcement must contain no change")
 		time.Sleep(announceInterval)
 		list(2)
 		assert.Equal(t, len(announceToMate().Change.Listed), 2)
@@ -211,8 +209,8 @@
 	})
 }
 
-// TestFreshReadIsAnnouncedAtOnce has a read end just after a regular announcement: where it
-// is much fresher than what was announced, others hear of it at once.
+// TestFreshReadIsAnnouncedAtOnce checks that a read that is much newer than the last announced
+// one does not wait for the next periodic announcement.
 func TestFreshReadIsAnnouncedAtOnce(t *testing.T) {
 	const readAt = 10 * time.Second
 	tests := []struct {
@@ -236,16 +234,15 @@
 	}
 }
 
-// TestStartingHostReadsAndDoesNotAnnounce has a host that knows nothing read the platform.
+// TestStartingHostReadsAndDoesNotAnnounce checks the role of a host without a directory.
 func TestStartingHostReadsAndDoesNotAnnounce(t *testing.T) {
 	k := newTestKernel(t, "Self")
 	announces, reads := decideRole(k, &kernel.State{})
 	assert.Assert(t, reads && !announces)
 }
 
-// TestEvacuationIsAnnounced has a reader hear of an evacuation and of its end: its
-// hall is told both at once, and a host that missed them learns them with the whole
-// directory.
+// TestEvacuationIsAnnounced checks that the beginning and the end of an evacuation are
+// announced at once, and are part of the whole directory.
 func TestEvacuationIsAnnounced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := newTestKernel(t, "Self")
@@ -255,7 +252,7 @@
 			HallAnnouncers: map[string]kernel.AnnouncerReport{}, OtherReaders: map[string]kernel.AnnouncerReport{},
 		}}
 		server := newServerWithoutFetches(k)
-		told := func(c *config.DirectoryChange) *config.Directory {
+		announce := func(c *config.DirectoryChange) *config.Directory {
 			time.Sleep(10 * time.Millisecond)
 			s.List(c)
 			n := announceToMate()
@@ -264,10 +261,10 @@
 		}
 		// Each host has read the platform at its start.
 		mate.List(&config.DirectoryChange{Revision: 1, Whole: true})
-		told(&config.DirectoryChange{Revision: 1, Whole: true})
-		d := told(&config.DirectoryChange{Revision: 2, Evacuated: []config.Evacuation{{Hall: "A", Revision: 2}}})
+		announce(&config.DirectoryChange{Revision: 1, Whole: true})
+		d := announce(&config.DirectoryChange{Revision: 2, Evacuated: []config.Evacuation{{Hall: "A", Revision: 2}}})
 		assert.Assert(t, d.Evacuated("A"))
-		d = told(&config.DirectoryChange{Revision: 3, Resumed: []config.Removal{{Name: "A", Revision: 3}}})
+		d = announce(&config.DirectoryChange{Revision: 3, Resumed: []config.Removal{{Name: "A", Revision: 3}}})
 		assert.Assert(t, !d.Evacuated("A"))
 		s.List(&config.DirectoryChange{Revision: 4, Evacuated: []config.Evacuation{{Hall: "B", Revision: 4}}})
 		whole := s.Directory.Whole()
--- a/tier/peers/bench_test.go
+++ b/tier/peers/bench_test.go
@@ -15,8 +15,8 @@
 	"loomgap/tier/kernel"
 )
 
-// BenchmarkBeat is the size of a heartbeat and the cost of making and taking
-// one in, by the number of hosts of the hall.
+// BenchmarkHeartbeat measures the size of a heartbeat and the cost of encoding, decoding and
+// merging one, by the number of hosts of the hall.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, n := range []int{2, 8, 24, 60, 117} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
@@ -38,8 +38,7 @@
 	}
 }
 
-// BenchmarkRank is the cost of dividing the slots of one upstream in a hall
-// of the design size.
+// BenchmarkRank measures the cost of dividing the slots of one upstream in a large hall.
 func BenchmarkRank(b *testing.B) {
 	hosts := make([]string, 117)
 	for i := range hosts {
@@ -50,8 +49,8 @@
 	}
 }
 
-// BenchmarkCall is the processor time of one call between hosts, both ends
-// together, by the size of the message.
+// BenchmarkCall measures the processor time of one call between hosts, both ends together, by
+// the size of the message.
 func BenchmarkCall(b *testing.B) {
 	at := netip.MustParseAddrPort("127.0.0.1:19872")
 	k, stop := kernel.New(kernel.Config{Settings: kernel.Settings{Host: "H1", Peer: at}, Started: time.Now()})
--- a/tier/peers/codec_test.go
+++ b/tier/peers/codec_test.go
@@ -24,8 +24,8 @@
 	})
 }
 
-// TestFramesUseTheDictionary writes a message of which the dictionary has most,
-// and reads it back.
+// TestFramesUseTheDictionary checks that text of the dictionary shortens a frame, and that the
+// frame can be read back.
 func TestFramesUseTheDictionary(t *testing.T) {
 	message := map[string]any{"jsonrpc": "2.0", "method": "GatherRest", "params": map[string]any{"ID": "x7-1"}}
 	text, err := json.Marshal(message)
--- a/tier/peers/confirm_test.go
+++ b/tier/peers/confirm_test.go
@@ -12,14 +12,14 @@
 	"loomgap/tier/kernel"
 )
 
-// documentOf is the index of a document of a version.
+// newTestIndex returns the index of a document of a version.
 func newTestIndex(version uint64) *config.Index {
 	return &config.Index{Edition: config.Edition{Version: version, Position: config.Position{Revision: version}}, Document: &config.Document{}}
 }
 
-// TestOnlyThePlatformConfirmsADocument has a host that starts on an old read hear
-// heartbeats: of one that starts on the same read, of one whose knowledge is old, of one
-// that holds an older document, and of one that knows from the platform.
+// TestOnlyThePlatformConfirmsADocument checks that, with an adapter, only a recent confirmation
+// from the platform of the same document confirms it: two hosts that start on the same stale
+// read must not confirm it to each other.
 func TestOnlyThePlatformConfirmsADocument(t *testing.T) {
 	tests := []struct {
 		name      string
@@ -48,7 +48,8 @@
 	}
 }
 
-// TestHostThatHearsNothingAsks looks at whom a host of a hall asks for an announcement.
+// TestHostWithoutAnnouncementsAsksForOne checks when a host asks for an announcement, and that
+// it asks the highest ranked hosts in turn.
 func TestHostWithoutAnnouncementsAsksForOne(t *testing.T) {
 	const hosts = 97
 	settings := kernel.Settings{Host: "host-50", Hall: "A", Cores: 0.2}
@@ -99,9 +100,8 @@
 	}
 }
 
-// TestAnnouncerAnswersWithItsAnnouncement has hosts send a heartbeat and an announcement
-// to one that announces and does not know them: they hear its announcement, and it knows
-// the sender of the heartbeat.
+// TestAnnouncerRepliesWithItsAnnouncement checks that an announcer replies with its
+// announcement to hosts of its hall that it does not know yet, and learns of them.
 func TestAnnouncerRepliesWithItsAnnouncement(t *testing.T) {
 	k := newTestKernel(t, "Announcer")
 	k.Settings.Adapter, k.Settings.Beat = "Test", time.Second
--- a/tier/peers/conn_test.go
+++ b/tier/peers/conn_test.go
@@ -12,8 +12,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// silentFirst passes connections on to an address, but for the first: that one
-// is held open and says nothing.
+// stallingProxy forwards connections to an address, except the first one, which it keeps open
+// without reading or writing.
 type stallingProxy struct {
 	listener net.Listener
 	accepted atomic.Int32
@@ -64,9 +64,8 @@
 	}
 }
 
-// TestSilentConnectionIsReplaced has a connection to a peer go silent without a
-// reset: calls that give it up must find the peer again on another one, though
-// no heartbeat goes there.
+// TestUnresponsiveConnectionIsReplaced checks that calls reach a peer again on a new connection
+// when the first one stalls without a reset.
 func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	_, n, _ := newTestNode(t)
 	k, _, at := newTestNode(t)
@@ -78,15 +77,15 @@
 		var none struct{}
 		return n.callAddress(ctx, proxy.address(), "Echo", struct{}{}, &none)
 	}
-	assert.Assert(t, call() != nil, "the first connection is silent")
+	assert.Assert(t, call() != nil, "the first connection must stall")
 	for attempt := 0; call() != nil; attempt++ {
-		assert.Assert(t, attempt < 20, "the silent connection stays in use")
+		assert.Assert(t, attempt < 20, "the stalled connection stays in use")
 	}
 	assert.Equal(t, proxy.accepted.Load(), int32(2))
 }
 
-// TestFetchSurvivesASilentConnection has a host fetch from a peer on a connection
-// that has gone silent: it must not wait for the whole bound of a call and fail.
+// TestFetchSurvivesUnresponsiveConnection checks that a fetch succeeds although its first
+// connection stalls.
 func TestFetchSurvivesUnresponsiveConnection(t *testing.T) {
 	_, n, _ := newTestNode(t)
 	k, _, at := newTestNode(t)
@@ -96,9 +95,8 @@
 	assert.NilError(t, n.fetch(proxy.address(), "Echo", &none))
 }
 
-// TestSlowAnswerOutlivesItsConnection has a peer answer later than the bound of
-// silence, while another call has a new connection made: the first call must
-// still get its answer.
+// TestSlowAnswerArrivesOnReplacedConnection checks that a call still gets its answer after its
+// connection was replaced.
 func TestSlowAnswerArrivesOnReplacedConnection(t *testing.T) {
 	_, n, _ := newTestNode(t)
 	k, _, at := newTestNode(t)
--- a/tier/peers/cost_test.go
+++ b/tier/peers/cost_test.go
@@ -13,7 +13,7 @@
 	"loomgap/tier/kernel"
 )
 
-// memberOf is an entry of the host of a number, as a heartbeat reports it.
+// newTestEntry returns the entry of host i, as a heartbeat reports it.
 func newTestEntry(i int, counter uint64) memberEntry {
 	return memberEntry{
 		Host: fmt.Sprintf("host-%d", i), Incarnation: "18ed705c791cc212192c", Counter: counter, Revision: 600, Capacity: 62,
@@ -21,8 +21,8 @@
 	}
 }
 
-// BenchmarkHeartbeatTakenIn is the cost for the control thread of one heartbeat and the
-// reply to it, by the number of members.
+// BenchmarkApplyHeartbeat measures what one heartbeat and its reply cost the control thread, by
+// the number of members.
 func BenchmarkApplyHeartbeat(b *testing.B) {
 	for _, members := range []int{60, 584, 1168, 4082, 8164} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestHeartbeatCostsWhatItLists compares the memory that a heartbeat takes in fleets ten
-// times apart.
+// TestHeartbeatCostIsIndependentOfFleetSize compares the memory that a heartbeat allocates in a
+// fleet and in one ten times as large.
 func TestHeartbeatCostIsIndependentOfFleetSize(t *testing.T) {
 	const heartbeats = 100
 	cost := func(members int) uint64 {
@@ -66,7 +66,7 @@
 	assert.Assert(t, large < 2*small, "%d bytes of 816 hosts, %d of 8,164", small, large)
 }
 
-// metFleet is what exchanges heartbeats at a host that knows so many others.
+// newGossipWithMembers returns the gossip of a host that knows a number of others.
 func newGossipWithMembers(t testing.TB, members int) (*gossip, *kernel.State) {
 	k, stop := kernel.New(kernel.Config{Settings: kernel.Settings{
 		Host: "Self", Hall: "hall-0", Adapter: "Test", Beat: time.Second, Peer: netip.MustParseAddrPort("10.1.0.1:8104"),
--- a/tier/peers/crash_reports_test.go
+++ b/tier/peers/crash_reports_test.go
@@ -21,7 +21,7 @@
 	"loomgap/tier/policy"
 )
 
-// strikeNet joins hosts in memory; each message takes strikeHop.
+// crashReportNetwork connects hosts in memory; each message takes messageDelay.
 type crashReportNetwork struct {
 	mu           sync.Mutex
 	kernels      map[string]*kernel.Kernel
@@ -75,17 +75,17 @@
 	return n.messages, n.bytes
 }
 
-// cutOff has a host neither reach others nor be reached, or ends that.
+// disconnect cuts a host off from all others, or connects it again.
 func (n *crashReportNetwork) disconnect(host string, disconnected bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.disconnected[host] = disconnected
 }
 
-// newStrikeNet makes hosts of three halls that know each other.
+// newCrashReportNetwork returns a network of hosts in three halls that know each other.
 func newCrashReportNetwork(t *testing.T, hosts int) *crashReportNetwork {
 	n := &crashReportNetwork{kernels: map[string]*kernel.Kernel{}, disconnected: map[string]bool{}}
-	// Messages on their way end before the test does.
+	// Let messages in flight arrive before the test ends.
 	t.Cleanup(func() { time.Sleep(time.Second) })
 	members := map[string]kernel.Member{}
 	for i := range hosts {
@@ -137,15 +137,15 @@
 	return count
 }
 
-// seeStrike has a host see a strike, as if told of it by itself.
+// addCrash makes a host record a crash.
 func addCrash(k *kernel.Kernel, f policy.Fingerprint, id uint64) {
 	k.Fleet.TakeReports(k.Now(), []policy.SuspectReport{{Fingerprint: f, Crashes: []policy.CrashReport{{
 		ID: id, Attempt: id, Upstream: "U", Left: time.Hour,
 	}}}})
 }
 
-// TestStrikesReachAllHosts has one host see a strike: all know of it within 100 ms, for
-// some 12 messages of each host, whatever the size of the fleet.
+// TestStrikesReachAllHosts checks that a crash report reaches nearly all hosts within 100 ms and
+// all within seconds, with a bounded number of messages per host.
 func TestStrikesReachAllHosts(t *testing.T) {
 	for _, hosts := range slices.Compact([]int{2, 7, 60, maxFleetHosts}) {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
@@ -166,9 +166,8 @@
 	}
 }
 
-// TestManyStrikesCostBoundedBytes has 300 hosts see 3,000 strikes of other requests
-// (60 and 600 with the race detector) within a second, as when all upstreams end: what each sends stays below 100 KB a
-// second.
+// TestManyStrikesCostBoundedBytes checks that each host sends less than 100 KB a second while
+// all upstreams crash.
 func TestManyStrikesCostBoundedBytes(t *testing.T) {
 	const hosts = maxFleetHosts
 	synctest.Test(t, func(t *testing.T) {
@@ -190,27 +189,26 @@
 	})
 }
 
-// TestHostThatWasAwayLearnsOfStrikes has a host be cut off, and another start, while a
-// strike is told of: both know of it three seconds after they are back.
+// TestHostThatWasAwayLearnsOfStrikes checks that a host that was disconnected and one that has
+// just started learn of earlier crashes within three seconds.
 func TestHostThatWasAwayLearnsOfStrikes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newCrashReportNetwork(t, 7)
 		n.disconnect("H3", true)
 		addCrash(n.kernels["H0"], "F", 1)
 		time.Sleep(time.Second)
-		away := n.kernels["H3"]
-		assert.Equal(t, away.Fleet.Worst(away.Now(), "F"), policy.VerdictSound)
+		disconnected := n.kernels["H3"]
+		assert.Equal(t, disconnected.Fleet.Worst(disconnected.Now(), "F"), policy.VerdictSound)
 		n.disconnect("H3", false)
 		started := n.add(t, 7, n.kernels["H0"].View().Members)
 		time.Sleep(3 * time.Second)
-		for _, k := range []*kernel.Kernel{away, started} {
+		for _, k := range []*kernel.Kernel{disconnected, started} {
 			assert.Equal(t, k.Fleet.Worst(k.Now(), "F"), policy.VerdictSuspected, k.Settings.Host)
 		}
 	})
 }
 
-// TestBadStrikesAreRefused has another host tell what cannot be strikes: nothing of it
-// is taken.
+// TestBadStrikesAreRefused checks that a message that is not valid is refused as a whole.
 func TestBadStrikesAreRefused(t *testing.T) {
 	report := `{"Fingerprint":"F","Strikes":[{"ID":1,"Attempt":1,"Upstream":"U","Left":1000000000}]}`
 	many := func(n int, item string) string {
--- a/tier/peers/detection_test.go
+++ b/tier/peers/detection_test.go
@@ -12,19 +12,19 @@
 
 const (
 	modelHalls = 6
-	// modelLost is the part of the heartbeats between live hosts that get no answer.
+	// modelLossRate is the fraction of heartbeats between live hosts that get no answer.
 	modelLossRate = 0.05
-	// modelStep is the precision of the model's time; it divides an interval.
+	// modelStep is the step of the model's time; it divides a heartbeat interval.
 	modelStep = 50 * time.Millisecond
 )
 
-// model is a fleet of hosts in six halls in virtual time. Each has its table, and sends
-// heartbeats as gossip does where another host of its hall reads the platform.
+// fleetModel simulates hosts in six halls in virtual time. Each has its member table and sends
+// heartbeats as gossip does if another host of its hall reads the platform.
 type fleetModel struct {
 	random *rand.Rand
 	now    time.Duration
 	hosts  []*fleetModelHost
-	// failing are the heartbeats that were sent and get no answer.
+	// failing are the heartbeats in flight that will get no answer.
 	failing []failing
 }
 
@@ -32,25 +32,25 @@
 	table *memberTable
 	name  string
 	hall  int
-	// phase is when within an interval it sends heartbeats.
+	// offset is when within an interval the host sends heartbeats.
 	offset     time.Duration
 	heartbeats int
-	// hurryAt is when an extra heartbeat is due; 0 for never.
+	// urgentAt is when an extra heartbeat is due; 0 for never.
 	urgentAt time.Duration
-	// dead is true once it has lost its power; pausedUntil is when a pause ends.
+	// dead is true once the host has failed; pausedUntil is when a pause ends.
 	dead        bool
 	pausedUntil time.Duration
 }
 
 type failing struct {
 	by, to *fleetModelHost
-	// sentAt is when the first heartbeat was sent, dueAt when the last one fails.
+	// sentAt is when the first attempt was sent, dueAt when the last one times out.
 	sentAt, dueAt time.Duration
 	retried       bool
 }
 
-// newModel makes hosts that know one another, or only the first three.
-func newFleetModel(hosts int, met bool) *fleetModel {
+// newFleetModel makes hosts that know all others, or only the first three of each hall.
+func newFleetModel(hosts int, allKnown bool) *fleetModel {
 	m := &fleetModel{random: rand.New(rand.NewPCG(7, 0)), now: time.Hour}
 	var all []memberEntry
 	for i := range hosts {
@@ -62,7 +62,7 @@
 		m.hosts = append(m.hosts, &fleetModelHost{table: table, name: e.Host, hall: i % modelHalls, offset: offset})
 	}
 	known := all
-	if !met {
+	if !allKnown {
 		known = all[:3*modelHalls]
 	}
 	for _, h := range m.hosts {
@@ -77,7 +77,7 @@
 
 func (m *fleetModel) paused(h *fleetModelHost) bool { return m.now < h.pausedUntil }
 
-// run plays some time, and calls each at the end of each step.
+// run advances the time by d, and calls each after each step.
 func (m *fleetModel) run(d time.Duration, each func()) {
 	for until := m.now + d; m.now < until; {
 		m.now += modelStep
@@ -99,7 +99,7 @@
 	}
 }
 
-// fail asks again, or raises a suspicion, when a heartbeat fails.
+// handleFailure retries a heartbeat that has timed out, or raises a suspicion.
 func (m *fleetModel) handleFailure(f failing) {
 	switch {
 	case m.now < f.dueAt:
@@ -115,7 +115,7 @@
 func (m *fleetModel) sendHeartbeats(h *fleetModelHost) {
 	h.heartbeats++
 	h.table.tick(m.now, 1)
-	hall, silent, other := m.sort(h)
+	hall, unresponsive, other := m.sort(h)
 	partners := m.partnersAmong(h, hall)
 	announces := m.announcer(h.hall) == h
 	every := otherHallEvery * nonAnnouncerFactor
@@ -129,14 +129,14 @@
 		partners = append(partners, sample(m.random.Perm, other, otherHallPartners)...)
 	}
 	if h.heartbeats%unresponsiveEvery == 0 {
-		partners = append(partners, sample(m.random.Perm, silent, unresponsivePartners)...)
+		partners = append(partners, sample(m.random.Perm, unresponsive, unresponsivePartners)...)
 	}
 	for _, to := range partners {
 		m.exchange(h, to, m.now, false)
 	}
 }
 
-// hurry sends the extra heartbeats of a host.
+// sendUrgent sends the extra heartbeats of a host.
 func (m *fleetModel) sendUrgent(h *fleetModelHost) {
 	if h.urgentAt == 0 && h.table.takeUrgent() {
 		h.urgentAt = m.now + urgentDelay
@@ -151,20 +151,20 @@
 	}
 }
 
-// sort divides the hosts that a host knows as gossip does.
-func (m *fleetModel) sort(h *fleetModelHost) (hall, silent, other []*fleetModelHost) {
+// sort divides the hosts that a host knows as gossip.sortHosts does with an adapter.
+func (m *fleetModel) sort(h *fleetModelHost) (hall, unresponsive, other []*fleetModelHost) {
 	for _, r := range h.table.order {
 		to := m.hosts[numberOf(r.Host)]
 		switch {
 		case !r.live:
-			silent = append(silent, to)
+			unresponsive = append(unresponsive, to)
 		case to.hall == h.hall:
 			hall = append(hall, to)
 		default:
 			other = append(other, to)
 		}
 	}
-	return hall, silent, other
+	return hall, unresponsive, other
 }
 
 func (m *fleetModel) partnersAmong(h *fleetModelHost, hall []*fleetModelHost) []*fleetModelHost {
@@ -175,7 +175,7 @@
 	return append(sample(m.random.Perm, suspects, suspectPartners), sample(m.random.Perm, hall, hallPartners)...)
 }
 
-// announcer is the first live host of a hall.
+// announcer returns the first live host of a hall.
 func (m *fleetModel) announcer(hall int) *fleetModelHost {
 	i := slices.IndexFunc(m.hosts, func(h *fleetModelHost) bool { return h.hall == hall && !h.dead })
 	return m.hosts[i]
@@ -191,7 +191,7 @@
 }
 
 func (m *fleetModel) exchange(from, to *fleetModelHost, sentAt time.Duration, retried bool) {
-	// A host that pauses answers when it wakes.
+	// A paused host answers when its pause ends.
 	if to.dead || to.pausedUntil > m.now+heartbeatTimeout || m.random.Float64() < modelLossRate {
 		if to.hall == from.hall {
 			m.failing = append(m.failing, failing{by: from, to: to, sentAt: sentAt, dueAt: m.now + heartbeatTimeout, retried: retried})
@@ -220,16 +220,16 @@
 	return n
 }
 
-// knownLive is the part of the pairs of one live host, and another that picks, of which
-// the first takes the second for live.
-func (m *fleetModel) liveRatio(picks func(by, of *fleetModelHost) bool) float64 {
+// liveRatio returns the fraction, of the matching pairs of a live host and another one, in which
+// the first considers the second live.
+func (m *fleetModel) liveRatio(match func(by, of *fleetModelHost) bool) float64 {
 	live, pairs := 0, 0
 	for _, by := range m.hosts {
 		if by.dead {
 			continue
 		}
 		for _, of := range m.hosts {
-			if of == by || !picks(by, of) {
+			if of == by || !match(by, of) {
 				continue
 			}
 			pairs++
@@ -245,9 +245,8 @@
 	return slices.DeleteFunc([]int{60, 300, 584}, func(n int) bool { return n > maxModelHosts })
 }
 
-// TestDeadHostsAreFoundAtAnySize takes a sixth of the hosts, and all the strong ones
-// among them, off power at once: the hosts of their halls know within 5 s of 99 in 100 of
-// them, those of other halls within 8 s.
+// TestDeadHostsAreFoundAtAnySize checks that when a sixth of the hosts fail at once, the hosts
+// of their halls detect 99% of the failures within 5 s, and those of other halls within 8 s.
 func TestDeadHostsAreFoundAtAnySize(t *testing.T) {
 	for _, hosts := range modelSizes() {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
@@ -256,14 +255,14 @@
 			for i := range hosts / 6 {
 				m.hosts[i].dead = true
 			}
-			died := m.now
+			failedAt := m.now
 			var inHall, anywhere time.Duration
 			m.run(15*time.Second, func() {
 				if inHall == 0 && m.liveRatio(func(by, of *fleetModelHost) bool { return of.dead && by.hall == of.hall }) <= 0.01 {
-					inHall = m.now - died
+					inHall = m.now - failedAt
 				}
 				if anywhere == 0 && m.liveRatio(func(_, of *fleetModelHost) bool { return of.dead }) <= 0.01 {
-					anywhere = m.now - died
+					anywhere = m.now - failedAt
 				}
 			})
 			t.Logf("99 of 100 known after %v in the hall, %v anywhere", inHall, anywhere)
@@ -273,15 +272,14 @@
 	}
 }
 
-// TestLiveHostsStayLiveAtAnySize loses one heartbeat in 20 and has hosts pause for a
-// second each, one after the other: no live host is silent for anybody for more than a
-// second.
+// TestLiveHostsStayLiveAtAnySize checks that no host considers a live one unresponsive for more
+// than a second, although heartbeats are lost and hosts pause for a second.
 func TestLiveHostsStayLiveAtAnySize(t *testing.T) {
 	for _, hosts := range modelSizes() {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
 			m := newFleetModel(hosts, true)
 			m.run(5*time.Second, func() {})
-			silentSince := map[*memberRecord]time.Duration{}
+			unresponsiveSince := map[*memberRecord]time.Duration{}
 			longest, inHall, step := time.Duration(0), time.Duration(0), 0
 			m.run(20*time.Second, func() {
 				if step++; step%5 == 0 {
@@ -290,15 +288,15 @@
 				for _, h := range m.hosts {
 					for _, r := range h.table.order {
 						if r.live {
-							delete(silentSince, r)
+							delete(unresponsiveSince, r)
 							continue
 						}
-						if _, known := silentSince[r]; !known {
-							silentSince[r] = m.now
+						if _, known := unresponsiveSince[r]; !known {
+							unresponsiveSince[r] = m.now
 						}
-						longest = max(longest, m.now-silentSince[r])
+						longest = max(longest, m.now-unresponsiveSince[r])
 						if r.Hall == h.table.Self.Hall {
-							inHall = max(inHall, m.now-silentSince[r])
+							inHall = max(inHall, m.now-unresponsiveSince[r])
 						}
 					}
 				}
@@ -309,8 +307,8 @@
 	}
 }
 
-// TestHostsMeetAtAnySize starts all hosts together, each with the same few seeds: after
-// five intervals each knows 99 of 100 of the others of its hall, after 15 of all.
+// TestHostsMeetAtAnySize checks that hosts that start together with the same few seeds know 99%
+// of their hall after five intervals, and 99% of all hosts after 15.
 func TestHostsMeetAtAnySize(t *testing.T) {
 	for _, hosts := range modelSizes() {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
--- a/tier/peers/feed_test.go
+++ b/tier/peers/feed_test.go
@@ -22,29 +22,29 @@
 
 var errUnavailable = errors.New("platform is away")
 
-// published is a platform in memory: a list of changes, each of its revision.
+// fakePlatform is a platform in memory: a list of changes, each with its revision.
 type fakePlatform struct {
 	mu sync.Mutex
-	// era is named in all that is read; 0 for none.
+	// era is that of all reads; 0 for none.
 	era      uint64
 	revision uint64
-	// from is the oldest revision after which changes are known.
+	// from is the oldest revision from which the history can be read.
 	from    uint64
 	changes []config.DirectoryChange
-	// counts are the upstreams' own counts of their reports; a return does not touch
-	// them.
+	// counts holds the sequence number of each upstream's reports, which a restore does not
+	// reset.
 	counts      map[string]uint64
 	unavailable bool
-	// stale is how many revisions an old read is behind.
+	// stale is by how many revisions a stale read is behind.
 	stale uint64
 	reads []bool
 	// watches counts the watches.
 	watches int
-	changed chan struct{}
+	updated chan struct{}
 }
 
 func newFakePlatform() *fakePlatform {
-	return &fakePlatform{counts: map[string]uint64{}, changed: make(chan struct{})}
+	return &fakePlatform{counts: map[string]uint64{}, updated: make(chan struct{})}
 }
 
 func (p *fakePlatform) change(c config.DirectoryChange) {
@@ -67,19 +67,19 @@
 		c.Resumed[i].Era, c.Resumed[i].Revision = p.era, p.revision
 	}
 	p.changes = append(p.changes, c)
-	close(p.changed)
-	p.changed = make(chan struct{})
+	close(p.updated)
+	p.updated = make(chan struct{})
 }
 
-// restore has the platform come back from a copy made at a revision.
+// restore restores the platform from a backup made at a revision.
 func (p *fakePlatform) restore(revision uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.era++
 	p.revision = revision
 	p.changes = slices.DeleteFunc(p.changes, func(c config.DirectoryChange) bool { return c.Revision > revision })
-	close(p.changed)
-	p.changed = make(chan struct{})
+	close(p.updated)
+	p.updated = make(chan struct{})
 }
 
 func (p *fakePlatform) list(names ...string) {
@@ -172,17 +172,17 @@
 			out.Directory.Resumed = append(out.Directory.Resumed, c.Resumed...)
 		}
 	}
-	return out, p.changed, nil
+	return out, p.updated, nil
 }
 
-// set changes how the platform does.
+// set changes the platform's behavior.
 func (p *fakePlatform) set(change func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	change()
 }
 
-// fed runs a test of a feed in virtual time.
+// runFeed runs a test of a feed in virtual time.
 func runFeed(t *testing.T, test func(p *fakePlatform, k *kernel.Kernel)) {
 	synctest.Test(t, func(t *testing.T) {
 		k, stop := kernel.New(kernel.Config{
@@ -231,8 +231,8 @@
 	})
 }
 
-// TestFeedReadsWholeAfterLostHistory has an old read besides: after a loss of
-// history it must be exact, or it would bring back what is gone.
+// TestFeedReadsWholeAfterLostHistory checks that the read after a loss of history is consistent:
+// a stale one would list removed upstreams again.
 func TestFeedReadsWholeAfterLostHistory(t *testing.T) {
 	runFeed(t, func(p *fakePlatform, k *kernel.Kernel) {
 		p.set(func() { p.stale, p.from = 3, p.revision+2 })
@@ -244,8 +244,8 @@
 	})
 }
 
-// TestFeedKeepsWhatLapsedWhileThePlatformWasAway has both upstreams lapse; one
-// of them lists itself again.
+// TestFeedKeepsRemovedUpstreamsAfterOutage checks that upstreams whose entries expired during an
+// outage stay listed until they had time to register again.
 func TestFeedKeepsRemovedUpstreamsAfterOutage(t *testing.T) {
 	runFeed(t, func(p *fakePlatform, k *kernel.Kernel) {
 		p.set(func() { p.unavailable = true })
@@ -261,8 +261,8 @@
 	})
 }
 
-// TestFeedHoldsNothingThatOthersHeard has the platform be away for this host alone,
-// which hears from others meanwhile: what is removed then is gone.
+// TestFeedAppliesRemovalsThatOtherHostsRead checks that removals are not held if only this host
+// had lost the platform.
 func TestFeedAppliesRemovalsThatOtherHostsRead(t *testing.T) {
 	runFeed(t, func(p *fakePlatform, k *kernel.Kernel) {
 		p.set(func() { p.unavailable = true })
@@ -277,8 +277,8 @@
 	})
 }
 
-// TestFeedKeepsWhatThePlatformRemovesJustAfterItsReturn is the same with the
-// removal coming a little later than the return.
+// TestFeedKeepsUpstreamsRemovedJustAfterOutage checks that removals shortly after the platform's
+// return are held as well.
 func TestFeedKeepsUpstreamsRemovedJustAfterOutage(t *testing.T) {
 	runFeed(t, func(p *fakePlatform, k *kernel.Kernel) {
 		p.set(func() { p.unavailable = true })
@@ -313,17 +313,17 @@
 	})
 }
 
-// TestReaderWithoutAnswersSaysSo has a read hang: long before it fails, the
-// host learns from peers and tells its hall nothing.
-func TestReaderWithoutAnswersMarksFeedDown(t *testing.T) {
+// TestReaderWithoutAnswersMarksPlatformDown checks that a host whose read hangs stops to
+// announce and learns from peers long before the read fails.
+func TestReaderWithoutAnswersMarksPlatformDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k, stop := kernel.New(kernel.Config{
 			Settings: kernel.Settings{Host: "H1", Hall: "A"}, Log: zerolog.Nop(), Started: time.Now(),
 			Fleet: policy.NewFleet(policy.FleetConfig{Random: rand.New(rand.NewPCG(1, 2))}),
 		})
 		defer stop()
-		told := &announcementCounter{}
-		k.Peers = told
+		counter := &announcementCounter{}
+		k.Peers = counter
 		k.Do(func(s *kernel.State) {
 			s.Reading, s.Announcing, s.AnnouncedReadAt = true, true, k.Now()+time.Nanosecond
 			s.Members["H2"] = kernel.Member{Host: "H2", Hall: "A", Live: true}
@@ -333,19 +333,19 @@
 		defer cancel()
 		go (&announcer{kernel: k}).loop(ctx)
 		advance(announceInterval + time.Millisecond)
-		assert.Assert(t, told.count() > 0)
+		assert.Assert(t, counter.count() > 0)
 		advance(maxReadAge(&k.Settings))
-		before := told.count()
+		before := counter.count()
 		advance(time.Second)
-		assert.Equal(t, told.count(), before)
+		assert.Equal(t, counter.count(), before)
 		done := make(chan bool, 1)
 		k.Do(func(s *kernel.State) { done <- s.FeedDown })
 		assert.Assert(t, <-done)
 	})
 }
 
-// peerRecorder counts the announcements of a host that hears the platform, and keeps
-// the hosts that got them.
+// announcementCounter counts announcements of hosts that can read the platform, and keeps the
+// hosts that received them.
 type announcementCounter struct {
 	mu    sync.Mutex
 	calls int
@@ -381,8 +381,8 @@
 // Notify implements kernel.PeerCaller.
 func (p *announcementCounter) Notify(context.Context, string, string, any) error { return nil }
 
-// TestFeedFollowsEvacuations has a hall evacuated and taken back: by changes, while
-// the platform forgets its history, and while it is away.
+// TestFeedFollowsEvacuations checks that a host learns of the beginning and the end of an
+// evacuation, also if the platform loses its history or is unavailable.
 func TestFeedFollowsEvacuations(t *testing.T) {
 	forget := func(p *fakePlatform) { p.set(func() { p.from = p.revision }) }
 	tests := []struct {
@@ -419,9 +419,8 @@
 	}
 }
 
-// TestWarmupsSpreadOnlyWhereTheyBound has an upstream say with each heartbeat how much
-// longer it is cold: that changes the directory only if its group bounds what a cold
-// one gets.
+// TestWarmupsSpreadOnlyWhereGroupLimitsThem checks that the remaining warm-up of an upstream
+// changes the directory only if its group limits the rate of cold upstreams.
 func TestWarmupsSpreadOnlyWhereGroupLimitsThem(t *testing.T) {
 	for _, rate := range []float64{0, 4} {
 		t.Run(fmt.Sprint("ColdRate=", rate), func(t *testing.T) {
--- a/tier/peers/fetch.go
+++ b/tier/peers/fetch.go
@@ -148,7 +148,7 @@
 		f.kernel.Do(func(s *kernel.State) {
 			f.fetchingDirectory = false
 			// What this host reads from the platform itself takes precedence, unless the
-			// platform may have been restored from a copy older than the peer's directory.
+			// platform may have been restored from a backup older than the peer's directory.
 			if err == nil && (s.FeedDown || !s.Reading || s.Directory.Unsettled()) {
 				s.List(change)
 				f.kernel.Log.Info().Stringer("Peer", from).Uint64("DirectoryEra", change.Era).Uint64("DirectoryRevision", change.Revision).
--- a/tier/peers/main_test.go
+++ b/tier/peers/main_test.go
@@ -6,8 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of rapid, so that every run has the same verdict;
-// -rapid.seed explores others.
+// TestMain fixes the seed of rapid so that runs are reproducible; -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
--- a/tier/peers/members_test.go
+++ b/tier/peers/members_test.go
@@ -23,7 +23,7 @@
 	Live  bool
 }
 
-// members lists all members, in order of name.
+// members returns all members, sorted by name.
 func (t *memberTable) members(now time.Duration) []knownMember {
 	out := make([]knownMember, 0, len(t.order))
 	for _, r := range t.order {
@@ -33,7 +33,7 @@
 	return out
 }
 
-// addresses has addresses compared by their value.
+// addresses compares addresses by value.
 var addresses = cmpopts.EquateComparable(netip.AddrPort{})
 
 func TestTableKeepsNewestEntry(t *testing.T) {
@@ -49,8 +49,8 @@
 	assert.Assert(t, b.members((unresponsiveIntervals + 1) * time.Second)[0].Live)
 }
 
-// TestTableMergesInAnyOrder holds merging to the same result whatever the order
-// and however often news comes.
+// TestTableMergesInAnyOrder checks that merging gives the same result regardless of the order
+// and of duplicates.
 func TestTableMergesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entry := rapid.Custom(func(t *rapid.T) memberEntry {
@@ -60,18 +60,18 @@
 				Counter:     uint64(rapid.IntRange(0, 4).Draw(t, "counter")),
 			}
 		})
-		news := rapid.SliceOfN(entry, 1, 12).Draw(t, "news")
+		entries := rapid.SliceOfN(entry, 1, 12).Draw(t, "news")
 		one, other := newTestTable("A"), newTestTable("A")
-		one.merge(0, news)
-		for _, e := range rapid.Permutation(append(news, news...)).Draw(t, "order") {
+		one.merge(0, entries)
+		for _, e := range rapid.Permutation(append(entries, entries...)).Draw(t, "order") {
 			other.merge(0, []memberEntry{e})
 		}
 		assert.DeepEqual(t, one.members(0), other.members(0), addresses)
 	})
 }
 
-// TestGossipReachesAHall counts the beats until every host of a hall of the
-// design size knows of every other, and that a dead one is found silent by all.
+// TestGossipReachesAHall checks that all hosts of a large hall learn of each other and stay
+// live, and that all find a dead one unresponsive.
 func TestGossipReachesAHall(t *testing.T) {
 	const hosts = 117
 	random := rand.New(rand.NewPCG(7, 0))
@@ -80,7 +80,7 @@
 		all = append(all, newMemberTable(memberTableConfig{Self: memberEntry{Host: fmt.Sprintf("H%d", i), Incarnation: "1"}, Interval: time.Second, Random: random}))
 	}
 	now := time.Duration(0)
-	beat := func(dead int) {
+	round := func(dead int) {
 		now += time.Second
 		for i, a := range all {
 			if i == dead {
@@ -97,7 +97,7 @@
 			}
 		}
 	}
-	known := func() int {
+	minKnown := func() int {
 		least := hosts
 		for _, a := range all {
 			n := 0
@@ -111,20 +111,20 @@
 		return least
 	}
 	for range 40 {
-		beat(-1)
+		round(-1)
 	}
-	assert.Equal(t, known(), hosts-1)
+	assert.Equal(t, minKnown(), hosts-1)
 	steady := 0
 	const watched = 60
 	for range watched {
-		beat(-1)
-		if known() == hosts-1 {
+		round(-1)
+		if minKnown() == hosts-1 {
 			steady++
 		}
 	}
 	assert.Equal(t, steady, watched, "a live host was taken for silent")
 	for range 10 * unresponsiveIntervals {
-		beat(3)
+		round(3)
 	}
 	for i, a := range all {
 		for _, m := range a.members(now) {
--- a/tier/peers/node_test.go
+++ b/tier/peers/node_test.go
@@ -20,7 +20,7 @@
 	"loomgap/tier/policy"
 )
 
-// newTestNode makes a node that listens on a free port.
+// newTestNode returns a node that listens on a free port.
 func newTestNode(t *testing.T) (*kernel.Kernel, *node, netip.AddrPort) {
 	k, closeKernel := kernel.New(kernel.Config{
 		Settings: kernel.Settings{Peer: netip.MustParseAddrPort("127.0.0.1:0")}, Log: zerolog.Nop(), Started: time.Now(),
@@ -35,8 +35,8 @@
 	return k, n, netip.MustParseAddrPort(n.listener.Addr().String())
 }
 
-// TestHandlerTellsItsCallerMore has a handler tell its caller something before it
-// answers; it comes back on the caller's own connection.
+// TestHandlerPushesToItsCaller checks that a handler can send messages to its caller, on the
+// caller's connection, before it returns.
 func TestHandlerPushesToItsCaller(t *testing.T) {
 	served, _, at := newTestNode(t)
 	served.Handle("Work", func(ctx context.Context, _ json.RawMessage) (any, error) {
@@ -61,11 +61,11 @@
 	}
 	slices.Sort(got)
 	assert.DeepEqual(t, got, []string{"0", "1", "2"})
-	assert.Assert(t, kernel.Push(t.Context(), "Progress", 1) != nil, "a call without a connection has no way back")
+	assert.Assert(t, kernel.Push(t.Context(), "Progress", 1) != nil, "push without a connection must fail")
 }
 
-// failingListener fails some times before it accepts, as a host does that is out of file
-// descriptors for a while.
+// failingListener fails a number of times before it accepts, like that of a host that is
+// temporarily out of file descriptors.
 type failingListener struct {
 	net.Listener
 	failures int
@@ -80,8 +80,8 @@
 	return l.Listener.Accept()
 }
 
-// TestAcceptGoesOnAfterAFailure has a host without file descriptors accept peers again
-// once it has some, say why it did not, and end when its listener is closed.
+// TestAcceptContinuesAfterFailure checks that a host that runs out of file descriptors logs this
+// and accepts peers again later, and that accept returns when the listener is closed.
 func TestAcceptContinuesAfterFailure(t *testing.T) {
 	const failures = 3
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -110,7 +110,7 @@
 	select {
 	case <-ended:
 	case <-time.After(callTimeout):
-		t.Fatal("accept goes on though its listener is closed")
+		t.Fatal("accept continues after its listener was closed")
 	}
 	assert.Equal(t, strings.Count(log.String(), "too many open files"), failures, log.String())
 }
--- a/tier/peers/norace_test.go
+++ b/tier/peers/norace_test.go
@@ -2,8 +2,8 @@
 
 package peers
 
-// manyHosts is the largest number of hosts of a test in virtual time.
+// maxFleetHosts is the largest number of hosts of a test in virtual time.
 const maxFleetHosts = 300
 
-// modelMost is the largest fleet of which each host's table is modelled.
+// maxModelHosts is the largest number of hosts of a fleet model.
 const maxModelHosts = 584
--- a/tier/peers/outage_test.go
+++ b/tier/peers/outage_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestOutageCountsAsAway has reads fail for a while after a good one.
+// TestOutageMakesPlatformUnavailable checks when failed reads make the platform unavailable.
 func TestOutageMakesPlatformUnavailable(t *testing.T) {
 	const (
 		heard = time.Minute
@@ -15,7 +15,8 @@
 	)
 	tests := []struct {
 		name string
-		// failed are when reads failed, and now is asked, as time since the good one.
+		// failed are the times of failed reads, and now that of the check, since the last
+		// successful read.
 		failed []time.Duration
 		now    time.Duration
 		want   bool
@@ -40,7 +41,7 @@
 	}
 }
 
-// TestOutagePausesGrow draws the pauses after failed reads.
+// TestOutageDelaysGrow checks the back-off after failed reads.
 func TestOutageDelaysGrow(t *testing.T) {
 	var o outage
 	for _, most := range []time.Duration{minRetryDelay, 2 * minRetryDelay, 4 * minRetryDelay, 8 * minRetryDelay, maxRetryDelay, maxRetryDelay} {
--- a/tier/peers/partners_test.go
+++ b/tier/peers/partners_test.go
@@ -11,8 +11,8 @@
 	"loomgap/tier/kernel"
 )
 
-// TestHeartbeatsGoToFewHosts counts over 30 rounds how many heartbeats go to hosts of the
-// hall, of another hall, to silent hosts and to seeds, with an adapter.
+// TestHeartbeatsGoToFewHosts counts the heartbeats to hosts of the hall, of another hall, to
+// unresponsive hosts and to seeds, with an adapter.
 func TestHeartbeatsGoToFewHosts(t *testing.T) {
 	const rounds = 30
 	tests := []struct {
@@ -44,7 +44,7 @@
 			defer stop()
 			g := &gossip{kernel: k, random: rand.New(rand.NewPCG(1, 0)), table: newMemberTable(memberTableConfig{Interval: time.Second})}
 			sent := map[byte]int{}
-			g.sent = rounds // no start
+			g.sent = rounds // past the start phase
 			for range rounds {
 				g.sent++
 				for _, to := range g.partners(s) {
--- a/tier/peers/reader_test.go
+++ b/tier/peers/reader_test.go
@@ -13,7 +13,7 @@
 	"loomgap/tier/kernel"
 )
 
-// ranked returns names of hosts in their order for reading the platform.
+// rankedHosts returns names of hosts in their order for reading the platform.
 func rankedHosts(n int) []string {
 	var names []string
 	for i := range n {
@@ -22,27 +22,28 @@
 	return Rank(watchKey, names)
 }
 
-// TestIsFirst has a host hear of others that rank before or after it.
+// TestIsFirst checks whether a host takes over, given the announcements of hosts that rank
+// before or after it.
 func TestIsFirst(t *testing.T) {
 	names := rankedHosts(6)
 	const now = time.Minute
 	fresh := kernel.AnnouncerReport{At: now, Since: now - time.Second}
-	silent := kernel.AnnouncerReport{At: now - announcerTimeout, Since: 1}
-	inVain := kernel.AnnouncerReport{At: now, Lost: true, Since: now - time.Second}
+	timedOut := kernel.AnnouncerReport{At: now - announcerTimeout, Since: 1}
+	platformDown := kernel.AnnouncerReport{At: now, Lost: true, Since: now - time.Second}
 	tests := []struct {
 		name string
-		// heard is by place in the ranking; the host itself has place 4.
+		// heard is by rank; the host itself has rank 4.
 		heard map[int]kernel.AnnouncerReport
 		want  bool
 	}{
 		{"nobody is heard of", nil, true},
 		{"one before tells", map[int]kernel.AnnouncerReport{0: fresh}, false},
 		{"one after tells", map[int]kernel.AnnouncerReport{5: fresh}, true},
-		{"one before fell silent", map[int]kernel.AnnouncerReport{0: silent}, true},
-		{"one before fell silent, another tells", map[int]kernel.AnnouncerReport{0: silent, 1: fresh}, false},
-		{"one before reads in vain", map[int]kernel.AnnouncerReport{0: inVain}, true},
-		{"three before read in vain", map[int]kernel.AnnouncerReport{0: inVain, 1: inVain, 2: inVain}, false},
-		{"three before read in vain, one fell silent", map[int]kernel.AnnouncerReport{0: inVain, 1: inVain, 2: silent}, true},
+		{"one before fell silent", map[int]kernel.AnnouncerReport{0: timedOut}, true},
+		{"one before fell silent, another tells", map[int]kernel.AnnouncerReport{0: timedOut, 1: fresh}, false},
+		{"one before reads in vain", map[int]kernel.AnnouncerReport{0: platformDown}, true},
+		{"three before read in vain", map[int]kernel.AnnouncerReport{0: platformDown, 1: platformDown, 2: platformDown}, false},
+		{"three before read in vain, one fell silent", map[int]kernel.AnnouncerReport{0: platformDown, 1: platformDown, 2: timedOut}, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -50,8 +51,8 @@
 				k := newTestKernel(t, names[4])
 				time.Sleep(now)
 				heard := map[string]kernel.AnnouncerReport{}
-				for place, h := range tt.heard {
-					heard[names[place]] = h
+				for rank, h := range tt.heard {
+					heard[names[rank]] = h
 				}
 				r := newReaderRanking(&kernel.State{}, &k.Settings)
 				assert.Equal(t, r.isFirst(k.Now(), heard, 0), tt.want)
@@ -60,8 +61,8 @@
 	}
 }
 
-// hall is a data hall in virtual time whose hosts hear of one another a while
-// after something was announced.
+// hallModel simulates the hosts of a data hall in virtual time. Announcements arrive after a
+// delay.
 type hallModel struct {
 	hosts []*hallModelHost
 	delay time.Duration
@@ -70,11 +71,11 @@
 type hallModelHost struct {
 	settings kernel.Settings
 	state    *kernel.State
-	// tells is true while it announces, tried once it has.
+	// announcing is true while the host announces, tookOver once it has.
 	announcing, tookOver bool
 }
 
-// newHall makes hosts that know of one another, of which some are strong.
+// newHallModel makes hosts that know each other, some of them strong.
 func newHallModel(hosts, strong int, delay time.Duration) *hallModel {
 	h := &hallModel{delay: delay}
 	members := map[string]kernel.Member{}
@@ -94,7 +95,7 @@
 	return h
 }
 
-// hear has all hosts but one hear an announcement of it.
+// deliver delivers an announcement to all hosts except its sender.
 func (h *hallModel) deliver(from string, sent, now time.Duration, lost bool) {
 	for _, o := range h.hosts {
 		if o.settings.Host != from {
@@ -103,27 +104,27 @@
 	}
 }
 
-// play has the hall decide who announces, from a time on, while the platform
-// answers nobody, and returns how many hosts took over.
+// run simulates which hosts announce while the platform answers nobody, and returns how many
+// have taken over.
 func (h *hallModel) run(from, until time.Duration) int {
 	type sent struct {
 		by string
 		at time.Duration
 	}
-	var under []sent
+	var inFlight []sent
 	const step = 10 * time.Millisecond
 	for now := from; now < until; now += step {
-		for len(under) > 0 && now >= under[0].at+h.delay {
-			h.deliver(under[0].by, under[0].at, now, true)
-			under = under[1:]
+		for len(inFlight) > 0 && now >= inFlight[0].at+h.delay {
+			h.deliver(inFlight[0].by, inFlight[0].at, now, true)
+			inFlight = inFlight[1:]
 		}
 		for i, o := range h.hosts {
 			r := newReaderRanking(o.state, &o.settings)
 			announcing := r.isFirst(now, o.state.HallAnnouncers, r.countRankedBefore(o.state))
-			// Each announces when it takes over, and then at its own times.
+			// Each host announces when it takes over, and then periodically.
 			due := (now+time.Duration(i)*step)%announceInterval < step
 			if announcing && (!o.announcing || due) {
-				under = append(under, sent{o.settings.Host, now})
+				inFlight = append(inFlight, sent{o.settings.Host, now})
 			}
 			o.announcing, o.tookOver = announcing, o.tookOver || announcing
 		}
@@ -137,8 +138,8 @@
 	return n
 }
 
-// TestFewTakeOverFromALostReader has the announcer of a hall lose the platform,
-// or fall silent, in halls of up to 117 hosts where messages take up to 40 ms.
+// TestFewTakeOverFromALostReader checks that few hosts take over when the announcer loses the
+// platform or fails, regardless of the size of the hall and the delay of messages.
 func TestFewTakeOverFromALostReader(t *testing.T) {
 	const now = time.Minute
 	for _, hosts := range []int{3, 8, 50, 117} {
--- a/tier/peers/refused_test.go
+++ b/tier/peers/refused_test.go
@@ -19,14 +19,14 @@
 	"loomgap/tier/policy"
 )
 
-// fleetOf are hosts in virtual time that read one platform and announce to one
-// another; a message takes a millisecond.
+// testFleet simulates hosts in virtual time that read the same platform and announce to each
+// other; a message takes a millisecond.
 type testFleet struct {
 	platform *fakePlatform
 	kernels  map[string]*kernel.Kernel
 
 	mu sync.Mutex
-	// refused are the hosts that the platform turns away.
+	// refused holds the hosts that the platform refuses.
 	refused map[string]bool
 }
 
@@ -49,14 +49,14 @@
 // Connect implements kernel.PeerCaller.
 func (f *testFleet) Connect(context.Context, string) error { return nil }
 
-// refuse has the platform turn a host away, or serve it again.
+// refuse makes the platform refuse a host, or serve it again.
 func (f *testFleet) refuse(host string, refused bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.refused[host] = refused
 }
 
-// sourceOf is the platform as one host reads it.
+// hostSource is the platform as read by one host.
 type hostSource struct {
 	fleet *testFleet
 	host  string
@@ -79,8 +79,7 @@
 	return s.fleet.platform.Read(ctx, exact)
 }
 
-// Watch implements kernel.Source; a watch under way when the host is turned away
-// ends in vain.
+// Watch implements kernel.Source. A watch in progress fails when the platform refuses the host.
 func (s *hostSource) Watch(ctx context.Context, after config.Position, wait time.Duration) (*kernel.Published, error) {
 	if err := s.err(); err != nil {
 		return nil, err
@@ -92,7 +91,7 @@
 	return out, err
 }
 
-// newFleetOf starts hosts of two halls that know one another.
+// newTestFleet starts hosts of two halls that know each other.
 func newTestFleet(t *testing.T, ctx context.Context, hosts int) *testFleet {
 	f := &testFleet{platform: newFakePlatform(), kernels: map[string]*kernel.Kernel{}, refused: map[string]bool{}}
 	f.platform.list("U0")
@@ -107,7 +106,7 @@
 		members[s.Host] = kernel.Member{Host: s.Host, Hall: s.Hall, Peer: at, Live: true, Capacity: s.Capacity()}
 	}
 	for host, k := range f.kernels {
-		// What is announced is enough: nothing is fetched.
+		// Announcements suffice in these tests: nothing is fetched.
 		kernel.HandleMessage(k, methodAnnounce, "announcement", newServerWithoutFetches(k).onAnnouncement)
 		k.Do(func(s *kernel.State) {
 			for n, m := range members {
@@ -124,7 +123,7 @@
 	return f
 }
 
-// reader is the host that reads the platform for all; empty for none or several.
+// reader returns the only host that reads the platform; empty for none or several.
 func (f *testFleet) reader() string {
 	found := ""
 	for n, k := range f.kernels {
@@ -138,8 +137,8 @@
 	return found
 }
 
-// knownBy reports whether all hosts list an upstream.
-func (f *testFleet) knownBy(name string) bool {
+// listedByAll reports whether all hosts list an upstream.
+func (f *testFleet) listedByAll(name string) bool {
 	for _, k := range f.kernels {
 		if !slices.Contains(listedNames(k), name) {
 			return false
@@ -148,14 +147,13 @@
 	return true
 }
 
-// TestNewsArriveWhileTheReaderIsTurnedAway has the platform turn the reader away
-// for 20 s and publish something each second: all hosts know each within 2.2 s, the
-// time to notice a reader that hears nothing, once. Where a host that is turned
-// away is taken for the reader again by what it hears from others, the gaps recur.
+// TestChangesArriveWhileTheReaderIsRefused checks that all hosts learn of each change in time
+// while the platform refuses the reader. Only the takeover may cause a gap: it must not recur
+// because the refused host is taken for the reader again.
 func TestChangesArriveWhileTheReaderIsRefused(t *testing.T) {
 	const (
-		bound = 2200 * time.Millisecond
-		look  = 50 * time.Millisecond
+		bound        = 2200 * time.Millisecond
+		pollInterval = 50 * time.Millisecond
 	)
 	for _, hosts := range []int{4, 16} {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
@@ -164,15 +162,15 @@
 				f := newTestFleet(t, ctx, hosts)
 				time.Sleep(5 * time.Second)
 				first := f.reader()
-				assert.Assert(t, first != "", "not one reader")
+				assert.Assert(t, first != "", "want exactly one reader")
 				f.refuse(first, true)
 				late := 0
 				for i := range 20 {
 					name := fmt.Sprint("U", i+1)
 					f.platform.list(name)
 					took := time.Duration(0)
-					for ; !f.knownBy(name) && took < 10*time.Second; took += look {
-						time.Sleep(look)
+					for ; !f.listedByAll(name) && took < 10*time.Second; took += pollInterval {
+						time.Sleep(pollInterval)
 					}
 					if took > 2*announceInterval {
 						late++
--- a/tier/peers/removal_hold_test.go
+++ b/tier/peers/removal_hold_test.go
@@ -9,8 +9,8 @@
 	"loomgap/tier/config"
 )
 
-// TestLapseHoldsRemovalsAfterAnAbsence has changes come a while after the platform
-// returned.
+// TestRemovalsAreHeldAfterOutage checks which removals are held, depending on when they come
+// after the platform's return.
 func TestRemovalsAreHeldAfterOutage(t *testing.T) {
 	const returned = time.Minute
 	var listed *config.Directory
@@ -22,7 +22,7 @@
 	whole := config.DirectoryChange{Revision: 4, Whole: true, Listed: []config.Listing{{Name: "U2", Group: "G", Revision: 1}}}
 	tests := []struct {
 		name string
-		// after is how long after its return the change comes.
+		// after is the time between the platform's return and the change.
 		after   time.Duration
 		change  config.DirectoryChange
 		held    []config.Removal
--- a/tier/peers/restore.go
+++ b/tier/peers/restore.go
@@ -9,16 +9,16 @@
 	"loomgap/tier/kernel"
 )
 
-// A platform that is restored from a copy of itself begins another era of its history. The
-// copy may list upstreams that have left, lack live ones, and report a leaving one as ready.
+// A platform that is restored from a backup begins another era of its history. The backup
+// may list upstreams that have left, lack live ones, and report a leaving one as ready.
 // The platform's writers correct that within seconds. Until then the era is unsettled: what a
 // full read returns is marked as copied, and what is known of the earlier era takes precedence
-// (config.Directory). Upstreams that the copy lacks are held as after an outage
+// (config.Directory). Upstreams that the backup lacks are held as after an outage
 // (removal_hold.go). Then the reader reads everything once more, and the platform's content
 // applies.
 
 // settleAfter is the time from a reader's first read of an era until the platform's content
-// applies. A copy lists an upstream that is gone until it has missed three status reports,
+// applies. A backup lists an upstream that is gone until it has missed three status reports,
 // 1.2 s apart; the rest is a margin for a platform that answers late.
 const settleAfter = 5 * time.Second
 
@@ -51,8 +51,8 @@
 	return min(limit, max(e.settleAt-now, 0))
 }
 
-// observe records the era of what was read, and marks what may come from the copy that the
-// era began with. It reports whether the platform has come back with another history than
+// observe records the era of what was read, and marks what may come from the backup that
+// the era began with. It reports whether the platform has come back with another history than
 // the known one. It runs on the control thread.
 func (e *eraTracker) observe(k *kernel.Kernel, s *kernel.State, p *kernel.Published, now time.Duration) (returned bool) {
 	era, known := p.Position.Era, s.Directory.Position()
@@ -79,7 +79,7 @@
 }
 
 // backdateDocument assigns a document of a full read to the previous era if it has no
-// version: it may come from the copy.
+// version: it may come from the backup.
 func backdateDocument(p *kernel.Published) {
 	if p.Document != nil && p.Edition.Version == 0 && p.Edition.Era > 1 {
 		p.Edition.Era--
--- a/tier/peers/restore_test.go
+++ b/tier/peers/restore_test.go
@@ -13,16 +13,16 @@
 	"loomgap/tier/kernel"
 )
 
-// settleMost is by when an era is settled: the platform is read within retryMost.
+// maxSettleTime is when an era is settled at the latest.
 const maxSettleTime = settleAfter + maxRetryDelay + time.Second
 
-// report has an upstream report itself.
+// report makes an upstream report itself.
 func (p *fakePlatform) report(name string, leaving bool) {
 	p.change(config.DirectoryChange{Listed: []config.Listing{{Name: name, Group: "G", Slots: 1, Leaving: leaving}}})
 }
 
-// now is the platform's revision.
-func (p *fakePlatform) now() uint64 {
+// currentRevision returns the platform's revision.
+func (p *fakePlatform) currentRevision() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.revision
@@ -38,7 +38,7 @@
 	return out
 }
 
-// returned runs a test of a feed whose platform names eras from the start.
+// runFeedWithEras runs a test of a feed whose platform has eras from the start.
 func runFeedWithEras(t *testing.T, test func(p *fakePlatform, k *kernel.Kernel)) {
 	runFeed(t, func(p *fakePlatform, k *kernel.Kernel) {
 		p.set(func() {
@@ -52,34 +52,33 @@
 	})
 }
 
-// TestFeedKeepsWhatACopyLacks has the platform lose an upstream that lives, which lists
-// itself again late, and one that has ended meanwhile.
+// TestFeedKeepsWhatABackupLacks checks that a live upstream that the backup lacks stays listed
+// until it registers again, while one that has ended is removed.
 func TestFeedKeepsWhatABackupLacks(t *testing.T) {
 	runFeedWithEras(t, func(p *fakePlatform, k *kernel.Kernel) {
-		old := p.now()
+		backup := p.currentRevision()
 		p.list("U3", "U4")
 		advance(time.Second)
-		p.restore(old)
+		p.restore(backup)
 		advance(2 * time.Second)
 		assert.DeepEqual(t, listedNames(k), []string{"U1", "U2", "U3", "U4"})
 		p.list("U3")
 		advance(time.Second)
-		assert.DeepEqual(t, listedNames(k), []string{"U1", "U2", "U3"}) // lapseHold has passed
+		assert.DeepEqual(t, listedNames(k), []string{"U1", "U2", "U3"}) // removalHoldTime has passed
 		advance(maxSettleTime)
 		assert.DeepEqual(t, listedNames(k), []string{"U1", "U2", "U3"})
 	})
 }
 
-// TestFeedDoesNotTakeBackWhatHasLeft has a copy list one upstream that has left and call
-// one ready that leaves: the store drops the first after its silent status reports, and
-// the second says again that it leaves.
+// TestFeedDoesNotRelistWhatHasLeft checks that outdated entries of a backup do not list an
+// upstream that has left, or make a leaving one ready.
 func TestFeedDoesNotRelistWhatHasLeft(t *testing.T) {
 	runFeedWithEras(t, func(p *fakePlatform, k *kernel.Kernel) {
-		old := p.now()
+		backup := p.currentRevision()
 		p.remove("U1")
 		p.report("U2", true)
 		advance(time.Second)
-		p.restore(old)
+		p.restore(backup)
 		for range 35 {
 			advance(100 * time.Millisecond)
 			assert.DeepEqual(t, listedNames(k), []string{"U2"})
@@ -93,32 +92,31 @@
 	})
 }
 
-// TestFeedTakesWhatStandsOnceSettled has a copy list an upstream that was taken for gone
-// and lives: the platform still lists it when its silent status reports would have ended
-// its entry.
+// TestFeedAcceptsPlatformStateOnceSettled checks that an upstream that was taken for gone is
+// listed again if the platform still lists it once the era is settled.
 func TestFeedAcceptsPlatformStateOnceSettled(t *testing.T) {
 	runFeedWithEras(t, func(p *fakePlatform, k *kernel.Kernel) {
-		old := p.now()
+		backup := p.currentRevision()
 		p.remove("U1")
 		advance(time.Second)
-		p.restore(old)
+		p.restore(backup)
 		advance(maxSettleTime)
 		assert.DeepEqual(t, listedNames(k), []string{"U1", "U2"})
 	})
 }
 
-// TestFeedTakesChangesAtRevisionsGivenOutAgain has changes of the new history get the
-// revisions that hosts have seen for others: after the first read, and before it.
+// TestFeedAppliesChangesAtReusedRevisions checks that changes of the new history apply at
+// revisions that hosts have seen in the earlier one.
 func TestFeedAppliesChangesAtReusedRevisions(t *testing.T) {
 	for _, name := range []string{"read before they are made", "read after they are made"} {
 		t.Run(name, func(t *testing.T) {
 			runFeedWithEras(t, func(p *fakePlatform, k *kernel.Kernel) {
-				old := p.now()
+				backup := p.currentRevision()
 				for range 5 {
 					p.report("U1", false)
 				}
 				advance(time.Second)
-				p.restore(old)
+				p.restore(backup)
 				if name == "read before they are made" {
 					advance(time.Second)
 				}
@@ -132,15 +130,15 @@
 	}
 }
 
-// TestFeedMissesNothingWhenTheRevisionIsReachedAgain has the new history pass the revision
-// that the host would read on from, before the host asks.
+// TestFeedMissesNothingWhenRevisionIsReused checks that no change is missed if the new history
+// has already passed the revision from which the host would continue.
 func TestFeedMissesNothingWhenRevisionIsReused(t *testing.T) {
 	runFeedWithEras(t, func(p *fakePlatform, k *kernel.Kernel) {
-		old := p.now()
+		backup := p.currentRevision()
 		p.report("U1", false)
 		p.set(func() { p.unavailable = true })
 		advance(4 * time.Second)
-		p.restore(old)
+		p.restore(backup)
 		p.list("U3")
 		for range 5 {
 			p.report("U1", false)
@@ -151,16 +149,16 @@
 	})
 }
 
-// TestFeedReadsAnewAtOnce has a platform come back: the host reads it whole within its
-// next read, once, and once more when the era is settled.
+// TestFeedRereadsAtOnceAfterRestore checks that after a restore the host reads everything with
+// its next read, and once more when the era is settled.
 func TestFeedRereadsAtOnceAfterRestore(t *testing.T) {
 	runFeedWithEras(t, func(p *fakePlatform, k *kernel.Kernel) {
 		var before int
 		p.set(func() { before = len(p.reads) })
-		old := p.now()
+		backup := p.currentRevision()
 		p.list("U3")
 		advance(time.Second)
-		p.restore(old)
+		p.restore(backup)
 		p.list("U4")
 		advance(100 * time.Millisecond)
 		assert.DeepEqual(t, listedNames(k), []string{"U1", "U2", "U3", "U4"})
@@ -169,8 +167,8 @@
 	})
 }
 
-// TestFeedFollowsEvacuationsAcrossAReturn has a copy lack an evacuation that began and
-// hold one that ended; each is written again, or is not.
+// TestFeedFollowsEvacuationsAcrossRestore has a backup lack an evacuation that began and contain
+// one that ended; each is written again or not.
 func TestFeedFollowsEvacuationsAcrossRestore(t *testing.T) {
 	for _, again := range []bool{true, false} {
 		name := "not written again"
@@ -180,11 +178,11 @@
 		t.Run(name, func(t *testing.T) {
 			runFeedWithEras(t, func(p *fakePlatform, k *kernel.Kernel) {
 				p.evacuate("Ended")
-				old := p.now()
+				backup := p.currentRevision()
 				p.resume("Ended")
 				p.evacuate("Begun")
 				advance(time.Second)
-				p.restore(old)
+				p.restore(backup)
 				advance(3 * time.Second)
 				assert.DeepEqual(t, k.View().Directory.EvacuatedHalls(), []string{"Begun"})
 				want := []string{"Ended"}
@@ -202,24 +200,24 @@
 	}
 }
 
-// TestFeedFollowsASecondReturn has the platform come back twice before the first return
-// is over, and be away before and after.
+// TestFeedFollowsSecondRestore has the platform restored twice before the first era is settled,
+// and unavailable in between.
 func TestFeedFollowsSecondRestore(t *testing.T) {
 	runFeedWithEras(t, func(p *fakePlatform, k *kernel.Kernel) {
-		old := p.now()
+		backup := p.currentRevision()
 		p.remove("U1")
 		p.list("U3")
 		advance(time.Second)
 		p.set(func() { p.unavailable = true })
 		advance(2 * time.Second)
-		p.restore(old)
+		p.restore(backup)
 		p.set(func() { p.unavailable = false })
 		advance(maxRetryDelay + 500*time.Millisecond)
 		assert.DeepEqual(t, listedNames(k), []string{"U2", "U3"})
 		p.list("U4")
-		advance(300 * time.Millisecond) // less than lapseHold since the return
+		advance(300 * time.Millisecond) // less than removalHoldTime since the return
 		p.set(func() { p.unavailable = true })
-		p.restore(old)
+		p.restore(backup)
 		advance(3 * time.Second)
 		p.set(func() { p.unavailable = false })
 		advance(maxRetryDelay + 500*time.Millisecond)
@@ -231,16 +229,14 @@
 	})
 }
 
-// TestChangesAfterAReturnReachAllHosts has hosts of two halls follow a platform that is
-// away for two seconds and comes back from a copy. Each change that is made from then on,
-// at revisions given out before, is known to all within the 3 s in which it is due, the
-// first included. The platform is asked for everything by few, and no more often than one
-// host that reads on asks and some that look whether it is back.
+// TestChangesAfterRestoreReachAllHosts checks that each change after a restore, at a reused
+// revision, reaches all hosts within 3 s, and that few hosts read everything from the platform
+// or poll it.
 func TestChangesAfterRestoreReachAllHosts(t *testing.T) {
 	const (
-		bound   = 3 * time.Second
-		look    = 50 * time.Millisecond
-		changes = 10
+		bound        = 3 * time.Second
+		pollInterval = 50 * time.Millisecond
+		changes      = 10
 	)
 	for _, hosts := range []int{4, 16} {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
@@ -250,14 +246,14 @@
 				p := f.platform
 				p.set(func() { p.era = 1 })
 				time.Sleep(2 * maxSettleTime)
-				old := p.now()
+				backup := p.currentRevision()
 				for i := range 2 * changes {
 					p.list(fmt.Sprint("Lost", i))
 				}
 				time.Sleep(time.Second)
 				p.set(func() { p.unavailable = true })
 				time.Sleep(2 * time.Second)
-				p.restore(old)
+				p.restore(backup)
 				var reads, watches int
 				p.set(func() { p.unavailable, reads, watches = false, len(p.reads), p.watches })
 				began := time.Now()
@@ -265,8 +261,8 @@
 					name := fmt.Sprint("New", i)
 					p.list(name)
 					took := time.Duration(0)
-					for ; !f.knownBy(name) && took < 2*bound; took += look {
-						time.Sleep(look)
+					for ; !f.listedByAll(name) && took < 2*bound; took += pollInterval {
+						time.Sleep(pollInterval)
 					}
 					assert.Check(t, took <= bound, "%s after %s", name, took)
 				}
@@ -282,29 +278,29 @@
 	}
 }
 
-// TestStartingReaderLearnsWhatTheCopyLacks has a host start after the platform came back,
-// read its copy and then meet a host that knows the era before, which announces nothing.
+// TestStartingReaderLearnsWhatTheBackupLacks checks that a host that has read only the restored
+// platform adopts the directory of a host that knows the earlier era.
 func TestStartingReaderLearnsWhatTheBackupLacks(t *testing.T) {
 	runFeedWithEras(t, func(p *fakePlatform, k *kernel.Kernel) {
-		old := p.now()
+		backup := p.currentRevision()
 		p.remove("U1")
 		p.list("U3")
 		advance(time.Second)
-		knowing := k.View().Directory.Whole()
-		p.restore(old)
-		fresh, _ := (*config.Directory)(nil).With(&config.DirectoryChange{Era: 2, Revision: old, Whole: true})
+		known := k.View().Directory.Whole()
+		p.restore(backup)
+		fresh, _ := (*config.Directory)(nil).With(&config.DirectoryChange{Era: 2, Revision: backup, Whole: true})
 		read, err := p.Read(t.Context(), true)
 		assert.NilError(t, err)
 		read.Directory.MarkCopied()
 		fresh, _ = fresh.With(&read.Directory)
 		assert.Assert(t, fresh.Unsettled())
-		fresh, _ = fresh.With(&knowing)
+		fresh, _ = fresh.With(&known)
 		assert.Equal(t, fresh.Digest(), k.View().Directory.Digest())
 	})
 }
 
-// TestDocumentWithoutANumberDoesNotGoBack has documents whose author gives no version: one
-// that a copy holds is not put in force, and one that is written after the return is.
+// TestDocumentWithoutVersionIsNotRolledBack checks that a document without a version from a
+// backup is not put in force, while one written after the restore is.
 func TestDocumentWithoutVersionIsNotRolledBack(t *testing.T) {
 	k := newTestKernel(t, "Self")
 	done := make(chan struct{})
--- a/tier/peers/start_test.go
+++ b/tier/peers/start_test.go
@@ -12,13 +12,13 @@
 	"loomgap/tier/kernel"
 )
 
-// known is what a starting host knows. The fields may become true in any order,
-// since they come from the platform, from other hosts and from callers.
+// startState is what a starting host knows. The fields may become true in any order, since they
+// depend on the platform, on other hosts and on callers.
 type startState struct {
 	announcing, reading, source, directory, document, member, feedDown bool
 }
 
-// combination returns the n-th combination of what may be known.
+// startStateOf returns the n-th combination.
 func startStateOf(n int) startState {
 	has := func(bit int) bool { return n>>bit&1 == 1 }
 	return startState{has(0), has(1), has(2), has(3), has(4), has(5), has(6)}
@@ -26,7 +26,7 @@
 
 const startStates = 1 << 7
 
-// state makes the control state of a host that knows so much.
+// state returns the control state of a host that knows this.
 func (n startState) state() *kernel.State {
 	s := &kernel.State{
 		Members: map[string]kernel.Member{},
@@ -50,8 +50,8 @@
 	return s
 }
 
-// TestStartingHostSurvivesWhatItLacks has a host announce, hear an announcement
-// and send a heartbeat in every state that a start can pass through.
+// TestStartingHostHandlesMissingState has a host announce, receive an announcement and make a
+// heartbeat in every state that it can pass through while it starts.
 func TestStartingHostHandlesMissingState(t *testing.T) {
 	for i := range startStates {
 		n := startStateOf(i)
@@ -61,34 +61,34 @@
 				k.Peers = &announcementCounter{}
 				time.Sleep(time.Second)
 				s := n.state()
-				tl := &announcer{kernel: k}
-				tl.announce(s)
+				a := &announcer{kernel: k}
+				a.announce(s)
 				g := &gossip{
 					kernel: k,
 					table:  newMemberTable(memberTableConfig{Self: memberEntry{Host: "Self"}, Interval: time.Second}),
 				}
 				g.message(s, k.Now())
 				newServerWithoutFetches(k).apply(s, &announcement{Host: "Other", Hall: "B", Age: time.Millisecond, Revision: 7, DirectoryRevision: 1})
-				tl.announce(s)
+				a.announce(s)
 				decideRole(k, s)
 				synctest.Wait()
-				told := k.Peers.(*announcementCounter).hosts["Mate"]
-				assert.Assert(t, !told || n.directory, "a host without a directory announced one")
+				announced := k.Peers.(*announcementCounter).hosts["Mate"]
+				assert.Assert(t, !announced || n.directory, "a host without a directory announced one")
 			})
 		})
 	}
 }
 
-// TestChangeIsNoDirectory has a starting host hear what changed before it has read
-// anything, and its mate hear from it: the mate keeps what it lists.
+// TestChangeDoesNotReplaceDirectory checks that a host that has received only a change does not
+// offer it to others as a directory.
 func TestChangeDoesNotReplaceDirectory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		listing := func(name string, revision uint64) config.Listing {
 			return config.Listing{Name: name, Group: "G", Hall: "A", Slots: 1, Revision: revision}
 		}
 		k := newTestKernel(t, "Starting")
-		told := &announcementRecorder{last: map[string]announcement{}}
-		k.Peers = told
+		recorder := &announcementRecorder{last: map[string]announcement{}}
+		k.Peers = recorder
 		time.Sleep(time.Second)
 		starting := startStateOf(0).state()
 		starting.Announcing = true
@@ -98,7 +98,7 @@
 		server.apply(starting, &announcement{Host: "Reader", Hall: "B", DirectoryRevision: 9, Directory: 1, Change: change})
 		(&announcer{kernel: k}).announce(starting)
 		synctest.Wait()
-		_, announced := told.last["Mate"]
+		_, announced := recorder.last["Mate"]
 		assert.Assert(t, !announced, "a host without a directory announced one")
 		assert.Equal(t, starting.Directory.Whole().Revision, uint64(0), "it would give others a directory of one upstream")
 
--- a/tier/peers/watch.go
+++ b/tier/peers/watch.go
@@ -182,7 +182,7 @@
 }
 
 // editionOf returns the edition of a document. A document from before the first revision of
-// its era belongs to the previous era: the platform was restored from a copy that held it.
+// its era belongs to the previous era: the platform was restored from a backup that held it.
 func editionOf(d *wire.DocumentReply) config.Edition {
 	at := config.Position{Era: d.Era, Revision: d.Revision}
 	if at.Era > 1 && at.Revision < d.EraFrom {
--- a/tier/peers/watch_test.go
+++ b/tier/peers/watch_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestMoreHostsWatchWhileTheHallReadsNothing counts the hosts of a hall that watch.
+// TestMoreHostsWatchWhileTheHallReadsNothing counts the watchers of a hall.
 func TestMoreHostsWatchWhileTheHallReadsNothing(t *testing.T) {
 	tests := []struct{ hosts, silentTurns, want int }{
 		{1, 0, 1},
--- a/tier/peers/wire_test.go
+++ b/tier/peers/wire_test.go
@@ -19,11 +19,10 @@
 	"loomgap/tier/wire"
 )
 
-// filler gives each field of a message a value of its own, in order of the fields.
+// filler sets each field of a message to a different value, in order of the fields.
 type filler struct{ next int }
 
-// fill sets all fields that v holds, also those of what it points to; a slice gets
-// two items.
+// fill sets all fields of v, including those behind pointers; a slice gets two items.
 func (f *filler) fill(v reflect.Value) {
 	f.next++
 	switch at := v.Addr().Interface().(type) {
@@ -64,8 +63,8 @@
 	}
 }
 
-// TestMessagesKeepTheirForm compares every message between hosts with its text in
-// testdata, with every field set and with none, and reads that text back.
+// TestMessageFormatIsStable compares each message between hosts, with all fields set and with
+// none, with its text in testdata, and decodes that text.
 func TestMessageFormatIsStable(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -96,8 +95,8 @@
 	}
 }
 
-// TestMessagesOfTheVersionBefore reads what hosts sent that knew no eras, and writes it
-// again: whatever they do not know is left out, so that they read what they know.
+// TestMessagesOfPreviousVersion checks that messages of hosts without eras are encoded again
+// without additional fields, so that such hosts can read them.
 func TestMessagesOfPreviousVersion(t *testing.T) {
 	for name, message := range map[string]any{
 		"heartbeat": &heartbeat{}, "announcement": &announcement{}, "packed-document": &wire.PackedDocument{}, "directory": &config.DirectoryChange{},
@@ -112,8 +111,7 @@
 	}
 }
 
-// TestMethodsKeepTheirNames compares the methods that hosts call with their names on
-// the wire.
+// TestMethodNamesAreStable compares the methods between hosts with their names on the wire.
 func TestMethodNamesAreStable(t *testing.T) {
 	assert.Equal(t, methodHeartbeat, "Beat")
 	assert.Equal(t, methodDocument, "Document")
@@ -124,17 +122,17 @@
 	assert.Equal(t, codeHandlerFailed, -32000)
 }
 
-// TestDictionaryKeepsItsText compares the text that both ends of a connection compress
-// with.
+// TestDictionaryIsStable compares the compression dictionary, which both ends must share, with
+// testdata.
 func TestDictionaryIsStable(t *testing.T) {
 	golden.Assert(t, string(dictionary), "dictionary.txt")
 }
 
-// outside finds what operators read: names of metrics with their labels, log lines and
-// the fields of these.
+// operatorFacing matches what operators read: metrics with their labels, log messages and log
+// fields.
 var operatorFacing = regexp.MustCompile(`loomgap_\w+(?:\{\w+)?|\.Msg\("[^"]+"\)|\b(?:Str|Strs|Stringer|Int|Int64|Uint64|Bool|Dur|Interface)\("[A-Z]\w+"`)
 
-// TestOperatorsReadTheSameWords compares the metrics, log lines and log fields of this
+// TestOperatorFacingNamesAreStable compares the metrics, log messages and log fields of this
 // package and of the kernel with those in testdata.
 func TestOperatorFacingNamesAreStable(t *testing.T) {
 	var found []string
