--- a/tier/peers/announcement.go
+++ b/tier/peers/announcement.go
@@ -119,9 +119,9 @@
 	if !a.isDue(&m, now) {
 		return
 	}
-	// Send a change only to hosts that received the last announcement recently. Others know
-	// the directory from elsewhere and fetch what they lack. Otherwise a host that takes over
-	// would send the whole directory to each host of its hall.
+	// Include the change only if the last announcement is recent. Otherwise the receivers
+	// know the directory from other hosts and fetch what they lack. Without this check, a host
+	// that takes over would send the whole directory to each host of its hall.
 	if m.Directory != a.directory.Digest() && a.directory != nil && now-a.sentAt <= announcerTimeout {
 		change := s.Directory.Since(a.directory)
 		m.Change = &change
--- a/tier/peers/fetch.go
+++ b/tier/peers/fetch.go
@@ -209,8 +209,8 @@
 	return err
 }
 
-func (n *node) callWithin(bound time.Duration, to netip.AddrPort, method string, params, result any) error {
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+func (n *node) callWithin(timeout time.Duration, to netip.AddrPort, method string, params, result any) error {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return n.callAddress(ctx, to, method, params, result)
 }
--- a/tier/peers/heartbeat.go
+++ b/tier/peers/heartbeat.go
@@ -285,8 +285,8 @@
 }
 
 // filterEntries drops entries of hosts that are not in the document, so that made-up entries
-// cannot exhaust the memory. Without a document it keeps all entries. With an adapter, which
-// lists no hosts, it keeps entries with an address, up to maxMembers.
+// cannot exhaust the memory. Without a document it keeps all entries. With an adapter, whose
+// platform lists no hosts, it keeps entries with an address, up to maxMembers.
 func (g *gossip) filterEntries(s *kernel.State, entries []memberEntry) []memberEntry {
 	if g.kernel.Settings.Adapter != "" {
 		return slices.DeleteFunc(entries, func(e memberEntry) bool {
--- a/tier/peers/node.go
+++ b/tier/peers/node.go
@@ -22,7 +22,7 @@
 const (
 	// dialTimeout limits opening a connection to a peer.
 	dialTimeout = time.Second
-	// callTimeout limits a fetch or an exchange of crash reports.
+	// callTimeout limits the second attempt of a fetch, and a message with crash reports.
 	callTimeout = 2 * time.Second
 	// acceptRetryDelay is the pause after a connection could not be accepted. It is shorter
 	// than unresponsiveTimeout, after which callers replace the connection.
--- a/tier/peers/partners.go
+++ b/tier/peers/partners.go
@@ -139,8 +139,8 @@
 	}
 }
 
-// hosts returns the other entry hosts: those of the document, or with an adapter, which
-// lists none, the members.
+// hosts returns the other entry hosts: those of the document, or the members with an adapter,
+// whose platform lists no hosts.
 func (g *gossip) hosts(s *kernel.State) []config.Host {
 	if g.kernel.Settings.Adapter == "" {
 		return hostsOf(s.Index, g.kernel.Settings.Host)
--- a/tier/peers/restore.go
+++ b/tier/peers/restore.go
@@ -18,8 +18,8 @@
 // applies.
 
 // settleAfter is the time from a reader's first read of an era until the platform's content
-// applies. A backup lists an upstream that is gone until it has missed three status reports,
-// 1.2 s apart; the rest is a margin for a platform that answers late.
+// applies. After a restore, an upstream that is gone stays listed until it has missed three
+// status reports, 1.2 s apart; the rest is a margin for a platform that answers late.
 const settleAfter = 5 * time.Second
 
 // eraTracker follows the eras of the platform for the host that reads it. All times are
