--- a/loomctl/ask.go
+++ b/loomctl/ask.go
@@ -39,7 +39,7 @@
 		Statement: strings.Join(f.Args(), " "), Class: c.class, DeadlineMillis: &c.deadline,
 	})
 	if err != nil {
-		return fail(explain(err))
+		return fail(hostError(err))
 	}
 	return printAnswer(a, c.format)
 }
--- a/loomctl/client.go
+++ b/loomctl/client.go
@@ -42,7 +42,7 @@
 	format string
 }
 
-func (c *connection) bind(f *flag.FlagSet) {
+func (c *connection) registerFlags(f *flag.FlagSet) {
 	f.TextVar(&c.host, "Host", netip.MustParseAddrPort("127.0.0.1:7400"), "callers' `IP:port` of an entry host")
 	f.TextVar(&c.operate, "Operate", netip.MustParseAddrPort("127.0.0.1:7402"), "operators' `IP:port` of an entry host")
 	f.DurationVar(&c.timeout, "Timeout", 10*time.Second, "longest wait for the host")
@@ -54,13 +54,13 @@
 func (c *connection) hostCommand(d prog.Command) prog.Command {
 	flags, run := d.Flags, d.Run
 	d.Flags = func(f *flag.FlagSet) {
-		c.bind(f)
+		c.registerFlags(f)
 		if flags != nil {
 			flags(f)
 		}
 	}
 	d.Run = func(ctx context.Context, f *flag.FlagSet) subcommands.ExitStatus {
-		if err := c.check(f); err != nil {
+		if err := c.validate(f); err != nil {
 			return usage(err.Error())
 		}
 		ctx, cancel := context.WithTimeout(ctx, c.timeout)
@@ -70,8 +70,8 @@
 	return d
 }
 
-// check fills in the environment and finds wrong values.
-func (c *connection) check(f *flag.FlagSet) error {
+// validate fills in the environment and finds wrong values.
+func (c *connection) validate(f *flag.FlagSet) error {
 	var bad *config.VariableError
 	if err := config.SetFlagsFromEnv(f, envPrefix, os.LookupEnv); errors.As(err, &bad) {
 		return fmt.Errorf("environment: %w: correct the %s variable", bad.Err, envPrefix)
@@ -94,9 +94,9 @@
 	return opsgen.NewClient(h.Status(), h.Document(), h.Ready(), h.Drain())
 }
 
-// explain returns the kind and message of a typed error of a host, else the error
+// hostError returns the kind and message of a typed error of a host, else the error
 // itself.
-func explain(err error) error {
+func hostError(err error) error {
 	var f *entrygen.Fault
 	if errors.As(err, &f) {
 		return fmt.Errorf("%s: %s", f.Kind, f.Message)
--- a/loomctl/exit.go
+++ b/loomctl/exit.go
@@ -37,7 +37,7 @@
 	return exitUsage
 }
 
-func exitOf(outcome string) subcommands.ExitStatus {
+func outcomeStatus(outcome string) subcommands.ExitStatus {
 	switch outcome {
 	case "Complete":
 		return exitComplete
--- a/loomctl/order.go
+++ b/loomctl/order.go
@@ -43,7 +43,7 @@
 	if c.ticket == "" {
 		t, err := client.Ticket(ctx)
 		if err != nil {
-			return fail(explain(err))
+			return fail(hostError(err))
 		}
 		c.ticket = t.Ticket
 		// Printed first, so that the caller can ask again if this try is lost.
@@ -53,7 +53,7 @@
 		Ticket: c.ticket, Statement: strings.Join(f.Args(), " "), Class: c.class, DeadlineMillis: &c.deadline,
 	})
 	if err != nil {
-		return fail(fmt.Errorf("%w; ask again with -Ticket %s", explain(err), c.ticket))
+		return fail(fmt.Errorf("%w; ask again with -Ticket %s", hostError(err), c.ticket))
 	}
 	return printAnswer(a, c.format)
 }
--- a/loomctl/plan.go
+++ b/loomctl/plan.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	d, newest, err := c.start(ctx)
+	d, newest, err := c.baseDocument(ctx)
 	if err != nil {
 		return err
 	}
@@ -84,7 +84,7 @@
 	if len(after) > config.MaxBytes {
 		return fmt.Errorf("the document has %d bytes: keep it within %d", len(after), config.MaxBytes)
 	}
-	fmt.Fprint(os.Stderr, difference(string(before), string(after)))
+	fmt.Fprint(os.Stderr, lineDiff(string(before), string(after)))
 	return c.write(after)
 }
 
@@ -111,8 +111,8 @@
 	return !slices.ContainsFunc(statements, func(s *query.Statement) bool { return s.Show == nil })
 }
 
-// start returns the document to begin from and the newest published revision.
-func (c *planCommand) start(ctx context.Context) (*config.Document, uint64, error) {
+// baseDocument returns the document to begin from and the newest published revision.
+func (c *planCommand) baseDocument(ctx context.Context) (*config.Document, uint64, error) {
 	if c.from != "" {
 		d, err := readDocument(c.from)
 		return d, c.revision, err
@@ -139,7 +139,7 @@
 	return nil
 }
 
-func difference(before, after string) string {
+func lineDiff(before, after string) string {
 	m := diffmatchpatch.New()
 	a, b, lines := m.DiffLinesToChars(before, after)
 	var out bytes.Buffer
--- a/loomctl/print.go
+++ b/loomctl/print.go
@@ -26,7 +26,7 @@
 		if s := printJSON(a); s != exitComplete {
 			return s
 		}
-		return exitOf(a.Outcome)
+		return outcomeStatus(a.Outcome)
 	}
 	fmt.Printf("Outcome:   %s\n", a.Outcome)
 	if a.Remedy != nil {
@@ -37,18 +37,18 @@
 		fmt.Printf("Retry:     after %d ms\n", *a.RetryAfterMillis)
 	}
 	fmt.Printf("Snapshot:  %d, configuration %d, shard map %d\n", a.Snapshot, a.Revision, a.MapRevision)
-	fmt.Printf("Coverage:  %d of %d shards; included %s\n", int(a.Asked)-len(a.Missing), a.Asked, ranges(a.Included))
+	fmt.Printf("Coverage:  %d of %d shards; included %s\n", int(a.Asked)-len(a.Missing), a.Asked, formatRanges(a.Included))
 	for _, m := range a.Missing {
 		fmt.Printf("Missing:   %s keys %d to %d: %s\n", m.Shard, m.From, m.To, m.Reason)
 	}
 	fmt.Printf("Count:     %d\n", a.Count)
 	for _, r := range a.Rows {
-		fmt.Println(row(r))
+		fmt.Println(formatRow(r))
 	}
-	return exitOf(a.Outcome)
+	return outcomeStatus(a.Outcome)
 }
 
-func ranges(all []*entrygen.KeyRange) string {
+func formatRanges(all []*entrygen.KeyRange) string {
 	var out []string
 	for _, r := range all {
 		out = append(out, fmt.Sprintf("%d to %d", r.From, r.To))
@@ -59,8 +59,8 @@
 	return strings.Join(out, ", ")
 }
 
-// row writes a record out: its key and fields.
-func row(r *entrygen.Row) string {
+// formatRow writes a record out: its key and fields.
+func formatRow(r *entrygen.Row) string {
 	out := []string{r.Key}
 	for _, f := range r.Fields {
 		out = append(out, f.Name+"="+f.Value)
--- a/loomd/environment_test.go
+++ b/loomd/environment_test.go
@@ -11,10 +11,10 @@
 	"loomgap/tier/config"
 )
 
-// TestEnvironmentNamesStayAsTheyAre compares the environment variables of serve,
+// TestEnvironmentNamesAreStable compares the environment variables of serve,
 // in the order of their flags, with testdata/environment.txt: deploy files use
 // them.
-func TestEnvironmentNamesStayAsTheyAre(t *testing.T) {
+func TestEnvironmentNamesAreStable(t *testing.T) {
 	var c serveCommand
 	f := flag.NewFlagSet("serve", flag.ContinueOnError)
 	c.flags(f)
--- a/loomd/log.go
+++ b/loomd/log.go
@@ -9,16 +9,16 @@
 	"github.com/rs/zerolog/diode"
 )
 
-// logBuffer is how many lines wait for a slow reader before the oldest are
+// logBufferLines is how many lines wait for a slow reader before the oldest are
 // lost: some seconds of a busy host, about a megabyte.
-const logBuffer = 4096
+const logBufferLines = 4096
 
-// logTime is the form of times in lines: in UTC, with the milliseconds that tell
+// logTimeFormat is the form of times in lines: in UTC, with the milliseconds that tell
 // which of two hosts was first.
-const logTime = "2006-01-02T15:04:05.000Z07:00"
+const logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
 
 func init() {
-	zerolog.TimeFieldFormat = logTime
+	zerolog.TimeFieldFormat = logTimeFormat
 	zerolog.TimestampFunc = func() time.Time { return time.Now().UTC() }
 }
 
@@ -28,6 +28,6 @@
 func newLog(w io.Writer) (zerolog.Logger, func()) {
 	lost := metrics.GetOrCreateCounter("loomgap_log_lines_lost_total")
 	// Without an interval the writer sleeps until there is a line.
-	d := diode.NewWriter(w, logBuffer, 0, func(missed int) { lost.Add(missed) })
+	d := diode.NewWriter(w, logBufferLines, 0, func(missed int) { lost.Add(missed) })
 	return zerolog.New(d).With().Timestamp().Logger(), func() { _ = d.Close() }
 }
--- a/loomd/log_test.go
+++ b/loomd/log_test.go
@@ -12,13 +12,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestLogDoesNotWaitForItsReader writes far more than pipe and buffer hold
+// TestLogDoesNotBlockOnSlowReader writes far more than pipe and buffer hold
 // while nobody reads.
-func TestLogDoesNotWaitForItsReader(t *testing.T) {
+func TestLogDoesNotBlockOnSlowReader(t *testing.T) {
 	r, w, err := os.Pipe()
 	assert.NilError(t, err)
 	log, flush := newLog(w)
-	const lines = 20 * logBuffer
+	const lines = 20 * logBufferLines
 	for i := range lines {
 		log.Info().Int("Line", i).Msg("a line")
 	}
@@ -38,14 +38,14 @@
 	assert.Equal(t, uint64(n)+lost, uint64(lines))
 }
 
-// TestLogTellsMilliseconds writes a line and reads its time.
-func TestLogTellsMilliseconds(t *testing.T) {
+// TestLogTimesHaveMilliseconds writes a line and reads its time.
+func TestLogTimesHaveMilliseconds(t *testing.T) {
 	var out bytes.Buffer
 	log, flush := newLog(&out)
 	log.Info().Msg("x")
 	flush()
 	var line struct{ Time time.Time }
 	assert.NilError(t, json.Unmarshal(out.Bytes(), &line))
-	assert.Assert(t, bytes.Contains(out.Bytes(), []byte(line.Time.Format(logTime))), out.String())
+	assert.Assert(t, bytes.Contains(out.Bytes(), []byte(line.Time.Format(logTimeFormat))), out.String())
 	assert.Equal(t, line.Time.Location(), time.UTC)
 }
--- a/loomd/reload.go
+++ b/loomd/reload.go
@@ -12,19 +12,19 @@
 	"loomgap/tier/kernel"
 )
 
-// fileEvery is how often the file of settings is looked at, since it may
+// filePollInterval is how often the file of settings is looked at, since it may
 // change without a signal.
-const fileEvery = 5 * time.Second
+const filePollInterval = 5 * time.Second
 
-// watchFile puts changed settings of a file in force, at SIGHUP and when the
+// watchSettingsFile puts changed settings of a file in force, at SIGHUP and when the
 // file changes. Without a file SIGHUP changes nothing. The function it returns
 // ends the watch.
-func watchFile(k *kernel.Kernel, o origin) func() {
+func watchSettingsFile(k *kernel.Kernel, o settingsSource) func() {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	done := make(chan struct{})
 	go func() {
-		tick := time.NewTicker(fileEvery)
+		tick := time.NewTicker(filePollInterval)
 		defer tick.Stop()
 		for {
 			select {
@@ -47,7 +47,7 @@
 
 // reload takes in what may change while the process runs. A file that cannot
 // be read or is wrong changes nothing.
-func reload(k *kernel.Kernel, o origin) {
+func reload(k *kernel.Kernel, o settingsSource) {
 	next, err := o.settings()
 	if err != nil {
 		k.Log.Error().Err(err).Msg("changed settings refused, the old ones stay in force")
@@ -62,21 +62,21 @@
 		Float64("RetrySlack", live.RetryBudget.Slack).Msg("changed settings in force")
 }
 
-type origin struct {
+type settingsSource struct {
 	// flags are the flags of the command line, by name.
 	flags map[string]string
 	// file is the file of settings; empty for none.
 	file string
 }
 
-// originOf remembers the flags that a command line gave.
-func originOf(f *flag.FlagSet, file string) origin {
-	o := origin{flags: map[string]string{}, file: file}
+// newSettingsSource remembers the flags that a command line gave.
+func newSettingsSource(f *flag.FlagSet, file string) settingsSource {
+	o := settingsSource{flags: map[string]string{}, file: file}
 	f.Visit(func(x *flag.Flag) { o.flags[x.Name] = x.Value.String() })
 	return o
 }
 
-func (o origin) settings() (*kernel.Settings, error) {
+func (o settingsSource) settings() (*kernel.Settings, error) {
 	var c serveCommand
 	f := flag.NewFlagSet("settings", flag.ContinueOnError)
 	f.SetOutput(io.Discard)
@@ -86,8 +86,8 @@
 			return nil, &settingError{Flag: name, Problem: err.Error(), Remedy: "correct the flag"}
 		}
 	}
-	if err := fromEnvironment(f, o.file); err != nil {
+	if err := setFlagsFromEnvironment(f, o.file); err != nil {
 		return nil, err
 	}
-	return &c.settings, checkSettings(&c.settings)
+	return &c.settings, validateSettings(&c.settings)
 }
--- a/loomd/reload_test.go
+++ b/loomd/reload_test.go
@@ -47,7 +47,7 @@
 			defer cleanUp()
 			path := filepath.Join(t.TempDir(), "settings.env")
 			assert.NilError(t, os.WriteFile(path, []byte(tt.text), 0o600))
-			reload(k, origin{file: path})
+			reload(k, settingsSource{file: path})
 			assert.DeepEqual(t, texts(k.Reloadable().Seeds), texts(tt.seeds))
 			assert.Equal(t, k.Reloadable().RetryBudget.Slack, tt.slack)
 		})
@@ -62,15 +62,15 @@
 	return out
 }
 
-func TestFlagsGoBeforeTheFile(t *testing.T) {
+func TestFlagsOverrideSettingsFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.env")
 	assert.NilError(t, os.WriteFile(path, []byte(fileText), 0o600))
 	var c serveCommand
 	f := flag.NewFlagSet("serve", flag.ContinueOnError)
 	c.flags(f)
 	assert.NilError(t, f.Parse([]string{"-Settings", path, "-Host", "H9"}))
-	o := originOf(f, c.file)
-	assert.NilError(t, fromEnvironment(f, c.file))
+	o := newSettingsSource(f, c.file)
+	assert.NilError(t, setFlagsFromEnvironment(f, c.file))
 	assert.Equal(t, c.settings.Host, "H9")
 	s, err := o.settings()
 	assert.NilError(t, err)
--- a/loomd/serve.go
+++ b/loomd/serve.go
@@ -35,7 +35,7 @@
 }
 
 func (c *serveCommand) flags(f *flag.FlagSet) {
-	bind(f, &c.settings)
+	registerFlags(f, &c.settings)
 	f.StringVar(&c.file, "Settings", "", "`file` of settings, read again when it changes or at SIGHUP")
 	f.StringVar(&c.level, "Level", "info", "least `level` of log lines: debug, info, warn, error")
 }
@@ -53,11 +53,11 @@
 }
 
 func (c *serveCommand) run(ctx context.Context, f *flag.FlagSet, log zerolog.Logger, flush func()) error {
-	o := originOf(f, c.file)
-	if err := fromEnvironment(f, c.file); err != nil {
+	o := newSettingsSource(f, c.file)
+	if err := setFlagsFromEnvironment(f, c.file); err != nil {
 		return err
 	}
-	if err := checkSettings(&c.settings); err != nil {
+	if err := validateSettings(&c.settings); err != nil {
 		return err
 	}
 	level, err := zerolog.ParseLevel(c.level)
@@ -77,7 +77,7 @@
 
 // serve starts the host, serves until a planned stop, and cleans up in the opposite
 // order.
-func serve(ctx context.Context, s kernel.Settings, o origin, log zerolog.Logger, flush func()) error {
+func serve(ctx context.Context, s kernel.Settings, o settingsSource, log zerolog.Logger, flush func()) error {
 	signals := stopSignals()
 	tracer, closeTracer := newTracer(s.TraceRatio, log)
 	defer closeTracer()
@@ -86,15 +86,15 @@
 		Fleet: policy.NewFleet(policy.FleetConfig{Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}),
 	})
 	defer closeKernel()
-	cleanUp, err := runPipeline(ctx, k)
+	cleanUp, err := startPipeline(ctx, k)
 	if err != nil {
 		return err
 	}
 	defer cleanUp()
-	defer watchFile(k, o)()
+	defer watchSettingsFile(k, o)()
 	log.Info().Str("Version", prog.Release).Str("Incarnation", s.Incarnation).Str("Adapter", s.Adapter).
 		Int("Seeds", len(s.Seeds)).Msg("daemon started")
 	defer log.Info().Msg("daemon stops")
-	awaitStop(k, signals)
+	waitForStop(k, signals)
 	return nil
 }
--- a/loomd/settings.go
+++ b/loomd/settings.go
@@ -19,8 +19,8 @@
 // LOOMD_STOPBOUND.
 const envPrefix = "LOOMD_"
 
-// errSetting is wrapped by every error of a setting.
-var errSetting = errors.New("bad setting")
+// errInvalidSetting is wrapped by every error of a setting.
+var errInvalidSetting = errors.New("bad setting")
 
 // settingError is a setting that is missing or wrong.
 type settingError struct {
@@ -34,11 +34,11 @@
 }
 
 // Unwrap gives errSetting.
-func (e *settingError) Unwrap() error { return errSetting }
+func (e *settingError) Unwrap() error { return errInvalidSetting }
 
-type seeds []netip.AddrPort
+type addressList []netip.AddrPort
 
-func (s *seeds) String() string {
+func (s *addressList) String() string {
 	var out []string
 	for _, a := range *s {
 		out = append(out, a.String())
@@ -46,7 +46,7 @@
 	return strings.Join(out, ",")
 }
 
-func (s *seeds) Set(v string) error {
+func (s *addressList) Set(v string) error {
 	*s = nil
 	if v == "" {
 		return nil
@@ -61,18 +61,18 @@
 	return nil
 }
 
-// regions is a list of halls with their regions, divided by commas.
-type regions config.Regions
+// regionList is a list of halls with their regionList, divided by commas.
+type regionList config.Regions
 
-func (r *regions) String() string { return config.Regions(*r).String() }
+func (r *regionList) String() string { return config.Regions(*r).String() }
 
-func (r *regions) Set(v string) error {
+func (r *regionList) Set(v string) error {
 	parsed, err := config.ParseRegions(v)
-	*r = regions(parsed)
+	*r = regionList(parsed)
 	return err
 }
 
-func bind(f *flag.FlagSet, s *kernel.Settings) {
+func registerFlags(f *flag.FlagSet, s *kernel.Settings) {
 	f.StringVar(&s.Host, "Host", "", "`name` of this host in the document")
 	f.StringVar(&s.Hall, "Hall", "", "`name` of the data hall of this host")
 	f.TextVar(&s.Listen, "Listen", netip.AddrPort{}, "`IP:port` for callers")
@@ -80,7 +80,7 @@
 	f.TextVar(&s.Metrics, "Metrics", netip.AddrPort{}, "`IP:port` for metrics alone; they are at -Operate too")
 	f.TextVar(&s.Peer, "Peer", netip.AddrPort{}, "`IP:port` for other entry hosts")
 	f.TextVar(&s.Platform, "Platform", netip.AddrPort{}, "`IP:port` of the platform's service")
-	f.Var((*seeds)(&s.Seeds), "Seeds", "`IP:port,...` of other entry hosts, asked at start")
+	f.Var((*addressList)(&s.Seeds), "Seeds", "`IP:port,...` of other entry hosts, asked at start")
 	f.DurationVar(&s.Beat, "Beat", time.Second, "time between heartbeats")
 	f.DurationVar(&s.WatchWait, "WatchWait", 10*time.Second, "how long one read of the platform waits for news")
 	f.DurationVar(&s.TicketLife, "TicketLife", time.Minute, "how long a ticket is remembered")
@@ -96,16 +96,16 @@
 	f.IntVar(&s.LogRate, "LogRate", 200, "most log lines a second about single requests")
 	f.Float64Var(&s.Cores, "Cores", 1, "share of processors that this host may use")
 	f.Float64Var(&s.LinkMbits, "LinkMbits", 0, "rate of this host's link in `Mbit/s`; 0 for no limit")
-	f.Var((*regions)(&s.Regions), "Regions", "`Hall=Region,...` of the data halls; a hall that is not named is no home of any route")
+	f.Var((*regionList)(&s.Regions), "Regions", "`Hall=Region,...` of the data halls; a hall that is not named is no home of any route")
 	f.Float64Var(&s.ColdFactor, "ColdFactor", 1, "how many times what a cold upstream bears it may get within a second")
 	f.Float64Var(&s.ColdSlack, "ColdSlack", 0, "`requests` that a cold upstream may get within a second besides")
 	f.Float64Var(&s.TraceRatio, "TraceRatio", 0, "share of requests whose spans are logged, 0 to 1")
 }
 
-// fromEnvironment sets the flags that the command line left out: from the
+// setFlagsFromEnvironment sets the flags that the command line left out: from the
 // environment, or else from the file of settings, if one is named.
-func fromEnvironment(f *flag.FlagSet, file string) error {
-	inFile, err := readFile(file)
+func setFlagsFromEnvironment(f *flag.FlagSet, file string) error {
+	inFile, err := readSettingsFile(file)
 	if err != nil {
 		return err
 	}
@@ -117,9 +117,9 @@
 	return err
 }
 
-// readFile reads a file of settings: a line NAME=value for each, with the
+// readSettingsFile reads a file of settings: a line NAME=value for each, with the
 // names of the environment. No file has no settings.
-func readFile(path string) (config.Lookup, error) {
+func readSettingsFile(path string) (config.Lookup, error) {
 	if path == "" {
 		return func(string) (string, bool) { return "", false }, nil
 	}
@@ -133,8 +133,8 @@
 	}, nil
 }
 
-// checkSettings finds what is missing or wrong.
-func checkSettings(s *kernel.Settings) error {
+// validateSettings finds what is missing or wrong.
+func validateSettings(s *kernel.Settings) error {
 	if s.SettleMost == 0 {
 		s.SettleMost = 2 * s.Settle
 	}
--- a/loomd/settings_test.go
+++ b/loomd/settings_test.go
@@ -21,14 +21,14 @@
 	var s kernel.Settings
 	f := flag.NewFlagSet("serve", flag.ContinueOnError)
 	f.SetOutput(io.Discard)
-	bind(f, &s)
+	registerFlags(f, &s)
 	if err := f.Parse(args); err != nil {
 		return s, err
 	}
-	if err := fromEnvironment(f, ""); err != nil {
+	if err := setFlagsFromEnvironment(f, ""); err != nil {
 		return s, err
 	}
-	return s, checkSettings(&s)
+	return s, validateSettings(&s)
 }
 
 func TestSettings(t *testing.T) {
@@ -68,7 +68,7 @@
 			assert.Assert(t, errors.As(err, &typed), "%v", err)
 			assert.Equal(t, typed.Flag, tt.flag)
 			assert.Assert(t, typed.Remedy != "")
-			assert.ErrorIs(t, err, errSetting)
+			assert.ErrorIs(t, err, errInvalidSetting)
 		})
 	}
 }
--- a/loomd/start.go
+++ b/loomd/start.go
@@ -20,8 +20,8 @@
 // do: with an adapter, Feed and Routes run in place of Platform and Entry.
 var pipeline = []string{"Peers", "Platform", "Feed", "Operators", "Entry", "Routes"}
 
-// runPipeline starts all stages and returns the clean-up of all.
-func runPipeline(ctx context.Context, k *kernel.Kernel) (func(), error) {
+// startPipeline starts all stages and returns the clean-up of all.
+func startPipeline(ctx context.Context, k *kernel.Kernel) (func(), error) {
 	stages, err := kernel.Pipeline(pipeline)
 	if err != nil {
 		return nil, err
--- a/loomd/stop.go
+++ b/loomd/stop.go
@@ -16,10 +16,10 @@
 	return signals
 }
 
-// awaitStop waits for a signal or a drain command, and returns once the host takes
+// waitForStop waits for a signal or a drain command, and returns once the host takes
 // no more requests. Those in flight go on: the clean-ups of the stages wait for them,
 // for StopBound of the settings at the most.
-func awaitStop(k *kernel.Kernel, signals <-chan os.Signal) {
+func waitForStop(k *kernel.Kernel, signals <-chan os.Signal) {
 	select {
 	case <-signals:
 		k.SetPhase(kernel.PhaseDraining)
--- a/loomd/trace.go
+++ b/loomd/trace.go
@@ -8,15 +8,15 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-type spanLog struct {
+type spanLogger struct {
 	log zerolog.Logger
 }
 
-var _ sdk.SpanExporter = spanLog{}
+var _ sdk.SpanExporter = spanLogger{}
 
 // ExportSpans implements sdk.SpanExporter. It writes a line for each span and cannot
 // fail: lines that nobody reads are lost and counted by the log.
-func (s spanLog) ExportSpans(_ context.Context, spans []sdk.ReadOnlySpan) error {
+func (s spanLogger) ExportSpans(_ context.Context, spans []sdk.ReadOnlySpan) error {
 	for _, p := range spans {
 		line := s.log.Info().
 			Str("Trace", p.SpanContext().TraceID().String()).
@@ -33,13 +33,13 @@
 	return nil
 }
 
-func (spanLog) Shutdown(context.Context) error { return nil }
+func (spanLogger) Shutdown(context.Context) error { return nil }
 
 // newTracer makes a tracer that logs a share of the requests' spans, or those
 // whose caller asks for it in the traceparent header.
 func newTracer(ratio float64, log zerolog.Logger) (trace.Tracer, func()) {
 	p := sdk.NewTracerProvider(
-		sdk.WithBatcher(spanLog{log: log}),
+		sdk.WithBatcher(spanLogger{log: log}),
 		sdk.WithSampler(sdk.ParentBased(sdk.TraceIDRatioBased(ratio))),
 	)
 	return p.Tracer("loomgap"), func() { _ = p.Shutdown(context.Background()) }
--- a/loomfake/soakfault.go
+++ b/loomfake/soakfault.go
@@ -117,7 +117,7 @@
 		return func() { s.store.Fail(0); s.touchStore() }
 	}},
 	{"store forgets", func(_ context.Context, s *soak) func() {
-		s.store.Forget()
+		s.store.CompactHistory()
 		return nil
 	}},
 	{"store restored", restoreStore},
--- a/loomfake/soakrestore.go
+++ b/loomfake/soakrestore.go
@@ -27,7 +27,7 @@
 // restoreStore makes a copy of the store, and has it come back from that later. Then the
 // operator and the upstreams write again what they wrote.
 func restoreStore(ctx context.Context, s *soak) func() {
-	old := s.store.Copy()
+	old := s.store.Backup()
 	for range lostChanges {
 		s.must(s.publish())
 	}
--- a/tier/replay/call.go
+++ b/tier/replay/call.go
@@ -9,10 +9,10 @@
 type call struct {
 	world    *world
 	upstream *upstream
-	// hop is the one-way time between the caller and whoever it calls.
-	hop time.Duration
-	// working is true while the call has a slot of the upstream.
-	working   bool
+	// delay is the one-way time between the caller and whoever it calls.
+	delay time.Duration
+	// holdsSlot is true while the call has a slot of the upstream.
+	holdsSlot bool
 	cancelled bool
 	// finished is true once the outcome is reported.
 	finished bool
@@ -27,11 +27,11 @@
 }
 
 func (k *call) start() {
-	k.world.after(k.hop, func() { k.upstream.arrive(k) })
+	k.world.after(k.delay, func() { k.upstream.arrive(k) })
 }
 
 func (k *call) reply(o policy.CallOutcome) {
-	k.world.after(k.hop, func() { k.finish(o) })
+	k.world.after(k.delay, func() { k.finish(o) })
 }
 
 func (k *call) finish(o policy.CallOutcome) {
@@ -47,7 +47,7 @@
 		return
 	}
 	k.cancelled = true
-	k.world.after(k.hop, k.stop)
+	k.world.after(k.delay, k.stop)
 	k.world.after(0, func() { k.finish(o) })
 }
 
@@ -55,8 +55,8 @@
 	switch {
 	case k.inner != nil:
 		k.inner.cancel(policy.CallCancelled)
-	case k.working:
-		k.working = false
+	case k.holdsSlot:
+		k.holdsSlot = false
 		k.upstream.release(k)
 	}
 }
@@ -70,29 +70,29 @@
 // relay has the owner of the upstream make the call, within its slots.
 func (k *call) relay(owner *host, name string, deadline time.Duration) {
 	w := k.world
-	k.hop = w.config.relayHop
+	k.delay = w.config.relayDelay
 	u := owner.fleet.Find(name)
-	w.after(k.hop, func() {
-		waiter := &policy.Waiter{Upstream: u, Deadline: deadline, Granted: func() { w.after(0, func() { k.relayed(owner, u) }) }}
+	w.after(k.delay, func() {
+		waiter := &policy.Waiter{Upstream: u, Deadline: deadline, Granted: func() { w.after(0, func() { k.startRelayed(owner, u) }) }}
 		granted, queued := owner.fleet.AcquireOrQueue(waiter)
 		switch {
 		case granted:
-			k.relayed(owner, u)
+			k.startRelayed(owner, u)
 		case !queued:
 			k.reply(policy.CallShed)
 		}
 	})
 }
 
-// relayed makes the call from the owner, who has a slot for it.
-func (k *call) relayed(owner *host, u *policy.Upstream) {
+// startRelayed makes the call from the owner, who has a slot for it.
+func (k *call) startRelayed(owner *host, u *policy.Upstream) {
 	w := k.world
 	if k.cancelled {
 		policy.NotifyGranted(owner.fleet.ReleaseSlot(w.now, u))
 		return
 	}
 	sent := w.now
-	k.inner = &call{world: w, upstream: k.upstream, hop: w.config.hop}
+	k.inner = &call{world: w, upstream: k.upstream, delay: w.config.delay}
 	k.inner.done = func(o policy.CallOutcome) {
 		policy.NotifyGranted(owner.fleet.Finish(w.now, policy.Call{Upstream: u, Pool: owner.pool, Outcome: o, Took: w.now - sent}))
 		k.reply(o)
--- a/tier/replay/case.go
+++ b/tier/replay/case.go
@@ -34,28 +34,28 @@
 type capacity struct {
 	// slots is how many calls run at once, backlog how many may wait for a slot.
 	slots, backlog int
-	// service is the median of the lognormal service time, sigma the standard
+	// serviceTime is the median of the lognormal serviceTime time, sigma the standard
 	// deviation of its logarithm.
-	service time.Duration
-	sigma   float64
+	serviceTime time.Duration
+	sigma       float64
 }
 
 // faults are what goes wrong at upstreams. Where a field says "one in n", 0 is for
 // none.
 type faults struct {
-	// slowEvery makes one upstream in n slower by slowFactor, from slowFrom until
+	// slowOneIn makes one upstream in n slower by slowFactor, from slowFrom until
 	// slowUntil; slowUntil 0 is until the end.
-	slowEvery           int
+	slowOneIn           int
 	slowFactor          float64
 	slowFrom, slowUntil time.Duration
-	// straggleShare of the calls, 0 to 1, take straggleFactor times as long.
-	straggleShare, straggleFactor float64
-	// lostEvery makes one upstream in n stop answering from lostFrom on.
-	lostEvery int
+	// stragglerShare of the calls, 0 to 1, take stragglerFactor times as long.
+	stragglerShare, stragglerFactor float64
+	// lostOneIn makes one upstream in n stop answering from lostFrom on.
+	lostOneIn int
 	lostFrom  time.Duration
-	// shedEvery makes one upstream in n refuse all calls, whatever its health
+	// shedOneIn makes one upstream in n refuse all calls, whatever its health
 	// endpoint says.
-	shedEvery int
+	shedOneIn int
 }
 
 // Case describes one replay. Cases returns those that are there.
@@ -64,20 +64,20 @@
 	Name string
 	// Seed draws arrivals, service times and choices.
 	Seed uint64
-	// length is the virtual time in which requests arrive; those of the first warm
+	// duration is the virtual time in which requests arrive; those of the first warmup
 	// are not counted.
-	length, warm time.Duration
-	hosts        int
-	sharing      sharing
+	duration, warmup time.Duration
+	hosts            int
+	sharing          sharing
 	// shards and replicas are how many shards there are and upstreams of each.
 	// Requests of a class have as many upstreams as shards: replica r of shard i
 	// is upstream i+r.
 	shards, replicas int
-	// hop is the one-way time between host and upstream, relayHop between hosts.
-	hop, relayHop time.Duration
-	capacity      capacity
-	faults        faults
-	loads         []load
+	// delay is the one-way time between host and upstream, relayDelay between hosts.
+	delay, relayDelay time.Duration
+	capacity          capacity
+	faults            faults
+	loads             []load
 }
 
 func (c *Case) slotsOf(host, upstream int) int {
--- a/tier/replay/cases.go
+++ b/tier/replay/cases.go
@@ -18,11 +18,11 @@
 //	small, wide    shares of slots with borrowing, against other ways to share
 func Cases() []Case {
 	lost := healthyCase()
-	lost.faults = faults{lostEvery: 100, lostFrom: 8 * time.Second}
+	lost.faults = faults{lostOneIn: 100, lostFrom: 8 * time.Second}
 	cold := healthyCase()
-	cold.faults = faults{slowEvery: 50, slowFactor: 10, slowFrom: 8 * time.Second, slowUntil: 12 * time.Second}
+	cold.faults = faults{slowOneIn: 50, slowFactor: 10, slowFrom: 8 * time.Second, slowUntil: 12 * time.Second}
 	lying := healthyCase()
-	lying.faults = faults{shedEvery: 100}
+	lying.faults = faults{shedOneIn: 100}
 	var out []Case
 	out = append(out, withBaseline("healthy", healthyCase())...)
 	out = append(out, withBaseline("stragglers", stragglersCase())...)
@@ -63,10 +63,10 @@
 // capacity, as one data hall of the design size sees a query, without faults.
 func healthyCase() Case {
 	return Case{
-		Seed: 1, length: 20 * time.Second, warm: 4 * time.Second, hosts: 2, sharing: sharingBorrow,
+		Seed: 1, duration: 20 * time.Second, warmup: 4 * time.Second, hosts: 2, sharing: sharingBorrow,
 		shards: 510, replicas: 2,
-		capacity: capacity{slots: 4, backlog: 4, service: 5 * time.Millisecond, sigma: 0.5},
-		hop:      250 * time.Microsecond, relayHop: 500 * time.Microsecond,
+		capacity: capacity{slots: 4, backlog: 4, serviceTime: 5 * time.Millisecond, sigma: 0.5},
+		delay:    250 * time.Microsecond, relayDelay: 500 * time.Microsecond,
 		loads: []load{{class: caseClass("Wide", 1, 390*time.Millisecond), rate: 200, shards: 510}},
 	}
 }
@@ -75,28 +75,28 @@
 // one call in 1,000 ten times slower besides.
 func stragglersCase() Case {
 	c := healthyCase()
-	c.faults = faults{slowEvery: 50, slowFactor: 10, straggleShare: 0.001, straggleFactor: 10}
+	c.faults = faults{slowOneIn: 50, slowFactor: 10, stragglerShare: 0.001, stragglerFactor: 10}
 	return c
 }
 
 // smallCase is one service of 2 upstreams with 2 slots, as the users run 50 of.
 func smallCase(rate float64) Case {
 	c := healthyCase()
-	c.length, c.warm = 120*time.Second, 10*time.Second
+	c.duration, c.warmup = 120*time.Second, 10*time.Second
 	c.shards, c.capacity.slots = 2, 2
 	c.loads = []load{{class: caseClass("Counter", 5, 300*time.Millisecond), rate: rate, shards: 1}}
 	return c
 }
 
-// smallCapacity is how many calls a second the 4 slots of a small service can
+// smallCallsPerSecond is how many calls a second the 4 slots of a small service can
 // run, at a mean service time of 5.67 ms.
-const smallCapacity = 706
+const smallCallsPerSecond = 706
 
 // overloadCase is smallCase at twice its capacity, with two classes that differ in
 // worth.
 func overloadCase() Case {
 	c := smallCase(0)
-	c.length = 60 * time.Second
+	c.duration = 60 * time.Second
 	c.loads = []load{
 		{class: caseClass("Counter", 5, 300*time.Millisecond), rate: 470, shards: 1},
 		{class: caseClass("Report", 1, 300*time.Millisecond), rate: 940, shards: 1},
@@ -111,7 +111,7 @@
 	for _, backlog := range []int{0, 4} {
 		for _, s := range []sharing{sharingNone, sharingShares, sharingBorrow, sharingOwner} {
 			for _, use := range []int{30, 80} {
-				c := smallCase(float64(use) / 100 * smallCapacity)
+				c := smallCase(float64(use) / 100 * smallCallsPerSecond)
 				c.sharing, c.capacity.backlog = s, backlog
 				c.Name = fmt.Sprintf("small, %d%% use, queue %d, %s", use, backlog, s)
 				out = append(out, c)
--- a/tier/replay/crash_site_test.go
+++ b/tier/replay/crash_site_test.go
@@ -19,8 +19,8 @@
 	// given up meanwhile; 0 for when it would have answered, unless the call is
 	// given up.
 	after time.Duration
-	// down is how long an upstream is away after a crash.
-	down time.Duration
+	// restartTime is how long an upstream is away after a crash.
+	restartTime time.Duration
 	// waveEvery has all upstreams crash by themselves, each once in that time,
 	// within waveSpread of each other; 0 for never.
 	waveEvery, waveSpread time.Duration
@@ -49,17 +49,17 @@
 
 // Times of callers and hosts. None is measured.
 const (
-	// repeatAfter is how soon a caller that was not served comes back.
-	repeatAfter = 5 * time.Millisecond
-	// reportGap is the least time between two reports of a host.
-	reportGap = 250 * time.Millisecond
-	// reportHosts is how many other hosts a report goes to.
-	reportHosts = 12
-	// lateAfter is how long hosts may take to agree on a request, from the crash
+	// retryDelay is how soon a caller that was not served comes back.
+	retryDelay = 5 * time.Millisecond
+	// reportInterval is the least time between two reports of a host.
+	reportInterval = 250 * time.Millisecond
+	// reportTargets is how many other hosts a report goes to.
+	reportTargets = 12
+	// agreementTime is how long hosts may take to agree on a request, from the crash
 	// that settles it.
-	lateAfter = 4 * time.Second
-	// settlingCrash is the number of the crash after which hosts should agree.
-	settlingCrash = 3
+	agreementTime = 4 * time.Second
+	// decisiveCrash is the number of the crash after which hosts should agree.
+	decisiveCrash = 3
 )
 
 // upstreamState is whether an upstream is away after a crash, and how often it has
@@ -83,8 +83,8 @@
 	caller      netip.Addr
 	// crashes is true if the request crashes the upstreams that run it.
 	crashes bool
-	// repeated is true for the repeat.
-	repeated bool
+	// isRetry is true for the repeat.
+	isRetry bool
 }
 
 // startCrashes plans the arrivals of the request that crashes upstreams, and the
@@ -93,11 +93,11 @@
 	w, c := s.world, s.routed.crash
 	var next func()
 	next = func() {
-		if w.now >= w.config.length {
+		if w.now >= w.config.duration {
 			return
 		}
 		w.after(c.every, next)
-		s.arrive(&callerRequest{fingerprint: "Crash", caller: addressOf(w.random.IntN(max(c.callers, 1))), crashes: true})
+		s.sendToRandomHost(&callerRequest{fingerprint: "Crash", caller: addressOf(w.random.IntN(max(c.callers, 1))), crashes: true})
 	}
 	if c.every > 0 {
 		w.after(c.from, next)
@@ -110,7 +110,7 @@
 // crashAll crashes all upstreams, again and again.
 func (s *routedSite) crashAll() {
 	w, c := s.world, s.routed.crash
-	if w.now >= w.config.length {
+	if w.now >= w.config.duration {
 		return
 	}
 	w.after(c.waveEvery, s.crashAll)
@@ -138,26 +138,26 @@
 	return netip.AddrFrom4([4]byte{10, byte(n >> 16), byte(n >> 8), byte(n)})
 }
 
-// arrive brings a request to any host.
-func (s *routedSite) arrive(q *callerRequest) {
+// sendToRandomHost brings a request to any host.
+func (s *routedSite) sendToRandomHost(q *callerRequest) {
 	w := s.world
 	s.serve(w.hosts[w.random.IntN(len(w.hosts))], q)
 }
 
-// done takes in what became of an attempt of a request.
-func (s *routedSite) done(q *callerRequest, served bool) {
+// finishAttempt takes in what became of an attempt of a request.
+func (s *routedSite) finishAttempt(q *callerRequest, served bool) {
 	switch {
 	case served && !q.crashes:
 		s.crashes.served++
-	case !served && !q.repeated:
-		q.repeated = true
-		s.world.after(repeatAfter, func() { s.arrive(q) })
+	case !served && !q.isRetry:
+		q.isRetry = true
+		s.world.after(retryDelay, func() { s.sendToRandomHost(q) })
 	}
 }
 
-// subject returns what hosts remember a request by; the zero value where the request
+// identity returns what hosts remember a request by; the zero value where the request
 // is not known.
-func (s *routedSite) subject(q *callerRequest) policy.RequestIdentity {
+func (s *routedSite) identity(q *callerRequest) policy.RequestIdentity {
 	if q == nil || !s.routed.crash.remember {
 		return policy.RequestIdentity{}
 	}
@@ -166,14 +166,14 @@
 
 // serve has a host carry out one attempt of a caller's request.
 func (s *routedSite) serve(h *host, q *callerRequest) {
-	if verdict, _ := h.fleet.Verdict(s.world.now, s.subject(q)); verdict == policy.VerdictQuarantined {
+	if verdict, _ := h.fleet.Verdict(s.world.now, s.identity(q)); verdict == policy.VerdictQuarantined {
 		if !q.crashes {
 			s.crashes.blamed++
 		}
-		s.done(q, false)
+		s.finishAttempt(q, false)
 		return
 	}
-	s.gather(h, gather{request: q, load: q.load, began: s.world.now})
+	s.startGather(h, gather{request: q, load: q.load, startedAt: s.world.now})
 }
 
 // reportCrashes has a host report to others the crashes that requests caused.
@@ -182,13 +182,13 @@
 	if !s.routed.crash.report {
 		return
 	}
-	last, planned := -reportGap, false
+	last, planned := -reportInterval, false
 	report := func() {
 		planned, last = false, w.now
 		reports := h.fleet.UnsentReports(w.now)
-		for _, i := range w.random.Perm(len(w.hosts))[:min(reportHosts, len(w.hosts))] {
+		for _, i := range w.random.Perm(len(w.hosts))[:min(reportTargets, len(w.hosts))] {
 			to := w.hosts[i]
-			w.after(s.routed.farHop, func() { to.fleet.MergeReports(w.now, reports) })
+			w.after(s.routed.farDelay, func() { to.fleet.MergeReports(w.now, reports) })
 		}
 	}
 	h.fleet.OnCrashReports(func(urgent bool) {
@@ -200,20 +200,20 @@
 			return
 		}
 		planned = true
-		w.after(max(last+reportGap-w.now, 0), report)
+		w.after(max(last+reportInterval-w.now, 0), report)
 	})
 }
 
-// begin has the upstream crash a while after it began a call of a request that crashes
+// startCall has the upstream crash a while after it began a call of a request that crashes
 // upstreams.
-func (s *routedSite) begin(u *upstream, k *call) bool {
+func (s *routedSite) startCall(u *upstream, k *call) bool {
 	if !s.crashesBy(k) {
 		return true
 	}
 	w, c := s.world, s.routed.crash
 	if c.after == 0 {
 		w.after(u.serviceTime(), func() {
-			if k.working {
+			if k.holdsSlot {
 				s.crash(u)
 			}
 		})
@@ -231,18 +231,18 @@
 // crash ends an upstream: whatever runs or waits there gets no answer.
 func (s *routedSite) crash(u *upstream) {
 	w := s.world
-	if s.crashes.crashed++; s.crashes.crashed == settlingCrash {
+	if s.crashes.crashed++; s.crashes.crashed == decisiveCrash {
 		s.thirdCrash = w.now
 	}
 	state := &s.states[u.index]
 	state.down = true
 	state.crashes++
 	for _, k := range append(u.running, u.backlog...) {
-		k.working = false
+		k.holdsSlot = false
 		k.reply(policy.CallCrashed)
 	}
 	u.running, u.backlog = nil, nil
-	w.after(s.routed.crash.down, func() { state.down = false })
+	w.after(s.routed.crash.restartTime, func() { state.down = false })
 }
 
 // crashesBy reports whether a call crashes the upstream that runs it.
@@ -251,14 +251,14 @@
 	return a != nil && a.request.crashes
 }
 
-// reached counts an attempt of the request that reaches an upstream, once.
-func (s *routedSite) reached(a *attempt) {
+// countReached counts an attempt of the request that reaches an upstream, once.
+func (s *routedSite) countReached(a *attempt) {
 	if a.hasReached {
 		return
 	}
 	a.hasReached = true
 	s.crashes.reached++
-	if s.thirdCrash > 0 && s.world.now > s.thirdCrash+lateAfter {
+	if s.thirdCrash > 0 && s.world.now > s.thirdCrash+agreementTime {
 		s.crashes.late++
 	}
 }
--- a/tier/replay/crash_test.go
+++ b/tier/replay/crash_test.go
@@ -13,20 +13,20 @@
 func crashCase(shards, hosts int, remember, report bool) routedSetup {
 	c := routedCase(shards, 2, hosts, 8*time.Millisecond)
 	c.loads[0].rate = 60
-	c.faults.slowEvery = 0
+	c.faults.slowOneIn = 0
 	c.routed.crash = &crashSettings{
-		from: 2500 * time.Millisecond, every: time.Second, down: 3 * time.Second,
+		from: 2500 * time.Millisecond, every: time.Second, restartTime: 3 * time.Second,
 		remember: remember, report: report,
 	}
 	c.routed.route.Gather.Coverage = 0.89
 	return c
 }
 
-// TestWaysToContainACrashingRequest compares hosts that forget, that remember each for
+// TestCrashReportsContainCrashingRequest compares hosts that forget, that remember each for
 // itself, and that tell each other, while a request that crashes its upstreams comes 20
 // times. Where all are told, few attempts of it reach upstreams, and nearly all other
 // requests are served; each for itself, hosts do hardly better than those that forget.
-func TestWaysToContainACrashingRequest(t *testing.T) {
+func TestCrashReportsContainCrashingRequest(t *testing.T) {
 	tests := []struct {
 		shards, hosts int
 		// callers is how many addresses the request comes from, after how long
@@ -62,7 +62,7 @@
 		for i, way := range []string{"forget", "remember", "report"} {
 			c := reports[i].crashes
 			t.Logf("%s, %s: %d ended, %d attempts reached, %d of %d served, earned %.3f",
-				name, way, c.crashed, c.reached, c.served, c.requests, reports[i].meanEarned())
+				name, way, c.crashed, c.reached, c.served, c.requests, reports[i].meanScore())
 		}
 		told := reports[2].crashes
 		assert.Check(t, told.reached <= 4, name)
@@ -76,11 +76,11 @@
 // servedShare is the part of the other requests that was served.
 func (c *crashResult) servedShare() float64 { return float64(c.served) / float64(c.requests) }
 
-// TestUpstreamsThatEndByThemselves has all upstreams end again and again, no request
+// TestUnrelatedCrashesBlameFewRequests has all upstreams end again and again, no request
 // being the cause, while 20 requests come again and again: hosts that remember serve as
 // many as those that forget, but for some that are blamed: 3 in 100 fewer where all end
 // within 0.3 s.
-func TestUpstreamsThatEndByThemselves(t *testing.T) {
+func TestUnrelatedCrashesBlameFewRequests(t *testing.T) {
 	const seeds = 40
 	tests := []struct {
 		name   string
@@ -97,7 +97,7 @@
 					c := crashCase(20, 7, remember, remember)
 					c.Seed = uint64(seed + 1)
 					c.routed.crash = &crashSettings{
-						down: time.Second, remember: remember, report: remember, popular: 20,
+						restartTime: time.Second, remember: remember, report: remember, popular: 20,
 						waveEvery: 3 * time.Second, waveSpread: tt.spread,
 					}
 					cases = append(cases, c)
@@ -120,10 +120,10 @@
 	}
 }
 
-// TestCrashingRequestComesNoMoreWhenHostsAgree has each shard have one upstream, so that
+// TestCrashingRequestIsStoppedOnceHostsAgree has each shard have one upstream, so that
 // none is left to show what the request does until some are back: later than 4 s after
 // the third has ended it comes to upstreams three times more at most.
-func TestCrashingRequestComesNoMoreWhenHostsAgree(t *testing.T) {
+func TestCrashingRequestIsStoppedOnceHostsAgree(t *testing.T) {
 	const seeds = 20
 	tests := []struct {
 		every   time.Duration
@@ -139,9 +139,9 @@
 			var cases []routedSetup
 			for seed := range seeds {
 				c := crashCase(20, hosts, true, true)
-				c.Seed, c.length, c.replicas = uint64(seed+1), 20*time.Second, 1
+				c.Seed, c.duration, c.replicas = uint64(seed+1), 20*time.Second, 1
 				c.routed.crash.every, c.routed.crash.callers = tt.every, tt.callers
-				c.routed.crash.after, c.routed.crash.down = 60*time.Millisecond, 4200*time.Millisecond
+				c.routed.crash.after, c.routed.crash.restartTime = 60*time.Millisecond, 4200*time.Millisecond
 				cases = append(cases, c)
 			}
 			worst := 0
--- a/tier/replay/execution.go
+++ b/tier/replay/execution.go
@@ -10,10 +10,10 @@
 type execution struct {
 	host *host
 	// load is the index of the load that the request belongs to.
-	load   int
-	run    *policy.Run
-	begun  time.Duration
-	shards int
+	load      int
+	run       *policy.Run
+	startedAt time.Duration
+	shards    int
 	// calls are those made so far, by the run's number of the attempt.
 	calls map[int]*call
 	// wakeAt is when the run is woken next; ended once it is finished.
@@ -25,19 +25,19 @@
 	onEnd func(answer *policy.Result, took time.Duration)
 }
 
-// ended is the wakeAt of an execution that is finished.
-const ended time.Duration = -1
+// neverWake is the wakeAt of an execution that is finished.
+const neverWake time.Duration = -1
 
 func (h *host) newExecution(load, shards int) *execution {
 	w := h.world
-	e := &execution{host: h, load: load, begun: w.now, calls: map[int]*call{}, shards: shards}
-	if w.now >= w.config.warm {
+	e := &execution{host: h, load: load, startedAt: w.now, calls: map[int]*call{}, shards: shards}
+	if w.now >= w.config.warmup {
 		e.result = w.results[load]
 	}
 	return e
 }
 
-func (e *execution) begin(c policy.RunConfig) {
+func (e *execution) start(c policy.RunConfig) {
 	w := e.host.world
 	c.Fleet, c.Repeatable = e.host.fleet, true
 	c.Granted = func(n int) { w.after(0, func() { e.perform(e.run.Granted(w.now, n)) }) }
@@ -48,15 +48,15 @@
 	e.run = run
 	actions, err := run.Begin(w.now)
 	if err != nil {
-		e.result.refused()
-		e.tell(nil, 0)
+		e.result.recordRefusal()
+		e.notifyEnd(nil, 0)
 		return
 	}
 	e.perform(actions)
-	e.planWake()
+	e.scheduleWake()
 }
 
-func (e *execution) planWake() {
+func (e *execution) scheduleWake() {
 	w := e.host.world
 	next := e.run.WakeAt()
 	if e.wakeAt == next {
@@ -68,7 +68,7 @@
 			return
 		}
 		e.perform(e.run.Wake(w.now))
-		e.planWake()
+		e.scheduleWake()
 	})
 }
 
@@ -89,21 +89,21 @@
 		default:
 		}
 	}
-	if e.wakeAt != ended && len(actions) > 0 {
-		e.planWake()
+	if e.wakeAt != neverWake && len(actions) > 0 {
+		e.scheduleWake()
 	}
 }
 
 func (e *execution) finish() {
 	r := e.run.Result()
-	took := e.host.world.now - e.begun
-	e.result.answered(took, &r, e.shards)
-	e.tell(&r, took)
-	e.wakeAt = ended
+	took := e.host.world.now - e.startedAt
+	e.result.recordAnswer(took, &r, e.shards)
+	e.notifyEnd(&r, took)
+	e.wakeAt = neverWake
 }
 
-// tell passes the end on to whoever asks.
-func (e *execution) tell(answer *policy.Result, took time.Duration) {
+// notifyEnd passes the end on to whoever asks.
+func (e *execution) notifyEnd(answer *policy.Result, took time.Duration) {
 	if e.onEnd != nil {
 		e.onEnd(answer, took)
 	}
@@ -112,12 +112,12 @@
 // send makes a call, directly or through the owner of the upstream.
 func (e *execution) send(a policy.Action) {
 	w := e.host.world
-	index := w.indices[a.Upstream.Name]
+	index := w.upstreamIndices[a.Upstream.Name]
 	sent := w.now
-	k := &call{world: w, upstream: w.upstreams[index], hop: w.site.hop(e.host, index), execution: e}
+	k := &call{world: w, upstream: w.upstreams[index], delay: w.site.delay(e.host, index), execution: e}
 	e.host.fleet.RecordSent(sent, a.Upstream)
 	k.done = func(o policy.CallOutcome) {
-		w.site.work(e.host, func() {
+		w.site.process(e.host, func() {
 			policy.NotifyGranted(e.host.fleet.Finish(w.now, policy.Call{
 				Upstream: a.Upstream, Pool: a.Pool, Outcome: o, Took: w.now - sent, Lingering: k.lingering,
 			}))
@@ -127,7 +127,7 @@
 	e.calls[a.Attempt] = k
 	owner := w.hosts[index%len(w.hosts)]
 	if w.config.sharing == sharingOwner && owner != e.host {
-		k.relay(owner, a.Upstream.Name, e.begun+time.Duration(w.config.loads[e.load].class.Deadline))
+		k.relay(owner, a.Upstream.Name, e.startedAt+time.Duration(w.config.loads[e.load].class.Deadline))
 		return
 	}
 	k.start()
--- a/tier/replay/golden_test.go
+++ b/tier/replay/golden_test.go
@@ -20,12 +20,12 @@
 	"small, 30% use, queue 4, Owner",
 }
 
-// TestReplayStaysTheSame compares quick cases with their lines in
+// TestReplayMatchesGoldenFile compares quick cases with their lines in
 // testdata/replay.golden to the digit. To compare all cases, which takes some
 // minutes:
 //
 //	go run ./loomfake replay | diff - tier/replay/testdata/replay.golden
-func TestReplayStaysTheSame(t *testing.T) {
+func TestReplayMatchesGoldenFile(t *testing.T) {
 	text, err := os.ReadFile("testdata/replay.golden")
 	assert.NilError(t, err)
 	want := strings.SplitAfter(string(text), "\n")
@@ -45,9 +45,9 @@
 	}
 }
 
-// TestGoldenHasEachCase holds the golden file to the cases: the same ones in the
+// TestGoldenFileListsAllCases holds the golden file to the cases: the same ones in the
 // same order.
-func TestGoldenHasEachCase(t *testing.T) {
+func TestGoldenFileListsAllCases(t *testing.T) {
 	text, err := os.ReadFile("testdata/replay.golden")
 	assert.NilError(t, err)
 	rows, found := strings.CutPrefix(string(text), Header)
--- a/tier/replay/replay_test.go
+++ b/tier/replay/replay_test.go
@@ -24,9 +24,9 @@
 	return out
 }
 
-// TestStragglersAreRoutedRound holds the chosen policy to the goals for a wide
+// TestStragglersDoNotSlowWideQueries holds the chosen policy to the goals for a wide
 // query with one upstream in 50 and one call in 1,000 ten times slower.
-func TestStragglersAreRoutedRound(t *testing.T) {
+func TestStragglersDoNotSlowWideQueries(t *testing.T) {
 	cases := append(withBaseline("stragglers", stragglersCase()), healthyCase())
 	r := runAll(t, cases...)
 	plain, chosen, healthy := r[0].classes[0], r[1].classes[0], r[2].classes[0]
@@ -36,19 +36,19 @@
 	assert.Assert(t, chosen.extraLoad() <= 0.03)
 }
 
-// TestOverloadShedsTheLeastWorth holds admission to 0.9 of the worth that the
+// TestOverloadShedsLowWorthClassFirst holds admission to 0.9 of the worth that the
 // slots can carry, at twice the load.
-func TestOverloadShedsTheLeastWorth(t *testing.T) {
+func TestOverloadShedsLowWorthClassFirst(t *testing.T) {
 	r := runAll(t, overloadCase())[0]
 	counter, report := r.classes[0], r.classes[1]
-	best := 470*5.0 + (smallCapacity-470)*1.0
+	best := 470*5.0 + (smallCallsPerSecond-470)*1.0
 	assert.Assert(t, r.worthPerSecond() >= 0.9*best)
 	assert.Assert(t, report.refusals > 20*counter.refusals)
 }
 
-func TestSameSeedSameResult(t *testing.T) {
+func TestSameSeedGivesSameResult(t *testing.T) {
 	c := smallCase(200)
-	c.length = 20 * time.Second
+	c.duration = 20 * time.Second
 	r := runAll(t, c, c)
 	assert.Equal(t, r[0].classes[0].attempts, r[1].classes[0].attempts)
 	assert.Equal(t, r[0].classes[0].quantile(0.99), r[1].classes[0].quantile(0.99))
@@ -58,8 +58,8 @@
 // 510 upstreams cost, the fakes' own included.
 func BenchmarkWideQuery(b *testing.B) {
 	c := stragglersCase()
-	c.warm = 0
-	c.length = time.Duration(b.N) * 5 * time.Millisecond
+	c.warmup = 0
+	c.duration = time.Duration(b.N) * 5 * time.Millisecond
 	b.ReportAllocs()
 	r, err := Run(c)
 	assert.NilError(b, err)
--- a/tier/replay/report.go
+++ b/tier/replay/report.go
@@ -20,7 +20,7 @@
 }
 
 func (w *world) report() *Report {
-	return &Report{name: w.config.Name, seconds: (w.config.length - w.config.warm).Seconds(), classes: w.results}
+	return &Report{name: w.config.Name, seconds: (w.config.duration - w.config.warmup).Seconds(), classes: w.results}
 }
 
 // Header is the head of the table that Print writes rows of.
@@ -61,26 +61,26 @@
 
 // Bounds of the latencies that a result counts.
 const (
-	// longestMicros is the longest latency counted, a minute in microseconds: more
+	// maxLatencyMicros is the longest latency counted, a minute in microseconds: more
 	// than any deadline of a case.
-	longestMicros = 60_000_000
-	// latencyDigits is how many significant digits of a latency are kept.
-	latencyDigits = 3
+	maxLatencyMicros = 60_000_000
+	// latencySignificantDigits is how many significant digits of a latency are kept.
+	latencySignificantDigits = 3
 )
 
 func newClassResult(c *config.Class) *classResult {
-	return &classResult{name: c.Name, worth: c.Worth, latency: hdrhistogram.New(1, longestMicros, latencyDigits)}
+	return &classResult{name: c.Name, worth: c.Worth, latency: hdrhistogram.New(1, maxLatencyMicros, latencySignificantDigits)}
 }
 
-// refused counts a request that was refused. Like answered it does nothing on nil,
+// recordRefusal counts a request that was recordRefusal. Like answered it does nothing on nil,
 // during the warm-up.
-func (c *classResult) refused() {
+func (c *classResult) recordRefusal() {
 	if c != nil {
 		c.refusals++
 	}
 }
 
-func (c *classResult) answered(took time.Duration, r *policy.Result, shards int) {
+func (c *classResult) recordAnswer(took time.Duration, r *policy.Result, shards int) {
 	if c == nil {
 		return
 	}
--- a/tier/replay/routed_site_test.go
+++ b/tier/replay/routed_site_test.go
@@ -12,44 +12,44 @@
 	"loomgap/tier/policy"
 )
 
-// routed describes gathers of a route: every request asks all shards, each of which
+// routedParams describes gathers of a route: every request asks all shards, each of which
 // has upstreams of its own, spread over the halls like the hosts.
-type routed struct {
+type routedParams struct {
 	// route is the route of the requests; its Gather names no groups.
 	route config.Route
 	// plain has the baseline decide: any upstream, no hedge.
 	plain bool
 	// halls is how many data halls there are; farHop is the one-way time between
 	// them.
-	halls  int
-	farHop time.Duration
+	halls    int
+	farDelay time.Duration
 	// ratio and slack bound the retries of all hosts at a shard.
 	ratio, slack float64
 	// window is that in which the shards count these; 0 for hosts that only use what
 	// they have saved up.
 	window time.Duration
-	// ownWork is the work of hosts beside the upstreams' own.
-	ownWork ownWork
+	// processing is the work of hosts beside the upstreams' own.
+	processing processingTimes
 	// forward has weak hosts forward their requests to the strong ones.
 	forward bool
 	// pauseFor is how long each upstream pauses once in pauseEvery; 0 for never.
 	pauseFor, pauseEvery time.Duration
-	// shedders have most upstreams shed part of their calls for a while.
-	shedders shedders
+	// shedding have most upstreams shed part of their calls for a while.
+	shedding sheddingFault
 	// crash adds crashes of upstreams; nil for none.
 	crash *crashSettings
 }
 
-// shedders are upstreams, share of them all, that shed part of their calls from a time
+// sheddingFault are upstreams, share of them all, that shed part of their calls from a time
 // until another, though their health endpoints are good.
-type shedders struct {
+type sheddingFault struct {
 	share, part float64
 	from, until time.Duration
 }
 
-// ownWork is the work of a host for each answer of an upstream, one answer after the
+// processingTimes is the work of a host for each answer of an upstream, one answer after the
 // other.
-type ownWork struct {
+type processingTimes struct {
 	// strongHosts of the hosts, the first ones, take strong for each answer, the
 	// others weak. With 0 no host takes any.
 	strongHosts  int
@@ -57,7 +57,7 @@
 }
 
 // class returns the settings of the decisions.
-func (r *routed) class() config.Class {
+func (r *routedParams) class() config.Class {
 	c := r.route.Class()
 	if r.plain {
 		return baseline(c)
@@ -68,22 +68,22 @@
 // routedSetup is a case whose requests are gathers of a route.
 type routedSetup struct {
 	Case
-	routed routed
+	routed routedParams
 }
 
 // routedReport is the report of such a case, with what its site counted.
 type routedReport struct {
 	*Report
 	crashes crashResult
-	// earned is the sum of what the answers within the objective earn.
-	earned float64
+	// score is the sum of what the answers within the objective earn.
+	score float64
 }
 
-// meanEarned is what a request earns on average: the square of the share of shards
+// meanScore is what a request earns on average: the square of the share of shards
 // that an answer in time has.
-func (r *routedReport) meanEarned() float64 {
+func (r *routedReport) meanScore() float64 {
 	c := r.classes[0]
-	return r.earned / float64(max(c.answers+c.refusals, 1))
+	return r.score / float64(max(c.answers+c.refusals, 1))
 }
 
 // runRouted replays cases of routed requests side by side.
@@ -107,7 +107,7 @@
 	var s *routedSite
 	w, err := newWorld(c.Case, func(w *world) site {
 		s = &routedSite{
-			classSite: classSite{w}, routed: &c.routed, freeAt: make([]time.Duration, c.hosts),
+			classSite: classSite{w}, routed: &c.routed, idleAt: make([]time.Duration, c.hosts),
 			states: make([]upstreamState, c.shards*c.replicas), attempts: map[*execution]*attempt{},
 		}
 		return s
@@ -119,16 +119,16 @@
 		s.startCrashes()
 	}
 	w.run()
-	return &routedReport{Report: w.report(), crashes: s.crashes, earned: s.earned}, nil
+	return &routedReport{Report: w.report(), crashes: s.crashes, score: s.score}, nil
 }
 
 // routedSite is a site of routed requests.
 type routedSite struct {
 	classSite
-	routed *routed
-	// freeAt is when a host has done its own work on the answers that came, by its
+	routed *routedParams
+	// idleAt is when a host has done its own work on the answers that came, by its
 	// index.
-	freeAt []time.Duration
+	idleAt []time.Duration
 	// states are the crashes of the upstreams, by their index.
 	states []upstreamState
 	// attempts finds those of callers' requests, in a case with crashes.
@@ -137,27 +137,27 @@
 	crashes crashResult
 	// thirdCrash is when the third upstream crashed; 0 before.
 	thirdCrash time.Duration
-	// earned is the sum of what the answers within the objective earn.
-	earned float64
+	// score is the sum of what the answers within the objective earn.
+	score float64
 }
 
 var _ site = (*routedSite)(nil)
 
-func (s *routedSite) upstreams() int { return len(s.states) }
+func (s *routedSite) upstreamCount() int { return len(s.states) }
 
-func (r *routed) hall(index int) string { return fmt.Sprint("Hall", index%r.halls) }
+func (r *routedParams) hall(index int) string { return fmt.Sprint("Hall", index%r.halls) }
 
-func (s *routedSite) hop(h *host, upstream int) time.Duration {
+func (s *routedSite) delay(h *host, upstream int) time.Duration {
 	if s.routed.hall(h.index) == s.routed.hall(upstream) {
-		return s.world.config.hop
+		return s.world.config.delay
 	}
-	return s.routed.farHop
+	return s.routed.farDelay
 }
 
-func (s *routedSite) join(h *host) {
+func (s *routedSite) setUpHost(h *host) {
 	c := &s.world.config
 	var shares []policy.Share
-	for i := range s.upstreams() {
+	for i := range s.upstreamCount() {
 		hall := s.routed.hall(i)
 		shares = append(shares, policy.Share{
 			Name: upstreamName(i), Slots: c.capacity.slots + c.capacity.backlog, Listed: true,
@@ -172,46 +172,46 @@
 	}
 }
 
-// coreWork is the own work for each answer of a host of one core, against which the
+// coreProcessingTime is the own work for each answer of a host of one core, against which the
 // capacity of a host is computed. Not measured.
-const coreWork = 50 * time.Microsecond
+const coreProcessingTime = 50 * time.Microsecond
 
 // coreCapacity is the capacity of a host of one core, in thousandths of a core.
 const coreCapacity = 1000
 
 // isStrong reports whether a host is one of the strong ones.
-func (s *routedSite) isStrong(h *host) bool { return h.index < s.routed.ownWork.strongHosts }
+func (s *routedSite) isStrong(h *host) bool { return h.index < s.routed.processing.strongHosts }
 
-// ownWork is what the host takes for each answer.
-func (s *routedSite) ownWork(h *host) time.Duration {
+// processingTime is what the host takes for each answer.
+func (s *routedSite) processingTime(h *host) time.Duration {
 	r := s.routed
 	switch {
-	case r.ownWork.strongHosts == 0:
+	case r.processing.strongHosts == 0:
 		return 0
 	case s.isStrong(h):
-		return r.ownWork.strong
+		return r.processing.strong
 	default:
-		return r.ownWork.weak
+		return r.processing.weak
 	}
 }
 
-func (s *routedSite) work(h *host, do func()) {
+func (s *routedSite) process(h *host, do func()) {
 	w := s.world
-	took := s.ownWork(h)
+	took := s.processingTime(h)
 	if took == 0 {
 		do()
 		return
 	}
-	s.freeAt[h.index] = max(s.freeAt[h.index], w.now) + took
-	w.after(s.freeAt[h.index]-w.now, do)
+	s.idleAt[h.index] = max(s.idleAt[h.index], w.now) + took
+	w.after(s.idleAt[h.index]-w.now, do)
 }
 
 // candidate describes the host to those that choose a coordinator.
 func (s *routedSite) candidate(h *host) policy.Candidate {
 	r := s.routed
-	work := max(s.ownWork(h), 1)
+	work := max(s.processingTime(h), 1)
 	return policy.Candidate{
-		Host: fmt.Sprint("H", h.index), Hall: r.hall(h.index), Capacity: int(coreCapacity * coreWork / work), RoundTrip: 2 * r.farHop,
+		Host: fmt.Sprint("H", h.index), Hall: r.hall(h.index), Capacity: int(coreCapacity * coreProcessingTime / work), RoundTrip: 2 * r.farDelay,
 	}
 }
 
@@ -224,7 +224,7 @@
 	}
 	var all []policy.Candidate
 	byName := map[string]*host{}
-	for _, o := range w.hosts[:r.ownWork.strongHosts] {
+	for _, o := range w.hosts[:r.processing.strongHosts] {
 		c := s.candidate(o)
 		all, byName[c.Host] = append(all, c), o
 	}
@@ -234,34 +234,34 @@
 	}
 	to := byName[best[0].Host]
 	if best[0].Hall == r.hall(h.index) {
-		return to, w.config.hop
+		return to, w.config.delay
 	}
-	return to, r.farHop
+	return to, r.farDelay
 }
 
 // forwardMessages is how many messages pass one after the other before a forwarded
 // request begins: the request, the sign that it came, and the word to begin.
 const forwardMessages = 3
 
-// request brings one gather of a load to any host, which carries it out or forwards
+// startRequest brings one gather of a load to any host, which carries it out or forwards
 // it.
-func (s *routedSite) request(load int) {
+func (s *routedSite) startRequest(load int) {
 	w := s.world
 	if s.routed.crash != nil {
-		s.arrive(s.newCallerRequest(load))
+		s.sendToRandomHost(s.newCallerRequest(load))
 		return
 	}
 	h := w.hosts[w.random.IntN(len(w.hosts))]
 	// Nothing uses this draw; without it the same seeds give other figures.
 	w.random.IntN(w.config.shards)
-	g := gather{load: load, began: w.now}
+	g := gather{load: load, startedAt: w.now}
 	to, hop := s.coordinator(h)
 	if to == h {
-		s.gather(h, g)
+		s.startGather(h, g)
 		return
 	}
-	g.back = hop
-	w.after(forwardMessages*hop, func() { s.gather(to, g) })
+	g.returnDelay = hop
+	w.after(forwardMessages*hop, func() { s.startGather(to, g) })
 }
 
 // gather is one gather that a host carries out.
@@ -270,17 +270,17 @@
 	request *callerRequest
 	// load is the index of its load.
 	load int
-	// began is when a host got the request.
-	began time.Duration
-	// back is how long the answer takes to that host.
-	back time.Duration
+	// startedAt is when a host got the request.
+	startedAt time.Duration
+	// returnDelay is how long the answer takes to that host.
+	returnDelay time.Duration
 }
 
-// gather has a host carry out a gather.
-func (s *routedSite) gather(h *host, g gather) {
+// startGather has a host carry out a startGather.
+func (s *routedSite) startGather(h *host, g gather) {
 	w, c := s.world, s.routed
 	class := c.class()
-	spent := w.now - g.began + g.back
+	spent := w.now - g.startedAt + g.returnDelay
 	class.Patience = config.Duration(max(time.Duration(class.Patience)-spent, 0))
 	names, groups := make([][]string, w.config.shards), make([]string, w.config.shards)
 	for i := range names {
@@ -291,13 +291,13 @@
 	}
 	near, far := h.fleet.RoutedLatencyPools(c.route.Name)
 	e := h.newExecution(g.load, w.config.shards)
-	e.begun = g.began - g.back
-	e.onEnd = func(answer *policy.Result, took time.Duration) { s.ended(e, g, answer, took) }
+	e.startedAt = g.startedAt - g.returnDelay
+	e.onEnd = func(answer *policy.Result, took time.Duration) { s.recordEnd(e, g, answer, took) }
 	if g.request != nil {
 		s.attempts[e] = &attempt{request: g.request}
 	}
-	e.begin(policy.RunConfig{
-		Pool: near, Class: &class, Replicas: h.fleet.Resolve(names), Identity: s.subject(g.request),
+	e.start(policy.RunConfig{
+		Pool: near, Class: &class, Replicas: h.fleet.Resolve(names), Identity: s.identity(g.request),
 		Deadline: w.now + time.Duration(c.route.TimeLimit),
 		Routed: &policy.RoutedConfig{
 			Groups: groups, FarPool: far, MaxAttempts: c.route.MaxAttempts, Objective: max(time.Duration(c.route.Objective)-spent, 0),
@@ -305,18 +305,18 @@
 	})
 }
 
-// ended counts what the answer to a gather earns, and tells its caller.
-func (s *routedSite) ended(e *execution, g gather, answer *policy.Result, took time.Duration) {
+// recordEnd counts what the answer to a gather earns, and tells its caller.
+func (s *routedSite) recordEnd(e *execution, g gather, answer *policy.Result, took time.Duration) {
 	included := 0.0
 	if answer != nil {
 		included = float64(answer.Included)
 	}
 	if e.result != nil && took <= time.Duration(s.routed.route.Objective) {
 		share := included / float64(e.shards)
-		s.earned += share * share
+		s.score += share * share
 	}
 	if g.request != nil {
-		s.done(g.request, included >= s.routed.class().Coverage*float64(e.shards) && included > 0)
+		s.finishAttempt(g.request, included >= s.routed.class().Coverage*float64(e.shards) && included > 0)
 	}
 }
 
@@ -325,7 +325,7 @@
 func (s *routedSite) accept(u *upstream, k *call) bool {
 	down := s.states[u.index].down
 	if !down && s.crashesBy(k) {
-		s.reached(s.attempts[k.execution])
+		s.countReached(s.attempts[k.execution])
 	}
 	switch {
 	case down:
@@ -346,12 +346,12 @@
 
 // sheds decides whether the upstream sheds a call now.
 func (s *routedSite) sheds(u *upstream) bool {
-	d := &s.routed.shedders
+	d := &s.routed.shedding
 	if s.world.now < d.from || s.world.now >= d.until {
 		return false
 	}
 	// A large odd number spreads the upstreams that shed over the shards.
-	isOne := float64(u.index*7919%s.upstreams()) < d.share*float64(s.upstreams())
+	isOne := float64(u.index*7919%s.upstreamCount()) < d.share*float64(s.upstreamCount())
 	return isOne && s.world.random.Float64() < d.part
 }
 
@@ -362,10 +362,10 @@
 	if r.pauseFor == 0 {
 		return 0
 	}
-	into := (s.world.now + time.Duration(u.index)*pauseSpread) % r.pauseEvery
+	into := (s.world.now + time.Duration(u.index)*pauseOffset) % r.pauseEvery
 	return max(r.pauseFor-into, 0)
 }
 
-// pauseSpread is the time between the pauses of two neighbouring upstreams, modulo
+// pauseOffset is the time between the pauses of two neighbouring upstreams, modulo
 // the period: a large odd number spreads them over it. Not measured.
-const pauseSpread = 7_919 * time.Millisecond
+const pauseOffset = 7_919 * time.Millisecond
--- a/tier/replay/routed_test.go
+++ b/tier/replay/routed_test.go
@@ -20,32 +20,32 @@
 		busy    = 0.35
 	)
 	c := Case{
-		Seed: 1, length: 12 * time.Second, warm: 2 * time.Second, hosts: hosts,
+		Seed: 1, duration: 12 * time.Second, warmup: 2 * time.Second, hosts: hosts,
 		shards: shards, replicas: replicas,
-		capacity: capacity{slots: slots, backlog: 12, service: service, sigma: 0.35},
-		hop:      250 * time.Microsecond,
-		faults:   faults{slowEvery: 6, slowFactor: 8, slowFrom: 4 * time.Second, slowUntil: 9 * time.Second},
+		capacity: capacity{slots: slots, backlog: 12, serviceTime: service, sigma: 0.35},
+		delay:    250 * time.Microsecond,
+		faults:   faults{slowOneIn: 6, slowFactor: 8, slowFrom: 4 * time.Second, slowUntil: 9 * time.Second},
 		loads: []load{{
 			class: caseClass("Sweep", 1, 2*time.Second), shards: shards,
 			rate: busy * slots * float64(replicas) / service.Seconds(),
 		}},
 	}
-	return routedSetup{Case: c, routed: routed{
+	return routedSetup{Case: c, routed: routedParams{
 		route: config.Route{
 			Name: "Sweep", Repeatable: true, MaxAttempts: 2,
 			TimeLimit: config.Duration(2 * time.Second), Objective: config.Duration(200 * time.Millisecond),
 			Gather: &config.Gather{Top: 10, Coverage: 0.5},
 		},
-		halls: min(3, hosts), farHop: farHop, ratio: 0.2, slack: 56 * float64(max(hosts/8, 1)) / 2,
+		halls: min(3, hosts), farDelay: farHop, ratio: 0.2, slack: 56 * float64(max(hosts/8, 1)) / 2,
 		pauseFor: 250 * time.Millisecond, pauseEvery: 6 * time.Second,
 	}}
 }
 
-// TestRoutedPolicyIsAheadAtAnySize plays sites of 2 to 200 shards, 1 to 4 upstreams
+// TestRoutedPolicyBeatsBaselineAtAnySize plays sites of 2 to 200 shards, 1 to 4 upstreams
 // each, 4 to 300 hosts and other distances. Nowhere may the chosen policy earn
 // less than the plain one, and where there is a choice of upstreams it must earn
 // more.
-func TestRoutedPolicyIsAheadAtAnySize(t *testing.T) {
+func TestRoutedPolicyBeatsBaselineAtAnySize(t *testing.T) {
 	tests := []struct {
 		shards, replicas, hosts int
 		farHop                  time.Duration
@@ -70,39 +70,39 @@
 	for i, tt := range tests {
 		plain, chosen := reports[2*i], reports[2*i+1]
 		name := fmt.Sprintf("%d shards of %d, %d hosts, %s", tt.shards, tt.replicas, tt.hosts, tt.farHop)
-		t.Logf("%s: plain %.3f, chosen %.3f, extra calls %.1f%%", name, plain.meanEarned(), chosen.meanEarned(), 100*chosen.classes[0].extraLoad())
-		assert.Check(t, chosen.meanEarned() >= plain.meanEarned()+tt.gain, name)
+		t.Logf("%s: plain %.3f, chosen %.3f, extra calls %.1f%%", name, plain.meanScore(), chosen.meanScore(), 100*chosen.classes[0].extraLoad())
+		assert.Check(t, chosen.meanScore() >= plain.meanScore()+tt.gain, name)
 		assert.Check(t, chosen.classes[0].extraLoad() <= 0.25, name)
 	}
 }
 
-// TestForwardedGathersMeetTheirObjective plays a fleet of 60 hosts, of which six
+// TestForwardingRaisesScore plays a fleet of 60 hosts, of which six
 // are strong, with 90 shards: a weak host takes 0.75 ms of its own for each
 // answer, so that a gather alone takes it 68 ms, a strong one 0.12 ms. Requests
 // come at random hosts, upstreams pause, are busy and a sixth of them slow.
 // Forwarding must earn 0.15 more of each request than hosts that make
 // all calls themselves.
-func TestForwardedGathersMeetTheirObjective(t *testing.T) {
+func TestForwardingRaisesScore(t *testing.T) {
 	alone := routedCase(90, 3, 60, 8*time.Millisecond)
 	alone.loads[0].rate /= 4
 	r := &alone.routed
 	r.route.Objective = config.Duration(100 * time.Millisecond)
-	r.ownWork = ownWork{strongHosts: 6, strong: 120 * time.Microsecond, weak: 750 * time.Microsecond}
+	r.processing = processingTimes{strongHosts: 6, strong: 120 * time.Microsecond, weak: 750 * time.Microsecond}
 	forwarded := alone
 	forwarded.routed.forward = true
 	reports := runRouted(t, alone, forwarded)
 	without, with := reports[0], reports[1]
-	t.Logf("alone %.3f, forwarded %.3f, extra calls %.1f%% and %.1f%%", without.meanEarned(), with.meanEarned(),
+	t.Logf("alone %.3f, forwarded %.3f, extra calls %.1f%% and %.1f%%", without.meanScore(), with.meanScore(),
 		100*without.classes[0].extraLoad(), 100*with.classes[0].extraLoad())
-	assert.Check(t, with.meanEarned() >= without.meanEarned()+0.15)
+	assert.Check(t, with.meanScore() >= without.meanScore()+0.15)
 	assert.Check(t, with.classes[0].extraLoad() <= 0.25)
 }
 
-// TestMostUpstreamsShed replays a fleet's worst load: eight in ten upstreams shed six in
+// TestRetryReserveWhenMostUpstreamsShed replays a fleet's worst load: eight in ten upstreams shed six in
 // ten calls for nine seconds. Gathers are carried out by the hosts given, which divide the
 // slack of the retries. What a request earns in that time is compared with hosts that make
 // no retries beyond those that their requests have earned.
-func TestMostUpstreamsShed(t *testing.T) {
+func TestRetryReserveWhenMostUpstreamsShed(t *testing.T) {
 	tests := []struct {
 		hosts, shards, replicas int
 		// rate is gathers a second, slack that of a shard in ten seconds.
@@ -118,14 +118,14 @@
 	var cases []routedSetup
 	for _, tt := range tests {
 		c := routedCase(tt.shards, tt.replicas, tt.hosts, 8*time.Millisecond)
-		c.length, c.warm = 22*time.Second, 12*time.Second
+		c.duration, c.warmup = 22*time.Second, 12*time.Second
 		c.faults = faults{}
 		c.capacity.slots, c.capacity.backlog = 3, 18
 		c.loads[0].rate = tt.rate
 		r := &c.routed
 		r.route.Objective, r.route.Gather.Coverage = config.Duration(300*time.Millisecond), 0.95
 		r.slack = tt.slack * 0.9 * 0.8
-		r.shedders = shedders{share: 0.8, part: 0.6, from: 12 * time.Second, until: 21 * time.Second}
+		r.shedding = sheddingFault{share: 0.8, part: 0.6, from: 12 * time.Second, until: 21 * time.Second}
 		saved := c
 		r.window = 10 * time.Second
 		cases = append(cases, saved, c)
@@ -134,8 +134,8 @@
 	for i, tt := range tests {
 		saved, reserve := reports[2*i], reports[2*i+1]
 		name := fmt.Sprintf("%d hosts, %d shards of %d", tt.hosts, tt.shards, tt.replicas)
-		t.Logf("%s: %.3f earned with what was saved up, %.3f with the reserve; extra calls %.1f%%, %.1f%%", name, saved.meanEarned(), reserve.meanEarned(),
+		t.Logf("%s: %.3f earned with what was saved up, %.3f with the reserve; extra calls %.1f%%, %.1f%%", name, saved.meanScore(), reserve.meanScore(),
 			100*saved.classes[0].extraLoad(), 100*reserve.classes[0].extraLoad())
-		assert.Check(t, reserve.meanEarned() >= saved.meanEarned()+tt.gain, name)
+		assert.Check(t, reserve.meanScore() >= saved.meanScore()+tt.gain, name)
 	}
 }
--- a/tier/replay/site.go
+++ b/tier/replay/site.go
@@ -11,21 +11,21 @@
 // what a Case says. The cases of Cases have a classSite; tests have sites of routed
 // requests, whose upstreams pause and crash.
 type site interface {
-	// upstreams is how many upstreams there are.
-	upstreams() int
-	// join sets up a host's view of the upstreams.
-	join(*host)
-	// request brings one request of a load, by its index, to any host.
-	request(load int)
-	// hop is the one-way time between a host and an upstream, by its index.
-	hop(h *host, upstream int) time.Duration
-	// work has something done once the host has done its own work for it.
-	work(h *host, do func())
+	// upstreamCount is how many upstreamCount there are.
+	upstreamCount() int
+	// setUpHost sets up a host's view of the upstreams.
+	setUpHost(*host)
+	// startRequest brings one startRequest of a load, by its index, to any host.
+	startRequest(load int)
+	// delay is the one-way time between a host and an upstream, by its index.
+	delay(h *host, upstream int) time.Duration
+	// process has something done once the host has done its own process for it.
+	process(h *host, do func())
 	// accept reports whether an upstream treats a call that arrives as usual; if
 	// not, the site does so.
 	accept(*upstream, *call) bool
-	// begin reports the same of a call that has just got a slot.
-	begin(*upstream, *call) bool
+	// startCall reports the same of a call that has just got a slot.
+	startCall(*upstream, *call) bool
 }
 
 type host struct {
@@ -38,7 +38,7 @@
 
 func newHost(w *world, index int) *host {
 	h := &host{world: w, index: index, fleet: policy.NewFleet(policy.FleetConfig{Random: w.random})}
-	w.site.join(h)
+	w.site.setUpHost(h)
 	return h
 }
 
@@ -52,9 +52,9 @@
 
 var _ site = classSite{}
 
-func (s classSite) upstreams() int { return s.world.config.shards }
+func (s classSite) upstreamCount() int { return s.world.config.shards }
 
-func (s classSite) join(h *host) {
+func (s classSite) setUpHost(h *host) {
 	c := &s.world.config
 	var shares []policy.Share
 	for i := range c.shards {
@@ -71,7 +71,7 @@
 	}
 }
 
-func (s classSite) request(load int) {
+func (s classSite) startRequest(load int) {
 	w := s.world
 	h := w.hosts[w.random.IntN(len(w.hosts))]
 	l := &w.config.loads[load]
@@ -83,16 +83,16 @@
 		}
 	}
 	replicas, snapshot := h.fleet.Plan(names)
-	h.newExecution(load, l.shards).begin(policy.RunConfig{
+	h.newExecution(load, l.shards).start(policy.RunConfig{
 		Pool: h.pool, Class: &l.class, Replicas: replicas, Snapshot: snapshot,
 		Deadline: w.now + time.Duration(l.class.Deadline-l.class.Margin),
 	})
 }
 
-func (s classSite) hop(*host, int) time.Duration { return s.world.config.hop }
+func (s classSite) delay(*host, int) time.Duration { return s.world.config.delay }
 
-func (classSite) work(_ *host, do func()) { do() }
+func (classSite) process(_ *host, do func()) { do() }
 
 func (classSite) accept(*upstream, *call) bool { return true }
 
-func (classSite) begin(*upstream, *call) bool { return true }
+func (classSite) startCall(*upstream, *call) bool { return true }
--- a/tier/replay/upstream.go
+++ b/tier/replay/upstream.go
@@ -21,26 +21,26 @@
 // upstream is if n is 0.
 func oneIn(n, index int) bool { return n > 0 && index%n == n/2 }
 
-// lost reports whether the upstream has stopped answering.
-func (u *upstream) lost() bool {
+// isLost reports whether the upstream has stopped answering.
+func (u *upstream) isLost() bool {
 	f := &u.world.config.faults
-	return oneIn(f.lostEvery, u.index) && u.world.now >= f.lostFrom
+	return oneIn(f.lostOneIn, u.index) && u.world.now >= f.lostFrom
 }
 
-func (u *upstream) slow() bool {
+func (u *upstream) isSlow() bool {
 	f, now := &u.world.config.faults, u.world.now
-	return oneIn(f.slowEvery, u.index) && now >= f.slowFrom && (f.slowUntil == 0 || now < f.slowUntil)
+	return oneIn(f.slowOneIn, u.index) && now >= f.slowFrom && (f.slowUntil == 0 || now < f.slowUntil)
 }
 
 func (u *upstream) serviceTime() time.Duration {
 	w := u.world
 	f := &w.config.faults
 	d := w.lognormal()
-	if u.slow() {
+	if u.isSlow() {
 		d = time.Duration(float64(d) * f.slowFactor)
 	}
-	if f.straggleShare > 0 && w.random.Float64() < f.straggleShare {
-		d = time.Duration(float64(d) * f.straggleFactor)
+	if f.stragglerShare > 0 && w.random.Float64() < f.stragglerShare {
+		d = time.Duration(float64(d) * f.stragglerFactor)
 	}
 	return d
 }
@@ -51,13 +51,13 @@
 	switch {
 	case !u.world.site.accept(u, k):
 		// The site does what is to be done.
-	case u.lost():
+	case u.isLost():
 		// It never answers; the caller gives up in the end.
 	case k.cancelled:
-	case oneIn(c.faults.shedEvery, u.index):
+	case oneIn(c.faults.shedOneIn, u.index):
 		k.reply(policy.CallShed)
 	case len(u.running) < c.capacity.slots:
-		u.begin(k)
+		u.startCall(k)
 	case len(u.backlog) < c.capacity.backlog:
 		u.backlog = append(u.backlog, k)
 	default:
@@ -65,15 +65,15 @@
 	}
 }
 
-func (u *upstream) begin(k *call) {
-	k.working = true
+func (u *upstream) startCall(k *call) {
+	k.holdsSlot = true
 	u.running = append(u.running, k)
-	if !u.world.site.begin(u, k) {
+	if !u.world.site.startCall(u, k) {
 		return
 	}
 	u.world.after(u.serviceTime(), func() {
-		if k.working {
-			k.working = false
+		if k.holdsSlot {
+			k.holdsSlot = false
 			u.release(k)
 			k.reply(policy.CallOK)
 		}
@@ -87,7 +87,7 @@
 		k := u.backlog[0]
 		u.backlog = u.backlog[1:]
 		if !k.cancelled {
-			u.begin(k)
+			u.startCall(k)
 		}
 	}
 }
--- a/tier/replay/world.go
+++ b/tier/replay/world.go
@@ -15,18 +15,18 @@
 // world is one replay under way. It is single-threaded.
 type world struct {
 	// config is the case that is played.
-	config    Case
-	now       time.Duration
-	queue     events
-	ranks     uint64
-	random    *rand.Rand
-	site      site
-	upstreams []*upstream
-	hosts     []*host
+	config       Case
+	now          time.Duration
+	queue        eventQueue
+	lastSequence uint64
+	random       *rand.Rand
+	site         site
+	upstreams    []*upstream
+	hosts        []*host
 	// results has one element for each load of the case.
 	results []*classResult
-	// indices finds an upstream by name.
-	indices map[string]int
+	// upstreamIndices finds an upstream by name.
+	upstreamIndices map[string]int
 }
 
 // Run replays a case. The error names what is wrong with the case.
@@ -40,11 +40,11 @@
 }
 
 func newWorld(c Case, newSite func(*world) site) (*world, error) {
-	w := &world{config: c, random: rand.New(rand.NewPCG(c.Seed, seedStream)), indices: map[string]int{}}
+	w := &world{config: c, random: rand.New(rand.NewPCG(c.Seed, seedStream)), upstreamIndices: map[string]int{}}
 	w.site = newSite(w)
-	for i := range w.site.upstreams() {
+	for i := range w.site.upstreamCount() {
 		w.upstreams = append(w.upstreams, newUpstream(w, i))
-		w.indices[upstreamName(i)] = i
+		w.upstreamIndices[upstreamName(i)] = i
 	}
 	for i := range c.hosts {
 		w.hosts = append(w.hosts, newHost(w, i))
@@ -69,8 +69,8 @@
 // after plans something for a later time; what is planned for one time is done in
 // the order of planning.
 func (w *world) after(d time.Duration, do func()) {
-	w.ranks++
-	heap.Push(&w.queue, event{at: w.now + d, rank: w.ranks, do: do})
+	w.lastSequence++
+	heap.Push(&w.queue, event{at: w.now + d, sequence: w.lastSequence, do: do})
 }
 
 // startLoad plans the arrivals of a load, by its index.
@@ -84,43 +84,43 @@
 	}
 	var next func()
 	next = func() {
-		if w.now >= w.config.length {
+		if w.now >= w.config.duration {
 			return
 		}
 		w.after(gap(), next)
-		w.site.request(index)
+		w.site.startRequest(index)
 	}
 	w.after(gap(), next)
 	return nil
 }
 
 func (w *world) lognormal() time.Duration {
-	return time.Duration(float64(w.config.capacity.service) * math.Exp(w.config.capacity.sigma*w.random.NormFloat64()))
+	return time.Duration(float64(w.config.capacity.serviceTime) * math.Exp(w.config.capacity.sigma*w.random.NormFloat64()))
 }
 
 type event struct {
 	at time.Duration
-	// rank orders events of one time.
-	rank uint64
-	do   func()
+	// sequence orders events of one time.
+	sequence uint64
+	do       func()
 }
 
-// events is a heap of events, the earliest first.
-type events []event
+// eventQueue is a heap of eventQueue, the earliest first.
+type eventQueue []event
 
-var _ heap.Interface = (*events)(nil)
+var _ heap.Interface = (*eventQueue)(nil)
 
-func (e events) Len() int { return len(e) }
+func (e eventQueue) Len() int { return len(e) }
 
-func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].rank < e[j].rank
+func (e eventQueue) Less(i, j int) bool {
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
 
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-func (e *events) Push(x any) { *e = append(*e, x.(event)) }
+func (e *eventQueue) Push(x any) { *e = append(*e, x.(event)) }
 
-func (e *events) Pop() any {
+func (e *eventQueue) Pop() any {
 	last := len(*e) - 1
 	x := (*e)[last]
 	(*e)[last] = event{}
