--- a/tier/replay/call.go
+++ b/tier/replay/call.go
@@ -6,23 +6,25 @@
 	"loomgap/tier/policy"
 )
 
+// call is a call to an upstream, made directly or relayed by the upstream's owner.
 type call struct {
 	world    *world
 	upstream *upstream
-	// delay is the one-way time between the caller and whoever it calls.
+	// delay is the one-way network delay between caller and callee.
 	delay time.Duration
-	// holdsSlot is true while the call has a slot of the upstream.
+	// holdsSlot is true while the call occupies a slot of the upstream.
 	holdsSlot bool
 	cancelled bool
-	// finished is true once the outcome is reported.
+	// finished is true once the outcome has been reported.
 	finished bool
-	// lingering is true once the call goes on though it is not wanted.
+	// lingering is true if the call continues although its result is not needed.
 	lingering bool
-	// execution is what the call belongs to; nil for one that an owner makes.
+	// execution is the execution that the call belongs to; nil for the inner call of a
+	// relayed one.
 	execution *execution
-	// inner is the call that the owner makes for a relayed one.
+	// inner is the call that the owner makes on behalf of a relayed one.
 	inner *call
-	// done reports the outcome to the calling host, once.
+	// done reports the outcome to the calling host. It is called at most once.
 	done func(policy.CallOutcome)
 }
 
@@ -41,7 +43,8 @@
 	}
 }
 
-// cancel gives the call up here at once, and at the other end a hop later.
+// cancel ends the call immediately at the caller, and at the callee after the network
+// delay.
 func (k *call) cancel(o policy.CallOutcome) {
 	if k.finished {
 		return
@@ -61,13 +64,14 @@
 	}
 }
 
-// linger gives the call up after a while, unless it has ended.
+// linger cancels the call after a delay, unless it has finished by then.
 func (k *call) linger(o policy.CallOutcome, in time.Duration) {
 	k.lingering = true
 	k.world.after(in, func() { k.cancel(o) })
 }
 
-// relay has the owner of the upstream make the call, within its slots.
+// relay sends the call to the owner of the upstream, which makes it once it has a free
+// slot.
 func (k *call) relay(owner *host, name string, deadline time.Duration) {
 	w := k.world
 	k.delay = w.config.relayDelay
@@ -84,7 +88,7 @@
 	})
 }
 
-// startRelayed makes the call from the owner, who has a slot for it.
+// startRelayed makes the call from the owner, which holds a slot for it.
 func (k *call) startRelayed(owner *host, u *policy.Upstream) {
 	w := k.world
 	if k.cancelled {
--- a/tier/replay/case.go
+++ b/tier/replay/case.go
@@ -6,80 +6,86 @@
 	"loomgap/tier/config"
 )
 
-// sharing is how the hosts of a hall share the slots of an upstream.
+// sharing is the way in which the hosts of a hall share the slots of an upstream.
 type sharing string
 
-// The ways to share slots.
+// Ways to share slots.
 const (
-	// sharingNone lets each host use all slots; the upstream sheds the excess.
+	// sharingNone lets each host use all slots; the upstream sheds excess calls.
 	sharingNone sharing = "None"
-	// sharingShares gives each host its own part of the slots.
+	// sharingShares gives each host a fixed share of the slots.
 	sharingShares sharing = "Shares"
-	// sharingBorrow gives each host its own part, and lets it use idle slots
-	// beyond it for as long as the upstream does not shed.
+	// sharingBorrow gives each host a share and lets it borrow idle slots beyond it
+	// as long as the upstream does not shed calls.
 	sharingBorrow sharing = "Borrow"
-	// sharingOwner gives all slots to one host; the others relay through it.
+	// sharingOwner gives all slots to one host; the other hosts relay through it.
 	sharingOwner sharing = "Owner"
 )
 
+// load is a stream of requests of one class with Poisson arrivals.
 type load struct {
 	class config.Class
-	// rate is requests a second over all hosts, with Poisson arrivals.
+	// rate is the number of requests per second over all hosts.
 	rate float64
-	// shards is how many shards each request asks: those from a random first one
-	// on.
+	// shards is the number of consecutive shards that each request asks, starting
+	// at a random one.
 	shards int
 }
 
+// capacity describes how much work an upstream can do.
 type capacity struct {
-	// slots is how many calls run at once, backlog how many may wait for a slot.
+	// slots is the number of calls that run concurrently, backlog the number that
+	// may wait for a slot.
 	slots, backlog int
-	// serviceTime is the median of the lognormal serviceTime time, sigma the standard
+	// serviceTime is the median of the lognormal service time, sigma the standard
 	// deviation of its logarithm.
 	serviceTime time.Duration
 	sigma       float64
 }
 
-// faults are what goes wrong at upstreams. Where a field says "one in n", 0 is for
-// none.
+// faults are the faults injected at upstreams. In the fields that select one upstream
+// in n, 0 selects none.
 type faults struct {
-	// slowOneIn makes one upstream in n slower by slowFactor, from slowFrom until
-	// slowUntil; slowUntil 0 is until the end.
+	// slowOneIn makes one upstream in n slower by slowFactor from slowFrom until
+	// slowUntil, or until the end if slowUntil is 0.
 	slowOneIn           int
 	slowFactor          float64
 	slowFrom, slowUntil time.Duration
-	// stragglerShare of the calls, 0 to 1, take stragglerFactor times as long.
+	// stragglerShare is the fraction of calls, 0 to 1, that take stragglerFactor
+	// times as long.
 	stragglerShare, stragglerFactor float64
-	// lostOneIn makes one upstream in n stop answering from lostFrom on.
+	// lostOneIn makes one upstream in n stop answering at lostFrom.
 	lostOneIn int
 	lostFrom  time.Duration
-	// shedOneIn makes one upstream in n refuse all calls, whatever its health
-	// endpoint says.
+	// shedOneIn makes one upstream in n shed all calls although its health checks
+	// pass.
 	shedOneIn int
 }
 
-// Case describes one replay. Cases returns those that are there.
+// Case describes one replay. Cases returns the predefined ones.
 type Case struct {
-	// Name is the case's name in the table.
+	// Name identifies the case in the report.
 	Name string
-	// Seed draws arrivals, service times and choices.
+	// Seed seeds the random source of arrivals, service times and choices.
 	Seed uint64
-	// duration is the virtual time in which requests arrive; those of the first warmup
-	// are not counted.
+	// duration is the virtual time during which requests arrive. Requests that start
+	// within the initial warmup are not counted.
 	duration, warmup time.Duration
 	hosts            int
 	sharing          sharing
-	// shards and replicas are how many shards there are and upstreams of each.
-	// Requests of a class have as many upstreams as shards: replica r of shard i
-	// is upstream i+r.
+	// shards is the number of shards, replicas the number of upstreams of each. For
+	// requests of a class there are as many upstreams as shards, and replica r of
+	// shard i is upstream i+r.
 	shards, replicas int
-	// delay is the one-way time between host and upstream, relayDelay between hosts.
+	// delay is the one-way network delay between host and upstream, relayDelay the
+	// one between two hosts.
 	delay, relayDelay time.Duration
 	capacity          capacity
 	faults            faults
 	loads             []load
 }
 
+// slotsOf returns the number of an upstream's slots that belong to a host.
 func (c *Case) slotsOf(host, upstream int) int {
 	if c.sharing != sharingShares && c.sharing != sharingBorrow {
 		return c.capacity.slots
--- a/tier/replay/cases.go
+++ b/tier/replay/cases.go
@@ -7,15 +7,15 @@
 	"loomgap/tier/config"
 )
 
-// Cases lists the cases of docs/DECISIONS.md. What each one measures:
+// Cases returns the cases of docs/DECISIONS.md. Each one exercises a policy:
 //
-//	healthy        the choice of the replica with the least expected time
-//	stragglers     quantile and budget of hedges
+//	healthy        choice of the replica with the lowest expected latency
+//	stragglers     quantile and budget of hedged requests
 //	lost replica   ejection after failures
-//	cold start     the mark of slow upstreams, and probes
-//	lying health   the backoff after sheds
-//	overload       admission by worth for cost
-//	small, wide    shares of slots with borrowing, against other ways to share
+//	cold start     detection of slow upstreams and probing
+//	lying health   backoff after sheds
+//	overload       admission by worth per cost
+//	small, wide    slot shares with borrowing, compared with other ways to share
 func Cases() []Case {
 	lost := healthyCase()
 	lost.faults = faults{lostOneIn: 100, lostFrom: 8 * time.Second}
@@ -33,14 +33,15 @@
 	return append(out, sharingCases()...)
 }
 
-// baseline turns a class into its baseline: any replica, no hedge, no admission.
+// baseline returns a class with a random choice of replica, no hedging and no admission
+// control.
 func baseline(c config.Class) config.Class {
 	c.Choice, c.Hedge, c.Admission = "Random", config.HedgeNone, "None"
 	return c
 }
 
-// withBaseline returns a case under the baseline ("plain") and under the defaults
-// ("chosen").
+// withBaseline returns a case with the baseline policies ("plain") and one with the
+// default policies ("chosen").
 func withBaseline(name string, c Case) []Case {
 	plain, chosen := c, c
 	plain.Name, chosen.Name = name+", plain", name+", chosen"
@@ -59,8 +60,8 @@
 	return c
 }
 
-// healthyCase is 510 shards over 510 upstreams of 4 slots at a quarter of their
-// capacity, as one data hall of the design size sees a query, without faults.
+// healthyCase returns a case without faults: 510 shards on 510 upstreams of 4 slots, at
+// a quarter of their capacity, the size of one data hall that the tier is designed for.
 func healthyCase() Case {
 	return Case{
 		Seed: 1, duration: 20 * time.Second, warmup: 4 * time.Second, hosts: 2, sharing: sharingBorrow,
@@ -71,15 +72,15 @@
 	}
 }
 
-// stragglersCase is the healthy case with one upstream in 50 ten times slower, and
-// one call in 1,000 ten times slower besides.
+// stragglersCase returns the healthy case with one upstream in 50 ten times slower and
+// one call in 1,000 ten times slower in addition.
 func stragglersCase() Case {
 	c := healthyCase()
 	c.faults = faults{slowOneIn: 50, slowFactor: 10, stragglerShare: 0.001, stragglerFactor: 10}
 	return c
 }
 
-// smallCase is one service of 2 upstreams with 2 slots, as the users run 50 of.
+// smallCase returns a case with a small service: 2 upstreams of 2 slots each.
 func smallCase(rate float64) Case {
 	c := healthyCase()
 	c.duration, c.warmup = 120*time.Second, 10*time.Second
@@ -88,12 +89,12 @@
 	return c
 }
 
-// smallCallsPerSecond is how many calls a second the 4 slots of a small service can
-// run, at a mean service time of 5.67 ms.
+// smallCallsPerSecond is the capacity of the small service: 4 slots at a mean service
+// time of 5.67 ms.
 const smallCallsPerSecond = 706
 
-// overloadCase is smallCase at twice its capacity, with two classes that differ in
-// worth.
+// overloadCase returns the small case at twice its capacity, with two classes of
+// different worth.
 func overloadCase() Case {
 	c := smallCase(0)
 	c.duration = 60 * time.Second
@@ -104,8 +105,8 @@
 	return c
 }
 
-// sharingCases compares how two hosts share slots, with upstreams that queue
-// nothing and with ones that queue four calls.
+// sharingCases returns cases that compare the ways in which two hosts share slots, for
+// upstreams without a queue and for upstreams that queue four calls.
 func sharingCases() []Case {
 	var out []Case
 	for _, backlog := range []int{0, 4} {
--- a/tier/replay/doc.go
+++ b/tier/replay/doc.go
@@ -1,18 +1,18 @@
-// Package replay runs the decisions of package policy against fakes of upstreams
-// in virtual time, with fixed seeds, so that a decision can be compared with its
-// baseline in seconds and with the same result every time.
+// Package replay simulates package policy against fake upstreams in virtual time.
+// Seeds are fixed, so a policy can be compared with its baseline within seconds and
+// with the same result every time.
 //
-// It owns the fakes and the virtual clock, and relies on packages policy and
-// config alone: it opens no connection, starts no process and reads no clock.
-// Network and processor time of the daemon are not measured here.
+// The package provides the fake upstreams and the virtual clock and depends only on
+// packages policy and config: it opens no connections, starts no processes and never
+// reads the system clock. It does not model the daemon's own network and CPU time.
 //
-// Begin with cases.go, which lists the cases and the decision that each one
-// measures. case.go describes a case; world.go has the clock; site.go joins hosts and
-// upstreams for requests of a class; execution.go and call.go show how the decisions
-// are carried out, and can serve as an example of how to embed package policy;
-// upstream.go is the fake upstream. Tests replay routed requests, and ones that crash
-// upstreams, at sites of their own.
+// Start with cases.go, which lists the cases and the policy that each one exercises.
+// case.go defines a case, world.go the event loop and the clock, site.go the hosts and
+// upstreams for requests of a class, and upstream.go the fake upstream. execution.go
+// and call.go carry out the actions of a policy.Run and serve as an example of how to
+// embed package policy. The tests define further sites, for routed requests and for
+// requests that crash upstreams.
 //
-// A replay runs in the goroutine that calls Run. Replays share nothing, so that
-// several may run at once.
+// A replay runs in the goroutine that calls Run. Replays share no state, so several
+// can run concurrently.
 package replay
--- a/tier/replay/execution.go
+++ b/tier/replay/execution.go
@@ -6,26 +6,26 @@
 	"loomgap/tier/policy"
 )
 
-// execution carries out one run of policy in virtual time.
+// execution carries out the actions of one policy.Run in virtual time.
 type execution struct {
 	host *host
-	// load is the index of the load that the request belongs to.
+	// load is the index of the request's load.
 	load      int
 	run       *policy.Run
 	startedAt time.Duration
 	shards    int
-	// calls are those made so far, by the run's number of the attempt.
+	// calls holds the calls made so far, by the number of their attempt.
 	calls map[int]*call
-	// wakeAt is when the run is woken next; ended once it is finished.
+	// wakeAt is when the run is woken next, or neverWake once it has finished.
 	wakeAt time.Duration
 	// result counts the request; nil during the warm-up.
 	result *classResult
-	// onEnd is told the answer and how long it took; nil if nobody asks. The answer
-	// is nil if the request was refused.
+	// onEnd, if not nil, receives the answer and the time it took. The answer is nil
+	// if the request was refused.
 	onEnd func(answer *policy.Result, took time.Duration)
 }
 
-// neverWake is the wakeAt of an execution that is finished.
+// neverWake is the wakeAt of a finished execution.
 const neverWake time.Duration = -1
 
 func (h *host) newExecution(load, shards int) *execution {
@@ -43,7 +43,7 @@
 	c.Granted = func(n int) { w.after(0, func() { e.perform(e.run.Granted(w.now, n)) }) }
 	run, err := policy.NewRun(c)
 	if err != nil {
-		panic(err) // the case names a plug-in that is not there
+		panic(err) // the case names an unknown plug-in
 	}
 	e.run = run
 	actions, err := run.Begin(w.now)
@@ -102,14 +102,14 @@
 	e.wakeAt = neverWake
 }
 
-// notifyEnd passes the end on to whoever asks.
+// notifyEnd calls onEnd if it is set.
 func (e *execution) notifyEnd(answer *policy.Result, took time.Duration) {
 	if e.onEnd != nil {
 		e.onEnd(answer, took)
 	}
 }
 
-// send makes a call, directly or through the owner of the upstream.
+// send makes the call of an action, directly or through the owner of the upstream.
 func (e *execution) send(a policy.Action) {
 	w := e.host.world
 	index := w.upstreamIndices[a.Upstream.Name]
--- a/tier/replay/report.go
+++ b/tier/replay/report.go
@@ -14,7 +14,7 @@
 // Report is the result of a replay.
 type Report struct {
 	name string
-	// seconds is the virtual time that is counted.
+	// seconds is the virtual time after the warm-up.
 	seconds float64
 	classes []*classResult
 }
@@ -23,12 +23,11 @@
 	return &Report{name: w.config.Name, seconds: (w.config.duration - w.config.warmup).Seconds(), classes: w.results}
 }
 
-// Header is the head of the table that Print writes rows of.
+// Header is the header of the Markdown table whose rows Print writes.
 const Header = "| Case | Class | Answered | Refused | p50 ms | p99 ms | p99.9 ms | Coverage | Complete | Extra | Worth/s |\n" +
 	"| --- | --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |\n"
 
-// Print writes a report as rows of a Markdown table, one for each class. Latencies
-// are in milliseconds.
+// Print writes a row of the Markdown table for each class.
 func (r *Report) Print(out io.Writer) {
 	for _, c := range r.classes {
 		fmt.Fprintf(out, "| %s | %s | %d | %d | %.1f | %.1f | %.1f | %.5f | %.4f | %.2f%% | %.0f |\n", r.name, c.name, c.answers, c.refusals,
@@ -39,7 +38,7 @@
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// worthPerSecond is the worth of the complete answers, for each second.
+// worthPerSecond returns the total worth of the complete answers per second.
 func (r *Report) worthPerSecond() float64 {
 	total := 0
 	for _, c := range r.classes {
@@ -48,23 +47,22 @@
 	return float64(total) / r.seconds
 }
 
+// classResult accumulates the results of the requests of one class.
 type classResult struct {
 	name  string
 	worth int
-	// answers and refusals count requests, complete those answers that lack
-	// nothing.
+	// answers and refusals count requests, complete the answers that include every
+	// shard.
 	answers, refusals, complete int
-	// asked and included count parts, attempts the calls made for them.
+	// asked counts the shards asked, included those in the answers, and attempts the
+	// calls made for them.
 	asked, included, attempts int
 	latency                   *hdrhistogram.Histogram
 }
 
-// Bounds of the latencies that a result counts.
+// Range and precision of the latency histogram.
 const (
-	// maxLatencyMicros is the longest latency counted, a minute in microseconds: more
-	// than any deadline of a case.
-	maxLatencyMicros = 60_000_000
-	// latencySignificantDigits is how many significant digits of a latency are kept.
+	maxLatencyMicros         = 60_000_000 // a minute, longer than any deadline of a case
 	latencySignificantDigits = 3
 )
 
@@ -72,14 +70,15 @@
 	return &classResult{name: c.Name, worth: c.Worth, latency: hdrhistogram.New(1, maxLatencyMicros, latencySignificantDigits)}
 }
 
-// recordRefusal counts a request that was recordRefusal. Like answered it does nothing on nil,
-// during the warm-up.
+// recordRefusal counts a refused request. Like recordAnswer, it does nothing on a nil
+// receiver, which stands for requests during the warm-up.
 func (c *classResult) recordRefusal() {
 	if c != nil {
 		c.refusals++
 	}
 }
 
+// recordAnswer counts an answered request.
 func (c *classResult) recordAnswer(took time.Duration, r *policy.Result, shards int) {
 	if c == nil {
 		return
@@ -91,18 +90,19 @@
 	if r.Included == shards {
 		c.complete++
 	}
-	_ = c.latency.RecordValue(took.Microseconds()) // a case's deadline is far below longestMicros
+	_ = c.latency.RecordValue(took.Microseconds()) // deadlines are below maxLatencyMicros
 }
 
-// quantile is a latency quantile of the answers, 0 to 1.
+// quantile returns the latency of the answers at quantile q, 0 to 1.
 func (c *classResult) quantile(q float64) time.Duration {
 	return time.Duration(c.latency.ValueAtQuantile(q*100)) * time.Microsecond
 }
 
-// coverage is the share of the parts asked that the answers include.
+// coverage returns the fraction of the asked shards that the answers include.
 func (c *classResult) coverage() float64 { return float64(c.included) / float64(max(c.asked, 1)) }
 
-// extraLoad is calls over parts asked, less 1.
+// extraLoad returns the number of calls beyond one per asked shard, as a fraction of
+// the asked shards.
 func (c *classResult) extraLoad() float64 {
 	return float64(c.attempts)/float64(max(c.asked, 1)) - 1
 }
--- a/tier/replay/site.go
+++ b/tier/replay/site.go
@@ -7,32 +7,35 @@
 	"loomgap/tier/policy"
 )
 
-// site is how the hosts and upstreams of a replay are joined, and what they do beyond
-// what a Case says. The cases of Cases have a classSite; tests have sites of routed
-// requests, whose upstreams pause and crash.
+// site defines how hosts and upstreams are connected and how they behave beyond what a
+// Case describes. The cases of Cases use a classSite; tests use sites for routed
+// requests whose upstreams pause and crash.
 type site interface {
-	// upstreamCount is how many upstreamCount there are.
+	// upstreamCount returns the number of upstreams.
 	upstreamCount() int
-	// setUpHost sets up a host's view of the upstreams.
+	// setUpHost gives a host its view of the upstreams.
 	setUpHost(*host)
-	// startRequest brings one startRequest of a load, by its index, to any host.
+	// startRequest sends one request of the load with the given index to a random host.
 	startRequest(load int)
-	// delay is the one-way time between a host and an upstream, by its index.
+	// delay returns the one-way network delay between a host and the upstream with the
+	// given index.
 	delay(h *host, upstream int) time.Duration
-	// process has something done once the host has done its own process for it.
+	// process calls do once the host has spent its own processing time.
 	process(h *host, do func())
-	// accept reports whether an upstream treats a call that arrives as usual; if
-	// not, the site does so.
+	// accept reports whether the upstream handles an arriving call as usual. If not,
+	// the site handles it.
 	accept(*upstream, *call) bool
-	// startCall reports the same of a call that has just got a slot.
+	// startCall reports whether the upstream runs a call that got a slot as usual. If
+	// not, the site runs it.
 	startCall(*upstream, *call) bool
 }
 
+// host is an entry host that makes decisions with its own policy.Fleet.
 type host struct {
 	world *world
 	index int
 	fleet *policy.Fleet
-	// pool has the latencies of requests of a class; nil at a site of routed ones.
+	// pool holds the latencies of requests of a class; nil at a site of routed requests.
 	pool *policy.LatencyPool
 }
 
@@ -44,8 +47,8 @@
 
 func upstreamName(i int) string { return fmt.Sprintf("U%d", i) }
 
-// classSite is the site of requests of a class: each shard is at as many upstreams as
-// it has replicas, and each upstream has a part of as many shards.
+// classSite is the site of requests of a class. Replica r of shard i is upstream i+r,
+// modulo the number of shards.
 type classSite struct {
 	world *world
 }
--- a/tier/replay/upstream.go
+++ b/tier/replay/upstream.go
@@ -7,21 +7,20 @@
 	"loomgap/tier/policy"
 )
 
-// upstream is the fake of one upstream: slots, a short backlog, and faults.
+// upstream is a fake upstream with slots, a short backlog and injected faults.
 type upstream struct {
 	world *world
 	index int
-	// running are the calls in the slots, backlog those that wait for one.
+	// running holds the calls that occupy slots, backlog those that wait for one.
 	running, backlog []*call
 }
 
 func newUpstream(w *world, index int) *upstream { return &upstream{world: w, index: index} }
 
-// oneIn reports whether an upstream is the one among n that a fault is for; no
-// upstream is if n is 0.
+// oneIn reports whether a fault that affects one upstream in n affects the one with the
+// given index. With n 0 it affects none.
 func oneIn(n, index int) bool { return n > 0 && index%n == n/2 }
 
-// isLost reports whether the upstream has stopped answering.
 func (u *upstream) isLost() bool {
 	f := &u.world.config.faults
 	return oneIn(f.lostOneIn, u.index) && u.world.now >= f.lostFrom
@@ -45,14 +44,14 @@
 	return d
 }
 
-// arrive takes a call in, queues it or sheds it.
+// arrive starts a call, queues it or sheds it.
 func (u *upstream) arrive(k *call) {
 	c := &u.world.config
 	switch {
 	case !u.world.site.accept(u, k):
-		// The site does what is to be done.
+		// The site handles the call.
 	case u.isLost():
-		// It never answers; the caller gives up in the end.
+		// There is no answer; the caller times out.
 	case k.cancelled:
 	case oneIn(c.faults.shedOneIn, u.index):
 		k.reply(policy.CallShed)
@@ -80,7 +79,7 @@
 	})
 }
 
-// release gives the slot of a call that ended to the backlog.
+// release frees the slot of a finished call and starts calls of the backlog.
 func (u *upstream) release(done *call) {
 	u.running = slices.DeleteFunc(u.running, func(k *call) bool { return k == done })
 	for len(u.backlog) > 0 && len(u.running) < u.world.config.capacity.slots {
--- a/tier/replay/world.go
+++ b/tier/replay/world.go
@@ -8,13 +8,12 @@
 	"time"
 )
 
-// seedStream is the second word of the random source's seed. Any constant does;
-// the golden lines of the replay were made with this one.
+// seedStream is the second word of the PCG seed. The golden file depends on it.
 const seedStream = 42
 
-// world is one replay under way. It is single-threaded.
+// world is the state of a running replay: the virtual clock, the event queue, the hosts
+// and the upstreams. It is not safe for concurrent use.
 type world struct {
-	// config is the case that is played.
 	config       Case
 	now          time.Duration
 	queue        eventQueue
@@ -25,11 +24,11 @@
 	hosts        []*host
 	// results has one element for each load of the case.
 	results []*classResult
-	// upstreamIndices finds an upstream by name.
+	// upstreamIndices maps the name of an upstream to its index.
 	upstreamIndices map[string]int
 }
 
-// Run replays a case. The error names what is wrong with the case.
+// Run replays a case. It returns an error if the case is invalid.
 func Run(c Case) (*Report, error) {
 	w, err := newWorld(c, func(w *world) site { return classSite{w} })
 	if err != nil {
@@ -66,18 +65,18 @@
 	}
 }
 
-// after plans something for a later time; what is planned for one time is done in
-// the order of planning.
+// after schedules do to run after a delay. Events of the same time run in the order in
+// which they were scheduled.
 func (w *world) after(d time.Duration, do func()) {
 	w.lastSequence++
 	heap.Push(&w.queue, event{at: w.now + d, sequence: w.lastSequence, do: do})
 }
 
-// startLoad plans the arrivals of a load, by its index.
+// startLoad schedules the arrivals of the load with the given index.
 func (w *world) startLoad(index int) error {
 	l := &w.config.loads[index]
 	if l.rate <= 0 || l.shards < 1 || l.shards > w.config.shards {
-		return fmt.Errorf("load %s: rate or shards out of range: use a rate above 0 and 1 to %d shards", l.class.Name, w.config.shards)
+		return fmt.Errorf("load %s: rate or number of shards out of range (rate must be above 0, shards 1 to %d)", l.class.Name, w.config.shards)
 	}
 	gap := func() time.Duration {
 		return time.Duration(w.random.ExpFloat64() / l.rate * float64(time.Second))
@@ -98,14 +97,15 @@
 	return time.Duration(float64(w.config.capacity.serviceTime) * math.Exp(w.config.capacity.sigma*w.random.NormFloat64()))
 }
 
+// event is a function scheduled for a point in virtual time.
 type event struct {
 	at time.Duration
-	// sequence orders events of one time.
+	// sequence orders events scheduled for the same time.
 	sequence uint64
 	do       func()
 }
 
-// eventQueue is a heap of eventQueue, the earliest first.
+// eventQueue is a heap of events, the earliest first.
 type eventQueue []event
 
 var _ heap.Interface = (*eventQueue)(nil)
