--- a/loomctl/check.go
+++ b/loomctl/check.go
@@ -49,16 +49,16 @@
 	return exitComplete
 }
 
-// readDocument reads a file, but no more of it than a document may have.
+// readDocument reads a configuration document from a file, up to the maximum size.
 func readDocument(name string) (*config.Document, error) {
 	f, err := os.Open(name)
 	if err != nil {
-		return nil, fmt.Errorf("%w: give the path of a document", err)
+		return nil, fmt.Errorf("open document: %w", err)
 	}
 	defer func() { _ = f.Close() }()
 	text, err := io.ReadAll(io.LimitReader(f, config.MaxBytes+1))
 	if err != nil {
-		return nil, fmt.Errorf("%w: give the path of a document", err)
+		return nil, fmt.Errorf("read document: %w", err)
 	}
 	d, err := config.Decode(text)
 	if err != nil {
--- a/loomctl/client.go
+++ b/loomctl/client.go
@@ -21,24 +21,25 @@
 	"loomgap/tier/prog"
 )
 
-// envPrefix begins the environment variable of each flag: -Host is
+// envPrefix is the prefix of the environment variables of flags: -Host can be set as
 // LOOMCTL_HOST.
 const envPrefix = "LOOMCTL_"
 
-// Forms of the output, as -Format names them.
+// Output formats, the values of -Format.
 const (
 	formatText = "Text"
 	formatJSON = "JSON"
 )
 
-// connection holds the flags that all commands to a host share.
+// connection holds the flags shared by all commands that talk to a host.
 type connection struct {
-	// host is the callers' address of an entry host, operate the operators'.
-	host    netip.AddrPort
+	// host is the address of an entry host for callers.
+	host netip.AddrPort
+	// operate is the address of an entry host for operators.
 	operate netip.AddrPort
-	// timeout bounds the whole command.
+	// timeout limits the duration of the whole command.
 	timeout time.Duration
-	// format is formatText or formatJSON once check has passed.
+	// format is formatText or formatJSON after validate has succeeded.
 	format string
 }
 
@@ -49,8 +50,8 @@
 	f.StringVar(&c.format, "Format", formatText, "Text or JSON")
 }
 
-// hostCommand adds the flags of the connection to a command. What it runs has the time
-// limit in its context.
+// hostCommand adds the flags of the connection to a command and runs it with the timeout
+// in its context.
 func (c *connection) hostCommand(d prog.Command) prog.Command {
 	flags, run := d.Flags, d.Run
 	d.Flags = func(f *flag.FlagSet) {
@@ -70,14 +71,14 @@
 	return d
 }
 
-// validate fills in the environment and finds wrong values.
+// validate sets flags from the environment and returns an error for an invalid value.
 func (c *connection) validate(f *flag.FlagSet) error {
 	var bad *config.VariableError
 	if err := config.SetFlagsFromEnv(f, envPrefix, os.LookupEnv); errors.As(err, &bad) {
-		return fmt.Errorf("environment: %w: correct the %s variable", bad.Err, envPrefix)
+		return fmt.Errorf("invalid environment: %w (correct the %s variable)", bad.Err, envPrefix)
 	}
 	if c.format != formatText && c.format != formatJSON {
-		return fmt.Errorf("-Format %q: use Text or JSON", c.format)
+		return fmt.Errorf("invalid -Format %q (use Text or JSON)", c.format)
 	}
 	return nil
 }
@@ -94,8 +95,8 @@
 	return opsgen.NewClient(h.Status(), h.Document(), h.Ready(), h.Drain())
 }
 
-// hostError returns the kind and message of a typed error of a host, else the error
-// itself.
+// hostError returns an error with the kind and message of a fault reported by a host. It
+// returns other errors unchanged.
 func hostError(err error) error {
 	var f *entrygen.Fault
 	if errors.As(err, &f) {
--- a/loomctl/order.go
+++ b/loomctl/order.go
@@ -46,14 +46,15 @@
 			return fail(hostError(err))
 		}
 		c.ticket = t.Ticket
-		// Printed first, so that the caller can ask again if this try is lost.
+		// Print the ticket before the order is sent, so that the caller can retry with
+		// it if the answer is lost.
 		fmt.Fprintln(os.Stderr, "Ticket:", c.ticket)
 	}
 	a, err := client.Order(ctx, &entrygen.OrderPayload{
 		Ticket: c.ticket, Statement: strings.Join(f.Args(), " "), Class: c.class, DeadlineMillis: &c.deadline,
 	})
 	if err != nil {
-		return fail(fmt.Errorf("%w; ask again with -Ticket %s", hostError(err), c.ticket))
+		return fail(fmt.Errorf("%w (retry with -Ticket %s)", hostError(err), c.ticket))
 	}
 	return printAnswer(a, c.format)
 }
--- a/loomctl/plan.go
+++ b/loomctl/plan.go
@@ -75,25 +75,26 @@
 	}
 	d.Based = newest
 	if err := config.Check(d, newest+1); err != nil {
-		return fmt.Errorf("the commands give an invalid document: %w", err)
+		return fmt.Errorf("commands result in an invalid document: %w", err)
 	}
 	after, err := config.Encode(d)
 	if err != nil {
 		return err
 	}
 	if len(after) > config.MaxBytes {
-		return fmt.Errorf("the document has %d bytes: keep it within %d", len(after), config.MaxBytes)
+		return fmt.Errorf("document has %d bytes, the maximum is %d", len(after), config.MaxBytes)
 	}
 	fmt.Fprint(os.Stderr, lineDiff(string(before), string(after)))
 	return c.write(after)
 }
 
+// statements parses the commands of -File or -Command.
 func (c *planCommand) statements() ([]*query.Statement, error) {
 	text := c.command
 	if c.file != "" {
 		t, err := os.ReadFile(c.file)
 		if err != nil {
-			return nil, fmt.Errorf("%w: give a file of commands", err)
+			return nil, fmt.Errorf("read commands: %w", err)
 		}
 		text = string(t)
 	}
@@ -102,16 +103,17 @@
 		return nil, err
 	}
 	if len(s) == 0 {
-		return nil, fmt.Errorf("no commands: give -Command or -File")
+		return nil, fmt.Errorf("no commands (use -Command or -File)")
 	}
 	return s, nil
 }
 
+// onlyShows reports whether no statement changes the document.
 func onlyShows(statements []*query.Statement) bool {
 	return !slices.ContainsFunc(statements, func(s *query.Statement) bool { return s.Show == nil })
 }
 
-// baseDocument returns the document to begin from and the newest published revision.
+// baseDocument returns the document to change and the newest published revision.
 func (c *planCommand) baseDocument(ctx context.Context) (*config.Document, uint64, error) {
 	if c.from != "" {
 		d, err := readDocument(c.from)
@@ -119,7 +121,7 @@
 	}
 	r, err := c.ops().Document(ctx)
 	if err != nil {
-		return nil, 0, fmt.Errorf("document in force: %w: give -Operate of a host, or -From", err)
+		return nil, 0, fmt.Errorf("get current document: %w (check -Operate, or use -From)", err)
 	}
 	if r.Revision == 0 {
 		return &config.Document{}, r.Newest, nil
@@ -134,11 +136,12 @@
 		return err
 	}
 	if err := os.WriteFile(c.out, text, 0o644); err != nil {
-		return fmt.Errorf("%w: give a file that can be written", err)
+		return fmt.Errorf("write document: %w", err)
 	}
 	return nil
 }
 
+// lineDiff returns the added and removed lines, marked with "+ " and "- ".
 func lineDiff(before, after string) string {
 	m := diffmatchpatch.New()
 	a, b, lines := m.DiffLinesToChars(before, after)
--- a/loomctl/print.go
+++ b/loomctl/print.go
@@ -20,7 +20,7 @@
 	return exitComplete
 }
 
-// printAnswer prints an answer and gives the exit status of its outcome.
+// printAnswer prints an answer and returns the exit status for its outcome.
 func printAnswer(a *entrygen.Answer, format string) subcommands.ExitStatus {
 	if format == formatJSON {
 		if s := printJSON(a); s != exitComplete {
@@ -59,7 +59,7 @@
 	return strings.Join(out, ", ")
 }
 
-// formatRow writes a record out: its key and fields.
+// formatRow formats the key and the fields of a record.
 func formatRow(r *entrygen.Row) string {
 	out := []string{r.Key}
 	for _, f := range r.Fields {
--- a/loomd/environment_test.go
+++ b/loomd/environment_test.go
@@ -11,9 +11,8 @@
 	"loomgap/tier/config"
 )
 
-// TestEnvironmentNamesAreStable compares the environment variables of serve,
-// in the order of their flags, with testdata/environment.txt: deploy files use
-// them.
+// TestEnvironmentNamesAreStable guards against renamed or removed environment variables,
+// which would break deployment files.
 func TestEnvironmentNamesAreStable(t *testing.T) {
 	var c serveCommand
 	f := flag.NewFlagSet("serve", flag.ContinueOnError)
--- a/loomd/log_test.go
+++ b/loomd/log_test.go
@@ -12,8 +12,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestLogDoesNotBlockOnSlowReader writes far more than pipe and buffer hold
-// while nobody reads.
+// TestLogDoesNotBlockOnSlowReader guards against a logger that blocks when its output is
+// not read, and against dropped lines that are not counted.
 func TestLogDoesNotBlockOnSlowReader(t *testing.T) {
 	r, w, err := os.Pipe()
 	assert.NilError(t, err)
@@ -38,7 +38,6 @@
 	assert.Equal(t, uint64(n)+lost, uint64(lines))
 }
 
-// TestLogTimesHaveMilliseconds writes a line and reads its time.
 func TestLogTimesHaveMilliseconds(t *testing.T) {
 	var out bytes.Buffer
 	log, flush := newLog(&out)
--- a/loomd/main.go
+++ b/loomd/main.go
@@ -1,11 +1,11 @@
-// Package main is the daemon of an entry host. It owns the process: its settings,
-// log, signals and planned stop. What the host does is in the stages of package
-// tier, which register themselves and run on one kernel.
+// Package main is the daemon of an entry host. It manages the process: settings, log,
+// signals and graceful shutdown. The work of the host is done by stages in the packages
+// under tier, which register themselves and share one kernel.
 //
-// Begin with serve.go, the life of the process from start to end. start.go starts
-// the stages in their order, reload.go takes in settings that change while the
-// process runs, and stop.go waits for a planned stop. settings.go has the flags and
-// their checks, log.go and trace.go what the process writes.
+// Start with serve.go, which runs the process from start to exit. start.go starts the
+// stages in order, reload.go reloads settings that may change at run time, and stop.go
+// waits for a planned stop. settings.go defines and validates the flags; log.go and
+// trace.go write logs and spans.
 package main
 
 import "loomgap/tier/prog"
--- a/loomd/reload.go
+++ b/loomd/reload.go
@@ -12,14 +12,13 @@
 	"loomgap/tier/kernel"
 )
 
-// filePollInterval is how often the file of settings is looked at, since it may
-// change without a signal.
+// filePollInterval is how often the settings file is read, since it may change without
+// a signal.
 const filePollInterval = 5 * time.Second
 
-// watchSettingsFile puts changed settings of a file in force, at SIGHUP and when the
-// file changes. Without a file SIGHUP changes nothing. The function it returns
-// ends the watch.
-func watchSettingsFile(k *kernel.Kernel, o settingsSource) func() {
+// watchSettingsFile applies changes of the settings file, at SIGHUP and periodically.
+// Without a settings file it only logs SIGHUP. The returned function stops it.
+func watchSettingsFile(k *kernel.Kernel, src settingsSource) func() {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	done := make(chan struct{})
@@ -31,11 +30,11 @@
 			case <-done:
 				return
 			case <-signals:
-				k.Log.Info().Str("File", o.file).Msg("settings read again at SIGHUP")
+				k.Log.Info().Str("File", src.file).Msg("reloading settings at SIGHUP")
 			case <-tick.C:
 			}
-			if o.file != "" {
-				reload(k, o)
+			if src.file != "" {
+				reload(k, src)
 			}
 		}
 	}()
@@ -45,12 +44,12 @@
 	}
 }
 
-// reload takes in what may change while the process runs. A file that cannot
-// be read or is wrong changes nothing.
-func reload(k *kernel.Kernel, o settingsSource) {
-	next, err := o.settings()
+// reload applies the settings that may change at run time. If the settings are invalid
+// or cannot be read, it keeps the current ones.
+func reload(k *kernel.Kernel, src settingsSource) {
+	next, err := src.settings()
 	if err != nil {
-		k.Log.Error().Err(err).Msg("changed settings refused, the old ones stay in force")
+		k.Log.Error().Err(err).Msg("rejected changed settings, keeping the current ones")
 		return
 	}
 	old, live := k.Reloadable(), kernel.ReloadableSettings{Seeds: next.Seeds, RetryBudget: next.RetryBudget}
@@ -59,34 +58,37 @@
 	}
 	k.Reload(live)
 	k.Log.Info().Int("Seeds", len(live.Seeds)).Float64("RetryRatio", live.RetryBudget.Ratio).
-		Float64("RetrySlack", live.RetryBudget.Slack).Msg("changed settings in force")
+		Float64("RetrySlack", live.RetryBudget.Slack).Msg("applied changed settings")
 }
 
+// settingsSource is where the settings of the process come from.
 type settingsSource struct {
-	// flags are the flags of the command line, by name.
+	// flags holds the values of the flags given on the command line, by name.
 	flags map[string]string
-	// file is the file of settings; empty for none.
+	// file is the path of the settings file; empty for none.
 	file string
 }
 
-// newSettingsSource remembers the flags that a command line gave.
+// newSettingsSource returns a source with the flags given on the command line and a
+// settings file.
 func newSettingsSource(f *flag.FlagSet, file string) settingsSource {
-	o := settingsSource{flags: map[string]string{}, file: file}
-	f.Visit(func(x *flag.Flag) { o.flags[x.Name] = x.Value.String() })
-	return o
+	src := settingsSource{flags: map[string]string{}, file: file}
+	f.Visit(func(x *flag.Flag) { src.flags[x.Name] = x.Value.String() })
+	return src
 }
 
-func (o settingsSource) settings() (*kernel.Settings, error) {
+// settings reads the settings again and validates them.
+func (s settingsSource) settings() (*kernel.Settings, error) {
 	var c serveCommand
 	f := flag.NewFlagSet("settings", flag.ContinueOnError)
 	f.SetOutput(io.Discard)
 	c.flags(f)
-	for name, value := range o.flags {
+	for name, value := range s.flags {
 		if err := f.Set(name, value); err != nil {
 			return nil, &settingError{Flag: name, Problem: err.Error(), Remedy: "correct the flag"}
 		}
 	}
-	if err := setFlagsFromEnvironment(f, o.file); err != nil {
+	if err := setFlagsFromEnvironment(f, s.file); err != nil {
 		return nil, err
 	}
 	return &c.settings, validateSettings(&c.settings)
--- a/loomd/serve.go
+++ b/loomd/serve.go
@@ -20,7 +20,7 @@
 type serveCommand struct {
 	settings kernel.Settings
 	level    string
-	// file is the file of settings; empty for none.
+	// file is the path of the settings file; empty for none.
 	file string
 }
 
@@ -44,8 +44,8 @@
 	log, flush := newLog(os.Stdout)
 	defer flush()
 	if err := c.run(ctx, f, log, flush); err != nil {
-		log.Error().Err(err).Msg("daemon not run")
-		// Whoever started it by hand looks here.
+		log.Error().Err(err).Msg("daemon failed to start")
+		// Operators who start the daemon by hand read standard error.
 		fmt.Fprintln(os.Stderr, "loomd: "+err.Error())
 		return subcommands.ExitFailure
 	}
@@ -53,7 +53,7 @@
 }
 
 func (c *serveCommand) run(ctx context.Context, f *flag.FlagSet, log zerolog.Logger, flush func()) error {
-	o := newSettingsSource(f, c.file)
+	src := newSettingsSource(f, c.file)
 	if err := setFlagsFromEnvironment(f, c.file); err != nil {
 		return err
 	}
@@ -66,18 +66,17 @@
 	}
 	log = log.Level(level).With().Str("Host", c.settings.Host).Logger()
 	c.settings.Incarnation = incarnation(time.Now())
-	return serve(ctx, c.settings, o, log, flush)
+	return serve(ctx, c.settings, src, log, flush)
 }
 
-// incarnation names this process. A later process of the host has a larger
-// name as long as the host's clock does not go back.
+// incarnation returns a name for this process. A later process of the host has a larger
+// name as long as the host's clock is not set back.
 func incarnation(now time.Time) string {
 	return fmt.Sprintf("%016x%04x", uint64(now.UnixNano()), rand.Uint32N(1<<16))
 }
 
-// serve starts the host, serves until a planned stop, and cleans up in the opposite
-// order.
-func serve(ctx context.Context, s kernel.Settings, o settingsSource, log zerolog.Logger, flush func()) error {
+// serve starts the stages, waits for a planned stop and cleans up in reverse order.
+func serve(ctx context.Context, s kernel.Settings, src settingsSource, log zerolog.Logger, flush func()) error {
 	signals := stopSignals()
 	tracer, closeTracer := newTracer(s.TraceRatio, log)
 	defer closeTracer()
@@ -91,7 +90,7 @@
 		return err
 	}
 	defer cleanUp()
-	defer watchSettingsFile(k, o)()
+	defer watchSettingsFile(k, src)()
 	log.Info().Str("Version", prog.Release).Str("Incarnation", s.Incarnation).Str("Adapter", s.Adapter).
 		Int("Seeds", len(s.Seeds)).Msg("daemon started")
 	defer log.Info().Msg("daemon stops")
--- a/loomd/settings.go
+++ b/loomd/settings.go
@@ -15,14 +15,14 @@
 	"loomgap/tier/kernel"
 )
 
-// envPrefix begins the environment variable of each flag: -StopBound is
-// LOOMD_STOPBOUND.
+// envPrefix is the prefix of the environment variables of flags: -StopBound can be set
+// as LOOMD_STOPBOUND.
 const envPrefix = "LOOMD_"
 
-// errInvalidSetting is wrapped by every error of a setting.
-var errInvalidSetting = errors.New("bad setting")
+// errInvalidSetting is wrapped by every settingError.
+var errInvalidSetting = errors.New("invalid setting")
 
-// settingError is a setting that is missing or wrong.
+// settingError is the error of a missing or invalid setting.
 type settingError struct {
 	Flag    string
 	Problem string
@@ -33,9 +33,10 @@
 	return fmt.Sprintf("-%s: %s: %s", e.Flag, e.Problem, e.Remedy)
 }
 
-// Unwrap gives errSetting.
+// Unwrap returns errInvalidSetting.
 func (e *settingError) Unwrap() error { return errInvalidSetting }
 
+// addressList is a flag value of comma-separated addresses.
 type addressList []netip.AddrPort
 
 func (s *addressList) String() string {
@@ -54,14 +55,14 @@
 	for _, p := range strings.Split(v, ",") {
 		a, err := netip.ParseAddrPort(strings.TrimSpace(p))
 		if err != nil {
-			return fmt.Errorf("write IP:port, divided by commas: %w", err)
+			return fmt.Errorf("expected IP:port addresses, separated by commas: %w", err)
 		}
 		*s = append(*s, a)
 	}
 	return nil
 }
 
-// regionList is a list of halls with their regionList, divided by commas.
+// regionList is a flag value of comma-separated Hall=Region pairs.
 type regionList config.Regions
 
 func (r *regionList) String() string { return config.Regions(*r).String() }
@@ -72,6 +73,7 @@
 	return err
 }
 
+// registerFlags registers a flag for each setting.
 func registerFlags(f *flag.FlagSet, s *kernel.Settings) {
 	f.StringVar(&s.Host, "Host", "", "`name` of this host in the document")
 	f.StringVar(&s.Hall, "Hall", "", "`name` of the data hall of this host")
@@ -102,8 +104,8 @@
 	f.Float64Var(&s.TraceRatio, "TraceRatio", 0, "share of requests whose spans are logged, 0 to 1")
 }
 
-// setFlagsFromEnvironment sets the flags that the command line left out: from the
-// environment, or else from the file of settings, if one is named.
+// setFlagsFromEnvironment sets the flags that the command line omits from the
+// environment or, failing that, from the settings file if there is one.
 func setFlagsFromEnvironment(f *flag.FlagSet, file string) error {
 	inFile, err := readSettingsFile(file)
 	if err != nil {
@@ -117,8 +119,8 @@
 	return err
 }
 
-// readSettingsFile reads a file of settings: a line NAME=value for each, with the
-// names of the environment. No file has no settings.
+// readSettingsFile reads a settings file, which has a line NAME=value for each setting
+// under the name of its environment variable. An empty path gives no settings.
 func readSettingsFile(path string) (config.Lookup, error) {
 	if path == "" {
 		return func(string) (string, bool) { return "", false }, nil
@@ -133,7 +135,8 @@
 	}, nil
 }
 
-// validateSettings finds what is missing or wrong.
+// validateSettings returns an error for the first setting that is missing or invalid.
+// It also fills in the default of SettleMost.
 func validateSettings(s *kernel.Settings) error {
 	if s.SettleMost == 0 {
 		s.SettleMost = 2 * s.Settle
--- a/loomd/start.go
+++ b/loomd/start.go
@@ -8,19 +8,19 @@
 
 	"loomgap/tier/kernel"
 
-	// The plug-ins and adapters register themselves.
+	// These packages register their stages and adapters.
 	_ "loomgap/platform"
 	_ "loomgap/tier/entry"
 	_ "loomgap/tier/pass"
 	_ "loomgap/tier/peers"
 )
 
-// pipeline lists the stages of the daemon, in order of start; they are cleaned up in
-// the opposite order. Each stage decides by the settings whether it has anything to
-// do: with an adapter, Feed and Routes run in place of Platform and Entry.
+// pipeline lists the stages of the daemon in start order; they are cleaned up in reverse
+// order. A stage may be skipped depending on the settings: with an adapter, Feed and
+// Routes run in place of Platform and Entry.
 var pipeline = []string{"Peers", "Platform", "Feed", "Operators", "Entry", "Routes"}
 
-// startPipeline starts all stages and returns the clean-up of all.
+// startPipeline starts all stages. The returned function cleans them up.
 func startPipeline(ctx context.Context, k *kernel.Kernel) (func(), error) {
 	stages, err := kernel.Pipeline(pipeline)
 	if err != nil {
@@ -48,8 +48,8 @@
 	return cleanUp, nil
 }
 
-// startStage starts a stage unless it has nothing to do, logs that, and names the
-// stage in its error. It returns the stage's clean-up; nil if it needs none.
+// startStage starts a stage unless the settings skip it. It returns the stage's clean-up
+// function, nil if there is none.
 func startStage(ctx context.Context, k *kernel.Kernel, p kernel.Plugin) (func(), error) {
 	started := time.Now()
 	var cleanUp func()
--- a/loomd/stop.go
+++ b/loomd/stop.go
@@ -8,17 +8,18 @@
 	"loomgap/tier/kernel"
 )
 
-// stopSignals returns the signals that begin a planned stop, SIGTERM and SIGINT.
-// They are taken from the call on, so that none is lost while the host starts.
+// stopSignals returns a channel of the signals that request a planned stop, SIGTERM and
+// SIGINT. It is called before the host starts, so that no signal is missed during the
+// start.
 func stopSignals() <-chan os.Signal {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	return signals
 }
 
-// waitForStop waits for a signal or a drain command, and returns once the host takes
-// no more requests. Those in flight go on: the clean-ups of the stages wait for them,
-// for StopBound of the settings at the most.
+// waitForStop waits for a signal or a drain command and returns once the host accepts no
+// more requests. Requests in flight continue: the clean-up of the stages waits for them,
+// up to the setting StopBound.
 func waitForStop(k *kernel.Kernel, signals <-chan os.Signal) {
 	select {
 	case <-signals:
@@ -26,6 +27,6 @@
 		k.Stop()
 	case <-k.Stopping():
 	}
-	k.Log.Info().Dur("Settle", k.Settings.Settle).Msg("planned stop begins")
+	k.Log.Info().Dur("Settle", k.Settings.Settle).Msg("beginning planned stop")
 	k.Settle()
 }
--- a/loomd/trace.go
+++ b/loomd/trace.go
@@ -8,14 +8,15 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
+// spanLogger is a span exporter that writes spans to the log.
 type spanLogger struct {
 	log zerolog.Logger
 }
 
 var _ sdk.SpanExporter = spanLogger{}
 
-// ExportSpans implements sdk.SpanExporter. It writes a line for each span and cannot
-// fail: lines that nobody reads are lost and counted by the log.
+// ExportSpans implements sdk.SpanExporter. It writes a line for each span and never
+// fails, since the log drops and counts lines that it cannot write in time.
 func (s spanLogger) ExportSpans(_ context.Context, spans []sdk.ReadOnlySpan) error {
 	for _, p := range spans {
 		line := s.log.Info().
@@ -35,8 +36,8 @@
 
 func (spanLogger) Shutdown(context.Context) error { return nil }
 
-// newTracer makes a tracer that logs a share of the requests' spans, or those
-// whose caller asks for it in the traceparent header.
+// newTracer returns a tracer that logs the spans of a fraction of the requests, and of
+// those whose caller sampled them in the traceparent header.
 func newTracer(ratio float64, log zerolog.Logger) (trace.Tracer, func()) {
 	p := sdk.NewTracerProvider(
 		sdk.WithBatcher(spanLogger{log: log}),
