--- a/loomd/serve.go
+++ b/loomd/serve.go
@@ -20,7 +20,7 @@
 type serveCommand struct {
 	settings kernel.Settings
 	level    string
-	// file is the file of settings; empty for none.
+	// file is the path of the settings file; empty for none.
 	file string
 }
 
@@ -35,7 +35,7 @@
 }
 
 func (c *serveCommand) flags(f *flag.FlagSet) {
-	bind(f, &c.settings)
+	registerFlags(f, &c.settings)
 	f.StringVar(&c.file, "Settings", "", "`file` of settings, read again when it changes or at SIGHUP")
 	f.StringVar(&c.level, "Level", "info", "least `level` of log lines: debug, info, warn, error")
 }
@@ -44,8 +44,8 @@
 	log, flush := newLog(os.Stdout)
 	defer flush()
 	if err := c.run(ctx, f, log, flush); err != nil {
-		log.Error().Err(err).Msg("daemon not run")
-		// Whoever started it by hand looks here.
+		log.Error().Err(err).Msg("daemon failed to start")
+		// Operators who start the daemon by hand read standard error.
 		fmt.Fprintln(os.Stderr, "loomd: "+err.Error())
 		return subcommands.ExitFailure
 	}
@@ -53,11 +53,11 @@
 }
 
 func (c *serveCommand) run(ctx context.Context, f *flag.FlagSet, log zerolog.Logger, flush func()) error {
-	o := originOf(f, c.file)
-	if err := fromEnvironment(f, c.file); err != nil {
+	src := newSettingsSource(f, c.file)
+	if err := setFlagsFromEnvironment(f, c.file); err != nil {
 		return err
 	}
-	if err := checkSettings(&c.settings); err != nil {
+	if err := validateSettings(&c.settings); err != nil {
 		return err
 	}
 	level, err := zerolog.ParseLevel(c.level)
@@ -66,18 +66,17 @@
 	}
 	log = log.Level(level).With().Str("Host", c.settings.Host).Logger()
 	c.settings.Incarnation = incarnation(time.Now())
-	return serve(ctx, c.settings, o, log, flush)
+	return serve(ctx, c.settings, src, log, flush)
 }
 
-// incarnation names this process. A later process of the host has a larger
-// name as long as the host's clock does not go back.
+// incarnation returns a name for this process. A later process of the host has a larger
+// name as long as the host's clock is not set back.
 func incarnation(now time.Time) string {
 	return fmt.Sprintf("%016x%04x", uint64(now.UnixNano()), rand.Uint32N(1<<16))
 }
 
-// serve starts the host, serves until a planned stop, and cleans up in the opposite
-// order.
-func serve(ctx context.Context, s kernel.Settings, o origin, log zerolog.Logger, flush func()) error {
+// serve starts the stages, waits for a planned stop and cleans up in reverse order.
+func serve(ctx context.Context, s kernel.Settings, src settingsSource, log zerolog.Logger, flush func()) error {
 	signals := stopSignals()
 	tracer, closeTracer := newTracer(s.TraceRatio, log)
 	defer closeTracer()
@@ -86,15 +85,15 @@
 		Fleet: policy.NewFleet(policy.FleetConfig{Random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}),
 	})
 	defer closeKernel()
-	cleanUp, err := runPipeline(ctx, k)
+	cleanUp, err := startPipeline(ctx, k)
 	if err != nil {
 		return err
 	}
 	defer cleanUp()
-	defer watchFile(k, o)()
+	defer watchSettingsFile(k, src)()
 	log.Info().Str("Version", prog.Release).Str("Incarnation", s.Incarnation).Str("Adapter", s.Adapter).
 		Int("Seeds", len(s.Seeds)).Msg("daemon started")
 	defer log.Info().Msg("daemon stops")
-	awaitStop(k, signals)
+	waitForStop(k, signals)
 	return nil
 }
--- a/loomd/trace.go
+++ b/loomd/trace.go
@@ -8,15 +8,16 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-type spanLog struct {
+// spanLogger is a span exporter that writes spans to the log.
+type spanLogger struct {
 	log zerolog.Logger
 }
 
-var _ sdk.SpanExporter = spanLog{}
+var _ sdk.SpanExporter = spanLogger{}
 
-// ExportSpans implements sdk.SpanExporter. It writes a line for each span and cannot
-// fail: lines that nobody reads are lost and counted by the log.
-func (s spanLog) ExportSpans(_ context.Context, spans []sdk.ReadOnlySpan) error {
+// ExportSpans implements sdk.SpanExporter. It writes a line for each span and never
+// fails, since the log drops and counts lines that it cannot write in time.
+func (s spanLogger) ExportSpans(_ context.Context, spans []sdk.ReadOnlySpan) error {
 	for _, p := range spans {
 		line := s.log.Info().
 			Str("Trace", p.SpanContext().TraceID().String()).
@@ -33,13 +34,13 @@
 	return nil
 }
 
-func (spanLog) Shutdown(context.Context) error { return nil }
+func (spanLogger) Shutdown(context.Context) error { return nil }
 
-// newTracer makes a tracer that logs a share of the requests' spans, or those
-// whose caller asks for it in the traceparent header.
+// newTracer returns a tracer that logs the spans of a fraction of the requests, and of
+// those whose caller sampled them in the traceparent header.
 func newTracer(ratio float64, log zerolog.Logger) (trace.Tracer, func()) {
 	p := sdk.NewTracerProvider(
-		sdk.WithBatcher(spanLog{log: log}),
+		sdk.WithBatcher(spanLogger{log: log}),
 		sdk.WithSampler(sdk.ParentBased(sdk.TraceIDRatioBased(ratio))),
 	)
 	return p.Tracer("loomgap"), func() { _ = p.Shutdown(context.Background()) }
--- a/tier/replay/call.go
+++ b/tier/replay/call.go
@@ -6,32 +6,34 @@
 	"loomgap/tier/policy"
 )
 
+// call is a call to an upstream, made directly or relayed by the upstream's owner.
 type call struct {
 	world    *world
 	upstream *upstream
-	// hop is the one-way time between the caller and whoever it calls.
-	hop time.Duration
-	// working is true while the call has a slot of the upstream.
-	working   bool
+	// delay is the one-way network delay between caller and callee.
+	delay time.Duration
+	// holdsSlot is true while the call occupies a slot of the upstream.
+	holdsSlot bool
 	cancelled bool
-	// finished is true once the outcome is reported.
+	// finished is true once the outcome has been reported.
 	finished bool
-	// lingering is true once the call goes on though it is not wanted.
+	// lingering is true if the call continues although its result is not needed.
 	lingering bool
-	// execution is what the call belongs to; nil for one that an owner makes.
+	// execution is the execution that the call belongs to; nil for the inner call of a
+	// relayed one.
 	execution *execution
-	// inner is the call that the owner makes for a relayed one.
+	// inner is the call that the owner makes on behalf of a relayed one.
 	inner *call
-	// done reports the outcome to the calling host, once.
+	// done reports the outcome to the calling host. It is called at most once.
 	done func(policy.CallOutcome)
 }
 
 func (k *call) start() {
-	k.world.after(k.hop, func() { k.upstream.arrive(k) })
+	k.world.after(k.delay, func() { k.upstream.arrive(k) })
 }
 
 func (k *call) reply(o policy.CallOutcome) {
-	k.world.after(k.hop, func() { k.finish(o) })
+	k.world.after(k.delay, func() { k.finish(o) })
 }
 
 func (k *call) finish(o policy.CallOutcome) {
@@ -41,13 +43,14 @@
 	}
 }
 
-// cancel gives the call up here at once, and at the other end a hop later.
+// cancel ends the call immediately at the caller, and at the callee after the network
+// delay.
 func (k *call) cancel(o policy.CallOutcome) {
 	if k.finished {
 		return
 	}
 	k.cancelled = true
-	k.world.after(k.hop, k.stop)
+	k.world.after(k.delay, k.stop)
 	k.world.after(0, func() { k.finish(o) })
 }
 
@@ -55,44 +58,45 @@
 	switch {
 	case k.inner != nil:
 		k.inner.cancel(policy.CallCancelled)
-	case k.working:
-		k.working = false
+	case k.holdsSlot:
+		k.holdsSlot = false
 		k.upstream.release(k)
 	}
 }
 
-// linger gives the call up after a while, unless it has ended.
+// linger cancels the call after a delay, unless it has finished by then.
 func (k *call) linger(o policy.CallOutcome, in time.Duration) {
 	k.lingering = true
 	k.world.after(in, func() { k.cancel(o) })
 }
 
-// relay has the owner of the upstream make the call, within its slots.
+// relay sends the call to the owner of the upstream, which makes it once it has a free
+// slot.
 func (k *call) relay(owner *host, name string, deadline time.Duration) {
 	w := k.world
-	k.hop = w.config.relayHop
+	k.delay = w.config.relayDelay
 	u := owner.fleet.Find(name)
-	w.after(k.hop, func() {
-		waiter := &policy.Waiter{Upstream: u, Deadline: deadline, Granted: func() { w.after(0, func() { k.relayed(owner, u) }) }}
+	w.after(k.delay, func() {
+		waiter := &policy.Waiter{Upstream: u, Deadline: deadline, Granted: func() { w.after(0, func() { k.startRelayed(owner, u) }) }}
 		granted, queued := owner.fleet.AcquireOrQueue(waiter)
 		switch {
 		case granted:
-			k.relayed(owner, u)
+			k.startRelayed(owner, u)
 		case !queued:
 			k.reply(policy.CallShed)
 		}
 	})
 }
 
-// relayed makes the call from the owner, who has a slot for it.
-func (k *call) relayed(owner *host, u *policy.Upstream) {
+// startRelayed makes the call from the owner, which holds a slot for it.
+func (k *call) startRelayed(owner *host, u *policy.Upstream) {
 	w := k.world
 	if k.cancelled {
 		policy.NotifyGranted(owner.fleet.ReleaseSlot(w.now, u))
 		return
 	}
 	sent := w.now
-	k.inner = &call{world: w, upstream: k.upstream, hop: w.config.hop}
+	k.inner = &call{world: w, upstream: k.upstream, delay: w.config.delay}
 	k.inner.done = func(o policy.CallOutcome) {
 		policy.NotifyGranted(owner.fleet.Finish(w.now, policy.Call{Upstream: u, Pool: owner.pool, Outcome: o, Took: w.now - sent}))
 		k.reply(o)
--- a/tier/replay/golden_test.go
+++ b/tier/replay/golden_test.go
@@ -10,9 +10,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// quickCases are the cases that TestReplayStaysTheSame plays, each within a few
-// seconds: both policies, both classes of a mixed load, and a relay through an
-// owner.
+// quickCases lists the cases that TestReplayMatchesGoldenFile runs, each within a few
+// seconds. They cover the baseline and default policies, a load of two classes, and
+// relaying through an owner.
 var quickCases = []string{
 	"overload, plain",
 	"overload, chosen",
@@ -20,12 +20,11 @@
 	"small, 30% use, queue 4, Owner",
 }
 
-// TestReplayStaysTheSame compares quick cases with their lines in
-// testdata/replay.golden to the digit. To compare all cases, which takes some
-// minutes:
+// TestReplayMatchesGoldenFile compares the results of quick cases with
+// testdata/replay.golden. To compare all cases, which takes some minutes:
 //
 //	go run ./loomfake replay | diff - tier/replay/testdata/replay.golden
-func TestReplayStaysTheSame(t *testing.T) {
+func TestReplayMatchesGoldenFile(t *testing.T) {
 	text, err := os.ReadFile("testdata/replay.golden")
 	assert.NilError(t, err)
 	want := strings.SplitAfter(string(text), "\n")
@@ -45,9 +44,9 @@
 	}
 }
 
-// TestGoldenHasEachCase holds the golden file to the cases: the same ones in the
-// same order.
-func TestGoldenHasEachCase(t *testing.T) {
+// TestGoldenFileListsAllCases guards against a golden file that lacks cases or has
+// obsolete ones.
+func TestGoldenFileListsAllCases(t *testing.T) {
 	text, err := os.ReadFile("testdata/replay.golden")
 	assert.NilError(t, err)
 	rows, found := strings.CutPrefix(string(text), Header)
--- a/tier/replay/routed_site_test.go
+++ b/tier/replay/routed_site_test.go
@@ -12,52 +12,52 @@
 	"loomgap/tier/policy"
 )
 
-// routed describes gathers of a route: every request asks all shards, each of which
-// has upstreams of its own, spread over the halls like the hosts.
-type routed struct {
-	// route is the route of the requests; its Gather names no groups.
+// routedParams describes the gathers of a route. Every request asks all shards; each
+// shard has its own upstreams, which are spread over the halls like the hosts.
+type routedParams struct {
+	// route is the route of the requests; its Gather lists no groups.
 	route config.Route
-	// plain has the baseline decide: any upstream, no hedge.
+	// plain selects the baseline policies.
 	plain bool
-	// halls is how many data halls there are; farHop is the one-way time between
+	// halls is the number of data halls, farDelay the one-way network delay between
 	// them.
-	halls  int
-	farHop time.Duration
-	// ratio and slack bound the retries of all hosts at a shard.
+	halls    int
+	farDelay time.Duration
+	// ratio and slack limit the retries of all hosts at a shard.
 	ratio, slack float64
-	// window is that in which the shards count these; 0 for hosts that only use what
-	// they have saved up.
+	// window is the period in which the platform counts retries. With 0 hosts only use
+	// the retries that their requests have earned.
 	window time.Duration
-	// ownWork is the work of hosts beside the upstreams' own.
-	ownWork ownWork
-	// forward has weak hosts forward their requests to the strong ones.
+	// processing is the processing time of hosts.
+	processing processingTimes
+	// forward makes weak hosts forward their requests to strong hosts.
 	forward bool
-	// pauseFor is how long each upstream pauses once in pauseEvery; 0 for never.
-	pauseFor, pauseEvery time.Duration
-	// shedders have most upstreams shed part of their calls for a while.
-	shedders shedders
-	// crash adds crashes of upstreams; nil for none.
+	// pauseDuration is how long each upstream pauses once per pauseInterval; 0 for never.
+	pauseDuration, pauseInterval time.Duration
+	// shedding makes some upstreams shed part of their calls.
+	shedding sheddingFault
+	// crash configures crashes of upstreams; nil for none.
 	crash *crashSettings
 }
 
-// shedders are upstreams, share of them all, that shed part of their calls from a time
-// until another, though their health endpoints are good.
-type shedders struct {
-	share, part float64
-	from, until time.Duration
+// sheddingFault makes a share of the upstreams shed a share of their calls during a
+// period, although their health checks pass.
+type sheddingFault struct {
+	upstreamShare, callShare float64
+	from, until              time.Duration
 }
 
-// ownWork is the work of a host for each answer of an upstream, one answer after the
-// other.
-type ownWork struct {
-	// strongHosts of the hosts, the first ones, take strong for each answer, the
-	// others weak. With 0 no host takes any.
+// processingTimes is the processing time of hosts per answer of an upstream. A host
+// processes one answer at a time.
+type processingTimes struct {
+	// strongHosts is the number of strong hosts, which are the first ones; all others
+	// are weak. With 0 no host needs any time.
 	strongHosts  int
 	strong, weak time.Duration
 }
 
-// class returns the settings of the decisions.
-func (r *routed) class() config.Class {
+// class returns the class of the route's requests.
+func (r *routedParams) class() config.Class {
 	c := r.route.Class()
 	if r.plain {
 		return baseline(c)
@@ -68,25 +68,25 @@
 // routedSetup is a case whose requests are gathers of a route.
 type routedSetup struct {
 	Case
-	routed routed
+	routed routedParams
 }
 
-// routedReport is the report of such a case, with what its site counted.
+// routedReport is the report of a routedSetup with the counts of its site.
 type routedReport struct {
 	*Report
 	crashes crashResult
-	// earned is the sum of what the answers within the objective earn.
-	earned float64
+	// score is the total score of the requests.
+	score float64
 }
 
-// meanEarned is what a request earns on average: the square of the share of shards
-// that an answer in time has.
-func (r *routedReport) meanEarned() float64 {
+// meanScore returns the mean score of a request. An answer within the objective scores
+// the square of its fraction of included shards, any other answer 0.
+func (r *routedReport) meanScore() float64 {
 	c := r.classes[0]
-	return r.earned / float64(max(c.answers+c.refusals, 1))
+	return r.score / float64(max(c.answers+c.refusals, 1))
 }
 
-// runRouted replays cases of routed requests side by side.
+// runRouted replays cases of routed requests concurrently.
 func runRouted(t *testing.T, cases ...routedSetup) []*routedReport {
 	t.Helper()
 	out := make([]*routedReport, len(cases))
@@ -107,7 +107,7 @@
 	var s *routedSite
 	w, err := newWorld(c.Case, func(w *world) site {
 		s = &routedSite{
-			classSite: classSite{w}, routed: &c.routed, freeAt: make([]time.Duration, c.hosts),
+			classSite: classSite{w}, routed: &c.routed, idleAt: make([]time.Duration, c.hosts),
 			states: make([]upstreamState, c.shards*c.replicas), attempts: map[*execution]*attempt{},
 		}
 		return s
@@ -119,45 +119,44 @@
 		s.startCrashes()
 	}
 	w.run()
-	return &routedReport{Report: w.report(), crashes: s.crashes, earned: s.earned}, nil
+	return &routedReport{Report: w.report(), crashes: s.crashes, score: s.score}, nil
 }
 
 // routedSite is a site of routed requests.
 type routedSite struct {
 	classSite
-	routed *routed
-	// freeAt is when a host has done its own work on the answers that came, by its
-	// index.
-	freeAt []time.Duration
-	// states are the crashes of the upstreams, by their index.
+	routed *routedParams
+	// idleAt is when each host, by index, has processed the answers received so far.
+	idleAt []time.Duration
+	// states holds the crash states of the upstreams, by index.
 	states []upstreamState
-	// attempts finds those of callers' requests, in a case with crashes.
+	// attempts maps executions to attempts, in a case with crashes.
 	attempts map[*execution]*attempt
-	// crashes is what became of the requests, in a case with crashes.
+	// crashes counts crashes and requests, in a case with crashes.
 	crashes crashResult
-	// thirdCrash is when the third upstream crashed; 0 before.
-	thirdCrash time.Duration
-	// earned is the sum of what the answers within the objective earn.
-	earned float64
+	// decisiveCrashAt is the time of the decisive crash; 0 before.
+	decisiveCrashAt time.Duration
+	// score is the total score of the requests.
+	score float64
 }
 
 var _ site = (*routedSite)(nil)
 
-func (s *routedSite) upstreams() int { return len(s.states) }
+func (s *routedSite) upstreamCount() int { return len(s.states) }
 
-func (r *routed) hall(index int) string { return fmt.Sprint("Hall", index%r.halls) }
+func (r *routedParams) hall(index int) string { return fmt.Sprint("Hall", index%r.halls) }
 
-func (s *routedSite) hop(h *host, upstream int) time.Duration {
+func (s *routedSite) delay(h *host, upstream int) time.Duration {
 	if s.routed.hall(h.index) == s.routed.hall(upstream) {
-		return s.world.config.hop
+		return s.world.config.delay
 	}
-	return s.routed.farHop
+	return s.routed.farDelay
 }
 
-func (s *routedSite) join(h *host) {
+func (s *routedSite) setUpHost(h *host) {
 	c := &s.world.config
 	var shares []policy.Share
-	for i := range s.upstreams() {
+	for i := range s.upstreamCount() {
 		hall := s.routed.hall(i)
 		shares = append(shares, policy.Share{
 			Name: upstreamName(i), Slots: c.capacity.slots + c.capacity.backlog, Listed: true,
@@ -172,51 +171,50 @@
 	}
 }
 
-// coreWork is the own work for each answer of a host of one core, against which the
-// capacity of a host is computed. Not measured.
-const coreWork = 50 * time.Microsecond
+// coreProcessingTime is the processing time per answer of a host with one core, the
+// reference for the capacity of hosts.
+const coreProcessingTime = 50 * time.Microsecond
 
-// coreCapacity is the capacity of a host of one core, in thousandths of a core.
+// coreCapacity is the capacity of a host with one core, in thousandths of a core.
 const coreCapacity = 1000
 
-// isStrong reports whether a host is one of the strong ones.
-func (s *routedSite) isStrong(h *host) bool { return h.index < s.routed.ownWork.strongHosts }
+func (s *routedSite) isStrong(h *host) bool { return h.index < s.routed.processing.strongHosts }
 
-// ownWork is what the host takes for each answer.
-func (s *routedSite) ownWork(h *host) time.Duration {
+// processingTime returns the host's processing time per answer.
+func (s *routedSite) processingTime(h *host) time.Duration {
 	r := s.routed
 	switch {
-	case r.ownWork.strongHosts == 0:
+	case r.processing.strongHosts == 0:
 		return 0
 	case s.isStrong(h):
-		return r.ownWork.strong
+		return r.processing.strong
 	default:
-		return r.ownWork.weak
+		return r.processing.weak
 	}
 }
 
-func (s *routedSite) work(h *host, do func()) {
+func (s *routedSite) process(h *host, do func()) {
 	w := s.world
-	took := s.ownWork(h)
+	took := s.processingTime(h)
 	if took == 0 {
 		do()
 		return
 	}
-	s.freeAt[h.index] = max(s.freeAt[h.index], w.now) + took
-	w.after(s.freeAt[h.index]-w.now, do)
+	s.idleAt[h.index] = max(s.idleAt[h.index], w.now) + took
+	w.after(s.idleAt[h.index]-w.now, do)
 }
 
-// candidate describes the host to those that choose a coordinator.
+// candidate describes the host as a candidate for coordinator.
 func (s *routedSite) candidate(h *host) policy.Candidate {
 	r := s.routed
-	work := max(s.ownWork(h), 1)
+	work := max(s.processingTime(h), 1)
 	return policy.Candidate{
-		Host: fmt.Sprint("H", h.index), Hall: r.hall(h.index), Capacity: int(coreCapacity * coreWork / work), RoundTrip: 2 * r.farHop,
+		Host: fmt.Sprint("H", h.index), Hall: r.hall(h.index), Capacity: int(coreCapacity * coreProcessingTime / work), RoundTrip: 2 * r.farDelay,
 	}
 }
 
-// coordinator returns the host that is to carry a request out, and how long a
-// message takes there; the host itself if none does better.
+// coordinator returns the host that runs a request received by h, which may be h itself,
+// and the one-way network delay to it.
 func (s *routedSite) coordinator(h *host) (*host, time.Duration) {
 	w, r := s.world, s.routed
 	if !r.forward {
@@ -224,7 +222,7 @@
 	}
 	var all []policy.Candidate
 	byName := map[string]*host{}
-	for _, o := range w.hosts[:r.ownWork.strongHosts] {
+	for _, o := range w.hosts[:r.processing.strongHosts] {
 		c := s.candidate(o)
 		all, byName[c.Host] = append(all, c), o
 	}
@@ -234,53 +232,52 @@
 	}
 	to := byName[best[0].Host]
 	if best[0].Hall == r.hall(h.index) {
-		return to, w.config.hop
+		return to, w.config.delay
 	}
-	return to, r.farHop
+	return to, r.farDelay
 }
 
-// forwardMessages is how many messages pass one after the other before a forwarded
-// request begins: the request, the sign that it came, and the word to begin.
+// forwardMessages is the number of sequential messages before a forwarded request
+// starts: the request, its acknowledgement, and the message to start.
 const forwardMessages = 3
 
-// request brings one gather of a load to any host, which carries it out or forwards
-// it.
-func (s *routedSite) request(load int) {
+// startRequest sends one gather of a load to a random host, which runs or forwards it.
+func (s *routedSite) startRequest(load int) {
 	w := s.world
 	if s.routed.crash != nil {
-		s.arrive(s.newCallerRequest(load))
+		s.sendToRandomHost(s.newCallerRequest(load))
 		return
 	}
 	h := w.hosts[w.random.IntN(len(w.hosts))]
-	// Nothing uses this draw; without it the same seeds give other figures.
+	// Keep this unused draw: without it the seeds produce different results.
 	w.random.IntN(w.config.shards)
-	g := gather{load: load, began: w.now}
-	to, hop := s.coordinator(h)
+	g := gather{load: load, startedAt: w.now}
+	to, delay := s.coordinator(h)
 	if to == h {
-		s.gather(h, g)
+		s.startGather(h, g)
 		return
 	}
-	g.back = hop
-	w.after(forwardMessages*hop, func() { s.gather(to, g) })
+	g.returnDelay = delay
+	w.after(forwardMessages*delay, func() { s.startGather(to, g) })
 }
 
-// gather is one gather that a host carries out.
+// gather is a gather that a host runs.
 type gather struct {
-	// request is the caller's; nil where it is not known.
+	// request is the caller's request; nil in a case without crashes.
 	request *callerRequest
-	// load is the index of its load.
+	// load is the index of the load.
 	load int
-	// began is when a host got the request.
-	began time.Duration
-	// back is how long the answer takes to that host.
-	back time.Duration
+	// startedAt is when the first host received the request.
+	startedAt time.Duration
+	// returnDelay is the network delay of the answer to that host.
+	returnDelay time.Duration
 }
 
-// gather has a host carry out a gather.
-func (s *routedSite) gather(h *host, g gather) {
+// startGather makes a host run a gather.
+func (s *routedSite) startGather(h *host, g gather) {
 	w, c := s.world, s.routed
 	class := c.class()
-	spent := w.now - g.began + g.back
+	spent := w.now - g.startedAt + g.returnDelay
 	class.Patience = config.Duration(max(time.Duration(class.Patience)-spent, 0))
 	names, groups := make([][]string, w.config.shards), make([]string, w.config.shards)
 	for i := range names {
@@ -291,13 +288,13 @@
 	}
 	near, far := h.fleet.RoutedLatencyPools(c.route.Name)
 	e := h.newExecution(g.load, w.config.shards)
-	e.begun = g.began - g.back
-	e.onEnd = func(answer *policy.Result, took time.Duration) { s.ended(e, g, answer, took) }
+	e.startedAt = g.startedAt - g.returnDelay
+	e.onEnd = func(answer *policy.Result, took time.Duration) { s.recordEnd(e, g, answer, took) }
 	if g.request != nil {
 		s.attempts[e] = &attempt{request: g.request}
 	}
-	e.begin(policy.RunConfig{
-		Pool: near, Class: &class, Replicas: h.fleet.Resolve(names), Identity: s.subject(g.request),
+	e.start(policy.RunConfig{
+		Pool: near, Class: &class, Replicas: h.fleet.Resolve(names), Identity: s.identity(g.request),
 		Deadline: w.now + time.Duration(c.route.TimeLimit),
 		Routed: &policy.RoutedConfig{
 			Groups: groups, FarPool: far, MaxAttempts: c.route.MaxAttempts, Objective: max(time.Duration(c.route.Objective)-spent, 0),
@@ -305,27 +302,27 @@
 	})
 }
 
-// ended counts what the answer to a gather earns, and tells its caller.
-func (s *routedSite) ended(e *execution, g gather, answer *policy.Result, took time.Duration) {
+// recordEnd adds the score of a gather's answer and finishes the caller's attempt.
+func (s *routedSite) recordEnd(e *execution, g gather, answer *policy.Result, took time.Duration) {
 	included := 0.0
 	if answer != nil {
 		included = float64(answer.Included)
 	}
 	if e.result != nil && took <= time.Duration(s.routed.route.Objective) {
 		share := included / float64(e.shards)
-		s.earned += share * share
+		s.score += share * share
 	}
 	if g.request != nil {
-		s.done(g.request, included >= s.routed.class().Coverage*float64(e.shards) && included > 0)
+		s.finishAttempt(g.request, included >= s.routed.class().Coverage*float64(e.shards) && included > 0)
 	}
 }
 
-// accept answers a call to an upstream that is away, and holds it up while the
-// upstream pauses.
+// accept fails a call to an upstream that is down, sheds one according to the shedding
+// fault, and delays one while the upstream pauses.
 func (s *routedSite) accept(u *upstream, k *call) bool {
 	down := s.states[u.index].down
 	if !down && s.crashesBy(k) {
-		s.reached(s.attempts[k.execution])
+		s.countReached(s.attempts[k.execution])
 	}
 	switch {
 	case down:
@@ -344,28 +341,28 @@
 	}
 }
 
-// sheds decides whether the upstream sheds a call now.
+// sheds reports whether the upstream sheds a call that arrives now.
 func (s *routedSite) sheds(u *upstream) bool {
-	d := &s.routed.shedders
+	d := &s.routed.shedding
 	if s.world.now < d.from || s.world.now >= d.until {
 		return false
 	}
-	// A large odd number spreads the upstreams that shed over the shards.
-	isOne := float64(u.index*7919%s.upstreams()) < d.share*float64(s.upstreams())
-	return isOne && s.world.random.Float64() < d.part
+	// The large odd factor spreads the shedding upstreams over the shards.
+	isOne := float64(u.index*7919%s.upstreamCount()) < d.upstreamShare*float64(s.upstreamCount())
+	return isOne && s.world.random.Float64() < d.callShare
 }
 
-// pausedFor is how much longer the upstream pauses. Each pauses at times of its
-// own.
+// pausedFor returns the remaining time of the upstream's current pause, 0 if it is not
+// paused.
 func (s *routedSite) pausedFor(u *upstream) time.Duration {
 	r := s.routed
-	if r.pauseFor == 0 {
+	if r.pauseDuration == 0 {
 		return 0
 	}
-	into := (s.world.now + time.Duration(u.index)*pauseSpread) % r.pauseEvery
-	return max(r.pauseFor-into, 0)
+	into := (s.world.now + time.Duration(u.index)*pauseOffset) % r.pauseInterval
+	return max(r.pauseDuration-into, 0)
 }
 
-// pauseSpread is the time between the pauses of two neighbouring upstreams, modulo
-// the period: a large odd number spreads them over it. Not measured.
-const pauseSpread = 7_919 * time.Millisecond
+// pauseOffset shifts the pauses of consecutive upstreams, modulo the pause interval. Its
+// large odd value spreads them over the interval.
+const pauseOffset = 7_919 * time.Millisecond
--- a/tier/replay/site.go
+++ b/tier/replay/site.go
@@ -7,54 +7,57 @@
 	"loomgap/tier/policy"
 )
 
-// site is how the hosts and upstreams of a replay are joined, and what they do beyond
-// what a Case says. The cases of Cases have a classSite; tests have sites of routed
-// requests, whose upstreams pause and crash.
+// site defines how hosts and upstreams are connected and how they behave beyond what a
+// Case describes. The cases of Cases use a classSite; tests use sites for routed
+// requests whose upstreams pause and crash.
 type site interface {
-	// upstreams is how many upstreams there are.
-	upstreams() int
-	// join sets up a host's view of the upstreams.
-	join(*host)
-	// request brings one request of a load, by its index, to any host.
-	request(load int)
-	// hop is the one-way time between a host and an upstream, by its index.
-	hop(h *host, upstream int) time.Duration
-	// work has something done once the host has done its own work for it.
-	work(h *host, do func())
-	// accept reports whether an upstream treats a call that arrives as usual; if
-	// not, the site does so.
+	// upstreamCount returns the number of upstreams.
+	upstreamCount() int
+	// setUpHost gives a host its view of the upstreams.
+	setUpHost(*host)
+	// startRequest sends one request of the load with the given index to a random host.
+	startRequest(load int)
+	// delay returns the one-way network delay between a host and the upstream with the
+	// given index.
+	delay(h *host, upstream int) time.Duration
+	// process calls do once the host has spent its own processing time.
+	process(h *host, do func())
+	// accept reports whether the upstream handles an arriving call as usual. If not,
+	// the site handles it.
 	accept(*upstream, *call) bool
-	// begin reports the same of a call that has just got a slot.
-	begin(*upstream, *call) bool
+	// startCall reports whether the upstream runs a call that got a slot as usual. If
+	// not, the site runs it.
+	startCall(*upstream, *call) bool
 }
 
+// host is an entry host that makes decisions with its own policy.Fleet.
 type host struct {
 	world *world
 	index int
 	fleet *policy.Fleet
-	// pool has the latencies of requests of a class; nil at a site of routed ones.
+	// pool holds the latencies of requests of a class; nil at a site of routed requests.
 	pool *policy.LatencyPool
 }
 
 func newHost(w *world, index int) *host {
 	h := &host{world: w, index: index, fleet: policy.NewFleet(policy.FleetConfig{Random: w.random})}
-	w.site.join(h)
+	w.site.setUpHost(h)
 	return h
 }
 
 func upstreamName(i int) string { return fmt.Sprintf("U%d", i) }
 
-// classSite is the site of requests of a class: each shard is at as many upstreams as
-// it has replicas, and each upstream has a part of as many shards.
+// classSite is the site of requests of a class. Replica r of shard i is upstream i+r,
+// modulo the number of shards.
 type classSite struct {
 	world *world
 }
 
 var _ site = classSite{}
 
-func (s classSite) upstreams() int { return s.world.config.shards }
+func (s classSite) upstreamCount() int { return s.world.config.shards }
 
-func (s classSite) join(h *host) {
+func (s classSite) setUpHost(h *host) {
 	c := &s.world.config
 	var shares []policy.Share
 	for i := range c.shards {
@@ -71,7 +74,7 @@
 	}
 }
 
-func (s classSite) request(load int) {
+func (s classSite) startRequest(load int) {
 	w := s.world
 	h := w.hosts[w.random.IntN(len(w.hosts))]
 	l := &w.config.loads[load]
@@ -83,16 +86,16 @@
 		}
 	}
 	replicas, snapshot := h.fleet.Plan(names)
-	h.newExecution(load, l.shards).begin(policy.RunConfig{
+	h.newExecution(load, l.shards).start(policy.RunConfig{
 		Pool: h.pool, Class: &l.class, Replicas: replicas, Snapshot: snapshot,
 		Deadline: w.now + time.Duration(l.class.Deadline-l.class.Margin),
 	})
 }
 
-func (s classSite) hop(*host, int) time.Duration { return s.world.config.hop }
+func (s classSite) delay(*host, int) time.Duration { return s.world.config.delay }
 
-func (classSite) work(_ *host, do func()) { do() }
+func (classSite) process(_ *host, do func()) { do() }
 
 func (classSite) accept(*upstream, *call) bool { return true }
 
-func (classSite) begin(*upstream, *call) bool { return true }
+func (classSite) startCall(*upstream, *call) bool { return true }
--- a/tier/replay/world.go
+++ b/tier/replay/world.go
@@ -8,28 +8,27 @@
 	"time"
 )
 
-// seedStream is the second word of the random source's seed. Any constant does;
-// the golden lines of the replay were made with this one.
+// seedStream is the second word of the PCG seed. The golden file depends on it.
 const seedStream = 42
 
-// world is one replay under way. It is single-threaded.
+// world is the state of a running replay: the virtual clock, the event queue, the hosts
+// and the upstreams. It is not safe for concurrent use.
 type world struct {
-	// config is the case that is played.
-	config    Case
-	now       time.Duration
-	queue     events
-	ranks     uint64
-	random    *rand.Rand
-	site      site
-	upstreams []*upstream
-	hosts     []*host
+	config       Case
+	now          time.Duration
+	queue        eventQueue
+	lastSequence uint64
+	random       *rand.Rand
+	site         site
+	upstreams    []*upstream
+	hosts        []*host
 	// results has one element for each load of the case.
 	results []*classResult
-	// indices finds an upstream by name.
-	indices map[string]int
+	// upstreamIndices maps the name of an upstream to its index.
+	upstreamIndices map[string]int
 }
 
-// Run replays a case. The error names what is wrong with the case.
+// Run replays a case. It returns an error if the case is invalid.
 func Run(c Case) (*Report, error) {
 	w, err := newWorld(c, func(w *world) site { return classSite{w} })
 	if err != nil {
@@ -40,11 +39,11 @@
 }
 
 func newWorld(c Case, newSite func(*world) site) (*world, error) {
-	w := &world{config: c, random: rand.New(rand.NewPCG(c.Seed, seedStream)), indices: map[string]int{}}
+	w := &world{config: c, random: rand.New(rand.NewPCG(c.Seed, seedStream)), upstreamIndices: map[string]int{}}
 	w.site = newSite(w)
-	for i := range w.site.upstreams() {
+	for i := range w.site.upstreamCount() {
 		w.upstreams = append(w.upstreams, newUpstream(w, i))
-		w.indices[upstreamName(i)] = i
+		w.upstreamIndices[upstreamName(i)] = i
 	}
 	for i := range c.hosts {
 		w.hosts = append(w.hosts, newHost(w, i))
@@ -66,61 +65,62 @@
 	}
 }
 
-// after plans something for a later time; what is planned for one time is done in
-// the order of planning.
+// after schedules do to run after a delay. Events of the same time run in the order in
+// which they were scheduled.
 func (w *world) after(d time.Duration, do func()) {
-	w.ranks++
-	heap.Push(&w.queue, event{at: w.now + d, rank: w.ranks, do: do})
+	w.lastSequence++
+	heap.Push(&w.queue, event{at: w.now + d, sequence: w.lastSequence, do: do})
 }
 
-// startLoad plans the arrivals of a load, by its index.
+// startLoad schedules the arrivals of the load with the given index.
 func (w *world) startLoad(index int) error {
 	l := &w.config.loads[index]
 	if l.rate <= 0 || l.shards < 1 || l.shards > w.config.shards {
-		return fmt.Errorf("load %s: rate or shards out of range: use a rate above 0 and 1 to %d shards", l.class.Name, w.config.shards)
+		return fmt.Errorf("load %s: rate or number of shards out of range (rate must be above 0, shards 1 to %d)", l.class.Name, w.config.shards)
 	}
 	gap := func() time.Duration {
 		return time.Duration(w.random.ExpFloat64() / l.rate * float64(time.Second))
 	}
 	var next func()
 	next = func() {
-		if w.now >= w.config.length {
+		if w.now >= w.config.duration {
 			return
 		}
 		w.after(gap(), next)
-		w.site.request(index)
+		w.site.startRequest(index)
 	}
 	w.after(gap(), next)
 	return nil
 }
 
 func (w *world) lognormal() time.Duration {
-	return time.Duration(float64(w.config.capacity.service) * math.Exp(w.config.capacity.sigma*w.random.NormFloat64()))
+	return time.Duration(float64(w.config.capacity.serviceTime) * math.Exp(w.config.capacity.sigma*w.random.NormFloat64()))
 }
 
+// event is a function scheduled for a point in virtual time.
 type event struct {
 	at time.Duration
-	// rank orders events of one time.
-	rank uint64
-	do   func()
+	// sequence orders events scheduled for the same time.
+	sequence uint64
+	do       func()
 }
 
-// events is a heap of events, the earliest first.
-type events []event
+// eventQueue is a heap of events, the earliest first.
+type eventQueue []event
 
-var _ heap.Interface = (*events)(nil)
+var _ heap.Interface = (*eventQueue)(nil)
 
-func (e events) Len() int { return len(e) }
+func (e eventQueue) Len() int { return len(e) }
 
-func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].rank < e[j].rank
+func (e eventQueue) Less(i, j int) bool {
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
 
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-func (e *events) Push(x any) { *e = append(*e, x.(event)) }
+func (e *eventQueue) Push(x any) { *e = append(*e, x.(event)) }
 
-func (e *events) Pop() any {
+func (e *eventQueue) Pop() any {
 	last := len(*e) - 1
 	x := (*e)[last]
 	(*e)[last] = event{}
