--- a/loomfake/balancer_test.go
+++ b/loomfake/balancer_test.go
@@ -22,44 +22,44 @@
 	hosts, operate []netip.AddrPort
 	client         *http.Client
 	// probeBound is how long a host may take to say whether it is ready.
-	probeBound time.Duration
+	probeTimeout time.Duration
 	// ready holds the hosts that requests go to; admitting orders those that
 	// change it.
 	ready     atomic.Pointer[[]netip.AddrPort]
-	admitting sync.Mutex
-	turn      atomic.Uint64
+	updateMu  sync.Mutex
+	nextIndex atomic.Uint64
 }
 
 // Times of the balancer. Not measured.
 const (
 	// balanceEvery is the time between two probes of a host.
-	balanceEvery = 100 * time.Millisecond
+	balancerProbeInterval = 100 * time.Millisecond
 	// balanceBound is the probeBound of scenarios.
-	balanceBound = 500 * time.Millisecond
+	balancerProbeTimeout = 500 * time.Millisecond
 )
 
 // run probes the hosts until the context ends, each by itself, so that one that
 // is slow to answer delays none.
 func (b *balancer) run(ctx context.Context) {
 	ready := make([]atomic.Bool, len(b.hosts))
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i, o := range b.operate {
-		all.Go(func() {
+		wg.Go(func() {
 			for ctx.Err() == nil {
 				ready[i].Store(b.isReady(ctx, o))
-				b.admit(ready)
-				time.Sleep(balanceEvery)
+				b.updateReady(ready)
+				time.Sleep(balancerProbeInterval)
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 }
 
 // admit sends requests to the hosts that are ready, or where none is, to those
 // that were.
-func (b *balancer) admit(ready []atomic.Bool) {
-	b.admitting.Lock()
-	defer b.admitting.Unlock()
+func (b *balancer) updateReady(ready []atomic.Bool) {
+	b.updateMu.Lock()
+	defer b.updateMu.Unlock()
 	var hosts []netip.AddrPort
 	for i := range ready {
 		if ready[i].Load() {
@@ -71,37 +71,37 @@
 	}
 }
 
-func (b *balancer) isReady(ctx context.Context, at netip.AddrPort) bool {
-	ctx, cancel := context.WithTimeout(ctx, b.probeBound)
+func (b *balancer) isReady(ctx context.Context, addr netip.AddrPort) bool {
+	ctx, cancel := context.WithTimeout(ctx, b.probeTimeout)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at.String()+"/ready", nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr.String()+"/ready", nil)
 	if err != nil {
 		return false
 	}
-	reply, err := b.client.Do(r)
+	resp, err := b.client.Do(r)
 	if err != nil {
 		return false
 	}
-	defer reply.Body.Close()
-	return reply.StatusCode == http.StatusOK
+	defer resp.Body.Close()
+	return resp.StatusCode == http.StatusOK
 }
 
 // next returns the host of the next request.
 func (b *balancer) next() netip.AddrPort {
 	hosts := *b.ready.Load()
-	return hosts[b.turn.Add(1)%uint64(len(hosts))]
+	return hosts[b.nextIndex.Add(1)%uint64(len(hosts))]
 }
 
 // TestBalancerAsksEachHostByItself has one host not answer until another was
 // asked several times: that one must be taken out meanwhile.
-func TestBalancerAsksEachHostByItself(t *testing.T) {
+func TestBalancerProbesHostsIndependently(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	var asked atomic.Int64
-	out := make(chan struct{})
+	release := make(chan struct{})
 	slow := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		select {
-		case <-out:
+		case <-release:
 		case <-r.Context().Done():
 		}
 	}))
@@ -111,22 +111,22 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 		if asked.Load() == 4 {
-			close(out)
+			close(release)
 		}
 	}))
 	defer stopping.Close()
-	well := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
-	defer well.Close()
-	b := &balancer{client: &http.Client{}, probeBound: longestWait}
-	for _, s := range []*httptest.Server{slow, stopping, well} {
+	healthy := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
+	defer healthy.Close()
+	b := &balancer{client: &http.Client{}, probeTimeout: maxWait}
+	for _, s := range []*httptest.Server{slow, stopping, healthy} {
 		at := netip.MustParseAddrPort(strings.TrimPrefix(s.URL, "http://"))
 		b.hosts = append(b.hosts, at)
 		b.operate = append(b.operate, at)
 	}
 	b.ready.Store(&b.hosts)
 	go b.run(ctx)
-	<-out
-	assert.NilError(t, await("the stopping host is out", func() bool {
+	<-release
+	assert.NilError(t, waitUntil("the stopping host is out", func() bool {
 		for _, h := range *b.ready.Load() {
 			if h == b.hosts[1] {
 				return false
--- a/loomfake/command.go
+++ b/loomfake/command.go
@@ -21,7 +21,7 @@
 
 // logged makes a command of a function: it logs the error and turns it into an exit
 // status.
-func logged(run func(context.Context) error) func(context.Context, *flag.FlagSet) subcommands.ExitStatus {
+func withExitStatus(run func(context.Context) error) func(context.Context, *flag.FlagSet) subcommands.ExitStatus {
 	return func(ctx context.Context, _ *flag.FlagSet) subcommands.ExitStatus {
 		err := run(ctx)
 		if err == nil {
@@ -33,11 +33,11 @@
 	}
 }
 
-func listen(at netip.AddrPort) (net.Listener, error) {
-	if !at.Addr().IsLoopback() {
+func listenLoopback(addr netip.AddrPort) (net.Listener, error) {
+	if !addr.Addr().IsLoopback() {
 		return nil, errNotLoopback
 	}
-	l, err := net.Listen("tcp", at.String())
+	l, err := net.Listen("tcp", addr.String())
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w: free the address or give another", err)
 	}
@@ -47,29 +47,29 @@
 // Bounds of the stand-ins' connections: far above what a test needs.
 const (
 	// headerBound is how long the head of a request may take to arrive.
-	headerBound = time.Minute
+	readHeaderTimeout = time.Minute
 	// idleBound is how long a connection may wait for the next request.
-	idleBound = 2 * time.Minute
+	idleTimeout = 2 * time.Minute
 )
 
 func newServer(h http.Handler) *http.Server {
-	return &http.Server{Handler: h, ReadHeaderTimeout: headerBound, IdleTimeout: idleBound}
+	return &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
 }
 
 // serveUntilStopped serves until a signal or the longest life.
-func serveUntilStopped(l net.Listener, h http.Handler, life time.Duration) error {
+func serveUntilStopped(l net.Listener, h http.Handler, maxLifetime time.Duration) error {
 	s := newServer(h)
 	go func() { _ = s.Serve(l) }()
-	waitForStop(life)
+	waitForStop(maxLifetime)
 	return s.Close()
 }
 
 // waitForStop waits for a signal, or for the longest life.
-func waitForStop(life time.Duration) {
+func waitForStop(maxLifetime time.Duration) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	select {
 	case <-signals:
-	case <-time.After(life):
+	case <-time.After(maxLifetime):
 	}
 }
--- a/loomfake/commands_test.go
+++ b/loomfake/commands_test.go
@@ -23,105 +23,105 @@
 var scenarioCommands = map[string]command{
 	// tier HOSTS SHARDS [flags of loomfake upstream]: starts everything. DOCUMENT
 	// in the environment holds flags of loomfake document.
-	"tier": simple(2, func(s *scene, ts *testscript.TestScript, args []string) error {
+	"tier": scenarioCommand(2, func(s *scenario, ts *testscript.TestScript, args []string) error {
 		hosts, shards := atoi(ts, args[0]), atoi(ts, args[1])
-		s.env = environment(ts)
+		s.env = daemonEnv(ts)
 		s.documentFlags = strings.Fields(ts.Getenv("DOCUMENT"))
-		return s.tier(hosts, shards, args[2:])
+		return s.startTier(hosts, shards, args[2:])
 	}),
 	// host N [flags of loomd]: starts entry host N.
-	"host": simple(1, func(s *scene, ts *testscript.TestScript, args []string) error {
+	"host": scenarioCommand(1, func(s *scenario, ts *testscript.TestScript, args []string) error {
 		n := atoi(ts, args[0])
-		if err := s.host(n, args[1:]...); err != nil {
+		if err := s.startHost(n, args[1:]...); err != nil {
 			return err
 		}
-		return s.ready(n)
+		return s.awaitReady(n)
 	}),
 	// signal NAME STOP|CONT|KILL|TERM: the last two wait for the end.
-	"signal": simple(2, func(s *scene, _ *testscript.TestScript, args []string) error {
+	"signal": scenarioCommand(2, func(s *scenario, _ *testscript.TestScript, args []string) error {
 		return s.signal(args[0], args[1])
 	}),
 	// fake U3|L1|P JSON: sets faults of an upstream, of the link to a host, or
 	// of the platform.
-	"fake": simple(2, func(s *scene, ts *testscript.TestScript, args []string) error {
-		at, n := s.platform(), 0
+	"fake": scenarioCommand(2, func(s *scenario, ts *testscript.TestScript, args []string) error {
+		at, n := s.platformAddress(), 0
 		if args[0] != "P" {
 			n = atoi(ts, args[0][1:])
 		}
 		switch args[0][0] {
 		case 'U':
-			at = s.upstream(n)
+			at = s.upstreamAddress(n)
 		case 'L':
-			at = s.linkAdmin(n)
+			at = s.linkAdminAddress(n)
 		}
 		return call(http.MethodPost, at+"/Fake", args[1], nil)
 	}),
 	// live NAME STATE: sets a line of the platform's live list.
-	"live": simple(2, func(s *scene, _ *testscript.TestScript, args []string) error {
-		return call(http.MethodPost, s.platform()+"/SetLive", fmt.Sprintf(`{"Name":%q,"State":%q}`, args[0], args[1]), nil)
+	"live": scenarioCommand(2, func(s *scenario, _ *testscript.TestScript, args []string) error {
+		return call(http.MethodPost, s.platformAddress()+"/SetLive", fmt.Sprintf(`{"Name":%q,"State":%q}`, args[0], args[1]), nil)
 	}),
 	// restore JSON: has the platform come back from a copy.
-	"restore": simple(1, func(s *scene, _ *testscript.TestScript, args []string) error {
-		return call(http.MethodPost, s.platform()+"/Restore", args[0], nil)
+	"restore": scenarioCommand(1, func(s *scenario, _ *testscript.TestScript, args []string) error {
+		return call(http.MethodPost, s.platformAddress()+"/Restore", args[0], nil)
 	}),
 	// publish FILE: publishes a document.
-	"publish": simple(1, func(s *scene, ts *testscript.TestScript, args []string) error {
-		return call(http.MethodPost, s.platform()+"/Publish", ts.ReadFile(args[0]), nil)
+	"publish": scenarioCommand(1, func(s *scenario, ts *testscript.TestScript, args []string) error {
+		return call(http.MethodPost, s.platformAddress()+"/Publish", ts.ReadFile(args[0]), nil)
 	}),
 	// revision R N...: waits until hosts N have revision R in force.
-	"revision": simple(2, func(s *scene, ts *testscript.TestScript, args []string) error {
-		return s.revision(uint64(atoi(ts, args[0])), numbers(ts, args[1:]))
+	"revision": scenarioCommand(2, func(s *scenario, ts *testscript.TestScript, args []string) error {
+		return s.awaitRevision(uint64(atoi(ts, args[0])), atoiAll(ts, args[1:]))
 	}),
 	// members N HOST STATE: waits until host N believes HOST to be in STATE.
-	"members": simple(3, func(s *scene, ts *testscript.TestScript, args []string) error {
-		return await("member "+args[1]+" "+args[2], func() bool { return s.memberState(atoi(ts, args[0]), args[1]) == args[2] })
+	"members": scenarioCommand(3, func(s *scenario, ts *testscript.TestScript, args []string) error {
+		return waitUntil("member "+args[1]+" "+args[2], func() bool { return s.memberState(atoi(ts, args[0]), args[1]) == args[2] })
 	}),
 	// orders CLIENTS EACH N...: clients place orders at hosts N in the
 	// background; with EACH 0 until finish.
-	"orders": simple(3, func(s *scene, ts *testscript.TestScript, args []string) error {
-		return s.background(atoi(ts, args[1]) == 0, s.orders(atoi(ts, args[0]), atoi(ts, args[1]), numbers(ts, args[2:])))
+	"orders": scenarioCommand(3, func(s *scenario, ts *testscript.TestScript, args []string) error {
+		return s.runInBackground(atoi(ts, args[1]) == 0, s.placeOrders(atoi(ts, args[0]), atoi(ts, args[1]), atoiAll(ts, args[2:])))
 	}),
 	// counts CLIENTS EACH N...: clients count at hosts N in the background; with
 	// EACH 0 until finish.
-	"counts": simple(3, func(s *scene, ts *testscript.TestScript, args []string) error {
-		return s.background(atoi(ts, args[1]) == 0, s.counts(atoi(ts, args[0]), atoi(ts, args[1]), numbers(ts, args[2:])))
+	"counts": scenarioCommand(3, func(s *scenario, ts *testscript.TestScript, args []string) error {
+		return s.runInBackground(atoi(ts, args[1]) == 0, s.countRecords(atoi(ts, args[0]), atoi(ts, args[1]), atoiAll(ts, args[2:])))
 	}),
 	// finish: waits for the background clients and checks their history.
-	"finish": simple(0, func(s *scene, ts *testscript.TestScript, args []string) error {
+	"finish": scenarioCommand(0, func(s *scenario, ts *testscript.TestScript, args []string) error {
 		return s.finish(ts, args)
 	}),
 	// sleep D: lets time pass.
-	"sleep": simple(1, func(_ *scene, _ *testscript.TestScript, args []string) error {
+	"sleep": scenarioCommand(1, func(_ *scenario, _ *testscript.TestScript, args []string) error {
 		d, err := time.ParseDuration(args[0])
 		time.Sleep(d)
 		return err
 	}),
 	// balancer: from now on clients ask only hosts that say they are ready.
-	"balancer": simple(0, func(s *scene, _ *testscript.TestScript, _ []string) error {
-		return s.balance()
+	"balancer": scenarioCommand(0, func(s *scenario, _ *testscript.TestScript, _ []string) error {
+		return s.startBalancer()
 	}),
 	// refused N TEXT: waits until host N tells that it refused a document.
-	"refused": simple(2, func(s *scene, ts *testscript.TestScript, args []string) error {
-		return await("refusal of "+args[1], func() bool {
+	"refused": scenarioCommand(2, func(s *scenario, ts *testscript.TestScript, args []string) error {
+		return waitUntil("refusal of "+args[1], func() bool {
 			st, err := s.status(atoi(ts, args[0]))
 			return err == nil && strings.Contains(st.Refused, args[1])
 		})
 	}),
 	// post N PATH STATUS TEXT BODY: host N answers with a status, and TEXT in
 	// the body. A BODY of the form SIZE*TEXT repeats the text.
-	"post": simple(5, func(s *scene, ts *testscript.TestScript, args []string) error {
+	"post": scenarioCommand(5, func(s *scenario, ts *testscript.TestScript, args []string) error {
 		return s.post(atoi(ts, args[0]), args[1], atoi(ts, args[2]), args[3], args[4])
 	}),
 	// ticket N NAME: stores a ticket minted by host N in NAME.
-	"ticket": simple(2, func(s *scene, ts *testscript.TestScript, args []string) error {
+	"ticket": scenarioCommand(2, func(s *scenario, ts *testscript.TestScript, args []string) error {
 		var t ticketBody
-		err := call(http.MethodPost, s.listen(atoi(ts, args[0]))+"/tickets", "", &t)
+		err := call(http.MethodPost, s.callerAddress(atoi(ts, args[0]))+"/tickets", "", &t)
 		ts.Setenv(args[1], t.Ticket)
 		return err
 	}),
 	// ran TICKET N: the upstreams' record has the order N times.
-	"ran": simple(2, func(s *scene, ts *testscript.TestScript, args []string) error {
-		runs, err := s.runs()
+	"ran": scenarioCommand(2, func(s *scenario, ts *testscript.TestScript, args []string) error {
+		runs, err := s.sumRuns()
 		if err == nil && runs[args[0]] != atoi(ts, args[1]) {
 			err = fmt.Errorf("%s ran %d times, want %s", args[0], runs[args[0]], args[1])
 		}
@@ -129,23 +129,23 @@
 	}),
 	// monitor N...: from now on looks at the revisions of hosts N; finish tells
 	// if one went back.
-	"monitor": simple(1, func(s *scene, ts *testscript.TestScript, args []string) error {
-		for _, n := range numbers(ts, args) {
-			go s.monitor(n)
+	"monitor": scenarioCommand(1, func(s *scenario, ts *testscript.TestScript, args []string) error {
+		for _, n := range atoiAll(ts, args) {
+			go s.monitorRevision(n)
 		}
 		return nil
 	}),
 	// watchers LEAST MOST N...: waits until so many of hosts N watch the platform.
-	"watchers": simple(3, func(s *scene, ts *testscript.TestScript, args []string) error {
-		return await("watchers", func() bool {
-			n := s.watchers(numbers(ts, args[2:]))
+	"watchers": scenarioCommand(3, func(s *scenario, ts *testscript.TestScript, args []string) error {
+		return waitUntil("watchers", func() bool {
+			n := s.countWatchers(atoiAll(ts, args[2:]))
 			return n >= atoi(ts, args[0]) && n <= atoi(ts, args[1])
 		})
 	}),
 	// callsabove U3 N: waits until more than N calls came to an upstream.
-	"callsabove": simple(2, func(s *scene, ts *testscript.TestScript, args []string) error {
-		at, least := s.upstream(atoi(ts, strings.TrimPrefix(args[0], "U"))), atoi(ts, args[1])
-		for end := time.Now().Add(longestWait); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+	"callsabove": scenarioCommand(2, func(s *scenario, ts *testscript.TestScript, args []string) error {
+		at, least := s.upstreamAddress(atoi(ts, strings.TrimPrefix(args[0], "U"))), atoi(ts, args[1])
+		for end := time.Now().Add(maxWait); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 			var r runsReply
 			if err := call(http.MethodGet, at+"/Runs", nil, &r); err != nil {
 				return err
@@ -154,26 +154,26 @@
 				return nil
 			}
 		}
-		return fmt.Errorf("no call came to %s within %s", args[0], longestWait)
+		return fmt.Errorf("no call came to %s within %s", args[0], maxWait)
 	}),
 	// calls U3 NAME: stores in NAME how many calls came to an upstream.
-	"calls": simple(2, func(s *scene, ts *testscript.TestScript, args []string) error {
+	"calls": scenarioCommand(2, func(s *scenario, ts *testscript.TestScript, args []string) error {
 		var r runsReply
-		err := call(http.MethodGet, s.upstream(atoi(ts, strings.TrimPrefix(args[0], "U")))+"/Runs", nil, &r)
+		err := call(http.MethodGet, s.upstreamAddress(atoi(ts, strings.TrimPrefix(args[0], "U")))+"/Runs", nil, &r)
 		ts.Setenv(args[1], strconv.Itoa(r.Arrived))
 		return err
 	}),
 }
 
 // longestWait bounds waits for what must happen at some time; it judges no speed.
-const longestWait = 30 * time.Second
+const maxWait = 30 * time.Second
 
-func simple(least int, f func(*scene, *testscript.TestScript, []string) error) command {
+func scenarioCommand(minArgs int, f func(*scenario, *testscript.TestScript, []string) error) command {
 	return func(ts *testscript.TestScript, neg bool, args []string) {
-		if neg || len(args) < least {
+		if neg || len(args) < minArgs {
 			ts.Fatalf("usage: see scenarioCommands")
 		}
-		s := ts.Value(sceneKey{}).(*scene)
+		s := ts.Value(scenarioKey{}).(*scenario)
 		if err := f(s, ts, args); err != nil {
 			s.printLogs(ts)
 			ts.Fatalf("%v", err)
@@ -182,10 +182,10 @@
 }
 
 // printLogs prints the last lines of the hosts' logs.
-func (s *scene) printLogs(ts *testscript.TestScript) {
+func (s *scenario) printLogs(ts *testscript.TestScript) {
 	const last = 15
 	for name := range s.processes {
-		text, _ := os.ReadFile(s.log(name))
+		text, _ := os.ReadFile(s.logPath(name))
 		lines := strings.Split(strings.TrimSpace(string(text)), "\n")
 		ts.Logf("%s:\n%s", name, strings.Join(lines[max(0, len(lines)-last):], "\n"))
 	}
@@ -197,7 +197,7 @@
 	return n
 }
 
-func numbers(ts *testscript.TestScript, args []string) []int {
+func atoiAll(ts *testscript.TestScript, args []string) []int {
 	var out []int
 	for _, a := range args {
 		out = append(out, atoi(ts, a))
@@ -205,7 +205,7 @@
 	return out
 }
 
-func environment(ts *testscript.TestScript) []string {
+func daemonEnv(ts *testscript.TestScript) []string {
 	out := os.Environ()
 	for _, n := range []string{"LOOMD_BEAT", "LOOMD_WATCHWAIT", "LOOMD_SETTLE", "LOOMD_SETTLEMOST", "LOOMD_TICKETLIFE", "LOOMD_LEAVINGHOLD"} {
 		if v := ts.Getenv(n); v != "" {
@@ -215,7 +215,7 @@
 	return out
 }
 
-func (s *scene) tier(hosts, shards int, upstreamFlags []string) error {
+func (s *scenario) startTier(hosts, shards int, upstreamFlags []string) error {
 	s.shards = shards
 	document := filepath.Join(s.dir, "document.json")
 	args := []string{
@@ -231,30 +231,30 @@
 	if err := os.WriteFile(document, text, 0o600); err != nil {
 		return err
 	}
-	if err := s.start("platform", "loomfake", "platform", "-Listen", s.platform(), "-File", document, "-Life", "5m"); err != nil {
+	if err := s.startProcess("platform", "loomfake", "platform", "-Listen", s.platformAddress(), "-File", document, "-Life", "5m"); err != nil {
 		return err
 	}
-	args = append([]string{"loomfake", "upstream", "-Listen", s.upstream(1), "-Count", strconv.Itoa(shards), "-Slots", "4", "-Connections", "100", "-Life", "5m"}, upstreamFlags...)
-	if err := s.start("upstreams", args...); err != nil {
+	args = append([]string{"loomfake", "upstream", "-Listen", s.upstreamAddress(1), "-Count", strconv.Itoa(shards), "-Slots", "4", "-Connections", "100", "-Life", "5m"}, upstreamFlags...)
+	if err := s.startProcess("upstreams", args...); err != nil {
 		return err
 	}
 	for i := 1; i <= hosts; i++ {
-		if err := s.link(i); err != nil {
+		if err := s.startLink(i); err != nil {
 			return err
 		}
-		if err := s.host(i); err != nil {
+		if err := s.startHost(i); err != nil {
 			return err
 		}
 	}
 	for i := 1; i <= hosts; i++ {
-		if err := s.ready(i); err != nil {
+		if err := s.awaitReady(i); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *scene) signal(name, which string) error {
+func (s *scenario) signal(name, which string) error {
 	p := s.processes[name]
 	if p == nil {
 		return fmt.Errorf("no process %s", name)
@@ -269,9 +269,9 @@
 	return nil
 }
 
-func (s *scene) revision(r uint64, hosts []int) error {
+func (s *scenario) awaitRevision(r uint64, hosts []int) error {
 	for _, n := range hosts {
-		err := await(fmt.Sprintf("revision %d at H%d", r, n), func() bool {
+		err := waitUntil(fmt.Sprintf("revision %d at H%d", r, n), func() bool {
 			st, err := s.status(n)
 			return err == nil && st.Revision == r
 		})
@@ -282,7 +282,7 @@
 	return nil
 }
 
-func (s *scene) watchers(hosts []int) int {
+func (s *scenario) countWatchers(hosts []int) int {
 	n := 0
 	for _, h := range hosts {
 		if st, err := s.status(h); err == nil && st.Watching {
@@ -292,13 +292,13 @@
 	return n
 }
 
-func (s *scene) post(host int, path string, code int, text, body string) error {
+func (s *scenario) post(host int, path string, code int, text, body string) error {
 	if size, unit, ok := strings.Cut(body, "*"); ok {
 		if n, err := strconv.Atoi(size); err == nil {
 			body = strings.Repeat(unit, n)
 		}
 	}
-	reply, err := quick.Post("http://"+s.listen(host)+path, "application/json", strings.NewReader(body))
+	reply, err := httpClient.Post("http://"+s.callerAddress(host)+path, "application/json", strings.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -314,13 +314,13 @@
 }
 
 // monitor notes it if a ready host has an older revision than before.
-func (s *scene) monitor(n int) {
+func (s *scenario) monitorRevision(n int) {
 	highest := uint64(0)
 	for s.t.Context().Err() == nil {
 		st, err := s.status(n)
 		if err == nil && st.State == "Ready" {
 			if st.Revision < highest {
-				s.answers.problem("host H%d went from revision %d back to %d", n, highest, st.Revision)
+				s.history.addProblem("host H%d went from revision %d back to %d", n, highest, st.Revision)
 			}
 			highest = max(highest, st.Revision)
 		}
@@ -328,7 +328,7 @@
 	}
 }
 
-func (s *scene) memberState(host int, member string) string {
+func (s *scenario) memberState(host int, member string) string {
 	st, err := s.status(host)
 	if err != nil {
 		return ""
@@ -342,11 +342,11 @@
 }
 
 // balance starts the stand-in of the platform's balancer.
-func (s *scene) balance() error {
-	s.balancer = &balancer{client: quick, probeBound: balanceBound}
+func (s *scenario) startBalancer() error {
+	s.balancer = &balancer{client: httpClient, probeTimeout: balancerProbeTimeout}
 	for i := 1; i <= 3; i++ {
-		listen, errListen := netip.ParseAddrPort(s.listen(i))
-		operate, errOperate := netip.ParseAddrPort(s.operate(i))
+		listen, errListen := netip.ParseAddrPort(s.callerAddress(i))
+		operate, errOperate := netip.ParseAddrPort(s.operatorAddress(i))
 		if errListen != nil || errOperate != nil {
 			return errors.Join(errListen, errOperate)
 		}
@@ -359,18 +359,18 @@
 }
 
 // pick returns the address of a host for a client.
-func (s *scene) pick(hosts []int, n int) string {
+func (s *scenario) pickHost(hosts []int, n int) string {
 	if s.balancer != nil {
 		return s.balancer.next().String()
 	}
-	return s.listen(hosts[n%len(hosts)])
+	return s.callerAddress(hosts[n%len(hosts)])
 }
 
 // background runs clients beside the scenario; finish waits for them.
-func (s *scene) background(endless bool, run func(halt <-chan struct{}) error) error {
-	s.endless = endless
-	s.load, s.halt = make(chan error, 1), make(chan struct{})
-	load, halt := s.load, s.halt
-	go func() { load <- run(halt) }()
+func (s *scenario) runInBackground(untilFinish bool, run func(stop <-chan struct{}) error) error {
+	s.untilFinish = untilFinish
+	s.clientsDone, s.stopClients = make(chan error, 1), make(chan struct{})
+	done, stop := s.clientsDone, s.stopClients
+	go func() { done <- run(stop) }()
 	return nil
 }
--- a/loomfake/connect.go
+++ b/loomfake/connect.go
@@ -9,41 +9,41 @@
 
 // costlyListener makes a new connection cost time, and refuses those over a
 // limit by closing them.
-type costlyListener struct {
+type limitedListener struct {
 	net.Listener
-	cost  time.Duration
-	limit int64
-	open  atomic.Int64
+	setupDelay time.Duration
+	maxConns   int64
+	openConns  atomic.Int64
 }
 
-func (l *costlyListener) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if l.open.Add(1) > l.limit {
-			l.open.Add(-1)
+		if l.openConns.Add(1) > l.maxConns {
+			l.openConns.Add(-1)
 			_ = c.Close()
 			continue
 		}
-		return &costlyConn{Conn: c, listener: l}, nil
+		return &limitedConn{Conn: c, listener: l}, nil
 	}
 }
 
-type costlyConn struct {
+type limitedConn struct {
 	net.Conn
-	listener *costlyListener
-	first    sync.Once
-	last     sync.Once
+	listener  *limitedListener
+	delayOnce sync.Once
+	closeOnce sync.Once
 }
 
-func (c *costlyConn) Read(b []byte) (int, error) {
-	c.first.Do(func() { time.Sleep(c.listener.cost) })
+func (c *limitedConn) Read(b []byte) (int, error) {
+	c.delayOnce.Do(func() { time.Sleep(c.listener.setupDelay) })
 	return c.Conn.Read(b)
 }
 
-func (c *costlyConn) Close() error {
-	c.last.Do(func() { c.listener.open.Add(-1) })
+func (c *limitedConn) Close() error {
+	c.closeOnce.Do(func() { c.listener.openConns.Add(-1) })
 	return c.Conn.Close()
 }
--- a/loomfake/document.go
+++ b/loomfake/document.go
@@ -14,7 +14,7 @@
 
 // shape describes a tier of one data hall on loopback addresses; the command prints
 // a document for it.
-type shape struct {
+type documentOptions struct {
 	hosts, shards int
 	// peerPort is the first host's; the next one's is portsPerHost higher.
 	peerPort int
@@ -40,29 +40,29 @@
 )
 
 func newDocumentCommand() prog.Command {
-	s := &shape{}
+	o := &documentOptions{}
 	return prog.Command{
 		Name: "document", Synopsis: "print a document modelled on the users' tiers",
 		Usage: "loomfake document [-Hosts N] [-Shards N]\n" +
 			"Service Orders has the shards; the document has one upstream for each.\n",
-		Flags: s.flags, Run: logged(s.print),
+		Flags: o.flags, Run: withExitStatus(o.print),
 	}
 }
 
-func (s *shape) flags(f *flag.FlagSet) {
-	f.IntVar(&s.hosts, "Hosts", 2, "entry hosts H1, H2 and so on")
-	f.IntVar(&s.peerPort, "PeerPort", 7401, "peer port of the first host; the next is 10 higher")
-	f.IntVar(&s.shards, "Shards", 24, "shards of service Orders")
-	f.IntVar(&s.upstreamPort, "UpstreamPort", 7500, "port of the first upstream of Orders")
-	f.IntVar(&s.slots, "Slots", 4, "slots of an upstream of Orders")
-	f.UintVar(&s.keySpace, "KeySpace", 1024, "keys")
-	f.DurationVar(&s.deadline, "Deadline", 300*time.Millisecond, "deadline of class Counter")
-	f.DurationVar(&s.wideDeadline, "WideDeadline", 390*time.Millisecond, "deadline of classes Search and Tally")
-	f.DurationVar(&s.patience, "Patience", 100*time.Millisecond, "patience of class Search")
+func (o *documentOptions) flags(f *flag.FlagSet) {
+	f.IntVar(&o.hosts, "Hosts", 2, "entry hosts H1, H2 and so on")
+	f.IntVar(&o.peerPort, "PeerPort", 7401, "peer port of the first host; the next is 10 higher")
+	f.IntVar(&o.shards, "Shards", 24, "shards of service Orders")
+	f.IntVar(&o.upstreamPort, "UpstreamPort", 7500, "port of the first upstream of Orders")
+	f.IntVar(&o.slots, "Slots", 4, "slots of an upstream of Orders")
+	f.UintVar(&o.keySpace, "KeySpace", 1024, "keys")
+	f.DurationVar(&o.deadline, "Deadline", 300*time.Millisecond, "deadline of class Counter")
+	f.DurationVar(&o.wideDeadline, "WideDeadline", 390*time.Millisecond, "deadline of classes Search and Tally")
+	f.DurationVar(&o.patience, "Patience", 100*time.Millisecond, "patience of class Search")
 }
 
-func (s *shape) print(context.Context) error {
-	text, err := config.Encode(s.document())
+func (o *documentOptions) print(context.Context) error {
+	text, err := config.Encode(o.document())
 	if err != nil {
 		return err
 	}
@@ -70,50 +70,50 @@
 	return err
 }
 
-const hall = "Quito1"
+const defaultHall = "Quito1"
 
-func local(port int) netip.AddrPort {
+func loopbackAddr(port int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(port))
 }
 
-func (s *shape) document() *config.Document {
-	d := &config.Document{Classes: s.classes()}
-	for i := range s.hosts {
-		d.Hosts = append(d.Hosts, config.Host{Name: fmt.Sprintf("H%d", i+1), Hall: hall, Peer: local(s.peerPort + portsPerHost*i)})
+func (o *documentOptions) document() *config.Document {
+	d := &config.Document{Classes: o.classes()}
+	for i := range o.hosts {
+		d.Hosts = append(d.Hosts, config.Host{Name: fmt.Sprintf("H%d", i+1), Hall: defaultHall, Peer: loopbackAddr(o.peerPort + portsPerHost*i)})
 	}
-	s.orders(d)
+	o.addOrders(d)
 	return d
 }
 
 // classes are a counter's narrow class, a latency-first search, a
 // coverage-first tally, and orders.
-func (s *shape) classes() []config.Class {
+func (o *documentOptions) classes() []config.Class {
 	counter := config.DefaultClass()
-	counter.Name, counter.Worth, counter.Deadline = "Counter", 5, config.Duration(s.deadline)
+	counter.Name, counter.Worth, counter.Deadline = "Counter", 5, config.Duration(o.deadline)
 	search := config.DefaultClass()
-	search.Name, search.Worth, search.Deadline = "Search", 3, config.Duration(s.wideDeadline)
-	search.Coverage, search.Patience = 0.98, config.Duration(s.patience)
+	search.Name, search.Worth, search.Deadline = "Search", 3, config.Duration(o.wideDeadline)
+	search.Coverage, search.Patience = 0.98, config.Duration(o.patience)
 	tally := config.DefaultClass()
-	tally.Name, tally.Worth, tally.Deadline = "Tally", 1, config.Duration(s.wideDeadline)
+	tally.Name, tally.Worth, tally.Deadline = "Tally", 1, config.Duration(o.wideDeadline)
 	order := config.DefaultClass()
-	order.Name, order.Worth, order.Deadline, order.Hedge = "Order", 10, config.Duration(s.deadline), config.HedgeNone
+	order.Name, order.Worth, order.Deadline, order.Hedge = "Order", 10, config.Duration(o.deadline), config.HedgeNone
 	return []config.Class{counter, search, tally, order}
 }
 
 // orders declares the wide service; replica r of shard i is the upstream of
 // shard i+r, so that the load of a lost upstream spreads.
-func (s *shape) orders(d *config.Document) {
-	v := config.Service{Name: "Orders", KeySpace: uint32(s.keySpace), MapRevision: 1}
-	for i := range s.shards {
+func (o *documentOptions) addOrders(d *config.Document) {
+	v := config.Service{Name: "Orders", KeySpace: uint32(o.keySpace), MapRevision: 1}
+	for i := range o.shards {
 		d.Upstreams = append(d.Upstreams, config.Upstream{
-			Name: fmt.Sprintf("U%d", i+1), Hall: hall, Address: local(s.upstreamPort + i), Slots: s.slots, Connections: upstreamConnections,
+			Name: fmt.Sprintf("U%d", i+1), Hall: defaultHall, Address: loopbackAddr(o.upstreamPort + i), Slots: o.slots, Connections: upstreamConnections,
 		})
 		h := config.Shard{
 			Name: fmt.Sprintf("S%d", i+1),
-			From: uint32(i * int(s.keySpace) / s.shards), To: uint32((i + 1) * int(s.keySpace) / s.shards),
+			From: uint32(i * int(o.keySpace) / o.shards), To: uint32((i + 1) * int(o.keySpace) / o.shards),
 		}
-		for r := range min(replicas, s.shards) {
-			h.Replicas = append(h.Replicas, fmt.Sprintf("U%d", (i+r)%s.shards+1))
+		for r := range min(replicas, o.shards) {
+			h.Replicas = append(h.Replicas, fmt.Sprintf("U%d", (i+r)%o.shards+1))
 		}
 		v.Shards = append(v.Shards, h)
 	}
--- a/loomfake/golden_test.go
+++ b/loomfake/golden_test.go
@@ -32,7 +32,7 @@
 
 // TestHelpStaysAsItIs compares the help of each command, with its flags, with
 // testdata/golden. Operators' scripts and the deploy file use these flags.
-func TestHelpStaysAsItIs(t *testing.T) {
+func TestHelpIsStable(t *testing.T) {
 	for program, names := range programCommands {
 		for _, name := range names {
 			t.Run(program+" "+name, func(t *testing.T) {
@@ -48,7 +48,7 @@
 
 // TestVersionNamesTheProgram runs the version command of the programs that have
 // one.
-func TestVersionNamesTheProgram(t *testing.T) {
+func TestVersionPrintsProgramAndRelease(t *testing.T) {
 	for _, program := range []string{"loomd", "loomctl"} {
 		out, err := exec.Command(filepath.Join(programs, program), "version").Output()
 		assert.NilError(t, err)
@@ -61,7 +61,7 @@
 
 // TestMetricNamesStayAsTheyAre compares the names of all metrics that stand in
 // the code with testdata/golden/metrics.txt.
-func TestMetricNamesStayAsTheyAre(t *testing.T) {
+func TestMetricNamesAreStable(t *testing.T) {
 	names := map[string]bool{}
 	for _, module := range []string{"tier", "platform", "loomd"} {
 		err := filepath.WalkDir(filepath.Join("..", module), func(path string, d fs.DirEntry, err error) error {
@@ -104,22 +104,22 @@
 // TestStatusAndMetricsStayAsTheyAre starts two daemons, counts once at the first, and compares
 // the fields of its /status with testdata/golden/status.txt, and the labels of
 // metrics with those that dashboards use.
-func TestStatusAndMetricsStayAsTheyAre(t *testing.T) {
+func TestStatusAndMetricsAreStable(t *testing.T) {
 	port := portStart + int(firstPort.Add(portBlock))
-	s := &scene{t: t, port: port, dir: t.TempDir(), env: os.Environ(), processes: map[string]*process{}, answers: &history{}}
+	s := &scenario{t: t, port: port, dir: t.TempDir(), env: os.Environ(), processes: map[string]*process{}, history: &history{}}
 	defer s.stopAll()
-	assert.NilError(t, s.tier(2, 2, nil))
+	assert.NilError(t, s.startTier(2, 2, nil))
 	var counted struct{ Outcome string }
-	assert.NilError(t, call(http.MethodPost, s.listen(1)+"/ask", map[string]string{"Statement": "count Orders", "Class": "Tally"}, &counted))
+	assert.NilError(t, call(http.MethodPost, s.callerAddress(1)+"/ask", map[string]string{"Statement": "count Orders", "Class": "Tally"}, &counted))
 	assert.Equal(t, counted.Outcome, "Complete")
 
 	var status any
-	assert.NilError(t, call(http.MethodGet, s.operate(1)+"/status", nil, &status))
+	assert.NilError(t, call(http.MethodGet, s.operatorAddress(1)+"/status", nil, &status))
 	fields := map[string]bool{}
 	collectFields("", status, fields)
 	golden.Assert(t, sortedLines(fields), "golden/status.txt")
 
-	reply, err := quick.Get("http://" + s.operate(1) + "/metrics")
+	reply, err := httpClient.Get("http://" + s.operatorAddress(1) + "/metrics")
 	assert.NilError(t, err)
 	defer func() { _ = reply.Body.Close() }()
 	text, err := io.ReadAll(reply.Body)
--- a/loomfake/scene_test.go
+++ b/loomfake/harness_test.go
@@ -16,10 +16,10 @@
 	"github.com/go-json-experiment/json"
 )
 
-type sceneKey struct{}
+type scenarioKey struct{}
 
 // scene is the processes of one scenario.
-type scene struct {
+type scenario struct {
 	t      *testing.T
 	port   int
 	dir    string
@@ -28,13 +28,13 @@
 	// documentFlags are flags of loomfake document.
 	documentFlags []string
 	processes     map[string]*process
-	answers       *history
+	history       *history
 	// balancer knows which hosts are ready; nil while clients ask any.
-	balancer *balancer
-	load     chan error
-	halt     chan struct{}
+	balancer    *balancer
+	clientsDone chan error
+	stopClients chan struct{}
 	// endless is true if the clients go on until halt is closed.
-	endless bool
+	untilFinish bool
 }
 
 type process struct {
@@ -43,17 +43,17 @@
 	done    chan struct{}
 }
 
-func (s *scene) at(offset int) string { return fmt.Sprintf("127.0.0.1:%d", s.port+offset) }
+func (s *scenario) address(offset int) string { return fmt.Sprintf("127.0.0.1:%d", s.port+offset) }
 
-func (s *scene) platform() string       { return s.at(0) }
-func (s *scene) listen(i int) string    { return s.at(10 * i) }
-func (s *scene) operate(i int) string   { return s.at(10*i + 2) }
-func (s *scene) upstream(i int) string  { return s.at(100 + i - 1) }
-func (s *scene) log(name string) string { return filepath.Join(s.dir, name+".log") }
+func (s *scenario) platformAddress() string      { return s.address(0) }
+func (s *scenario) callerAddress(i int) string   { return s.address(10 * i) }
+func (s *scenario) operatorAddress(i int) string { return s.address(10*i + 2) }
+func (s *scenario) upstreamAddress(i int) string { return s.address(100 + i - 1) }
+func (s *scenario) logPath(name string) string   { return filepath.Join(s.dir, name+".log") }
 
 // start runs a program as a process of its own.
-func (s *scene) start(name string, args ...string) error {
-	f, err := os.OpenFile(s.log(name), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+func (s *scenario) startProcess(name string, args ...string) error {
+	f, err := os.OpenFile(s.logPath(name), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 	return nil
 }
 
-func (s *scene) stopAll() {
+func (s *scenario) stopAll() {
 	for _, p := range s.processes {
 		_ = p.command.Process.Signal(syscall.SIGCONT)
 		_ = p.command.Process.Kill()
@@ -82,39 +82,39 @@
 }
 
 // link starts the link through which others reach host i.
-func (s *scene) link(i int) error {
-	return s.start(fmt.Sprintf("L%d", i), "loomfake", "link", "-Listen", s.at(10*i+3), "-To", s.at(10*i+1), "-Admin", s.linkAdmin(i), "-Life", "5m")
+func (s *scenario) startLink(i int) error {
+	return s.startProcess(fmt.Sprintf("L%d", i), "loomfake", "link", "-Listen", s.address(10*i+3), "-To", s.address(10*i+1), "-Admin", s.linkAdminAddress(i), "-Life", "5m")
 }
 
-func (s *scene) linkAdmin(i int) string { return s.at(10*i + 4) }
+func (s *scenario) linkAdminAddress(i int) string { return s.address(10*i + 4) }
 
 // host starts entry host i.
-func (s *scene) host(i int, more ...string) error {
+func (s *scenario) startHost(i int, more ...string) error {
 	args := []string{
-		"loomd", "serve", "-Host", fmt.Sprintf("H%d", i), "-Hall", hall, "-Listen", s.listen(i),
-		"-Peer", s.at(10*i + 1), "-Operate", s.operate(i), "-Platform", s.platform(), "-Level", "debug",
+		"loomd", "serve", "-Host", fmt.Sprintf("H%d", i), "-Hall", defaultHall, "-Listen", s.callerAddress(i),
+		"-Peer", s.address(10*i + 1), "-Operate", s.operatorAddress(i), "-Platform", s.platformAddress(), "-Level", "debug",
 	}
 	for j := 1; j <= 9; j++ {
 		if j != i {
-			args = append(args, "-Seeds", s.at(10*j+3))
+			args = append(args, "-Seeds", s.address(10*j+3))
 			break
 		}
 	}
-	return s.start(fmt.Sprintf("H%d", i), append(args, more...)...)
+	return s.startProcess(fmt.Sprintf("H%d", i), append(args, more...)...)
 }
 
 // await polls until a condition holds; the wait is bounded but never judged.
-func await(what string, holds func() bool) error {
-	const bound = 30 * time.Second
-	for end := time.Now().Add(bound); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if holds() {
+func waitUntil(what string, condition func() bool) error {
+	const timeout = 30 * time.Second
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		if condition() {
 			return nil
 		}
 	}
-	return fmt.Errorf("%s: not within %s", what, bound)
+	return fmt.Errorf("%s: not within %s", what, timeout)
 }
 
-var quick = &http.Client{Timeout: 2 * time.Second}
+var httpClient = &http.Client{Timeout: 2 * time.Second}
 
 // call sends JSON and reads JSON.
 func call(method, url string, in, out any) error {
@@ -133,7 +133,7 @@
 		return err
 	}
 	r.Header.Set("Content-Type", "application/json")
-	reply, err := quick.Do(r)
+	reply, err := httpClient.Do(r)
 	if err != nil {
 		return err
 	}
@@ -161,25 +161,25 @@
 	Members  []struct{ Name, State string }
 }
 
-func (s *scene) status(i int) (hostStatus, error) {
+func (s *scenario) status(i int) (hostStatus, error) {
 	var out hostStatus
-	err := call(http.MethodGet, s.operate(i)+"/status", nil, &out)
+	err := call(http.MethodGet, s.operatorAddress(i)+"/status", nil, &out)
 	return out, err
 }
 
-func (s *scene) ready(i int) error {
-	return await(fmt.Sprintf("host H%d ready", i), func() bool {
+func (s *scenario) awaitReady(i int) error {
+	return waitUntil(fmt.Sprintf("host H%d ready", i), func() bool {
 		st, err := s.status(i)
 		return err == nil && st.State == "Ready"
 	})
 }
 
 // runs sums what all upstreams recorded.
-func (s *scene) runs() (map[string]int, error) {
+func (s *scenario) sumRuns() (map[string]int, error) {
 	out := map[string]int{}
 	for i := 1; i <= s.shards; i++ {
 		var r runsReply
-		if err := call(http.MethodGet, s.upstream(i)+"/Runs", nil, &r); err != nil {
+		if err := call(http.MethodGet, s.upstreamAddress(i)+"/Runs", nil, &r); err != nil {
 			return nil, err
 		}
 		for _, x := range r.Runs {
--- a/loomfake/history_test.go
+++ b/loomfake/history_test.go
@@ -41,13 +41,13 @@
 }
 
 // tryInput is one try of an order, or the last look at the upstreams' record.
-type tryInput struct {
+type attemptInput struct {
 	ticket string
-	last   bool
+	final  bool
 }
 
 // tryOutput is the outcome of a try, or how often the order ran.
-type tryOutput struct {
+type attemptOutput struct {
 	outcome string
 	runs    int
 }
@@ -57,9 +57,9 @@
 var orderModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{false} },
 	Step: func(state, input, output any) []any {
-		ran, out := state.(bool), output.(tryOutput)
+		ran, out := state.(bool), output.(attemptOutput)
 		switch {
-		case input.(tryInput).last:
+		case input.(attemptInput).final:
 			if out.runs == map[bool]int{false: 0, true: 1}[ran] {
 				return []any{ran}
 			}
@@ -77,7 +77,7 @@
 	Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
 		byTicket := map[string][]porcupine.Operation{}
 		for _, o := range all {
-			t := o.Input.(tryInput).ticket
+			t := o.Input.(attemptInput).ticket
 			byTicket[t] = append(byTicket[t], o)
 		}
 		var out [][]porcupine.Operation
@@ -90,17 +90,17 @@
 }
 
 // never is a time that no scenario reaches, in nanoseconds since 1970.
-const never = int64(1) << 62
+const farFuture = int64(1) << 62
 
-func (h *history) add(client int, in tryInput, begun time.Time, out tryOutput) {
+func (h *history) add(client int, in attemptInput, sentAt time.Time, out attemptOutput) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	ended := time.Now().UnixNano()
+	returnedAt := time.Now().UnixNano()
 	if out.outcome != "Complete" && out.outcome != "NotRun" {
 		// A try without a known end may take effect at any later time.
-		ended = never
+		returnedAt = farFuture
 	}
-	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: in, Call: begun.UnixNano(), Output: out, Return: ended})
+	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: in, Call: sentAt.UnixNano(), Output: out, Return: returnedAt})
 	if h.outcomes == nil {
 		h.outcomes = map[string]int{}
 	}
@@ -111,20 +111,20 @@
 const outcomeLost = "Lost"
 
 // lost keeps why a request that began at a time had no answer.
-func (h *history) lost(begun time.Time, err error) {
+func (h *history) recordLost(sentAt time.Time, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
-	h.losses = append(h.losses, fmt.Sprintf("%s after %s: %s", now.Format(time.RFC3339Nano), now.Sub(begun), err))
+	h.losses = append(h.losses, fmt.Sprintf("%s after %s: %s", now.Format(time.RFC3339Nano), now.Sub(sentAt), err))
 }
 
-func (h *history) problem(format string, args ...any) {
+func (h *history) addProblem(format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.problems = append(h.problems, fmt.Sprintf(format, args...))
 }
 
-func (h *history) count(outcome string) {
+func (h *history) countOutcome(outcome string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.outcomes == nil {
@@ -135,44 +135,44 @@
 
 // clients runs a number of clients, each making a number of requests with a
 // short pause between; 0 for as many as there is time for until halt.
-func clients(count, each int, halt <-chan struct{}, one func(client, request int)) {
+func runClients(count, perClient int, stop <-chan struct{}, request func(client, request int)) {
 	const pause = 3 * time.Millisecond
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for c := range count {
-		all.Go(func() {
-			for n := 0; n < each || each == 0; n++ {
+		wg.Go(func() {
+			for n := 0; n < perClient || perClient == 0; n++ {
 				select {
-				case <-halt:
+				case <-stop:
 					return
 				case <-time.After(pause):
 				}
-				one(c, n)
+				request(c, n)
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 }
 
 // orders has clients place orders, and ask again at the next host until the
 // answer is Complete or the tries are used up.
-func (s *scene) orders(count, each int, hosts []int) func(<-chan struct{}) error {
-	const tries = 4
-	return func(halt <-chan struct{}) error {
-		clients(count, each, halt, func(c, n int) {
+func (s *scenario) placeOrders(count, perClient int, hosts []int) func(<-chan struct{}) error {
+	const maxAttempts = 4
+	return func(stop <-chan struct{}) error {
+		runClients(count, perClient, stop, func(c, n int) {
 			var t ticketBody
-			if call(http.MethodPost, s.pick(hosts, c+n)+"/tickets", "", &t) != nil || t.Ticket == "" {
+			if call(http.MethodPost, s.pickHost(hosts, c+n)+"/tickets", "", &t) != nil || t.Ticket == "" {
 				time.Sleep(20 * time.Millisecond)
 				return
 			}
 			body := orderBody{Ticket: t.Ticket, Class: "Order", Statement: fmt.Sprintf("place Orders key %d set Client = %d", (c*31+n*17)%1024, c)}
-			for try := range tries {
-				begun := time.Now()
+			for attempt := range maxAttempts {
+				sentAt := time.Now()
 				var a answerBody
-				if err := call(http.MethodPost, s.pick(hosts, c+n+try)+"/orders", body, &a); err != nil {
+				if err := call(http.MethodPost, s.pickHost(hosts, c+n+attempt)+"/orders", body, &a); err != nil {
 					a.Outcome = outcomeLost
-					s.answers.lost(begun, err)
+					s.history.recordLost(sentAt, err)
 				}
-				s.answers.add(c, tryInput{ticket: t.Ticket}, begun, tryOutput{outcome: a.Outcome})
+				s.history.add(c, attemptInput{ticket: t.Ticket}, sentAt, attemptOutput{outcome: a.Outcome})
 				if a.Outcome == "Complete" {
 					return
 				}
@@ -194,23 +194,23 @@
 }
 
 // sceneKeys is the number of keys: the default of loomfake document and upstream.
-const sceneKeys = 1024
+const scenarioKeys = 1024
 
 // counts has clients count all records, and checks each answer: one snapshot,
 // and included and missing ranges that are exactly the key space.
-func (s *scene) counts(count, each int, hosts []int) func(<-chan struct{}) error {
-	return func(halt <-chan struct{}) error {
-		clients(count, each, halt, func(c, n int) {
+func (s *scenario) countRecords(count, perClient int, hosts []int) func(<-chan struct{}) error {
+	return func(stop <-chan struct{}) error {
+		runClients(count, perClient, stop, func(c, n int) {
 			var a countAnswer
-			begun := time.Now()
-			err := call(http.MethodPost, s.pick(hosts, c+n)+"/ask", askBody{Statement: "count Orders", Class: "Tally"}, &a)
+			sentAt := time.Now()
+			err := call(http.MethodPost, s.pickHost(hosts, c+n)+"/ask", askBody{Statement: "count Orders", Class: "Tally"}, &a)
 			if err != nil {
-				s.answers.count(outcomeLost)
-				s.answers.lost(begun, err)
+				s.history.countOutcome(outcomeLost)
+				s.history.recordLost(sentAt, err)
 				time.Sleep(20 * time.Millisecond)
 				return
 			}
-			s.answers.count(a.Outcome)
+			s.history.countOutcome(a.Outcome)
 			if a.Outcome != "NotRun" {
 				s.checkCount(&a)
 			}
@@ -219,40 +219,40 @@
 	}
 }
 
-func (s *scene) checkCount(a *countAnswer) {
-	var held [sceneKeys]int
+func (s *scenario) checkCount(a *countAnswer) {
+	var covered [scenarioKeys]int
 	expected := uint64(0)
 	for _, r := range a.Included {
 		for k := r.From; k < r.To; k++ {
-			held[k]++
+			covered[k]++
 		}
-		expected += countOf(r.From, r.To, a.Snapshot)
+		expected += expectedCount(r.From, r.To, a.Snapshot)
 	}
 	for _, r := range a.Missing {
 		for k := r.From; k < r.To; k++ {
-			held[k]++
+			covered[k]++
 		}
 	}
-	for k, n := range held {
+	for k, n := range covered {
 		if n != 1 {
-			s.answers.problem("key %d stands %d times in included and missing ranges: %+v", k, n, a)
+			s.history.addProblem("key %d stands %d times in included and missing ranges: %+v", k, n, a)
 			return
 		}
 	}
 	if a.Count != expected {
-		s.answers.problem("count %d, but the included ranges hold %d at snapshot %d: %+v", a.Count, expected, a.Snapshot, a)
+		s.history.addProblem("count %d, but the included ranges hold %d at snapshot %d: %+v", a.Count, expected, a.Snapshot, a)
 	}
 	if (a.Outcome == "Complete") != (len(a.Missing) == 0) {
-		s.answers.problem("outcome %s with %d missing ranges", a.Outcome, len(a.Missing))
+		s.history.addProblem("outcome %s with %d missing ranges", a.Outcome, len(a.Missing))
 	}
 }
 
 // countOf returns how many records a half-open range of keys has at a snapshot.
-func countOf(from, to uint32, snapshot uint64) uint64 {
+func expectedCount(from, to uint32, snapshot uint64) uint64 {
 	n := uint64(0)
 	for key := uint64(from); key < uint64(to); key++ {
 		if total := recordCount(snapshot); total > key {
-			n += (total - key + sceneKeys - 1) / sceneKeys
+			n += (total - key + scenarioKeys - 1) / scenarioKeys
 		}
 	}
 	return n
@@ -260,19 +260,19 @@
 
 // finish checks the history. Arguments name outcomes that must have been seen,
 // as in Complete or Complete=50 for at least 50, or Lost=0 for none.
-func (s *scene) finish(ts *testscript.TestScript, wanted []string) error {
-	if s.load != nil {
-		if s.endless {
-			close(s.halt)
+func (s *scenario) finish(ts *testscript.TestScript, wanted []string) error {
+	if s.clientsDone != nil {
+		if s.untilFinish {
+			close(s.stopClients)
 		}
-		if err := <-s.load; err != nil {
+		if err := <-s.clientsDone; err != nil {
 			return err
 		}
 	}
 	if err := s.checkOrders(); err != nil {
 		return err
 	}
-	h := s.answers
+	h := s.history
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	ts.Logf("outcomes: %v", h.outcomes)
@@ -283,26 +283,26 @@
 		return fmt.Errorf("%d wrong answers, the first: %s", len(h.problems), h.problems[0])
 	}
 	for _, w := range wanted {
-		if err := h.wanted(w); err != nil {
+		if err := h.checkWanted(w); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (h *history) wanted(w string) error {
-	name, least, given := cut(w)
+func (h *history) checkWanted(w string) error {
+	name, minCount, hasCount := parseWanted(w)
 	n := h.outcomes[name]
 	switch {
-	case given && least == 0 && n > 0:
+	case hasCount && minCount == 0 && n > 0:
 		return fmt.Errorf("%d outcomes %s, want none; all: %v", n, name, h.outcomes)
-	case n < max(least, 1) && (!given || least > 0):
-		return fmt.Errorf("%d outcomes %s, want %d; all: %v", n, name, max(least, 1), h.outcomes)
+	case n < max(minCount, 1) && (!hasCount || minCount > 0):
+		return fmt.Errorf("%d outcomes %s, want %d; all: %v", n, name, max(minCount, 1), h.outcomes)
 	}
 	return nil
 }
 
-func cut(w string) (name string, least int, given bool) {
+func parseWanted(w string) (name string, minCount int, hasCount bool) {
 	for i := range w {
 		if w[i] == '=' {
 			n, _ := strconv.Atoi(w[i+1:])
@@ -313,27 +313,27 @@
 }
 
 // checkOrders checks the tries against the upstreams' own record.
-func (s *scene) checkOrders() error {
-	s.answers.mu.Lock()
-	defer s.answers.mu.Unlock()
-	if len(s.answers.operations) == 0 {
+func (s *scenario) checkOrders() error {
+	s.history.mu.Lock()
+	defer s.history.mu.Unlock()
+	if len(s.history.operations) == 0 {
 		return nil
 	}
-	runs, err := s.runs()
+	runs, err := s.sumRuns()
 	if err != nil {
 		return err
 	}
-	all := s.answers.operations
+	all := s.history.operations
 	seen := map[string]bool{}
-	for _, o := range s.answers.operations {
-		t := o.Input.(tryInput).ticket
+	for _, o := range s.history.operations {
+		t := o.Input.(attemptInput).ticket
 		if seen[t] {
 			continue
 		}
 		seen[t] = true
 		all = append(all, porcupine.Operation{
-			ClientId: -1, Input: tryInput{ticket: t, last: true}, Call: never + 1,
-			Output: tryOutput{runs: runs[t]}, Return: never + 2,
+			ClientId: -1, Input: attemptInput{ticket: t, final: true}, Call: farFuture + 1,
+			Output: attemptOutput{runs: runs[t]}, Return: farFuture + 2,
 		})
 	}
 	for t, n := range runs {
--- a/loomfake/link.go
+++ b/loomfake/link.go
@@ -16,7 +16,7 @@
 
 type linkCommand struct {
 	listen, to, admin netip.AddrPort
-	life              time.Duration
+	maxLifetime       time.Duration
 }
 
 func newLinkCommand() prog.Command {
@@ -25,7 +25,7 @@
 		Name: "link", Synopsis: "run a link between processes that can be cut",
 		Usage: "loomfake link -Listen IP:PORT -To IP:PORT -Admin IP:PORT\n" +
 			"POST /Fake {\"Cut\":true} at the admin address has bytes vanish without a sign.\n",
-		Flags: c.flags, Run: logged(c.run),
+		Flags: c.flags, Run: withExitStatus(c.run),
 	}
 }
 
@@ -33,22 +33,22 @@
 	f.TextVar(&c.listen, "Listen", netip.MustParseAddrPort("127.0.0.1:7600"), "`IP:port` to take connections at")
 	f.TextVar(&c.to, "To", netip.MustParseAddrPort("127.0.0.1:7401"), "`IP:port` to pass them on to")
 	f.TextVar(&c.admin, "Admin", netip.MustParseAddrPort("127.0.0.1:7601"), "`IP:port` of the fault switch")
-	f.DurationVar(&c.life, "Life", time.Hour, "longest life of the process")
+	f.DurationVar(&c.maxLifetime, "Life", time.Hour, "longest life of the process")
 }
 
 func (c *linkCommand) run(context.Context) error {
-	l, err := listen(c.listen)
+	l, err := listenLoopback(c.listen)
 	if err != nil {
 		return err
 	}
-	admin, err := listen(c.admin)
+	admin, err := listenLoopback(c.admin)
 	if err != nil {
 		return err
 	}
 	k := startLink(l, c.to)
 	m := http.NewServeMux()
-	m.HandleFunc("POST /Fake", posted(k.set))
-	return serveUntilStopped(admin, m, c.life)
+	m.HandleFunc("POST /Fake", setterHandler(k.setFaults))
+	return serveUntilStopped(admin, m, c.maxLifetime)
 }
 
 type linkFaults struct {
@@ -63,7 +63,7 @@
 }
 
 // linkBuffer is how many bytes a link passes on at once, at the most.
-const linkBuffer = 32 << 10
+const linkBufferBytes = 32 << 10
 
 type link struct {
 	to     string
@@ -79,7 +79,7 @@
 	return k
 }
 
-func (k *link) current() linkFaults {
+func (k *link) currentFaults() linkFaults {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.faults
@@ -95,52 +95,52 @@
 	}
 }
 
-func (k *link) serve(a net.Conn) {
-	k.keep(a)
-	f := k.current()
+func (k *link) serve(client net.Conn) {
+	k.track(client)
+	f := k.currentFaults()
 	if f.Reset {
-		hardClose(a)
+		resetConn(client)
 		return
 	}
 	if f.Cut {
-		_, _ = io.Copy(io.Discard, a)
+		_, _ = io.Copy(io.Discard, client)
 		return
 	}
-	b, err := net.Dial("tcp", k.to)
+	target, err := net.Dial("tcp", k.to)
 	if err != nil {
-		_ = a.Close()
+		_ = client.Close()
 		return
 	}
-	k.keep(b)
-	go k.pass(a, b, false)
-	k.pass(b, a, true)
+	k.track(target)
+	go k.forward(client, target, false)
+	k.forward(target, client, true)
 }
 
 // hardClose ends a connection with a reset.
-func hardClose(c net.Conn) {
+func resetConn(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
 	_ = c.Close()
 }
 
-func (k *link) keep(c net.Conn) {
+func (k *link) track(c net.Conn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.conns[c] = true
 }
 
 // pass copies bytes until an end closes; while the link is cut it drops them.
-func (k *link) pass(from, to net.Conn, back bool) {
-	defer k.forget(from)
-	buffer := make([]byte, linkBuffer)
+func (k *link) forward(from, to net.Conn, reverse bool) {
+	defer k.untrack(from)
+	buffer := make([]byte, linkBufferBytes)
 	for {
 		n, err := from.Read(buffer)
-		f := k.current()
+		f := k.currentFaults()
 		if n > 0 && f.Delay > 0 {
 			time.Sleep(time.Duration(f.Delay))
 		}
-		if n > 0 && !f.Cut && (!back || !f.CutBack) {
+		if n > 0 && !f.Cut && (!reverse || !f.CutBack) {
 			if _, err := to.Write(buffer[:n]); err != nil {
 				break
 			}
@@ -153,20 +153,20 @@
 	_ = to.Close()
 }
 
-func (k *link) forget(c net.Conn) {
+func (k *link) untrack(c net.Conn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.conns, c)
 }
 
 // set changes the faults. Healing closes the connections that lost bytes.
-func (k *link) set(f linkFaults) {
+func (k *link) setFaults(f linkFaults) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	healed := k.faults.Cut && !f.Cut || k.faults.CutBack && !f.CutBack
 	if healed || f.Reset {
 		for c := range k.conns {
-			hardClose(c)
+			resetConn(c)
 		}
 		k.conns = map[net.Conn]bool{}
 	}
--- a/loomfake/platform.go
+++ b/loomfake/platform.go
@@ -21,9 +21,9 @@
 
 // platformCommand runs the stand-in of the platform's service.
 type platformCommand struct {
-	listen netip.AddrPort
-	file   string
-	life   time.Duration
+	listen      netip.AddrPort
+	file        string
+	maxLifetime time.Duration
 }
 
 func newPlatformCommand() prog.Command {
@@ -33,18 +33,18 @@
 		Usage: "loomfake platform -Listen IP:PORT [-File DOCUMENT]\n" +
 			"POST /Publish publishes a document, POST /Fake sets faults, POST /SetLive a line of the live list,\n" +
 			"POST /Restore has it come back from a copy.\n",
-		Flags: c.flags, Run: logged(c.run),
+		Flags: c.flags, Run: withExitStatus(c.run),
 	}
 }
 
 func (c *platformCommand) flags(f *flag.FlagSet) {
 	f.TextVar(&c.listen, "Listen", netip.MustParseAddrPort("127.0.0.1:7300"), "`IP:port` to serve at")
 	f.StringVar(&c.file, "File", "", "`file` of the first document")
-	f.DurationVar(&c.life, "Life", time.Hour, "longest life of the process")
+	f.DurationVar(&c.maxLifetime, "Life", time.Hour, "longest life of the process")
 }
 
 func (c *platformCommand) run(context.Context) error {
-	p := newPublisher()
+	p := newPlatformServer()
 	if c.file != "" {
 		text, err := os.ReadFile(c.file)
 		if err != nil {
@@ -52,11 +52,11 @@
 		}
 		p.publish(string(text))
 	}
-	l, err := listen(c.listen)
+	l, err := listenLoopback(c.listen)
 	if err != nil {
 		return err
 	}
-	return serveUntilStopped(l, p.handler(), c.life)
+	return serveUntilStopped(l, p.handler(), c.maxLifetime)
 }
 
 type platformFaults struct {
@@ -69,13 +69,13 @@
 }
 
 // restoring has the platform come back from a copy of itself.
-type restoring struct {
+type restoreRequest struct {
 	// Revision is up to which document the copy was made, Live the live list of then.
 	Revision uint64
 	Live     []wire.LiveEntry `json:",omitzero"`
 }
 
-type publisher struct {
+type platformServer struct {
 	// mu guards what follows.
 	mu sync.Mutex
 	// era counts the returns from a copy, from 1; eraFrom is the first revision that it
@@ -84,97 +84,97 @@
 	// documents are those published so far; the index is the revision less 1.
 	documents []string
 	// live is the live list by name, version the count of its changes.
-	live    map[string]liveLine
-	version uint64
-	faults  platformFaults
+	live        map[string]liveRecord
+	liveVersion uint64
+	faults      platformFaults
 	// changed is closed, and made anew, whenever anything changes.
 	changed chan struct{}
 }
 
 // liveLine is the state of an upstream, and since when it is in the list.
-type liveLine struct {
-	state wire.LiveState
-	at    time.Time
+type liveRecord struct {
+	state     wire.LiveState
+	changedAt time.Time
 }
 
 // Bounds of the stand-in.
 const (
 	// lookEvery is the longest time between two looks of a waiting read, so that a
 	// line that LiveLag delays is seen.
-	lookEvery = 200 * time.Millisecond
+	pollInterval = 200 * time.Millisecond
 	// maxDocument is the size in bytes of the largest document taken; larger ones
 	// than a host accepts may be published, to see them refused.
-	maxDocument = 4 * config.MaxBytes
+	maxDocumentBytes = 4 * config.MaxBytes
 )
 
-func newPublisher() *publisher {
-	return &publisher{era: 1, eraFrom: 1, live: map[string]liveLine{}, changed: make(chan struct{})}
+func newPlatformServer() *platformServer {
+	return &platformServer{era: 1, eraFrom: 1, live: map[string]liveRecord{}, changed: make(chan struct{})}
 }
 
-func (p *publisher) handler() http.Handler {
+func (p *platformServer) handler() http.Handler {
 	m := http.NewServeMux()
-	m.HandleFunc("GET "+wire.PathDocument, p.read(p.document))
-	m.HandleFunc("GET "+wire.PathLive, p.read(p.list))
+	m.HandleFunc("GET "+wire.PathDocument, p.longPoll(p.currentDocument))
+	m.HandleFunc("GET "+wire.PathLive, p.longPoll(p.liveList))
 	m.HandleFunc("POST /Publish", p.onPublish)
-	m.HandleFunc("POST /Fake", posted(p.setFaults))
-	m.HandleFunc("POST /SetLive", posted(p.setLive))
-	m.HandleFunc("POST /Restore", posted(p.restore))
+	m.HandleFunc("POST /Fake", setterHandler(p.setFaults))
+	m.HandleFunc("POST /SetLive", setterHandler(p.setLive))
+	m.HandleFunc("POST /Restore", setterHandler(p.restore))
 	return m
 }
 
-func (p *publisher) publish(text string) uint64 {
+func (p *platformServer) publish(text string) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.documents = append(p.documents, text)
-	p.wake()
+	p.notifyReaders()
 	return uint64(len(p.documents))
 }
 
 // wake lets waiting reads look again. It needs mu.
-func (p *publisher) wake() {
+func (p *platformServer) notifyReaders() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
 // restore has the documents and the live list be those of a copy, and begins the next era.
-func (p *publisher) restore(r restoring) {
+func (p *platformServer) restore(r restoreRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.documents = p.documents[:min(r.Revision, uint64(len(p.documents)))]
 	p.era, p.eraFrom = p.era+1, uint64(len(p.documents))+1
-	p.live, p.version = map[string]liveLine{}, uint64(len(r.Live))
+	p.live, p.liveVersion = map[string]liveRecord{}, uint64(len(r.Live))
 	for _, e := range r.Live {
-		p.live[e.Name] = liveLine{state: e.State}
+		p.live[e.Name] = liveRecord{state: e.State}
 	}
-	p.wake()
+	p.notifyReaders()
 }
 
 // read serves a long poll: it answers when the number rises above After, when After is of
 // another Era, or when WaitMillis have passed. A number that is missing or wrong counts
 // as 0, and an era that is missing as this one.
-func (p *publisher) read(get func() (uint64, any)) http.HandlerFunc {
+func (p *platformServer) longPoll(get func() (uint64, any)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		after, _ := strconv.ParseUint(r.FormValue("After"), 10, 64)
 		wait, _ := strconv.ParseInt(r.FormValue("WaitMillis"), 10, 64)
 		era, _ := strconv.ParseUint(r.FormValue("Era"), 10, 64)
-		end := time.Now().Add(time.Duration(wait) * time.Millisecond)
+		deadline := time.Now().Add(time.Duration(wait) * time.Millisecond)
 		for {
 			p.mu.Lock()
 			down, changed := p.faults.Down, p.changed
-			another := era > 0 && era != p.era
-			n, v := get()
+			otherEra := era > 0 && era != p.era
+			version, v := get()
 			p.mu.Unlock()
 			if down {
 				http.Error(w, "down", http.StatusServiceUnavailable)
 				return
 			}
-			if n > after || another || !time.Now().Before(end) {
-				write(w, http.StatusOK, v)
+			if version > after || otherEra || !time.Now().Before(deadline) {
+				writeJSON(w, http.StatusOK, v)
 				return
 			}
 			select {
 			case <-changed:
-			case <-time.After(min(time.Until(end), lookEvery)):
+			case <-time.After(min(time.Until(deadline), pollInterval)):
 			case <-r.Context().Done():
 				return
 			}
@@ -183,56 +183,56 @@
 }
 
 // document returns the revision and the document to serve. It needs mu.
-func (p *publisher) document() (uint64, any) {
-	n := uint64(len(p.documents))
-	if p.faults.Serve > 0 && p.faults.Serve < n {
-		n = p.faults.Serve
+func (p *platformServer) currentDocument() (uint64, any) {
+	revision := uint64(len(p.documents))
+	if p.faults.Serve > 0 && p.faults.Serve < revision {
+		revision = p.faults.Serve
 	}
-	if n == 0 {
+	if revision == 0 {
 		return 0, wire.DocumentReply{Era: p.era, EraFrom: p.eraFrom}
 	}
-	return n, wire.DocumentReply{Era: p.era, EraFrom: p.eraFrom, Revision: n, Text: p.documents[n-1]}
+	return revision, wire.DocumentReply{Era: p.era, EraFrom: p.eraFrom, Revision: revision, Text: p.documents[revision-1]}
 }
 
 // list returns the version of the live list and the list. It needs mu.
-func (p *publisher) list() (uint64, any) {
-	out := wire.LiveReply{Era: p.era, Version: p.version}
-	for n, l := range p.live {
+func (p *platformServer) liveList() (uint64, any) {
+	out := wire.LiveReply{Era: p.era, Version: p.liveVersion}
+	for name, l := range p.live {
 		state := l.state
-		if time.Since(l.at) < time.Duration(p.faults.LiveLag) {
+		if time.Since(l.changedAt) < time.Duration(p.faults.LiveLag) {
 			state = wire.LiveLive
 		}
-		out.Entries = append(out.Entries, wire.LiveEntry{Name: n, State: state})
+		out.Entries = append(out.Entries, wire.LiveEntry{Name: name, State: state})
 	}
-	return p.version, out
+	return p.liveVersion, out
 }
 
-func (p *publisher) onPublish(w http.ResponseWriter, r *http.Request) {
-	text, err := io.ReadAll(io.LimitReader(r.Body, maxDocument))
+func (p *platformServer) onPublish(w http.ResponseWriter, r *http.Request) {
+	text, err := io.ReadAll(io.LimitReader(r.Body, maxDocumentBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	write(w, http.StatusOK, wire.DocumentReply{Revision: p.publish(string(text))})
+	writeJSON(w, http.StatusOK, wire.DocumentReply{Revision: p.publish(string(text))})
 }
 
-func (p *publisher) setFaults(f platformFaults) {
+func (p *platformServer) setFaults(f platformFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
-	p.wake()
+	p.notifyReaders()
 }
 
-func (p *publisher) setLive(e wire.LiveEntry) {
+func (p *platformServer) setLive(e wire.LiveEntry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.version++
-	p.live[e.Name] = liveLine{state: e.State, at: time.Now()}
-	p.wake()
+	p.liveVersion++
+	p.live[e.Name] = liveRecord{state: e.State, changedAt: time.Now()}
+	p.notifyReaders()
 }
 
 // decoded serves requests whose body is a value as JSON.
-func decoded[T any](serve func(http.ResponseWriter, *http.Request, *T)) http.HandlerFunc {
+func jsonHandler[T any](serve func(http.ResponseWriter, *http.Request, *T)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var v T
 		if err := wire.Decode(r.Body, wire.MaxBodyBytes, &v); err != nil {
@@ -244,14 +244,14 @@
 }
 
 // posted serves a value that is posted as JSON: it is set, and sent back.
-func posted[T any](set func(T)) http.HandlerFunc {
-	return decoded(func(w http.ResponseWriter, _ *http.Request, v *T) {
+func setterHandler[T any](set func(T)) http.HandlerFunc {
+	return jsonHandler(func(w http.ResponseWriter, _ *http.Request, v *T) {
 		set(*v)
-		write(w, http.StatusOK, v)
+		writeJSON(w, http.StatusOK, v)
 	})
 }
 
-func write(w http.ResponseWriter, code int, v any) {
+func writeJSON(w http.ResponseWriter, code int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	text, err := json.Marshal(v)
 	if err != nil {
--- a/loomfake/records.go
+++ b/loomfake/records.go
@@ -26,7 +26,7 @@
 func recordCount(snapshot uint64) uint64 { return baseRecords + snapshot*recordsPerSnapshot }
 
 // record makes the record of a number; its key is the number within the key space.
-func record(n uint64) query.Row {
+func newRecord(n uint64) query.Row {
 	return query.Row{
 		Key: fmt.Sprintf("R%08d", n),
 		Fields: []query.Field{
@@ -38,7 +38,7 @@
 }
 
 // answer answers a question for a half-open range of keys.
-func answer(q *query.Question, from, to, keySpace uint32, snapshot uint64) (uint64, []query.Row) {
+func answerQuestion(q *query.Question, from, to, keySpace uint32, snapshot uint64) (uint64, []query.Row) {
 	end := recordCount(snapshot)
 	count := uint64(0)
 	var rows []query.Row
@@ -48,7 +48,7 @@
 				count++
 				continue
 			}
-			r := record(n)
+			r := newRecord(n)
 			if !q.Matches(&r) {
 				continue
 			}
--- a/loomfake/replay.go
+++ b/loomfake/replay.go
@@ -22,7 +22,7 @@
 	return prog.Command{
 		Name: "replay", Synopsis: "replay the decisions in virtual time and print a table",
 		Usage: "loomfake replay [-Only TEXT] [-Seed N]\n",
-		Flags: c.flags, Run: logged(c.run),
+		Flags: c.flags, Run: withExitStatus(c.run),
 	}
 }
 
--- a/loomfake/scenario_test.go
+++ b/loomfake/scenario_test.go
@@ -57,15 +57,15 @@
 		Cmds: scenarioCommands,
 		Setup: func(e *testscript.Env) error {
 			port := portStart + int(firstPort.Add(portBlock))
-			s := &scene{t: t, port: port, dir: e.WorkDir, processes: map[string]*process{}, answers: &history{}}
-			e.Values[sceneKey{}] = s
+			s := &scenario{t: t, port: port, dir: e.WorkDir, processes: map[string]*process{}, history: &history{}}
+			e.Values[scenarioKey{}] = s
 			e.Setenv("PATH", programs+string(os.PathListSeparator)+e.Getenv("PATH"))
 			e.Setenv("LOOMD_BEAT", "200ms")
 			e.Setenv("LOOMD_WATCHWAIT", "1s")
 			e.Setenv("LOOMD_SETTLE", "500ms")
 			for i := 1; i <= 9; i++ {
-				e.Setenv(fmt.Sprintf("H%d", i), s.listen(i))
-				e.Setenv(fmt.Sprintf("OP%d", i), s.operate(i))
+				e.Setenv(fmt.Sprintf("H%d", i), s.callerAddress(i))
+				e.Setenv(fmt.Sprintf("OP%d", i), s.operatorAddress(i))
 			}
 			e.Defer(s.stopAll)
 			return nil
--- a/loomfake/soak.go
+++ b/loomfake/soak.go
@@ -12,14 +12,14 @@
 )
 
 // errPromise is wrapped by the error of a soak that saw a promise broken.
-var errPromise = errors.New("a promise was broken")
+var errGuaranteeViolated = errors.New("a promise was broken")
 
 type soakConfig struct {
 	// Seed draws the faults; the same seed draws the same ones at the same
 	// times.
 	Seed uint64
 	// For is how long faults come.
-	For time.Duration
+	FaultDuration time.Duration
 	// Daemon is the program of the entry hosts.
 	Daemon string
 	// Hosts is how many entry hosts run in each of two halls.
@@ -40,13 +40,13 @@
 		Name: "soak", Synopsis: "run daemons under random faults and check their promises",
 		Usage: "loomfake soak -Daemon FILE [-Seed N] [-For TIME]\n" +
 			"Prints a report; exits with 1 if a promise was broken. docs/SOAK.md has the promises.\n",
-		Flags: c.flags, Run: logged(c.run),
+		Flags: c.flags, Run: withExitStatus(c.run),
 	}
 }
 
 func (c *soakConfig) flags(f *flag.FlagSet) {
 	f.Uint64Var(&c.Seed, "Seed", 1, "`number` that draws the faults")
-	f.DurationVar(&c.For, "For", 20*time.Second, "how long faults come")
+	f.DurationVar(&c.FaultDuration, "For", 20*time.Second, "how long faults come")
 	f.StringVar(&c.Daemon, "Daemon", "bin/loomd", "`file` of the daemon")
 	f.IntVar(&c.Hosts, "Hosts", 2, "`number` of entry hosts in each hall")
 	f.IntVar(&c.Callers, "Callers", 12, "`number` of callers")
@@ -74,10 +74,10 @@
 	if err != nil {
 		return err
 	}
-	broken := s.check()
-	s.report(os.Stdout, broken)
-	if len(broken) > 0 {
-		return fmt.Errorf("%w: seed %d, logs in %s", errPromise, c.Seed, c.Dir)
+	violations := s.check()
+	s.writeReport(os.Stdout, violations)
+	if len(violations) > 0 {
+		return fmt.Errorf("%w: seed %d, logs in %s", errGuaranteeViolated, c.Seed, c.Dir)
 	}
 	if temporary {
 		return os.RemoveAll(c.Dir)
--- a/loomfake/soak_test.go
+++ b/loomfake/soak_test.go
@@ -22,7 +22,7 @@
 )
 
 // failedSeeds are seeds that a soak once failed with, each with the cause.
-var failedSeeds = []struct {
+var regressionSeeds = []struct {
 	seed  uint64
 	cause string
 }{
@@ -35,38 +35,38 @@
 // TestSoak runs short soaks with fixed seeds, and all that ever failed.
 func TestSoak(t *testing.T) {
 	seeds := []uint64{20261202, 7}
-	for _, f := range failedSeeds {
+	for _, f := range regressionSeeds {
 		seeds = append(seeds, f.seed)
 	}
 	for _, seed := range seeds {
-		t.Run(fmt.Sprint("Seed", seed), func(t *testing.T) { soakOnce(t, seed, false) })
+		t.Run(fmt.Sprint("Seed", seed), func(t *testing.T) { runSoak(t, seed, false) })
 	}
-	t.Run("Evacuation", func(t *testing.T) { soakOnce(t, 24, true) })
+	t.Run("Evacuation", func(t *testing.T) { runSoak(t, 24, true) })
 }
 
-func soakOnce(t *testing.T, seed uint64, evacuate bool) {
+func runSoak(t *testing.T, seed uint64, evacuate bool) {
 	s, cleanUp, err := newSoak(soakConfig{
-		Seed: seed, For: 4 * time.Second, Daemon: filepath.Join(programs, "loomd"), Hosts: 2, Callers: 6, Shards: 4, Dir: t.TempDir(),
+		Seed: seed, FaultDuration: 4 * time.Second, Daemon: filepath.Join(programs, "loomd"), Hosts: 2, Callers: 6, Shards: 4, Dir: t.TempDir(),
 		Evacuate: evacuate,
 	})
 	assert.NilError(t, err)
 	err = s.run(t.Context())
 	cleanUp()
-	broken := s.check()
-	if err != nil || len(broken) > 0 {
+	violations := s.check()
+	if err != nil || len(violations) > 0 {
 		for _, h := range s.hosts {
-			t.Logf("%s:\n%s", h.name, controlLines(t, h.log))
+			t.Logf("%s:\n%s", h.name, controlLines(t, h.logPath))
 		}
-		t.Fatalf("seed %d: %v\n%s", seed, err, strings.Join(broken, "\n"))
+		t.Fatalf("seed %d: %v\n%s", seed, err, strings.Join(violations, "\n"))
 	}
-	assert.Assert(t, len(s.asked) > 0)
+	assert.Assert(t, len(s.requests) > 0)
 }
 
 // TestClosedSoakHasNoDaemons has a soak be closed as soon as its daemons run. The next one
 // of the same process gets the same addresses: once, "hosts are not ready" was all that a
 // soak had to say after 20 s, since a daemon of the one before had been killed and was
 // still there when the next was to bind its address.
-func TestClosedSoakHasNoDaemons(t *testing.T) {
+func TestClosedSoakLeavesNoDaemons(t *testing.T) {
 	s, cleanUp, err := newSoak(soakConfig{Seed: 1, Daemon: filepath.Join(programs, "loomd"), Hosts: 2, Shards: 2, Dir: t.TempDir()})
 	assert.NilError(t, err)
 	assert.NilError(t, s.waitReady(t.Context()))
@@ -85,8 +85,8 @@
 func TestVersionsArePublishedInOrder(t *testing.T) {
 	const together = 8
 	for range 50 {
-		s := soaked()
-		s.store, s.versions, s.routes = mock.NewStore(), nil, 0
+		s := finishedSoak()
+		s.store, s.versions, s.routeCount = mock.NewStore(), nil, 0
 		server := httptest.NewServer(s.store)
 		var all sync.WaitGroup
 		for range together {
@@ -100,7 +100,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, len(p.Document.Routes), 3+together)
 		for i, v := range s.versions {
-			assert.Equal(t, v.routes, i+1)
+			assert.Equal(t, v.routeCount, i+1)
 		}
 	}
 }
@@ -125,10 +125,10 @@
 
 // soaked is a soak as it is after its run, with one gather of two shards and
 // nothing wrong.
-func soaked() *soak {
-	s := &soak{soakConfig: soakConfig{Shards: 2}, soakRecord: soakRecord{checked: map[string]int{}, injected: map[string]int{}}}
-	s.sets = [][]string{{"set0-a", "set0-b"}, {"set1-a", "set1-b"}}
-	s.versions = []version{{0, 1}, {0, 2}}
+func finishedSoak() *soak {
+	s := &soak{soakConfig: soakConfig{Shards: 2}, soakHistory: soakHistory{checked: map[string]int{}, injected: map[string]int{}}}
+	s.shardSets = [][]string{{"set0-a", "set0-b"}, {"set1-a", "set1-b"}}
+	s.versions = []publishedVersion{{0, 1}, {0, 2}}
 	s.hosts = []*soakHost{{}}
 	for _, g := range []string{"set0-a", "set0-b", "set1-a", "set1-b", "single"} {
 		for _, n := range []string{"1", "2", "3"} {
@@ -138,7 +138,7 @@
 	return s
 }
 
-func (s *soak) named(name string) *soakUpstream {
+func (s *soak) upstreamNamed(name string) *soakUpstream {
 	for _, u := range s.upstreams {
 		if u.Name == name {
 			return u
@@ -147,17 +147,17 @@
 	return nil
 }
 
-func (s *soak) arrive(name, id string, at time.Duration) {
-	u := s.named(name)
+func (s *soak) addArrival(name, id string, at time.Duration) {
+	u := s.upstreamNamed(name)
 	u.arrivals = append(u.arrivals, arrival{at: at, id: id, ran: true})
 }
 
 // answerOf is the right answer from parts.
-func (s *soak) answerOf(id string, missing string, names ...string) asked {
-	a := asked{id: id, kind: "gather", status: http.StatusOK, header: http.Header{}}
+func (s *soak) gatherAnswer(id string, missing string, names ...string) soakRequest {
+	a := soakRequest{id: id, kind: "gather", status: http.StatusOK, header: http.Header{}}
 	var stamps, records []string
 	for _, n := range names {
-		u := s.named(n)
+		u := s.upstreamNamed(n)
 		stamps = append(stamps, u.Stamp(id))
 		records = append(records, u.Body[:16], u.Body[16:])
 	}
@@ -175,107 +175,107 @@
 }
 
 // TestEachCheckCanFail breaks one promise after the other.
-func TestEachCheckCanFail(t *testing.T) {
+func TestEachCheckDetectsViolation(t *testing.T) {
 	second := time.Second
 	tests := []struct {
-		promise string
-		spoil   func(s *soak)
+		guarantee string
+		violate   func(s *soak)
 	}{
 		{"", func(*soak) {}},
 		{"at most once", func(s *soak) {
-			s.arrive("single1", "x", 0)
-			s.arrive("single2", "x", 0)
-			s.asked = append(s.asked, asked{id: "x", kind: "unsafe", status: 502})
+			s.addArrival("single1", "x", 0)
+			s.addArrival("single2", "x", 0)
+			s.requests = append(s.requests, soakRequest{id: "x", kind: "unsafe", status: 502})
 		}},
 		{"a refusal is true", func(s *soak) {
-			s.arrive("single1", "x", 0)
-			s.asked = append(s.asked, asked{id: "x", kind: "unsafe", status: 503})
+			s.addArrival("single1", "x", 0)
+			s.requests = append(s.requests, soakRequest{id: "x", kind: "unsafe", status: 503})
 		}},
 		{"attempts", func(s *soak) {
 			for _, n := range []string{"single1", "single2", "single3"} {
-				s.arrive(n, "x", 0)
+				s.addArrival(n, "x", 0)
 			}
-			s.asked = append(s.asked, asked{id: "x", kind: "safe", status: 502})
+			s.requests = append(s.requests, soakRequest{id: "x", kind: "safe", status: 502})
 		}},
-		{"own whole answer", func(s *soak) { s.asked[0].body = s.asked[0].body[:16] }},
-		{"own whole answer", func(s *soak) { s.asked[0].id = "another" }},
+		{"own whole answer", func(s *soak) { s.requests[0].body = s.requests[0].body[:16] }},
+		{"own whole answer", func(s *soak) { s.requests[0].id = "another" }},
 		{"own whole answer", func(s *soak) {
-			h := s.asked[0].header
-			h.Set(platform.Headers.Parts, h.Get(platform.Headers.Parts)+", "+s.named("set0-a1").Stamp("g"))
+			h := s.requests[0].header
+			h.Set(platform.Headers.Parts, h.Get(platform.Headers.Parts)+", "+s.upstreamNamed("set0-a1").Stamp("g"))
 		}},
 		{"one set of shards", func(s *soak) {
-			s.arrive("set1-b1", "m", 0)
-			s.arrive("set0-a1", "m", 0)
-			s.asked = append(s.asked, s.answerOf("m", "0", "set0-a1", "set1-b1"))
+			s.addArrival("set1-b1", "m", 0)
+			s.addArrival("set0-a1", "m", 0)
+			s.requests = append(s.requests, s.gatherAnswer("m", "0", "set0-a1", "set1-b1"))
 		}},
-		{"true coverage", func(s *soak) { s.asked[0].header.Set(platform.Headers.Missing, "1") }},
+		{"true coverage", func(s *soak) { s.requests[0].header.Set(platform.Headers.Missing, "1") }},
 		{"least coverage", func(s *soak) {
-			s.arrive("set0-a1", "m", 0)
-			s.asked = append(s.asked, s.answerOf("m", "1", "set0-a1"))
+			s.addArrival("set0-a1", "m", 0)
+			s.requests = append(s.requests, s.gatherAnswer("m", "1", "set0-a1"))
 		}},
 		{"no way back", func(s *soak) {
-			s.arrive("single1", "x", 0)
-			a := asked{id: "x", kind: "safe", status: 200, route: 2, header: http.Header{}, body: []byte(s.named("single1").Body)}
-			a.header.Set(platform.Headers.Stamp, s.named("single1").Stamp("x"))
-			s.asked = append(s.asked, a, asked{id: "y", kind: "safe", status: 404, route: 2, at: second})
+			s.addArrival("single1", "x", 0)
+			a := soakRequest{id: "x", kind: "safe", status: 200, route: 2, header: http.Header{}, body: []byte(s.upstreamNamed("single1").Body)}
+			a.header.Set(platform.Headers.Stamp, s.upstreamNamed("single1").Stamp("x"))
+			s.requests = append(s.requests, a, soakRequest{id: "y", kind: "safe", status: 404, route: 2, sentAt: second})
 		}},
 		{"in force everywhere", func(s *soak) {
-			s.asked = append(s.asked, asked{id: "y", kind: "safe", status: 404, route: 1, at: 20 * second})
+			s.requests = append(s.requests, soakRequest{id: "y", kind: "safe", status: 404, route: 1, sentAt: 20 * second})
 		}},
 		{"leaving upstreams", func(s *soak) {
-			s.named("single1").leftAt = second
-			s.arrive("single1", "x", 30*second)
+			s.upstreamNamed("single1").leavingAt = second
+			s.addArrival("single1", "x", 30*second)
 		}},
 		{"evacuated halls", func(s *soak) {
 			s.evacuatedAt = second
-			u := s.named("single1")
+			u := s.upstreamNamed("single1")
 			u.hall = halls[0]
-			s.arrive("single1", "x", 10*second)
+			s.addArrival("single1", "x", 10*second)
 		}},
 		{"repeats", func(s *soak) {
 			for i := range 60 {
 				id := string(rune('A' + i))
-				s.arrive("single1", id, second)
-				s.arrive("single2", id, second)
+				s.addArrival("single1", id, second)
+				s.addArrival("single2", id, second)
 			}
 		}},
 		{"a planned stop cuts nothing", func(s *soak) {
 			s.hosts[0].stopTimes = []time.Duration{9 * second}
-			s.arrive("single1", "x", 10*second)
-			s.asked = append(s.asked, asked{id: "x", kind: "safe", err: errors.New("cut"), at: 10 * second, ended: 11 * second})
+			s.addArrival("single1", "x", 10*second)
+			s.requests = append(s.requests, soakRequest{id: "x", kind: "safe", err: errors.New("cut"), sentAt: 10 * second, endedAt: 11 * second})
 		}},
 		{"recovery", func(s *soak) {
-			s.asked = append(s.asked, asked{id: "z", kind: "safe", status: 502, at: 40 * second, ended: 41 * second})
+			s.requests = append(s.requests, soakRequest{id: "z", kind: "safe", status: 502, sentAt: 40 * second, endedAt: 41 * second})
 		}},
 	}
 	for _, tt := range tests {
-		s := soaked()
-		s.arrive("set0-a1", "g", 0)
-		s.arrive("set0-b1", "g", 0)
-		s.asked = append(s.asked, s.answerOf("g", "0", "set0-a1", "set0-b1"))
-		tt.spoil(s)
-		broken := s.check()
-		if tt.promise == "" {
-			assert.Equal(t, len(broken), 0, "%v", broken)
+		s := finishedSoak()
+		s.addArrival("set0-a1", "g", 0)
+		s.addArrival("set0-b1", "g", 0)
+		s.requests = append(s.requests, s.gatherAnswer("g", "0", "set0-a1", "set0-b1"))
+		tt.violate(s)
+		violations := s.check()
+		if tt.guarantee == "" {
+			assert.Equal(t, len(violations), 0, "%v", violations)
 			continue
 		}
 		found := false
-		for _, b := range broken {
-			found = found || strings.HasPrefix(b, tt.promise+":")
+		for _, b := range violations {
+			found = found || strings.HasPrefix(b, tt.guarantee+":")
 		}
-		assert.Assert(t, found, "%s: %v", tt.promise, broken)
-		s.report(io.Discard, broken)
+		assert.Assert(t, found, "%s: %v", tt.guarantee, violations)
+		s.writeReport(io.Discard, violations)
 	}
 }
 
 // TestRequestsUnderWayAtOnceSayNothingOfEachOther has a host take a version in
 // while two requests are under way: the one that was sent first is served.
-func TestRequestsUnderWayAtOnceSayNothingOfEachOther(t *testing.T) {
+func TestConcurrentRequestsAreNotCompared(t *testing.T) {
 	const second = time.Second
 	tests := []struct {
 		name                      string
 		served, refused, answered time.Duration
-		broken                    int
+		violations                int
 	}{
 		{"at once", 2 * second, 3 * second, 4 * second, 0},
 		{"one after the other", 2 * second, 5 * second, 4 * second, 1},
@@ -283,14 +283,14 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := &soak{hosts: []*soakHost{{}}, soakRecord: soakRecord{versions: make([]version, 2), checked: map[string]int{}}}
-			s.asked = []asked{
-				{status: http.StatusOK, route: 2, at: tt.served, ended: tt.answered},
-				{status: http.StatusNotFound, route: 2, at: tt.refused, ended: tt.refused + second/2},
+			s := &soak{hosts: []*soakHost{{}}, soakHistory: soakHistory{versions: make([]publishedVersion, 2), checked: map[string]int{}}}
+			s.requests = []soakRequest{
+				{status: http.StatusOK, route: 2, sentAt: tt.served, endedAt: tt.answered},
+				{status: http.StatusNotFound, route: 2, sentAt: tt.refused, endedAt: tt.refused + second/2},
 			}
 			c := &checker{soak: s}
-			c.versions()
-			assert.Equal(t, len(c.broken), tt.broken, "%v", c.broken)
+			c.checkVersions()
+			assert.Equal(t, len(c.violations), tt.violations, "%v", c.violations)
 		})
 	}
 }
--- a/loomfake/soakcaller.go
+++ b/loomfake/soakcaller.go
@@ -17,71 +17,71 @@
 // Times of a caller.
 const (
 	// soakBound is when a caller gives a request up.
-	soakBound = 3 * time.Second
+	soakRequestTimeout = 3 * time.Second
 	// soakDialBound is when it gives a connection up.
-	soakDialBound = time.Second
+	soakDialTimeout = time.Second
 	// soakThink is the time between an answer and the caller's next request.
-	soakThink = 15 * time.Millisecond
+	soakThinkTime = 15 * time.Millisecond
 )
 
-type soakKind string
+type requestKind string
 
 // The kinds. A caller makes two gathers, then one of each other kind, and so on.
 const (
-	kindGather soakKind = "gather"
+	kindGather requestKind = "gather"
 	// kindUnsafe is a request that is not repeatable.
-	kindUnsafe soakKind = "unsafe"
+	kindUnsafe requestKind = "unsafe"
 	// kindSafe is one that is, on the newest route of the versions.
-	kindSafe soakKind = "safe"
+	kindSafe requestKind = "safe"
 )
 
-type asked struct {
+type soakRequest struct {
 	id   string
-	kind soakKind
+	kind requestKind
 	host int
 	// generation is the number of the host's daemon that was asked.
-	generation int
-	at, ended  time.Duration
-	status     int
-	header     http.Header
-	body       []byte
-	err        error
+	generation      int
+	sentAt, endedAt time.Duration
+	status          int
+	header          http.Header
+	body            []byte
+	err             error
 	// route is the number of the versions' route that was asked; 0 for none.
 	route int
 }
 
 // call is one caller: it stays with a host as long as its connection lasts.
-func (s *soak) call(ctx context.Context, n int) {
-	c := &caller{host: n % len(s.hosts)}
+func (s *soak) runCaller(ctx context.Context, index int) {
+	c := &caller{host: index % len(s.hosts)}
 	defer c.close()
 	for i := 0; ctx.Err() == nil; i++ {
-		a := asked{id: fmt.Sprintf("%d-%d-%d", s.Seed, n, i), host: c.host, at: s.now()}
+		req := soakRequest{id: fmt.Sprintf("%d-%d-%d", s.Seed, index, i), host: c.host, sentAt: s.now()}
 		path, method := "", http.MethodGet
 		switch i % 4 {
 		case 0, 1:
-			a.kind, path = kindGather, "/gather/x"
+			req.kind, path = kindGather, "/gather/x"
 		case 2:
-			a.kind, path, method = kindUnsafe, "/unsafe/x", http.MethodPost
+			req.kind, path, method = kindUnsafe, "/unsafe/x", http.MethodPost
 		default:
-			a.kind = kindSafe
+			req.kind = kindSafe
 			s.mu.Lock()
-			a.route = s.routes
+			req.route = s.routeCount
 			s.mu.Unlock()
-			path = fmt.Sprintf("/v%d/x", a.route)
+			path = fmt.Sprintf("/v%d/x", req.route)
 		}
-		a.err = c.ask(ctx, s, method, path, &a)
-		a.ended = s.now()
+		req.err = c.do(ctx, s, method, path, &req)
+		req.endedAt = s.now()
 		if ctx.Err() != nil {
 			return // broken off by the soak's own end
 		}
 		s.mu.Lock()
-		s.asked = append(s.asked, a)
+		s.requests = append(s.requests, req)
 		s.mu.Unlock()
-		if a.err != nil {
+		if req.err != nil {
 			c.close()
 			c.host = (c.host + 1) % len(s.hosts)
 		}
-		sleep(ctx, soakThink)
+		sleepContext(ctx, soakThinkTime)
 	}
 }
 
@@ -102,7 +102,7 @@
 		return nil
 	}
 	c.generation = h.generation()
-	conn, err := net.DialTimeout("tcp", h.listen.String(), soakDialBound)
+	conn, err := net.DialTimeout("tcp", h.listen.String(), soakDialTimeout)
 	if err != nil {
 		return err
 	}
@@ -117,15 +117,15 @@
 	}
 }
 
-func (c *caller) ask(ctx context.Context, s *soak, method, path string, a *asked) error {
+func (c *caller) do(ctx context.Context, s *soak, method, path string, req *soakRequest) error {
 	if err := c.connect(s.hosts[c.host]); err != nil {
 		return err
 	}
-	a.generation = c.generation
+	req.generation = c.generation
 	conn := c.conn
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	if err := c.conn.SetDeadline(time.Now().Add(soakBound)); err != nil {
+	if err := c.conn.SetDeadline(time.Now().Add(soakRequestTimeout)); err != nil {
 		return err
 	}
 	body := io.Reader(nil)
@@ -136,19 +136,19 @@
 	if err != nil {
 		return err
 	}
-	r.Header.Set(platform.Headers.RequestID, a.id)
-	r.Header.Set(platform.Headers.DeadlineMillis, strconv.FormatInt(soakBound.Milliseconds(), 10))
+	r.Header.Set(platform.Headers.RequestID, req.id)
+	r.Header.Set(platform.Headers.DeadlineMillis, strconv.FormatInt(soakRequestTimeout.Milliseconds(), 10))
 	if err := r.Write(c.conn); err != nil {
 		return err
 	}
-	answer, err := http.ReadResponse(c.reader, r)
+	resp, err := http.ReadResponse(c.reader, r)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = answer.Body.Close() }()
-	a.status, a.header = answer.StatusCode, answer.Header
-	a.body, err = io.ReadAll(answer.Body)
-	if answer.Close {
+	defer func() { _ = resp.Body.Close() }()
+	req.status, req.header = resp.StatusCode, resp.Header
+	req.body, err = io.ReadAll(resp.Body)
+	if resp.Close {
 		c.close()
 	}
 	return err
--- a/loomfake/soakcheck.go
+++ b/loomfake/soakcheck.go
@@ -16,19 +16,19 @@
 // machine, which callers and daemons share.
 const (
 	// soakApply is when a change must be in force at untouched hosts.
-	soakApply = 5 * time.Second
+	soakApplyTimeout = 5 * time.Second
 	// soakUntouched is how long ago the last fault of a host, or of the store,
 	// must be for a promise with a time to be checked.
-	soakUntouched = 6 * time.Second
+	soakSettleTime = 6 * time.Second
 	// soakWindow is the span within which repeats are counted, the platform's.
-	soakWindow = 10 * time.Second
+	soakRetryWindow = 10 * time.Second
 	// soakStop is how long a planned stop takes at most, and how long ago any
 	// other fault of the host must be for the promise about stops to be checked.
-	soakStop = 4 * time.Second
+	soakStopTimeout = 4 * time.Second
 	// soakServed is the part of requests that must be served once all is healed.
-	soakServed = 0.95
+	soakMinServed = 0.95
 	// soakBrokenMost is how many broken promises a report lists at the most.
-	soakBrokenMost = 50
+	soakMaxViolations = 50
 )
 
 // check returns the broken promises, each with what showed it.
@@ -37,77 +37,77 @@
 	defer s.mu.Unlock()
 	c := &checker{soak: s, runs: map[string][]*soakUpstream{}}
 	for _, u := range s.upstreams {
-		for _, a := range u.seen() {
+		for _, a := range u.arrivalsSoFar() {
 			if a.ran {
 				c.runs[a.id] = append(c.runs[a.id], u)
 			}
 		}
 	}
-	for i := range s.asked {
-		c.request(&s.asked[i])
+	for i := range s.requests {
+		c.checkRequest(&s.requests[i])
 	}
-	c.versions()
-	c.unwanted()
-	c.repeats()
-	c.recovery()
-	return c.broken
+	c.checkVersions()
+	c.checkExcludedUpstreams()
+	c.checkRetries()
+	c.checkRecovery()
+	return c.violations
 }
 
 type checker struct {
 	soak *soak
 	// runs are the upstreams that ran a request, by its ID.
-	runs   map[string][]*soakUpstream
-	broken []string
+	runs       map[string][]*soakUpstream
+	violations []string
 }
 
 // expect counts a check of a promise, and notes it if the promise is broken.
-func (c *checker) expect(promise string, ok bool, format string, args ...any) {
-	c.soak.checked[promise]++
-	if !ok && len(c.broken) < soakBrokenMost {
-		c.broken = append(c.broken, promise+": "+fmt.Sprintf(format, args...))
+func (c *checker) expect(guarantee string, ok bool, format string, args ...any) {
+	c.soak.checked[guarantee]++
+	if !ok && len(c.violations) < soakMaxViolations {
+		c.violations = append(c.violations, guarantee+": "+fmt.Sprintf(format, args...))
 	}
 }
 
-func (c *checker) request(a *asked) {
-	runs := c.runs[a.id]
-	if a.kind == kindUnsafe {
-		c.expect("at most once", len(runs) <= 1, "%s ran %d times", a.id, len(runs))
-		if a.status == http.StatusServiceUnavailable || a.status == http.StatusTooManyRequests {
-			c.expect("a refusal is true", len(runs) == 0, "%s was refused and ran", a.id)
+func (c *checker) checkRequest(req *soakRequest) {
+	runs := c.runs[req.id]
+	if req.kind == kindUnsafe {
+		c.expect("at most once", len(runs) <= 1, "%s ran %d times", req.id, len(runs))
+		if req.status == http.StatusServiceUnavailable || req.status == http.StatusTooManyRequests {
+			c.expect("a refusal is true", len(runs) == 0, "%s was refused and ran", req.id)
 		}
 	}
-	if a.err != nil && len(runs) > 0 {
-		c.expect("a planned stop cuts nothing", !c.stopped(a), "%s was cut by host %d: %v", a.id, a.host, a.err)
+	if req.err != nil && len(runs) > 0 {
+		c.expect("a planned stop cuts nothing", !c.duringPlannedStop(req), "%s was cut by host %d: %v", req.id, req.host, req.err)
 	}
-	seen, ran := map[*soakUpstream]bool{}, map[string]int{}
+	seen, upstreamsPerGroup := map[*soakUpstream]bool{}, map[string]int{}
 	for _, u := range runs {
 		if !seen[u] {
 			seen[u] = true
-			ran[u.group]++
+			upstreamsPerGroup[u.group]++
 		}
 	}
-	for g, n := range ran {
-		c.expect("attempts", n <= 2, "%s ran on %d upstreams of %s", a.id, n, g)
+	for g, n := range upstreamsPerGroup {
+		c.expect("attempts", n <= 2, "%s ran on %d upstreams of %s", req.id, n, g)
 	}
 	switch {
-	case a.status != http.StatusOK || a.err != nil:
-	case a.kind == kindGather:
-		c.gathered(a)
+	case req.status != http.StatusOK || req.err != nil:
+	case req.kind == kindGather:
+		c.checkGather(req)
 	default:
-		c.single(a)
+		c.checkSingle(req)
 	}
 }
 
 // stopped reports whether a request was under way during a planned stop of its
 // host, and no other fault of the host.
-func (c *checker) stopped(a *asked) bool {
-	h := c.soak.hosts[a.host]
-	during := func(at time.Duration) bool { return at > a.at-soakStop && at < a.ended }
+func (c *checker) duringPlannedStop(req *soakRequest) bool {
+	h := c.soak.hosts[req.host]
+	during := func(at time.Duration) bool { return at > req.sentAt-soakStopTimeout && at < req.endedAt }
 	return slices.ContainsFunc(h.stopTimes, during) && !slices.ContainsFunc(h.faultTimes, during)
 }
 
 // stamped finds the upstream that gave a stamp to a request; nil if none did.
-func (c *checker) stamped(stamp, id string) *soakUpstream {
+func (c *checker) upstreamByStamp(stamp, id string) *soakUpstream {
 	for _, u := range c.runs[id] {
 		if u.Stamp(id) == stamp {
 			return u
@@ -116,149 +116,151 @@
 	return nil
 }
 
-func (c *checker) single(a *asked) {
-	u := c.stamped(a.header.Get(platform.Headers.Stamp), a.id)
-	c.expect("own whole answer", u != nil && string(a.body) == u.Body, "%s got %q with stamp %q", a.id, a.body, a.header.Get(platform.Headers.Stamp))
+func (c *checker) checkSingle(req *soakRequest) {
+	u := c.upstreamByStamp(req.header.Get(platform.Headers.Stamp), req.id)
+	c.expect("own whole answer", u != nil && string(req.body) == u.Body, "%s got %q with stamp %q", req.id, req.body, req.header.Get(platform.Headers.Stamp))
 }
 
-func (c *checker) gathered(a *asked) {
+func (c *checker) checkGather(req *soakRequest) {
 	var records []string
-	in := map[string]bool{}
-	for _, stamp := range strings.Split(a.header.Get(platform.Headers.Parts), ", ") {
-		u := c.stamped(stamp, a.id)
-		if u == nil || in[u.group] {
-			c.expect("own whole answer", false, "%s has the part %q, which is none of it, or twice", a.id, stamp)
+	included := map[string]bool{}
+	for _, stamp := range strings.Split(req.header.Get(platform.Headers.Parts), ", ") {
+		u := c.upstreamByStamp(stamp, req.id)
+		if u == nil || included[u.group] {
+			c.expect("own whole answer", false, "%s has the part %q, which is none of it, or twice", req.id, stamp)
 			return
 		}
-		in[u.group] = true
-		for text := u.Body; len(text) >= soakRecordSize; text = text[soakRecordSize:] {
-			records = append(records, text[:soakRecordSize])
+		included[u.group] = true
+		for text := u.Body; len(text) >= soakRecordBytes; text = text[soakRecordBytes:] {
+			records = append(records, text[:soakRecordBytes])
 		}
 	}
 	slices.Sort(records)
 	slices.Reverse(records)
-	want := strings.Join(records[:min(soakTop, len(records))], "")
-	c.expect("own whole answer", string(a.body) == want, "%s got %q for %q", a.id, a.body, want)
-	missing, err := strconv.Atoi(a.header.Get(platform.Headers.Missing))
-	set := slices.IndexFunc(c.soak.sets, func(set []string) bool {
+	want := strings.Join(records[:min(soakTopRecords, len(records))], "")
+	c.expect("own whole answer", string(req.body) == want, "%s got %q for %q", req.id, req.body, want)
+	missing, err := strconv.Atoi(req.header.Get(platform.Headers.Missing))
+	setIndex := slices.IndexFunc(c.soak.shardSets, func(set []string) bool {
 		n := 0
 		for _, g := range set {
-			if in[g] {
+			if included[g] {
 				n++
 			}
 		}
-		return n == len(in)
+		return n == len(included)
 	})
-	c.expect("one set of shards", set >= 0, "%s mixes sets: %v", a.id, in)
-	c.expect("true coverage", err == nil && len(in)+missing == c.soak.Shards, "%s has %d parts and lacks %d", a.id, len(in), missing)
-	c.expect("least coverage", float64(len(in)) >= soakCoverage*float64(c.soak.Shards), "%s has %d parts", a.id, len(in))
+	c.expect("one set of shards", setIndex >= 0, "%s mixes sets: %v", req.id, included)
+	c.expect("true coverage", err == nil && len(included)+missing == c.soak.Shards, "%s has %d parts and lacks %d", req.id, len(included), missing)
+	c.expect("least coverage", float64(len(included)) >= soakMinCoverage*float64(c.soak.Shards), "%s has %d parts", req.id, len(included))
 }
 
 // versions checks how hosts follow the configuration: a process that answered
 // for a version's route knows it for all requests that are sent from then on. Two
 // requests that were on their way at the same time are not compared: the one sent
 // first may have been read last.
-func (c *checker) versions() {
+func (c *checker) checkVersions() {
 	type process struct{ host, generation int }
 	known := map[process]int{}
-	withStatus := func(status int) []asked {
-		return slices.DeleteFunc(slices.Clone(c.soak.asked), func(a asked) bool {
+	withStatus := func(status int) []soakRequest {
+		return slices.DeleteFunc(slices.Clone(c.soak.requests), func(a soakRequest) bool {
 			return a.route == 0 || a.err != nil || a.status != status
 		})
 	}
 	served, refused := withStatus(http.StatusOK), withStatus(http.StatusNotFound)
-	slices.SortFunc(served, func(a, b asked) int { return cmp.Compare(a.ended, b.ended) })
-	slices.SortFunc(refused, func(a, b asked) int { return cmp.Compare(a.at, b.at) })
+	slices.SortFunc(served, func(a, b soakRequest) int { return cmp.Compare(a.endedAt, b.endedAt) })
+	slices.SortFunc(refused, func(a, b soakRequest) int { return cmp.Compare(a.sentAt, b.sentAt) })
 	for _, a := range refused {
-		for len(served) > 0 && served[0].ended < a.at {
+		for len(served) > 0 && served[0].endedAt < a.sentAt {
 			p := process{served[0].host, served[0].generation}
 			known[p] = max(known[p], served[0].route)
 			served = served[1:]
 		}
 		latest := known[process{a.host, a.generation}]
-		c.expect("no way back", latest < a.route, "host %d knew version %d and does not know %d at %s", a.host, latest, a.route, a.at)
+		c.expect("no way back", latest < a.route, "host %d knew version %d and does not know %d at %s", a.host, latest, a.route, a.sentAt)
 		v := c.soak.versions[a.route-1]
 		h := c.soak.hosts[a.host]
-		settled := a.at-v.at > soakApply && a.at-h.touched > soakUntouched && a.at-c.soak.storeTouched > soakUntouched
-		c.expect("in force everywhere", !settled, "host %d does not know version %d after %s", a.host, a.route, a.at-v.at)
+		settled := a.sentAt-v.publishedAt > soakApplyTimeout && a.sentAt-h.disturbedAt > soakSettleTime && a.sentAt-c.soak.storeDisturbedAt > soakSettleTime
+		c.expect("in force everywhere", !settled, "host %d does not know version %d after %s", a.host, a.route, a.sentAt-v.publishedAt)
 	}
 }
 
 // unwanted checks that no request reached an upstream long after its hall was
 // evacuated, or after it was listed as leaving. A fault of a host or of the store may
 // have delayed the news that it leaves.
-func (c *checker) unwanted() {
+func (c *checker) checkExcludedUpstreams() {
 	for _, u := range c.soak.upstreams {
 		if u.hall == halls[0] {
-			c.notAfter("evacuated halls", u, c.soak.evacuatedAt, soakUntouched)
+			c.expectNoArrivalsAfter("evacuated halls", u, c.soak.evacuatedAt, soakSettleTime)
 		}
-		c.notAfter("leaving upstreams", u, u.leftAt, soakApply+soakUntouched)
+		c.expectNoArrivalsAfter("leaving upstreams", u, u.leavingAt, soakApplyTimeout+soakSettleTime)
 	}
 }
 
 // notAfter checks that no request reached an upstream later than a while after a
 // time; a time of 0 stands for none.
-func (c *checker) notAfter(promise string, u *soakUpstream, at, while time.Duration) {
-	if at == 0 {
+func (c *checker) expectNoArrivalsAfter(guarantee string, u *soakUpstream, excludedAt, grace time.Duration) {
+	if excludedAt == 0 {
 		return
 	}
-	for _, a := range u.seen() {
-		late := a.at - at
-		c.expect(promise, late <= while, "%s got %s %s after it should get none", u.Name, a.id, late)
+	for _, a := range u.arrivalsSoFar() {
+		late := a.at - excludedAt
+		c.expect(guarantee, late <= grace, "%s got %s %s after it should get none", u.Name, a.id, late)
 	}
 }
 
 // repeats checks the arrivals beyond the first of a request at each group, within
 // sliding windows.
-func (c *checker) repeats() {
+func (c *checker) checkRetries() {
 	perGroup := map[string][]arrival{}
 	for _, u := range c.soak.upstreams {
-		perGroup[u.group] = append(perGroup[u.group], u.seen()...)
+		perGroup[u.group] = append(perGroup[u.group], u.arrivalsSoFar()...)
 	}
-	for g, as := range perGroup {
-		slices.SortFunc(as, func(a, b arrival) int { return cmp.Compare(a.at, b.at) })
-		first := map[string]bool{}
-		var repeats, requests []time.Duration
-		for _, a := range as {
-			if first[a.id] {
-				repeats = append(repeats, a.at)
+	for g, arrivals := range perGroup {
+		slices.SortFunc(arrivals, func(a, b arrival) int { return cmp.Compare(a.at, b.at) })
+		seen := map[string]bool{}
+		var retries, requests []time.Duration
+		for _, a := range arrivals {
+			if seen[a.id] {
+				retries = append(retries, a.at)
 			} else {
 				requests = append(requests, a.at)
 			}
-			first[a.id] = true
+			seen[a.id] = true
 		}
-		for i, at := range repeats {
-			n := i + 1 - from(repeats, at-soakWindow)
-			most := max(between(requests, at-soakWindow, at), between(requests, at-2*soakWindow, at-soakWindow))
-			allowed := soakRatio*float64(most) + soakSlack
-			c.expect("repeats", float64(n) <= allowed, "%s got %d repeats for %d requests in %s", g, n, most, soakWindow)
+		for i, at := range retries {
+			n := i + 1 - lowerBound(retries, at-soakRetryWindow)
+			maxRequests := max(countBetween(requests, at-soakRetryWindow, at), countBetween(requests, at-2*soakRetryWindow, at-soakRetryWindow))
+			allowed := soakRetryRatio*float64(maxRequests) + soakRetrySlack
+			c.expect("repeats", float64(n) <= allowed, "%s got %d repeats for %d requests in %s", g, n, maxRequests, soakRetryWindow)
 		}
 	}
 }
 
 // from is the index of the first time not before another.
-func from(times []time.Duration, at time.Duration) int {
+func lowerBound(times []time.Duration, at time.Duration) int {
 	i, _ := slices.BinarySearch(times, at)
 	return i
 }
 
-func between(times []time.Duration, a, b time.Duration) int { return from(times, b) - from(times, a) }
+func countBetween(times []time.Duration, a, b time.Duration) int {
+	return lowerBound(times, b) - lowerBound(times, a)
+}
 
 // recovery checks the last requests, sent when all was healed.
-func (c *checker) recovery() {
-	last := time.Duration(0)
-	for i := range c.soak.asked {
-		last = max(last, c.soak.asked[i].at)
+func (c *checker) checkRecovery() {
+	lastSent := time.Duration(0)
+	for i := range c.soak.requests {
+		lastSent = max(lastSent, c.soak.requests[i].sentAt)
 	}
-	served, all := 0, 0
-	for _, a := range c.soak.asked {
-		if a.at < last-soakLast || a.status == 0 && a.err != nil && a.ended == 0 {
+	served, total := 0, 0
+	for _, a := range c.soak.requests {
+		if a.sentAt < lastSent-soakFinalTime || a.status == 0 && a.err != nil && a.endedAt == 0 {
 			continue
 		}
-		all++
+		total++
 		if a.status == http.StatusOK {
 			served++
 		}
 	}
-	c.expect("recovery", float64(served) >= soakServed*float64(all), "%d of %d requests served at the end", served, all)
+	c.expect("recovery", float64(served) >= soakMinServed*float64(total), "%d of %d requests served at the end", served, total)
 }
--- a/loomfake/soakfault.go
+++ b/loomfake/soakfault.go
@@ -15,12 +15,12 @@
 // Times of faults.
 const (
 	// soakPause is the longest time between the beginnings of two faults.
-	soakPause = 900 * time.Millisecond
+	maxFaultInterval = 900 * time.Millisecond
 	// faultLeast is how long a fault lasts at least; a random time up to faultMore
 	// is added.
-	faultLeast = 200 * time.Millisecond
+	minFaultDuration = 200 * time.Millisecond
 	// faultMore is the longest time added to faultLeast.
-	faultMore = 2500 * time.Millisecond
+	maxExtraFaultDuration = 2500 * time.Millisecond
 )
 
 type faultKind struct {
@@ -30,65 +30,65 @@
 }
 
 // inject begins faults at random times, which overlap.
-func (s *soak) inject(ctx context.Context) {
-	var all sync.WaitGroup
+func (s *soak) injectFaults(ctx context.Context) {
+	var wg sync.WaitGroup
 	for {
 		f := faultKinds[s.random.IntN(len(faultKinds))]
-		lasts := faultLeast + time.Duration(s.random.Int64N(int64(faultMore)))
-		pause := time.Duration(s.random.Int64N(int64(soakPause)))
+		duration := minFaultDuration + time.Duration(s.random.Int64N(int64(maxExtraFaultDuration)))
+		pause := time.Duration(s.random.Int64N(int64(maxFaultInterval)))
 		s.mu.Lock()
 		s.injected[f.name]++
 		s.mu.Unlock()
 		end := f.begin(ctx, s)
 		if end != nil {
-			all.Go(func() {
-				sleep(ctx, lasts)
+			wg.Go(func() {
+				sleepContext(ctx, duration)
 				end()
 			})
 		}
-		sleep(ctx, pause)
+		sleepContext(ctx, pause)
 		if ctx.Err() != nil {
-			all.Wait()
+			wg.Wait()
 			return
 		}
 	}
 }
 
 // touch notes that a fault of a host begins or ends.
-func (s *soak) touch(h *soakHost) {
+func (s *soak) recordHostFault(h *soakHost) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.touched = s.now()
-	h.faultTimes = append(h.faultTimes, h.touched)
+	h.disturbedAt = s.now()
+	h.faultTimes = append(h.faultTimes, h.disturbedAt)
 }
 
-func (s *soak) anyHost() *soakHost {
+func (s *soak) pickFaultyHost() *soakHost {
 	h := s.hosts[s.random.IntN(len(s.hosts))]
-	s.touch(h)
+	s.recordHostFault(h)
 	return h
 }
 
-func (s *soak) anyUpstream() *soakUpstream {
+func (s *soak) pickUpstream() *soakUpstream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.upstreams[s.random.IntN(len(s.upstreams))]
 }
 
-func (s *soak) touchStore() {
+func (s *soak) recordStoreFault() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.storeTouched = s.now()
+	s.storeDisturbedAt = s.now()
 }
 
 // faultKinds are the kinds of fault that a soak draws from.
 var faultKinds = []faultKind{
 	{"host paused", func(_ context.Context, s *soak) func() {
-		h := s.anyHost()
+		h := s.pickFaultyHost()
 		h.signal(syscall.SIGSTOP)
-		return func() { h.signal(syscall.SIGCONT); s.touch(h) }
+		return func() { h.signal(syscall.SIGCONT); s.recordHostFault(h) }
 	}},
 	{"host killed", func(_ context.Context, s *soak) func() {
-		h := s.anyHost()
+		h := s.pickFaultyHost()
 		end := s.restarter(h)
 		h.signal(syscall.SIGKILL)
 		return end
@@ -96,8 +96,8 @@
 	{"host stopped", func(_ context.Context, s *soak) func() {
 		h := s.hosts[s.random.IntN(len(s.hosts))]
 		h.mu.Lock()
-		h.touched = s.now()
-		h.stopTimes = append(h.stopTimes, h.touched)
+		h.disturbedAt = s.now()
+		h.stopTimes = append(h.stopTimes, h.disturbedAt)
 		h.mu.Unlock()
 		end := s.restarter(h)
 		h.signal(syscall.SIGTERM)
@@ -108,71 +108,71 @@
 		h.signal(syscall.SIGHUP)
 		return nil
 	}},
-	{"store cut off from a host", onStoreLink(linkFaults{Cut: true})},
-	{"store refuses a host", onStoreLink(linkFaults{Reset: true})},
-	{"store answers late", onStoreLink(linkFaults{Delay: soakDelay(300)})},
+	{"store cut off from a host", storeLinkFault(linkFaults{Cut: true})},
+	{"store refuses a host", storeLinkFault(linkFaults{Reset: true})},
+	{"store answers late", storeLinkFault(linkFaults{Delay: millisDuration(300)})},
 	{"store down", func(_ context.Context, s *soak) func() {
-		s.touchStore()
+		s.recordStoreFault()
 		s.store.Fail(http.StatusServiceUnavailable)
-		return func() { s.store.Fail(0); s.touchStore() }
+		return func() { s.store.Fail(0); s.recordStoreFault() }
 	}},
 	{"store forgets", func(_ context.Context, s *soak) func() {
 		s.store.Forget()
 		return nil
 	}},
 	{"store restored", restoreStore},
-	{"upstream silent", onLink(linkFaults{Cut: true})},
-	{"upstream cut one way", onLink(linkFaults{CutBack: true})},
-	{"upstream refuses", onLink(linkFaults{Reset: true})},
-	{"upstream delayed", onLink(linkFaults{Delay: soakDelay(100)})},
-	{"upstream slow", onUpstream(upstreamFaults{Slow: 250 * time.Millisecond})},
-	{"upstream sheds", onUpstream(upstreamFaults{Shed: 0.5})},
-	{"upstream fails", onUpstream(upstreamFaults{Fail: 0.5})},
-	{"upstream loses answers", onUpstream(upstreamFaults{Reset: 0.3})},
-	{"upstream replaced", func(_ context.Context, s *soak) func() { return s.replace(s.anyUpstream()) }},
+	{"upstream silent", upstreamLinkFault(linkFaults{Cut: true})},
+	{"upstream cut one way", upstreamLinkFault(linkFaults{CutBack: true})},
+	{"upstream refuses", upstreamLinkFault(linkFaults{Reset: true})},
+	{"upstream delayed", upstreamLinkFault(linkFaults{Delay: millisDuration(100)})},
+	{"upstream slow", upstreamFault(soakUpstreamFaults{Slow: 250 * time.Millisecond})},
+	{"upstream sheds", upstreamFault(soakUpstreamFaults{Shed: 0.5})},
+	{"upstream fails", upstreamFault(soakUpstreamFaults{Fail: 0.5})},
+	{"upstream loses answers", upstreamFault(soakUpstreamFaults{Reset: 0.3})},
+	{"upstream replaced", func(_ context.Context, s *soak) func() { return s.replaceUpstream(s.pickUpstream()) }},
 	{"settings changed", func(_ context.Context, s *soak) func() {
 		s.must(s.publish())
 		return nil
 	}},
 	{"repartition", func(_ context.Context, s *soak) func() {
 		s.mu.Lock()
-		n := len(s.sets)
+		n := len(s.shardSets)
 		s.mu.Unlock()
-		set, err := s.shardSet(n)
+		set, err := s.addShardSet(n)
 		s.must(err)
 		s.mu.Lock()
-		s.sets = append(s.sets, set)
+		s.shardSets = append(s.shardSets, set)
 		s.mu.Unlock()
 		return func() { s.must(s.publish()) }
 	}},
 }
 
-func soakDelay(millis int) config.Duration {
+func millisDuration(millis int) config.Duration {
 	return config.Duration(time.Duration(millis) * time.Millisecond)
 }
 
 // onStoreLink is a fault of the connections of a host to the store.
-func onStoreLink(f linkFaults) func(context.Context, *soak) func() {
+func storeLinkFault(f linkFaults) func(context.Context, *soak) func() {
 	return func(_ context.Context, s *soak) func() {
-		h := s.anyHost()
-		h.store.set(f)
-		return func() { h.store.set(linkFaults{}); s.touch(h) }
+		h := s.pickFaultyHost()
+		h.storeLink.setFaults(f)
+		return func() { h.storeLink.setFaults(linkFaults{}); s.recordHostFault(h) }
 	}
 }
 
-func onLink(f linkFaults) func(context.Context, *soak) func() {
+func upstreamLinkFault(f linkFaults) func(context.Context, *soak) func() {
 	return func(_ context.Context, s *soak) func() {
-		u := s.anyUpstream()
-		u.link.set(f)
-		return func() { u.link.set(linkFaults{}) }
+		u := s.pickUpstream()
+		u.link.setFaults(f)
+		return func() { u.link.setFaults(linkFaults{}) }
 	}
 }
 
-func onUpstream(f upstreamFaults) func(context.Context, *soak) func() {
+func upstreamFault(f soakUpstreamFaults) func(context.Context, *soak) func() {
 	return func(_ context.Context, s *soak) func() {
-		u := s.anyUpstream()
-		u.set(f)
-		return func() { u.set(upstreamFaults{}) }
+		u := s.pickUpstream()
+		u.setFaults(f)
+		return func() { u.setFaults(soakUpstreamFaults{}) }
 	}
 }
 
@@ -191,31 +191,31 @@
 		h.signal(syscall.SIGCONT)
 		s.must(h.restart(generation, s.Daemon))
 		h.mu.Lock()
-		h.touched = s.now()
+		h.disturbedAt = s.now()
 		h.mu.Unlock()
 	}
 }
 
 // replace starts an upstream like another, which leaves.
-func (s *soak) replace(u *soakUpstream) func() {
+func (s *soak) replaceUpstream(u *soakUpstream) func() {
 	u.mu.Lock()
-	leaving := u.leftAt > 0
+	leaving := u.leavingAt > 0
 	u.mu.Unlock()
 	if leaving {
 		return nil
 	}
 	s.must(s.addUpstream(u.group, u.hall, u.Body))
-	s.must(s.list(u, "draining"))
+	s.must(s.setUpstreamState(u, "draining"))
 	u.mu.Lock()
-	u.leftAt = s.now()
+	u.leavingAt = s.now()
 	u.mu.Unlock()
-	return func() { s.unlist(u) }
+	return func() { s.removeUpstream(u) }
 }
 
 // evacuate asks that the upstreams of the first hall get nothing from now on.
-func (s *soak) evacuate() {
-	s.publishing.Lock()
-	defer s.publishing.Unlock()
+func (s *soak) evacuateHall() {
+	s.publishMu.Lock()
+	defer s.publishMu.Unlock()
 	s.must(s.store.Put(platform.EvacuationPrefix+halls[0], struct{}{}))
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -224,16 +224,16 @@
 
 // heal ends what may still be wrong. Faults end by themselves; a host that was
 // started while its end was awaited is already there.
-func (s *soak) heal() {
+func (s *soak) clearFaults() {
 	s.store.Fail(0)
 	for _, h := range s.hosts {
-		h.store.set(linkFaults{})
+		h.storeLink.setFaults(linkFaults{})
 		h.signal(syscall.SIGCONT)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, u := range s.upstreams {
-		u.link.set(linkFaults{})
-		u.set(upstreamFaults{})
+		u.link.setFaults(linkFaults{})
+		u.setFaults(soakUpstreamFaults{})
 	}
 }
--- a/loomfake/soakhost.go
+++ b/loomfake/soakhost.go
@@ -19,20 +19,20 @@
 // be taken by the time its daemon binds it.
 const (
 	// soakListen is the port for callers.
-	soakListen = 7400
+	soakCallerPort = 7400
 	// soakPeer is the port for other hosts.
-	soakPeer = 7401
+	soakPeerPort = 7401
 	// soakOperate is the port for operators.
-	soakOperate = 7402
+	soakOperatorPort = 7402
 	// soakNet is the second byte of the first host's address; 127.0 is everybody's.
-	soakNet = 64
+	soakFirstNet = 64
 	// soakSeeds is how many hosts a host knows at its start.
-	soakSeeds = 3
+	soakMaxSeeds = 3
 )
 
 func hostAddress(i int) netip.Addr {
 	pid := os.Getpid()
-	return netip.AddrFrom4([4]byte{127, byte(soakNet + i), byte(pid >> 8), byte(pid)})
+	return netip.AddrFrom4([4]byte{127, byte(soakFirstNet + i), byte(pid >> 8), byte(pid)})
 }
 
 // soakHost is one entry host: a daemon that is started again when it ends.
@@ -42,10 +42,10 @@
 	operate    netip.AddrPort
 	peer       netip.AddrPort
 	// store is the link to the platform's store, storeAt where the host reaches it.
-	store   *link
-	storeAt netip.AddrPort
+	storeLink    *link
+	storeAddress netip.AddrPort
 	// settings and log are paths of files.
-	settings, log string
+	settingsPath, logPath string
 
 	// mu guards what follows.
 	mu sync.Mutex
@@ -56,7 +56,7 @@
 	generations int
 	// touched is when something was last done to it; it counts as untouched
 	// soakUntouched later.
-	touched time.Duration
+	disturbedAt time.Duration
 	// stopTimes are when it was stopped as planned, faultTimes when any other fault
 	// began or ended.
 	stopTimes, faultTimes []time.Duration
@@ -65,13 +65,13 @@
 // addHost starts a host, by its index, behind a link to the store.
 func (s *soak) addHost(i int, store netip.AddrPort) error {
 	h := &soakHost{name: fmt.Sprintf("host-%d", i), hall: halls[i%2]}
-	at := hostAddress(i)
-	h.listen, h.peer, h.operate = netip.AddrPortFrom(at, soakListen), netip.AddrPortFrom(at, soakPeer), netip.AddrPortFrom(at, soakOperate)
+	addr := hostAddress(i)
+	h.listen, h.peer, h.operate = netip.AddrPortFrom(addr, soakCallerPort), netip.AddrPortFrom(addr, soakPeerPort), netip.AddrPortFrom(addr, soakOperatorPort)
 	var err error
-	if h.store, h.storeAt, err = s.linkTo(store); err != nil {
+	if h.storeLink, h.storeAddress, err = s.addLink(store); err != nil {
 		return err
 	}
-	h.settings, h.log = filepath.Join(s.Dir, h.name+".env"), filepath.Join(s.Dir, h.name+".log")
+	h.settingsPath, h.logPath = filepath.Join(s.Dir, h.name+".env"), filepath.Join(s.Dir, h.name+".log")
 	s.hosts = append(s.hosts, h)
 	if err := s.writeSettings(h); err != nil {
 		return err
@@ -82,21 +82,21 @@
 // writeSettings writes the file of settings, with a few hosts as seeds.
 func (s *soak) writeSettings(h *soakHost) error {
 	var seeds []string
-	for _, o := range s.hosts[:min(soakSeeds, len(s.hosts))] {
+	for _, o := range s.hosts[:min(soakMaxSeeds, len(s.hosts))] {
 		seeds = append(seeds, o.peer.String())
 	}
 	text := fmt.Sprintf("LOOMD_ADAPTER=%s\nLOOMD_HOST=%s\nLOOMD_HALL=%s\nLOOMD_LISTEN=%s\nLOOMD_OPERATE=%s\nLOOMD_PEER=%s\nLOOMD_PLATFORM=%s\n"+
 		"LOOMD_SEEDS=%s\nLOOMD_RETRYRATIO=%g\nLOOMD_RETRYSLACK=%d\nLOOMD_WATCHWAIT=1s\nLOOMD_SETTLE=700ms\nLOOMD_STOPBOUND=2500ms\n",
-		platform.Name, h.name, h.hall, h.listen, h.operate, h.peer, h.storeAt, strings.Join(seeds, ","), soakRatio, soakSlack)
-	return os.WriteFile(h.settings, []byte(text), 0o600)
+		platform.Name, h.name, h.hall, h.listen, h.operate, h.peer, h.storeAddress, strings.Join(seeds, ","), soakRetryRatio, soakRetrySlack)
+	return os.WriteFile(h.settingsPath, []byte(text), 0o600)
 }
 
 func (h *soakHost) start(daemon string) error {
-	f, err := os.OpenFile(h.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	f, err := os.OpenFile(h.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	c := exec.Command(daemon, "serve", "-Settings", h.settings)
+	c := exec.Command(daemon, "serve", "-Settings", h.settingsPath)
 	c.Stdout, c.Stderr = f, f
 	if err := c.Start(); err != nil {
 		_ = f.Close()
--- a/loomfake/soakreport.go
+++ b/loomfake/soakreport.go
@@ -12,17 +12,17 @@
 )
 
 // report writes what was injected, checked and measured.
-func (s *soak) report(w io.Writer, broken []string) {
-	fmt.Fprintf(w, "# Soak, seed %d\n\n%d hosts, %d callers, %d requests, faults for %s\n\n| Injected | Times |\n| --- | ---: |\n", s.Seed, len(s.hosts), s.Callers, len(s.asked), s.For)
-	s.table(w, s.injected)
+func (s *soak) writeReport(w io.Writer, violations []string) {
+	fmt.Fprintf(w, "# Soak, seed %d\n\n%d hosts, %d callers, %d requests, faults for %s\n\n| Injected | Times |\n| --- | ---: |\n", s.Seed, len(s.hosts), s.Callers, len(s.requests), s.FaultDuration)
+	s.writeTable(w, s.injected)
 	fmt.Fprintf(w, "\n| Checked | Times |\n| --- | ---: |\n")
-	s.table(w, s.checked)
+	s.writeTable(w, s.checked)
 	fmt.Fprintf(w, "\n| Kind | Answered | p50 ms | p99 ms | p99.9 ms | not 200 |\n| --- | ---: | ---: | ---: | ---: | ---: |\n")
-	for _, kind := range []soakKind{kindGather, kindSafe, kindUnsafe} {
-		s.reportKind(w, kind)
+	for _, kind := range []requestKind{kindGather, kindSafe, kindUnsafe} {
+		s.writeLatencies(w, kind)
 	}
-	fmt.Fprintf(w, "\n%d broken\n", len(broken))
-	for _, b := range broken {
+	fmt.Fprintf(w, "\n%d broken\n", len(violations))
+	for _, b := range violations {
 		fmt.Fprintln(w, "- "+b)
 	}
 }
@@ -31,23 +31,23 @@
 const latencyDigits = 2
 
 // reportKind writes the latencies of the requests of a kind.
-func (s *soak) reportKind(w io.Writer, kind soakKind) {
+func (s *soak) writeLatencies(w io.Writer, kind requestKind) {
 	h := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), latencyDigits)
-	others := 0
-	for _, a := range s.asked {
+	notOK := 0
+	for _, a := range s.requests {
 		switch {
 		case a.kind != kind:
 		case a.status == http.StatusOK && a.err == nil:
-			_ = h.RecordValue((a.ended - a.at).Microseconds()) // within bounds by the caller's own
+			_ = h.RecordValue((a.endedAt - a.sentAt).Microseconds()) // within bounds by the caller's own
 		default:
-			others++
+			notOK++
 		}
 	}
 	ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	fmt.Fprintf(w, "| %s | %d | %.1f | %.1f | %.1f | %d |\n", kind, h.TotalCount(), ms(50), ms(99), ms(99.9), others)
+	fmt.Fprintf(w, "| %s | %d | %.1f | %.1f | %.1f | %d |\n", kind, h.TotalCount(), ms(50), ms(99), ms(99.9), notOK)
 }
 
-func (s *soak) table(w io.Writer, counts map[string]int) {
+func (s *soak) writeTable(w io.Writer, counts map[string]int) {
 	for _, n := range slices.Sorted(maps.Keys(counts)) {
 		fmt.Fprintf(w, "| %s | %d |\n", n, counts[n])
 	}
--- a/loomfake/soakrestore.go
+++ b/loomfake/soakrestore.go
@@ -15,13 +15,13 @@
 	// one change gives out its revision again at once.
 	lostChanges = 5
 	// restoreAway is how long the store is away before it comes back.
-	restoreAway = 300 * time.Millisecond
+	restoreOutage = 300 * time.Millisecond
 	// reportEvery is the time between two status reports of an upstream; within it one
 	// that lives has reported itself to a store that came back.
-	reportEvery = 1200 * time.Millisecond
+	reportInterval = 1200 * time.Millisecond
 	// silentReports is after how many reports that do not come the entry of an upstream
 	// goes.
-	silentReports = 3
+	maxMissedReports = 3
 )
 
 // restoreStore makes a copy of the store, and has it come back from that later. Then the
@@ -32,56 +32,56 @@
 		s.must(s.publish())
 	}
 	return func() {
-		s.touchStore()
+		s.recordStoreFault()
 		s.store.Fail(http.StatusServiceUnavailable)
-		time.Sleep(restoreAway)
+		time.Sleep(restoreOutage)
 		s.store.Restore(old)
 		s.store.Fail(0)
-		s.touchStore()
-		s.writeAgain()
-		s.forgetSilent(ctx)
-		s.touchStore()
+		s.recordStoreFault()
+		s.rewriteState()
+		s.removeExpired(ctx)
+		s.recordStoreFault()
 	}
 }
 
 // writeAgain has all that live write again what they last wrote, spread over the time
 // between two reports.
-func (s *soak) writeAgain() {
+func (s *soak) rewriteState() {
 	s.mu.Lock()
 	upstreams := slices.Clone(s.upstreams)
 	s.mu.Unlock()
 	for i, u := range upstreams {
 		if i == len(upstreams)/2 {
-			s.must(s.operateAgain())
+			s.must(s.rewriteOperatorState())
 		}
 		u.mu.Lock()
 		if u.state != "" {
-			s.must(s.reportAgain(u))
+			s.must(s.sendReport(u))
 		}
 		u.mu.Unlock()
-		time.Sleep(reportEvery / time.Duration(len(upstreams)))
+		time.Sleep(reportInterval / time.Duration(len(upstreams)))
 	}
 }
 
 // operateAgain writes the newest configuration and the evacuation again.
-func (s *soak) operateAgain() error {
-	s.publishing.Lock()
-	defer s.publishing.Unlock()
+func (s *soak) rewriteOperatorState() error {
+	s.publishMu.Lock()
+	defer s.publishMu.Unlock()
 	s.mu.Lock()
-	d, evacuated := s.document, s.evacuatedAt > 0
+	doc, evacuated := s.document, s.evacuatedAt > 0
 	s.mu.Unlock()
 	if evacuated {
 		if err := s.store.Put(platform.EvacuationPrefix+halls[0], struct{}{}); err != nil {
 			return err
 		}
 	}
-	return s.store.Put(platform.DocumentKey, d)
+	return s.store.Put(platform.DocumentKey, doc)
 }
 
 // forgetSilent takes off the store the upstreams that have left and that the copy lists,
 // once they have been silent for long enough.
-func (s *soak) forgetSilent(ctx context.Context) {
-	sleep(ctx, (silentReports-1)*reportEvery)
+func (s *soak) removeExpired(ctx context.Context) {
+	sleepContext(ctx, (maxMissedReports-1)*reportInterval)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, u := range s.upstreams {
--- a/loomfake/soakrun.go
+++ b/loomfake/soakrun.go
@@ -17,16 +17,16 @@
 // Times of a soak.
 const (
 	// soakReadyBound is how long hosts may take to be ready at the start.
-	soakReadyBound = 20 * time.Second
+	soakReadyTimeout = 20 * time.Second
 	// soakReadyEvery is the time between two looks whether they are.
-	soakReadyEvery = 50 * time.Millisecond
+	soakReadyInterval = 50 * time.Millisecond
 	// soakWarm is how long callers ask before the first fault.
-	soakWarm = 3 * time.Second
+	soakWarmup = 3 * time.Second
 	// soakHeal is how long after the last fault the hosts have to recover.
-	soakHeal = 6 * time.Second
+	soakRecoveryTime = 6 * time.Second
 	// soakLast is how long callers ask after that; what they get is judged for
 	// recovery.
-	soakLast = 3 * time.Second
+	soakFinalTime = 3 * time.Second
 )
 
 type soak struct {
@@ -39,45 +39,45 @@
 	hosts   []*soakHost
 	// publishing is held while a configuration is written, so that the versions
 	// come into the store in their order: faults that end together publish together.
-	publishing sync.Mutex
+	publishMu sync.Mutex
 
 	// mu guards what follows.
 	mu        sync.Mutex
 	upstreams []*soakUpstream
 	// sets are the sets of shards so far; the last one is published next.
-	sets [][]string
+	shardSets [][]string
 	// routes counts the routes of the versions.
-	routes int
-	soakRecord
+	routeCount int
+	soakHistory
 }
 
 // soakRecord is what was done and seen in a soak. The checks judge it once the run
 // is over.
-type soakRecord struct {
+type soakHistory struct {
 	// injected counts the faults, checked the checks, both by name.
 	injected, checked map[string]int
-	asked             []asked
+	requests          []soakRequest
 	// versions are the published configurations, in order.
-	versions []version
+	versions []publishedVersion
 	// document is the newest configuration.
 	document platform.Document
 	// storeTouched is when the store was last disturbed.
-	storeTouched time.Duration
+	storeDisturbedAt time.Duration
 	// evacuatedAt is when the first hall was evacuated; 0 for never.
 	evacuatedAt time.Duration
 }
 
-type version struct {
-	at     time.Duration
-	routes int
+type publishedVersion struct {
+	publishedAt time.Duration
+	routeCount  int
 }
 
 func newSoak(c soakConfig) (*soak, func(), error) {
 	s := &soak{
 		soakConfig: c, random: rand.New(rand.NewPCG(c.Seed, 0)), started: time.Now(), store: mock.NewStore(),
-		soakRecord: soakRecord{injected: map[string]int{}, checked: map[string]int{}},
+		soakHistory: soakHistory{injected: map[string]int{}, checked: map[string]int{}},
 	}
-	if err := s.build(); err != nil {
+	if err := s.setUp(); err != nil {
 		s.close()
 		return nil, nil, err
 	}
@@ -107,25 +107,25 @@
 	if err := s.waitReady(ctx); err != nil {
 		return err
 	}
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range s.Callers {
-		all.Go(func() { s.call(callers, i) })
+		wg.Go(func() { s.runCaller(callers, i) })
 	}
-	sleep(ctx, soakWarm)
-	faults, stopFaults := context.WithTimeout(ctx, s.For)
-	s.inject(faults)
+	sleepContext(ctx, soakWarmup)
+	faults, stopFaults := context.WithTimeout(ctx, s.FaultDuration)
+	s.injectFaults(faults)
 	stopFaults()
-	s.heal()
+	s.clearFaults()
 	if s.Evacuate {
-		s.evacuate()
+		s.evacuateHall()
 	}
-	sleep(ctx, soakHeal+soakLast)
+	sleepContext(ctx, soakRecoveryTime+soakFinalTime)
 	stopCallers()
-	all.Wait()
+	wg.Wait()
 	return ctx.Err()
 }
 
-func sleep(ctx context.Context, d time.Duration) {
+func sleepContext(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
@@ -134,7 +134,7 @@
 
 // waitReady waits until all hosts call themselves ready.
 func (s *soak) waitReady(ctx context.Context) error {
-	for end := s.now() + soakReadyBound; s.now() < end && ctx.Err() == nil; sleep(ctx, soakReadyEvery) {
+	for deadline := s.now() + soakReadyTimeout; s.now() < deadline && ctx.Err() == nil; sleepContext(ctx, soakReadyInterval) {
 		ready := 0
 		for _, h := range s.hosts {
 			r, err := http.Get("http://" + h.operate.String() + "/ready")
--- a/loomfake/soaksite.go
+++ b/loomfake/soaksite.go
@@ -17,38 +17,38 @@
 const (
 	soakHostName = "soak.example"
 	// soakTop is how many records the answer of a gather has.
-	soakTop = 8
+	soakTopRecords = 8
 	// soakCoverage is the least part of the shards that the answer of a gather has,
 	// 0 to 1.
-	soakCoverage = 0.6
+	soakMinCoverage = 0.6
 	// soakRatio bounds the calls beyond the first, as a part of the requests. It is
 	// the setting RetryRatio of the daemons.
-	soakRatio = 0.2
+	soakRetryRatio = 0.2
 	// soakSlack is how many calls beyond the first may be made besides, by all
 	// hosts within soakWindow. It is the setting RetrySlack of the daemons.
-	soakSlack = 40
+	soakRetrySlack = 40
 	// soakSingles is how many upstreams the service has that is no shard.
-	soakSingles = 3
+	soakSingleUpstreams = 3
 	// soakRecords is how many records a shard has.
-	soakRecords = 6
+	soakRecordsPerShard = 6
 	// soakRecordSize is the size of a record in bytes: the protocol's.
-	soakRecordSize = 16
+	soakRecordBytes = 16
 )
 
 // halls are the data halls of the site.
 var halls = []string{"hall-a", "hall-b"}
 
-func (s *soak) build() error {
-	at, err := s.serve(s.store)
+func (s *soak) setUp() error {
+	storeAddress, err := s.serveLoopback(s.store)
 	if err != nil {
 		return err
 	}
-	set, err := s.shardSet(0)
+	set, err := s.addShardSet(0)
 	if err != nil {
 		return err
 	}
-	s.sets = append(s.sets, set)
-	for i := range soakSingles {
+	s.shardSets = append(s.shardSets, set)
+	for i := range soakSingleUpstreams {
 		if err := s.addUpstream("single", halls[i%2], fmt.Sprint("the body of single ", i)); err != nil {
 			return err
 		}
@@ -57,7 +57,7 @@
 		return err
 	}
 	for i := range 2 * s.Hosts {
-		if err := s.addHost(i, at); err != nil {
+		if err := s.addHost(i, storeAddress); err != nil {
 			return err
 		}
 	}
@@ -65,8 +65,8 @@
 }
 
 // serve serves a handler at a free loopback port.
-func (s *soak) serve(h http.Handler) (netip.AddrPort, error) {
-	l, err := listen(netip.MustParseAddrPort("127.0.0.1:0"))
+func (s *soak) serveLoopback(h http.Handler) (netip.AddrPort, error) {
+	l, err := listenLoopback(netip.MustParseAddrPort("127.0.0.1:0"))
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
@@ -76,24 +76,24 @@
 	return netip.MustParseAddrPort(l.Addr().String()), nil
 }
 
-func (s *soak) linkTo(to netip.AddrPort) (*link, netip.AddrPort, error) {
-	l, err := listen(netip.MustParseAddrPort("127.0.0.1:0"))
+func (s *soak) addLink(to netip.AddrPort) (*link, netip.AddrPort, error) {
+	l, err := listenLoopback(netip.MustParseAddrPort("127.0.0.1:0"))
 	if err != nil {
 		return nil, netip.AddrPort{}, err
 	}
 	k := startLink(l, to)
-	s.closers = append(s.closers, func() { _ = l.Close(); k.set(linkFaults{Reset: true}) })
+	s.closers = append(s.closers, func() { _ = l.Close(); k.setFaults(linkFaults{Reset: true}) })
 	return k, netip.MustParseAddrPort(l.Addr().String()), nil
 }
 
 // shardSet starts a set of shards with a replica in each hall.
-func (s *soak) shardSet(n int) ([]string, error) {
+func (s *soak) addShardSet(n int) ([]string, error) {
 	var set []string
 	for i := range s.Shards {
 		group := fmt.Sprintf("set%d-shard%d", n, i)
 		set = append(set, group)
 		for _, h := range halls {
-			if err := s.addUpstream(group, h, recordsOf(group)); err != nil {
+			if err := s.addUpstream(group, h, shardRecords(group)); err != nil {
 				return nil, err
 			}
 		}
@@ -102,10 +102,10 @@
 }
 
 // recordsOf returns the records of a shard, which all its replicas have.
-func recordsOf(group string) string {
+func shardRecords(group string) string {
 	r := rand.New(rand.NewPCG(xxhash.Sum64String(group), 0))
 	var b strings.Builder
-	for range soakRecords {
+	for range soakRecordsPerShard {
 		fmt.Fprintf(&b, "%016x", r.Uint64())
 	}
 	return b.String()
@@ -114,28 +114,28 @@
 // publish writes the configuration with the newest set of shards, and one
 // route more than before, by which hosts are seen to follow.
 func (s *soak) publish() error {
-	s.publishing.Lock()
-	defer s.publishing.Unlock()
+	s.publishMu.Lock()
+	defer s.publishMu.Unlock()
 	s.mu.Lock()
-	s.routes++
-	n, set := s.routes, s.sets[len(s.sets)-1]
+	s.routeCount++
+	version, set := s.routeCount, s.shardSets[len(s.shardSets)-1]
 	var groups []string
 	for _, u := range s.upstreams {
 		groups = append(groups, u.group)
 	}
 	s.mu.Unlock()
-	v := platform.Document{Version: uint64(n), Limits: platform.Limits{BodyBytes: 1 << 16}, Routes: soakRoutes(set, n)}
+	doc := platform.Document{Version: uint64(version), Limits: platform.Limits{BodyBytes: 1 << 16}, Routes: soakRoutes(set, version)}
 	slices.Sort(groups)
 	for _, g := range slices.Compact(groups) {
-		v.Groups = append(v.Groups, platform.Group{Name: g, Connections: 40})
+		doc.Groups = append(doc.Groups, platform.Group{Name: g, Connections: 40})
 	}
-	if err := s.store.Put(platform.DocumentKey, v); err != nil {
+	if err := s.store.Put(platform.DocumentKey, doc); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.document = v
-	s.versions = append(s.versions, version{at: s.now(), routes: n})
+	s.document = doc
+	s.versions = append(s.versions, publishedVersion{publishedAt: s.now(), routeCount: version})
 	return nil
 }
 
@@ -144,7 +144,7 @@
 func soakRoutes(set []string, versions int) []platform.Route {
 	base := platform.Route{HostName: soakHostName, TimeLimitMillis: 2000, ObjectiveMillis: 200, MaxAttempts: 2}
 	gather, safe, unsafe := base, base, base
-	gather.Name, gather.Prefix, gather.Kind, gather.Gather, gather.Top, gather.Coverage = "gather", "/gather/", platform.KindRepeatable, set, soakTop, soakCoverage
+	gather.Name, gather.Prefix, gather.Kind, gather.Gather, gather.Top, gather.Coverage = "gather", "/gather/", platform.KindRepeatable, set, soakTopRecords, soakMinCoverage
 	safe.Name, safe.Prefix, safe.Kind, safe.Group = "safe", "/safe/", platform.KindRepeatable, "single"
 	unsafe.Name, unsafe.Prefix, unsafe.Kind, unsafe.Group = "unsafe", "/unsafe/", "unsafe", "single"
 	routes := []platform.Route{gather, safe, unsafe}
--- a/loomfake/soakupstream.go
+++ b/loomfake/soakupstream.go
@@ -22,25 +22,25 @@
 
 type soakUpstream struct {
 	mock.Upstream
-	group string
-	hall  string
-	link  *link
-	at    netip.AddrPort
-	now   func() time.Duration
+	group   string
+	hall    string
+	link    *link
+	address netip.AddrPort
+	now     func() time.Duration
 
 	mu     sync.Mutex
-	faults upstreamFaults
+	faults soakUpstreamFaults
 	// arrivals are in order of time.
 	arrivals []arrival
 	// leftAt is when it was listed as leaving; 0 if it was not.
-	leftAt time.Duration
+	leavingAt time.Duration
 	// state is what it last reported of itself, empty once it has left; reports counts
 	// its reports.
-	state   string
-	reports uint64
+	state       string
+	reportCount uint64
 }
 
-type upstreamFaults struct {
+type soakUpstreamFaults struct {
 	// Shed and Fail are parts of the requests, 0 to 1; Slow is how long each
 	// takes.
 	Shed, Fail float64
@@ -70,7 +70,7 @@
 	switch {
 	case rand.Float64() < f.Reset:
 		if c, _, err := http.NewResponseController(w).Hijack(); err == nil {
-			hardClose(c)
+			resetConn(c)
 		}
 	case rand.Float64() < f.Fail:
 		w.Header().Set(h.RequestID, r.Header.Get(h.RequestID))
@@ -81,13 +81,13 @@
 	}
 }
 
-func (u *soakUpstream) set(f upstreamFaults) {
+func (u *soakUpstream) setFaults(f soakUpstreamFaults) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.faults = f
 }
 
-func (u *soakUpstream) seen() []arrival {
+func (u *soakUpstream) arrivalsSoFar() []arrival {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return slices.Clone(u.arrivals)
@@ -98,37 +98,37 @@
 	n := len(s.upstreams)
 	s.mu.Unlock()
 	u := &soakUpstream{Upstream: mock.Upstream{Name: fmt.Sprintf("u-%d", n), Body: body}, group: group, hall: hall, now: s.now}
-	at, err := s.serve(u)
+	addr, err := s.serveLoopback(u)
 	if err != nil {
 		return err
 	}
-	if u.link, u.at, err = s.linkTo(at); err != nil {
+	if u.link, u.address, err = s.addLink(addr); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	s.upstreams = append(s.upstreams, u)
 	s.mu.Unlock()
-	return s.list(u, "ready")
+	return s.setUpstreamState(u, "ready")
 }
 
 // list has an upstream report its state to the store.
-func (s *soak) list(u *soakUpstream, state string) error {
+func (s *soak) setUpstreamState(u *soakUpstream, state string) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.state = state
-	return s.reportAgain(u)
+	return s.sendReport(u)
 }
 
 // reportAgain writes what an upstream last said of itself. It needs the upstream's mu.
-func (s *soak) reportAgain(u *soakUpstream) error {
-	u.reports++
+func (s *soak) sendReport(u *soakUpstream) error {
+	u.reportCount++
 	return s.store.Report(u.Name, platform.Upstream{
-		Group: u.group, Address: u.at, Hall: u.hall, Slots: 4, State: u.state, Sequence: u.reports,
+		Group: u.group, Address: u.address, Hall: u.hall, Slots: 4, State: u.state, Sequence: u.reportCount,
 	})
 }
 
 // unlist takes an upstream that has left off the store.
-func (s *soak) unlist(u *soakUpstream) {
+func (s *soak) removeUpstream(u *soakUpstream) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.state = ""
--- a/loomfake/upstream.go
+++ b/loomfake/upstream.go
@@ -12,10 +12,10 @@
 
 // upstreamCommand runs stand-ins of upstreams, on consecutive ports.
 type upstreamCommand struct {
-	listen netip.AddrPort
-	count  int
-	config upstreamConfig
-	life   time.Duration
+	listen      netip.AddrPort
+	count       int
+	config      upstreamConfig
+	maxLifetime time.Duration
 }
 
 // What all upstreams have alike.
@@ -23,10 +23,10 @@
 	// backlog is how many calls wait for a slot before an upstream sheds.
 	backlog = 4
 	// medianService is the median service time until POST /Fake sets another.
-	medianService = 2 * time.Millisecond
+	defaultServiceTime = 2 * time.Millisecond
 	// connectCost is the time that a new connection costs; the users' larger
 	// upstreams take about as long.
-	connectCost = time.Millisecond
+	connSetupDelay = time.Millisecond
 )
 
 func newUpstreamCommand() prog.Command {
@@ -35,7 +35,7 @@
 		Name: "upstream", Synopsis: "run stand-ins of upstreams",
 		Usage: "loomfake upstream -Listen IP:PORT [-Count N]\n" +
 			"Upstream i listens at PORT+i. POST /Fake sets faults, GET /Runs tells which orders ran.\n",
-		Flags: c.flags, Run: logged(c.run),
+		Flags: c.flags, Run: withExitStatus(c.run),
 	}
 }
 
@@ -45,24 +45,24 @@
 	f.IntVar(&c.config.slots, "Slots", 2, "calls that an upstream works on at once")
 	f.IntVar(&c.config.connections, "Connections", 25, "connections that an upstream takes")
 	f.UintVar(&c.config.keySpace, "KeySpace", 1024, "keys of the data")
-	f.DurationVar(&c.life, "Life", time.Hour, "longest life of the process")
+	f.DurationVar(&c.maxLifetime, "Life", time.Hour, "longest life of the process")
 }
 
 func (c *upstreamCommand) run(context.Context) error {
 	for i := range c.count {
-		at := netip.AddrPortFrom(c.listen.Addr(), c.listen.Port()+uint16(i))
-		l, err := listen(at)
+		addr := netip.AddrPortFrom(c.listen.Addr(), c.listen.Port()+uint16(i))
+		l, err := listenLoopback(addr)
 		if err != nil {
 			return err
 		}
-		one := c.config
-		one.seed = uint64(1 + i)
-		u := newUpstream(one, faults{Service: config.Duration(medianService), Oldest: 1, Newest: 1, MapRevision: 1})
+		cfg := c.config
+		cfg.seed = uint64(1 + i)
+		u := newUpstream(cfg, upstreamFaults{Service: config.Duration(defaultServiceTime), Oldest: 1, Newest: 1, MapRevision: 1})
 		s := newServer(u.handler())
 		go func() {
-			_ = s.Serve(&costlyListener{Listener: l, cost: connectCost, limit: int64(one.connections)})
+			_ = s.Serve(&limitedListener{Listener: l, setupDelay: connSetupDelay, maxConns: int64(cfg.connections)})
 		}()
 	}
-	waitForStop(c.life)
+	waitForStop(c.maxLifetime)
 	return nil
 }
--- a/loomfake/upstreamserver.go
+++ b/loomfake/upstreamserver.go
@@ -15,7 +15,7 @@
 
 // faults are the switches of a stand-in upstream; POST /Fake sets them all.
 // Shares are probabilities, 0 to 1.
-type faults struct {
+type upstreamFaults struct {
 	// Service is the median service time.
 	Service config.Duration
 	// StraggleShare of the calls take StraggleFactor times as long.
@@ -63,7 +63,7 @@
 	slots   chan struct{}
 	waiting atomic.Int64
 	mu      sync.Mutex
-	faults  faults
+	faults  upstreamFaults
 	random  *rand.Rand
 	// runs counts how often each order ran; used with mu held.
 	runs map[string]int
@@ -71,7 +71,7 @@
 	arrived int
 }
 
-func newUpstream(c upstreamConfig, f faults) *upstream {
+func newUpstream(c upstreamConfig, f upstreamFaults) *upstream {
 	return &upstream{
 		config: c, slots: make(chan struct{}, c.slots), faults: f,
 		random: rand.New(rand.NewPCG(c.seed, 0)), runs: map[string]int{},
@@ -80,8 +80,8 @@
 
 func (u *upstream) handler() http.Handler {
 	m := http.NewServeMux()
-	m.HandleFunc("POST "+wire.PathPart, decoded(u.onPart))
-	m.HandleFunc("POST "+wire.PathPlace, decoded(u.onPlace))
+	m.HandleFunc("POST "+wire.PathPart, jsonHandler(u.onPart))
+	m.HandleFunc("POST "+wire.PathPlace, jsonHandler(u.onPlace))
 	m.HandleFunc("POST "+wire.PathStatus, u.onStatus)
 	m.HandleFunc("POST /Fake", u.onFake)
 	m.HandleFunc("GET /Runs", u.onRuns)
@@ -89,7 +89,7 @@
 }
 
 // draw decides by chance; all draws share one seeded source.
-func (u *upstream) draw(share float64) bool {
+func (u *upstream) chance(share float64) bool {
 	if share <= 0 {
 		return false
 	}
@@ -98,17 +98,17 @@
 	return u.random.Float64() < share
 }
 
-func (u *upstream) current() faults {
+func (u *upstream) currentFaults() upstreamFaults {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.faults
 }
 
-func (f *faults) held() wire.UpstreamInfo {
+func (f *upstreamFaults) upstreamInfo() wire.UpstreamInfo {
 	return wire.UpstreamInfo{Oldest: f.Oldest, Newest: f.Newest, Leaving: f.Draining}
 }
 
-func (u *upstream) serviceTime(f *faults) time.Duration {
+func (u *upstream) serviceTime(f *upstreamFaults) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	factor := math.Exp(serviceSigma * u.random.NormFloat64())
@@ -118,16 +118,16 @@
 	return time.Duration(factor * float64(f.Service))
 }
 
-func refuse(w http.ResponseWriter, f *faults, id wire.Identity, kind wire.RefusalKind) {
+func refuse(w http.ResponseWriter, f *upstreamFaults, id wire.Identity, kind wire.RefusalKind) {
 	code := http.StatusServiceUnavailable
 	if kind == wire.RefusalMoved || kind == wire.RefusalSnapshotGone {
 		code = http.StatusConflict
 	}
-	write(w, code, wire.RefusalReply{Identity: id, UpstreamInfo: f.held(), Refused: kind})
+	writeJSON(w, code, wire.RefusalReply{Identity: id, UpstreamInfo: f.upstreamInfo(), Refused: kind})
 }
 
 // begin takes a slot, or refuses. It reports whether the call may run.
-func (u *upstream) begin(w http.ResponseWriter, r *http.Request, f *faults, id wire.Identity, deadline time.Time) bool {
+func (u *upstream) acquireSlot(w http.ResponseWriter, r *http.Request, f *upstreamFaults, id wire.Identity, deadline time.Time) bool {
 	u.mu.Lock()
 	u.arrived++
 	u.mu.Unlock()
@@ -135,7 +135,7 @@
 	case f.Draining:
 		refuse(w, f, id, wire.RefusalLeaving)
 		return false
-	case u.draw(f.ShedShare):
+	case u.chance(f.ShedShare):
 		refuse(w, f, id, wire.RefusalShed)
 		return false
 	case u.waiting.Add(1) > int64(backlog+u.config.slots):
@@ -161,46 +161,46 @@
 }
 
 func (u *upstream) onPart(w http.ResponseWriter, r *http.Request, in *wire.PartRequest) {
-	u.serve(w, r, &job{identity: in.Identity, millis: in.DeadlineMillis, snapshot: in.Snapshot}, func(f *faults, out *wire.PartReply) {
-		if u.draw(f.WrongSnapshotShare) {
+	u.serve(w, r, &upstreamCall{identity: in.Identity, deadlineMillis: in.DeadlineMillis, snapshot: in.Snapshot}, func(f *upstreamFaults, out *wire.PartReply) {
+		if u.chance(f.WrongSnapshotShare) {
 			out.Snapshot++
 		}
-		out.Count, out.Rows = answer(&in.Question, in.From, in.To, uint32(u.config.keySpace), out.Snapshot)
+		out.Count, out.Rows = answerQuestion(&in.Question, in.From, in.To, uint32(u.config.keySpace), out.Snapshot)
 	})
 }
 
 func (u *upstream) onPlace(w http.ResponseWriter, r *http.Request, in *wire.PlaceRequest) {
-	u.serve(w, r, &job{identity: in.Identity, millis: in.DeadlineMillis, order: in.RequestID}, func(_ *faults, out *wire.PartReply) {
+	u.serve(w, r, &upstreamCall{identity: in.Identity, deadlineMillis: in.DeadlineMillis, orderID: in.RequestID}, func(_ *upstreamFaults, out *wire.PartReply) {
 		out.Count = 1
 	})
 }
 
-type job struct {
-	identity wire.Identity
-	millis   int64
+type upstreamCall struct {
+	identity       wire.Identity
+	deadlineMillis int64
 	// snapshot is the one asked for; 0 for the newest.
 	snapshot uint64
 	// order is the request ID of a call that is not repeatable.
-	order string
+	orderID string
 }
 
 // serve takes a slot, works, and replies with what fill makes.
-func (u *upstream) serve(w http.ResponseWriter, r *http.Request, j *job, fill func(*faults, *wire.PartReply)) {
-	f := u.current()
-	if !u.begin(w, r, &f, j.identity, time.Now().Add(time.Duration(j.millis)*time.Millisecond)) {
+func (u *upstream) serve(w http.ResponseWriter, r *http.Request, c *upstreamCall, fill func(*upstreamFaults, *wire.PartReply)) {
+	f := u.currentFaults()
+	if !u.acquireSlot(w, r, &f, c.identity, time.Now().Add(time.Duration(c.deadlineMillis)*time.Millisecond)) {
 		return
 	}
 	defer func() { <-u.slots }()
-	if j.snapshot == 0 {
-		j.snapshot = f.Newest
+	if c.snapshot == 0 {
+		c.snapshot = f.Newest
 	}
-	if j.snapshot < f.Oldest || j.snapshot > f.Newest {
-		refuse(w, &f, j.identity, wire.RefusalSnapshotGone)
+	if c.snapshot < f.Oldest || c.snapshot > f.Newest {
+		refuse(w, &f, c.identity, wire.RefusalSnapshotGone)
 		return
 	}
-	if j.order != "" {
+	if c.orderID != "" {
 		u.mu.Lock()
-		u.runs[j.order]++
+		u.runs[c.orderID]++
 		u.mu.Unlock()
 	}
 	select {
@@ -208,34 +208,34 @@
 	case <-r.Context().Done():
 		return
 	}
-	out := wire.PartReply{Identity: j.identity, UpstreamInfo: f.held(), Snapshot: j.snapshot}
+	out := wire.PartReply{Identity: c.identity, UpstreamInfo: f.upstreamInfo(), Snapshot: c.snapshot}
 	fill(&f, &out)
 	u.reply(w, r, &f, out)
 }
 
 // reply sends a reply, right or wrong as the faults demand.
-func (u *upstream) reply(w http.ResponseWriter, r *http.Request, f *faults, out wire.PartReply) {
+func (u *upstream) reply(w http.ResponseWriter, r *http.Request, f *upstreamFaults, out wire.PartReply) {
 	switch {
-	case u.draw(f.DropShare):
+	case u.chance(f.DropShare):
 		panic(http.ErrAbortHandler)
-	case u.draw(f.GarbageShare):
+	case u.chance(f.GarbageShare):
 		_, _ = w.Write([]byte(`{"RequestID": "x", "Attempt": }` + strings.Repeat("garbage", 100)))
-	case u.draw(f.CutShare):
+	case u.chance(f.CutShare):
 		w.Header().Set("Content-Length", "1000")
 		_, _ = w.Write([]byte(`{"RequestID":"` + out.RequestID))
 		panic(http.ErrAbortHandler)
-	case u.draw(f.EndlessShare):
-		endless(w, r)
-	case u.draw(f.CrossShare):
+	case u.chance(f.EndlessShare):
+		writeEndlessly(w, r)
+	case u.chance(f.CrossShare):
 		out.RequestID = "another-" + out.RequestID
 		out.Count += 7
-		write(w, http.StatusOK, out)
+		writeJSON(w, http.StatusOK, out)
 	default:
-		write(w, http.StatusOK, out)
+		writeJSON(w, http.StatusOK, out)
 	}
 }
 
-func endless(w http.ResponseWriter, r *http.Request) {
+func writeEndlessly(w http.ResponseWriter, r *http.Request) {
 	for r.Context().Err() == nil {
 		if _, err := w.Write([]byte(`                `)); err != nil {
 			return
@@ -246,12 +246,12 @@
 }
 
 func (u *upstream) onStatus(w http.ResponseWriter, _ *http.Request) {
-	f := u.current()
-	out := wire.StatusReply{UpstreamInfo: f.held(), InUse: len(u.slots), Slots: u.config.slots}
+	f := u.currentFaults()
+	out := wire.StatusReply{UpstreamInfo: f.upstreamInfo(), InUse: len(u.slots), Slots: u.config.slots}
 	if f.LieHealth {
 		out.Leaving, out.InUse = false, 0
 	}
-	write(w, http.StatusOK, out)
+	writeJSON(w, http.StatusOK, out)
 }
 
 // onFake changes the faults that the body names.
@@ -264,16 +264,16 @@
 		return
 	}
 	u.faults = f
-	write(w, http.StatusOK, f)
+	writeJSON(w, http.StatusOK, f)
 }
 
 type runsReply struct {
 	// Arrived is how many calls came, refused ones included.
 	Arrived int
-	Runs    []run
+	Runs    []orderRuns
 }
 
-type run struct {
+type orderRuns struct {
 	RequestID string
 	Runs      int
 }
@@ -281,9 +281,9 @@
 func (u *upstream) onRuns(w http.ResponseWriter, _ *http.Request) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	out := runsReply{Arrived: u.arrived, Runs: []run{}}
+	out := runsReply{Arrived: u.arrived, Runs: []orderRuns{}}
 	for id, n := range u.runs {
-		out.Runs = append(out.Runs, run{RequestID: id, Runs: n})
+		out.Runs = append(out.Runs, orderRuns{RequestID: id, Runs: n})
 	}
-	write(w, http.StatusOK, out)
+	writeJSON(w, http.StatusOK, out)
 }
