--- a/loomfake/command.go
+++ b/loomfake/command.go
@@ -17,10 +17,10 @@
 	"github.com/rs/zerolog"
 )
 
-var errNotLoopback = errors.New("stand-ins use loopback addresses only: give an address of 127.0.0.0/8 or [::1]")
+var errNotLoopback = errors.New("stand-ins listen on loopback addresses only: use an address in 127.0.0.0/8 or [::1]")
 
-// logged makes a command of a function: it logs the error and turns it into an exit
-// status.
+// withExitStatus adapts a function to a command: it logs the function's error and
+// returns the exit status.
 func withExitStatus(run func(context.Context) error) func(context.Context, *flag.FlagSet) subcommands.ExitStatus {
 	return func(ctx context.Context, _ *flag.FlagSet) subcommands.ExitStatus {
 		err := run(ctx)
@@ -28,7 +28,7 @@
 			return subcommands.ExitSuccess
 		}
 		log := zerolog.New(os.Stderr).With().Timestamp().Logger()
-		log.Error().Err(err).Msg("stand-in not run")
+		log.Error().Err(err).Msg("running command failed")
 		return subcommands.ExitFailure
 	}
 }
@@ -39,24 +39,23 @@
 	}
 	l, err := net.Listen("tcp", addr.String())
 	if err != nil {
-		return nil, fmt.Errorf("listen: %w: free the address or give another", err)
+		return nil, fmt.Errorf("listen: %w (free the address or use another)", err)
 	}
 	return l, nil
 }
 
-// Bounds of the stand-ins' connections: far above what a test needs.
+// Timeouts of the stand-ins' HTTP servers. They are long enough never to expire
+// during a test.
 const (
-	// headerBound is how long the head of a request may take to arrive.
 	readHeaderTimeout = time.Minute
-	// idleBound is how long a connection may wait for the next request.
-	idleTimeout = 2 * time.Minute
+	idleTimeout       = 2 * time.Minute
 )
 
 func newServer(h http.Handler) *http.Server {
 	return &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout}
 }
 
-// serveUntilStopped serves until a signal or the longest life.
+// serveUntilStopped serves until SIGTERM or SIGINT arrives or maxLifetime has passed.
 func serveUntilStopped(l net.Listener, h http.Handler, maxLifetime time.Duration) error {
 	s := newServer(h)
 	go func() { _ = s.Serve(l) }()
@@ -64,7 +63,7 @@
 	return s.Close()
 }
 
-// waitForStop waits for a signal, or for the longest life.
+// waitForStop waits for SIGTERM or SIGINT, at most for maxLifetime.
 func waitForStop(maxLifetime time.Duration) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
--- a/loomfake/connect.go
+++ b/loomfake/connect.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// costlyListener makes a new connection cost time, and refuses those over a
-// limit by closing them.
+// limitedListener delays the first read of each connection, and closes new
+// connections while maxConns are open.
 type limitedListener struct {
 	net.Listener
+	// setupDelay stands for the cost of setting up a connection.
 	setupDelay time.Duration
 	maxConns   int64
 	openConns  atomic.Int64
@@ -31,6 +32,7 @@
 	}
 }
 
+// limitedConn is a connection that counts towards its listener's limit.
 type limitedConn struct {
 	net.Conn
 	listener  *limitedListener
--- a/loomfake/document.go
+++ b/loomfake/document.go
@@ -12,30 +12,31 @@
 	"loomgap/tier/prog"
 )
 
-// shape describes a tier of one data hall on loopback addresses; the command prints
-// a document for it.
+// documentOptions describes a tier of one data hall on loopback addresses, for which
+// the command prints a document.
 type documentOptions struct {
 	hosts, shards int
-	// peerPort is the first host's; the next one's is portsPerHost higher.
+	// peerPort is the port of the first host; the next port is portsPerHost higher.
 	peerPort int
-	// upstreamPort is the first upstream's; the next one's is 1 higher.
+	// upstreamPort is the port of the first upstream; the next port is 1 higher.
 	upstreamPort int
-	// slots are those of each upstream.
-	slots    int
+	// slots is the number of slots of each upstream.
+	slots int
+	// keySpace is the number of keys.
 	keySpace uint
-	// deadline is that of classes Counter and Order, wideDeadline that of classes
-	// Search and Tally; patience is class Search's.
+	// deadline applies to classes Counter and Order, wideDeadline to classes Search
+	// and Tally, and patience to class Search.
 	deadline, wideDeadline, patience time.Duration
 }
 
-// Sizes of the document. Connections are as many as the users' larger upstreams take.
+// Sizes of the document.
 const (
 	// replicas is the number of replicas of each shard.
 	replicas = 2
-	// upstreamConnections is the number of connections that an upstream takes.
+	// upstreamConnections is the connection limit of each upstream, that of the users'
+	// larger upstreams.
 	upstreamConnections = 100
-	// portsPerHost is the distance between the peer ports of two hosts; a host's
-	// other ports lie between.
+	// portsPerHost leaves room for the other ports of a host between two peer ports.
 	portsPerHost = 10
 )
 
@@ -85,8 +86,9 @@
 	return d
 }
 
-// classes are a counter's narrow class, a latency-first search, a
-// coverage-first tally, and orders.
+// classes returns a class for narrow counter requests, one for searches that prefer
+// latency to coverage, one for tallies that prefer coverage to latency, and one for
+// orders.
 func (o *documentOptions) classes() []config.Class {
 	counter := config.DefaultClass()
 	counter.Name, counter.Worth, counter.Deadline = "Counter", 5, config.Duration(o.deadline)
@@ -100,8 +102,8 @@
 	return []config.Class{counter, search, tally, order}
 }
 
-// orders declares the wide service; replica r of shard i is the upstream of
-// shard i+r, so that the load of a lost upstream spreads.
+// addOrders declares service Orders, which has all the shards. Replica r of shard i is
+// on the upstream of shard i+r, so that other upstreams share the load of a lost one.
 func (o *documentOptions) addOrders(d *config.Document) {
 	v := config.Service{Name: "Orders", KeySpace: uint32(o.keySpace), MapRevision: 1}
 	for i := range o.shards {
--- a/loomfake/link.go
+++ b/loomfake/link.go
@@ -14,6 +14,7 @@
 	"loomgap/tier/prog"
 )
 
+// linkCommand runs a TCP proxy that can drop or delay bytes and reset connections.
 type linkCommand struct {
 	listen, to, admin netip.AddrPort
 	maxLifetime       time.Duration
@@ -51,28 +52,31 @@
 	return serveUntilStopped(admin, m, c.maxLifetime)
 }
 
+// linkFaults are the faults of a link, which POST /Fake sets.
 type linkFaults struct {
-	// Cut drops every byte.
+	// Cut drops all bytes in both directions.
 	Cut bool
-	// CutBack drops the bytes of the way back.
+	// CutBack drops the bytes sent back to the client.
 	CutBack bool
-	// Reset ends all connections at once, those that are open and new ones.
+	// Reset resets all connections, open and new ones.
 	Reset bool
-	// Delay is how much later bytes arrive.
+	// Delay is added to each forwarded chunk of bytes.
 	Delay config.Duration `json:",omitzero"`
 }
 
-// linkBuffer is how many bytes a link passes on at once, at the most.
+// linkBufferBytes is the most that a link reads at once.
 const linkBufferBytes = 32 << 10
 
+// link forwards connections to an address and injects faults into them.
 type link struct {
-	to     string
+	to string
+	// mu guards the fields below.
 	mu     sync.Mutex
 	faults linkFaults
 	conns  map[net.Conn]bool
 }
 
-// startLink passes the connections that come to a listener on to an address.
+// startLink forwards the connections that a listener accepts to an address.
 func startLink(l net.Listener, to netip.AddrPort) *link {
 	k := &link{to: to.String(), conns: map[net.Conn]bool{}}
 	go k.accept(l)
@@ -116,7 +120,7 @@
 	k.forward(target, client, true)
 }
 
-// hardClose ends a connection with a reset.
+// resetConn closes a connection with a TCP reset.
 func resetConn(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -130,7 +134,9 @@
 	k.conns[c] = true
 }
 
-// pass copies bytes until an end closes; while the link is cut it drops them.
+// forward copies bytes until either side closes. It drops bytes while the link is cut,
+// so that the peers see silence rather than an error. reverse marks the direction back
+// to the client.
 func (k *link) forward(from, to net.Conn, reverse bool) {
 	defer k.untrack(from)
 	buffer := make([]byte, linkBufferBytes)
@@ -159,7 +165,8 @@
 	delete(k.conns, c)
 }
 
-// set changes the faults. Healing closes the connections that lost bytes.
+// setFaults replaces the faults. When a cut ends it resets the connections, since bytes
+// are missing from their streams.
 func (k *link) setFaults(f linkFaults) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/loomfake/main.go
+++ b/loomfake/main.go
@@ -1,10 +1,9 @@
-// Package main runs the stand-ins of the project, for the demo and the
-// scenarios: a platform, upstreams, links that can be cut, and documents to try
-// them with. It also replays decisions in virtual time (replay) and runs daemons
-// under random faults (soak). It owns nothing that the daemon needs, and serves
-// loopback addresses only.
+// Package main is loomfake. It runs stand-ins for the platform, the upstreams and
+// the network links in the demo and the scenario tests, and prints sample documents
+// for them. It also replays decisions in virtual time (replay) and runs daemons
+// under random faults (soak). Its servers listen on loopback addresses only.
 //
-// Begin with command.go; each command has a file of its name.
+// Each command has a file of its name; command.go holds the code they share.
 package main
 
 import "loomgap/tier/prog"
--- a/loomfake/platform.go
+++ b/loomfake/platform.go
@@ -19,7 +19,7 @@
 	"loomgap/tier/wire"
 )
 
-// platformCommand runs the stand-in of the platform's service.
+// platformCommand runs a stand-in for the platform's service.
 type platformCommand struct {
 	listen      netip.AddrPort
 	file        string
@@ -48,7 +48,7 @@
 	if c.file != "" {
 		text, err := os.ReadFile(c.file)
 		if err != nil {
-			return fmt.Errorf("first document: %w", err)
+			return fmt.Errorf("read first document: %w", err)
 		}
 		p.publish(string(text))
 	}
@@ -59,51 +59,52 @@
 	return serveUntilStopped(l, p.handler(), c.maxLifetime)
 }
 
+// platformFaults are the faults of the platform, which POST /Fake sets.
 type platformFaults struct {
-	// Down refuses every read.
+	// Down refuses all reads.
 	Down bool
-	// Serve serves this older revision; 0 serves the newest.
+	// Serve is the older revision to serve; 0 means the newest.
 	Serve uint64
-	// LiveLag delays changes of the live list.
+	// LiveLag is how long a changed entry of the live list is still reported as live.
 	LiveLag config.Duration
 }
 
-// restoring has the platform come back from a copy of itself.
+// restoreRequest restores the platform from a backup.
 type restoreRequest struct {
-	// Revision is up to which document the copy was made, Live the live list of then.
+	// Revision is the newest document in the backup, Live its live list.
 	Revision uint64
 	Live     []wire.LiveEntry `json:",omitzero"`
 }
 
+// platformServer is a stand-in for the platform's service.
 type platformServer struct {
-	// mu guards what follows.
+	// mu guards the fields below.
 	mu sync.Mutex
-	// era counts the returns from a copy, from 1; eraFrom is the first revision that it
-	// gives out.
+	// era starts at 1 and grows with each restore; eraFrom is the first revision
+	// published in it.
 	era, eraFrom uint64
-	// documents are those published so far; the index is the revision less 1.
+	// documents are the published documents; revision N is at index N-1.
 	documents []string
-	// live is the live list by name, version the count of its changes.
+	// live is the live list by upstream name, liveVersion the number of its changes.
 	live        map[string]liveRecord
 	liveVersion uint64
 	faults      platformFaults
-	// changed is closed, and made anew, whenever anything changes.
+	// changed is closed and replaced at every change.
 	changed chan struct{}
 }
 
-// liveLine is the state of an upstream, and since when it is in the list.
+// liveRecord is an entry of the live list, with the time of its last change.
 type liveRecord struct {
 	state     wire.LiveState
 	changedAt time.Time
 }
 
-// Bounds of the stand-in.
+// Limits of the stand-in.
 const (
-	// lookEvery is the longest time between two looks of a waiting read, so that a
-	// line that LiveLag delays is seen.
+	// pollInterval is how often a waiting read looks for entries whose LiveLag is over.
 	pollInterval = 200 * time.Millisecond
-	// maxDocument is the size in bytes of the largest document taken; larger ones
-	// than a host accepts may be published, to see them refused.
+	// maxDocumentBytes is above what a host accepts, so that tests can publish a
+	// document that hosts refuse for its size.
 	maxDocumentBytes = 4 * config.MaxBytes
 )
 
@@ -130,13 +131,14 @@
 	return uint64(len(p.documents))
 }
 
-// wake lets waiting reads look again. It needs mu.
+// notifyReaders wakes the waiting reads. Callers hold mu.
 func (p *platformServer) notifyReaders() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// restore has the documents and the live list be those of a copy, and begins the next era.
+// restore rolls the documents and the live list back to a backup, and begins the next
+// era.
 func (p *platformServer) restore(r restoreRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -149,9 +151,9 @@
 	p.notifyReaders()
 }
 
-// read serves a long poll: it answers when the number rises above After, when After is of
-// another Era, or when WaitMillis have passed. A number that is missing or wrong counts
-// as 0, and an era that is missing as this one.
+// longPoll serves a value and its version. It replies when the version exceeds After,
+// when the request names another Era, or after WaitMillis. A missing or malformed
+// number counts as 0, a missing era as the current one.
 func (p *platformServer) longPoll(get func() (uint64, any)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		after, _ := strconv.ParseUint(r.FormValue("After"), 10, 64)
@@ -182,7 +184,7 @@
 	}
 }
 
-// document returns the revision and the document to serve. It needs mu.
+// currentDocument returns the revision and the document to serve. Callers hold mu.
 func (p *platformServer) currentDocument() (uint64, any) {
 	revision := uint64(len(p.documents))
 	if p.faults.Serve > 0 && p.faults.Serve < revision {
@@ -194,7 +196,7 @@
 	return revision, wire.DocumentReply{Era: p.era, EraFrom: p.eraFrom, Revision: revision, Text: p.documents[revision-1]}
 }
 
-// list returns the version of the live list and the list. It needs mu.
+// liveList returns the version of the live list and the list. Callers hold mu.
 func (p *platformServer) liveList() (uint64, any) {
 	out := wire.LiveReply{Era: p.era, Version: p.liveVersion}
 	for name, l := range p.live {
@@ -231,7 +233,8 @@
 	p.notifyReaders()
 }
 
-// decoded serves requests whose body is a value as JSON.
+// jsonHandler returns a handler that decodes the request body as JSON before it calls
+// serve.
 func jsonHandler[T any](serve func(http.ResponseWriter, *http.Request, *T)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var v T
@@ -243,7 +246,7 @@
 	}
 }
 
-// posted serves a value that is posted as JSON: it is set, and sent back.
+// setterHandler returns a handler that passes the posted JSON value to set and echoes it.
 func setterHandler[T any](set func(T)) http.HandlerFunc {
 	return jsonHandler(func(w http.ResponseWriter, _ *http.Request, v *T) {
 		set(*v)
--- a/loomfake/records.go
+++ b/loomfake/records.go
@@ -8,13 +8,10 @@
 	"loomgap/tier/query"
 )
 
-// Records of the made-up data. At snapshot S the records numbered below baseRecords +
-// S*recordsPerSnapshot are there, so that a count over all shards shows which snapshot
-// it was made from.
+// Size of the generated data. Snapshot S has baseRecords + S*recordsPerSnapshot records,
+// so that a count over all shards shows which snapshot it was taken from.
 const (
-	// baseRecords is the number of records before the first snapshot.
-	baseRecords = 20_000
-	// recordsPerSnapshot is how many records each snapshot adds.
+	baseRecords        = 20_000
 	recordsPerSnapshot = 1_000
 )
 
@@ -25,7 +22,7 @@
 
 func recordCount(snapshot uint64) uint64 { return baseRecords + snapshot*recordsPerSnapshot }
 
-// record makes the record of a number; its key is the number within the key space.
+// newRecord generates record n. Its key is n modulo the size of the key space.
 func newRecord(n uint64) query.Row {
 	return query.Row{
 		Key: fmt.Sprintf("R%08d", n),
@@ -37,7 +34,8 @@
 	}
 }
 
-// answer answers a question for a half-open range of keys.
+// answerQuestion evaluates a question over the keys [from, to) of a snapshot. It returns
+// the number of matching records and the first rows.
 func answerQuestion(q *query.Question, from, to, keySpace uint32, snapshot uint64) (uint64, []query.Row) {
 	end := recordCount(snapshot)
 	count := uint64(0)
--- a/loomfake/replay.go
+++ b/loomfake/replay.go
@@ -11,7 +11,8 @@
 	"loomgap/tier/replay"
 )
 
-// replayCommand replays the cases of docs/DECISIONS.md in virtual time.
+// replayCommand replays the cases of docs/DECISIONS.md in virtual time and prints their
+// results.
 type replayCommand struct {
 	only string
 	seed uint64
--- a/loomfake/soak.go
+++ b/loomfake/soak.go
@@ -11,26 +11,26 @@
 	"loomgap/tier/prog"
 )
 
-// errPromise is wrapped by the error of a soak that saw a promise broken.
-var errGuaranteeViolated = errors.New("a promise was broken")
+// errGuaranteeViolated is returned by a soak that saw a guarantee violated.
+var errGuaranteeViolated = errors.New("guarantee violated")
 
+// soakConfig are the settings of a soak.
 type soakConfig struct {
-	// Seed draws the faults; the same seed draws the same ones at the same
-	// times.
+	// Seed seeds the faults; the same seed gives the same faults at the same times.
 	Seed uint64
-	// For is how long faults come.
+	// FaultDuration is how long faults are injected.
 	FaultDuration time.Duration
-	// Daemon is the program of the entry hosts.
+	// Daemon is the path of the daemon's binary.
 	Daemon string
-	// Hosts is how many entry hosts run in each of two halls.
+	// Hosts is the number of entry hosts in each of the two halls.
 	Hosts int
-	// Callers is how many callers ask at a time.
+	// Callers is the number of concurrent callers.
 	Callers int
-	// Shards is how many shards a gather has.
+	// Shards is the number of shards of a gather.
 	Shards int
-	// Evacuate has a hall evacuated once the faults have ended.
+	// Evacuate evacuates a hall after the faults.
 	Evacuate bool
-	// Dir is where the logs of the daemons are kept.
+	// Dir is the directory for the daemons' settings and logs.
 	Dir string
 }
 
@@ -55,13 +55,13 @@
 	f.StringVar(&c.Dir, "Dir", "", "`directory` for the daemons' logs; empty for a new one that is removed if all is well")
 }
 
-// run runs daemons under random faults and checks their promises.
+// run runs daemons under random faults, checks their guarantees and prints a report.
 func (c *soakConfig) run(ctx context.Context) error {
 	temporary := c.Dir == ""
 	if temporary {
 		dir, err := os.MkdirTemp("", "soak")
 		if err != nil {
-			return fmt.Errorf("directory for logs: %w", err)
+			return fmt.Errorf("create log directory: %w", err)
 		}
 		c.Dir = dir
 	}
--- a/loomfake/soakcaller.go
+++ b/loomfake/soakcaller.go
@@ -16,41 +16,44 @@
 
 // Times of a caller.
 const (
-	// soakBound is when a caller gives a request up.
 	soakRequestTimeout = 3 * time.Second
-	// soakDialBound is when it gives a connection up.
-	soakDialTimeout = time.Second
-	// soakThink is the time between an answer and the caller's next request.
+	soakDialTimeout    = time.Second
+	// soakThinkTime is the pause between an answer and the next request.
 	soakThinkTime = 15 * time.Millisecond
 )
 
+// requestKind is the kind of a caller's request.
 type requestKind string
 
-// The kinds. A caller makes two gathers, then one of each other kind, and so on.
+// Kinds of requests. A caller repeats a cycle of two gathers and one request of each
+// other kind.
 const (
 	kindGather requestKind = "gather"
 	// kindUnsafe is a request that is not repeatable.
 	kindUnsafe requestKind = "unsafe"
-	// kindSafe is one that is, on the newest route of the versions.
+	// kindSafe is a repeatable request to the route of the newest version.
 	kindSafe requestKind = "safe"
 )
 
+// soakRequest is a request of a caller and its outcome.
 type soakRequest struct {
 	id   string
 	kind requestKind
+	// host is the index of the host.
 	host int
-	// generation is the number of the host's daemon that was asked.
+	// generation identifies the daemon of the host that received the request.
 	generation      int
 	sentAt, endedAt time.Duration
 	status          int
 	header          http.Header
 	body            []byte
 	err             error
-	// route is the number of the versions' route that was asked; 0 for none.
+	// route is the version whose route was requested; 0 means none.
 	route int
 }
 
-// call is one caller: it stays with a host as long as its connection lasts.
+// runCaller sends requests until ctx ends. It stays with a host while the connection
+// lasts, and moves on to the next one after an error.
 func (s *soak) runCaller(ctx context.Context, index int) {
 	c := &caller{host: index % len(s.hosts)}
 	defer c.close()
@@ -72,7 +75,7 @@
 		req.err = c.do(ctx, s, method, path, &req)
 		req.endedAt = s.now()
 		if ctx.Err() != nil {
-			return // broken off by the soak's own end
+			return // the end of the soak may have cancelled the request
 		}
 		s.mu.Lock()
 		s.requests = append(s.requests, req)
@@ -85,15 +88,15 @@
 	}
 }
 
-// caller is one connection to a host. It never repeats a request by itself, as
-// the client of package http does.
+// caller is a connection to a host. Unlike the client of package http, it never retries
+// a request by itself.
 type caller struct {
 	// host is the index of the host.
 	host int
 	// conn is nil while there is no connection; reader reads from it.
 	conn   net.Conn
 	reader *bufio.Reader
-	// generation is the number of the daemon that the connection was made to.
+	// generation identifies the daemon at the other end of conn.
 	generation int
 }
 
@@ -117,6 +120,7 @@
 	}
 }
 
+// do sends a request and records its outcome in req.
 func (c *caller) do(ctx context.Context, s *soak, method, path string, req *soakRequest) error {
 	if err := c.connect(s.hosts[c.host]); err != nil {
 		return err
--- a/loomfake/soakcheck.go
+++ b/loomfake/soakcheck.go
@@ -12,26 +12,26 @@
 	"loomgap/platform"
 )
 
-// Bounds that the checks judge by. Each is a promise's own, with time for a busy
-// machine, which callers and daemons share.
+// Limits of the checks. The times include slack for a busy machine, which callers and
+// daemons share.
 const (
-	// soakApply is when a change must be in force at untouched hosts.
+	// soakApplyTimeout is how long hosts without faults may take to apply a change.
 	soakApplyTimeout = 5 * time.Second
-	// soakUntouched is how long ago the last fault of a host, or of the store,
-	// must be for a promise with a time to be checked.
+	// soakSettleTime is how long a host and the store must have been without faults
+	// for a guarantee with a time limit to apply.
 	soakSettleTime = 6 * time.Second
-	// soakWindow is the span within which repeats are counted, the platform's.
+	// soakRetryWindow is the window of the retry limit, the platform's.
 	soakRetryWindow = 10 * time.Second
-	// soakStop is how long a planned stop takes at most, and how long ago any
-	// other fault of the host must be for the promise about stops to be checked.
+	// soakStopTimeout is the longest a planned stop takes, and how long a host must
+	// have been without other faults for the guarantee about stops to apply.
 	soakStopTimeout = 4 * time.Second
-	// soakServed is the part of requests that must be served once all is healed.
+	// soakMinServed is the share of requests that must be served after recovery.
 	soakMinServed = 0.95
-	// soakBrokenMost is how many broken promises a report lists at the most.
+	// soakMaxViolations limits the violations in a report.
 	soakMaxViolations = 50
 )
 
-// check returns the broken promises, each with what showed it.
+// check returns a description of each violated guarantee.
 func (s *soak) check() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,14 +53,15 @@
 	return c.violations
 }
 
+// checker checks the guarantees against the history of a soak.
 type checker struct {
 	soak *soak
-	// runs are the upstreams that ran a request, by its ID.
+	// runs holds the upstream of each run of a request, by request ID.
 	runs       map[string][]*soakUpstream
 	violations []string
 }
 
-// expect counts a check of a promise, and notes it if the promise is broken.
+// expect counts a check of a guarantee, and records a violation unless ok is true.
 func (c *checker) expect(guarantee string, ok bool, format string, args ...any) {
 	c.soak.checked[guarantee]++
 	if !ok && len(c.violations) < soakMaxViolations {
@@ -68,6 +69,7 @@
 	}
 }
 
+// checkRequest checks the runs, the attempts and the answer of a request.
 func (c *checker) checkRequest(req *soakRequest) {
 	runs := c.runs[req.id]
 	if req.kind == kindUnsafe {
@@ -98,15 +100,15 @@
 	}
 }
 
-// stopped reports whether a request was under way during a planned stop of its
-// host, and no other fault of the host.
+// duringPlannedStop reports whether a request was in flight during a planned stop of its
+// host, and the host had no other fault at that time.
 func (c *checker) duringPlannedStop(req *soakRequest) bool {
 	h := c.soak.hosts[req.host]
 	during := func(at time.Duration) bool { return at > req.sentAt-soakStopTimeout && at < req.endedAt }
 	return slices.ContainsFunc(h.stopTimes, during) && !slices.ContainsFunc(h.faultTimes, during)
 }
 
-// stamped finds the upstream that gave a stamp to a request; nil if none did.
+// upstreamByStamp returns the upstream that stamped a request, or nil.
 func (c *checker) upstreamByStamp(stamp, id string) *soakUpstream {
 	for _, u := range c.runs[id] {
 		if u.Stamp(id) == stamp {
@@ -116,11 +118,15 @@
 	return nil
 }
 
+// checkSingle checks that an answer is the whole body of the upstream that its stamp
+// names.
 func (c *checker) checkSingle(req *soakRequest) {
 	u := c.upstreamByStamp(req.header.Get(platform.Headers.Stamp), req.id)
 	c.expect("own whole answer", u != nil && string(req.body) == u.Body, "%s got %q with stamp %q", req.id, req.body, req.header.Get(platform.Headers.Stamp))
 }
 
+// checkGather checks that the answer of a gather merges the records of the parts that it
+// names, all from one set of shards, and that it states its coverage correctly.
 func (c *checker) checkGather(req *soakRequest) {
 	var records []string
 	included := map[string]bool{}
@@ -154,10 +160,10 @@
 	c.expect("least coverage", float64(len(included)) >= soakMinCoverage*float64(c.soak.Shards), "%s has %d parts", req.id, len(included))
 }
 
-// versions checks how hosts follow the configuration: a process that answered
-// for a version's route knows it for all requests that are sent from then on. Two
-// requests that were on their way at the same time are not compared: the one sent
-// first may have been read last.
+// checkVersions checks that hosts follow the configuration: once a daemon has served the
+// route of a version, it knows this route for all requests that are sent later. It does
+// not compare requests that were in flight at the same time, since the one sent first
+// may have been read last.
 func (c *checker) checkVersions() {
 	type process struct{ host, generation int }
 	known := map[process]int{}
@@ -184,9 +190,9 @@
 	}
 }
 
-// unwanted checks that no request reached an upstream long after its hall was
-// evacuated, or after it was listed as leaving. A fault of a host or of the store may
-// have delayed the news that it leaves.
+// checkExcludedUpstreams checks that upstreams get no more requests after their hall was
+// evacuated or they were listed as leaving. Faults of a host or the store may delay the
+// notice that an upstream leaves, hence the longer grace period.
 func (c *checker) checkExcludedUpstreams() {
 	for _, u := range c.soak.upstreams {
 		if u.hall == halls[0] {
@@ -196,8 +202,8 @@
 	}
 }
 
-// notAfter checks that no request reached an upstream later than a while after a
-// time; a time of 0 stands for none.
+// expectNoArrivalsAfter checks that no request reached an upstream after excludedAt plus
+// the grace period. An excludedAt of 0 means that the upstream was not excluded.
 func (c *checker) expectNoArrivalsAfter(guarantee string, u *soakUpstream, excludedAt, grace time.Duration) {
 	if excludedAt == 0 {
 		return
@@ -208,8 +214,8 @@
 	}
 }
 
-// repeats checks the arrivals beyond the first of a request at each group, within
-// sliding windows.
+// checkRetries checks the retry limit of each group over sliding windows. Each arrival
+// of a request after the first one counts as a retry.
 func (c *checker) checkRetries() {
 	perGroup := map[string][]arrival{}
 	for _, u := range c.soak.upstreams {
@@ -236,17 +242,19 @@
 	}
 }
 
-// from is the index of the first time not before another.
+// lowerBound returns the index of the first of the sorted times that is not before at.
 func lowerBound(times []time.Duration, at time.Duration) int {
 	i, _ := slices.BinarySearch(times, at)
 	return i
 }
 
+// countBetween returns the number of the sorted times in [a, b).
 func countBetween(times []time.Duration, a, b time.Duration) int {
 	return lowerBound(times, b) - lowerBound(times, a)
 }
 
-// recovery checks the last requests, sent when all was healed.
+// checkRecovery checks the share of served requests after the faults were cleared and
+// the hosts had time to recover.
 func (c *checker) checkRecovery() {
 	lastSent := time.Duration(0)
 	for i := range c.soak.requests {
--- a/loomfake/soakfault.go
+++ b/loomfake/soakfault.go
@@ -14,22 +14,23 @@
 
 // Times of faults.
 const (
-	// soakPause is the longest time between the beginnings of two faults.
+	// maxFaultInterval is the longest time between the starts of two faults.
 	maxFaultInterval = 900 * time.Millisecond
-	// faultLeast is how long a fault lasts at least; a random time up to faultMore
-	// is added.
 	minFaultDuration = 200 * time.Millisecond
-	// faultMore is the longest time added to faultLeast.
+	// maxExtraFaultDuration is the most that a fault outlasts minFaultDuration.
 	maxExtraFaultDuration = 2500 * time.Millisecond
 )
 
+// faultKind is a kind of fault, with its name in the report.
 type faultKind struct {
 	name string
-	// begin starts the fault and returns what ends it; nil if it ends by itself.
+	// begin starts the fault and returns a function that ends it, or nil if the fault
+	// needs no end.
 	begin func(ctx context.Context, s *soak) func()
 }
 
-// inject begins faults at random times, which overlap.
+// injectFaults starts faults at random times until ctx ends, and waits for the end of
+// all. Faults may overlap.
 func (s *soak) injectFaults(ctx context.Context) {
 	var wg sync.WaitGroup
 	for {
@@ -54,7 +55,7 @@
 	}
 }
 
-// touch notes that a fault of a host begins or ends.
+// recordHostFault records that a fault of a host starts or ends now.
 func (s *soak) recordHostFault(h *soakHost) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -62,6 +63,7 @@
 	h.faultTimes = append(h.faultTimes, h.disturbedAt)
 }
 
+// pickFaultyHost picks a random host and records the start of a fault.
 func (s *soak) pickFaultyHost() *soakHost {
 	h := s.hosts[s.random.IntN(len(s.hosts))]
 	s.recordHostFault(h)
@@ -74,13 +76,15 @@
 	return s.upstreams[s.random.IntN(len(s.upstreams))]
 }
 
+// recordStoreFault records that a fault of the store starts or ends now.
 func (s *soak) recordStoreFault() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.storeDisturbedAt = s.now()
 }
 
-// faultKinds are the kinds of fault that a soak draws from.
+// faultKinds are the kinds of faults that a soak draws from. Their order determines the
+// faults of a seed.
 var faultKinds = []faultKind{
 	{"host paused", func(_ context.Context, s *soak) func() {
 		h := s.pickFaultyHost()
@@ -151,7 +155,7 @@
 	return config.Duration(time.Duration(millis) * time.Millisecond)
 }
 
-// onStoreLink is a fault of the connections of a host to the store.
+// storeLinkFault returns a fault of the link between a random host and the store.
 func storeLinkFault(f linkFaults) func(context.Context, *soak) func() {
 	return func(_ context.Context, s *soak) func() {
 		h := s.pickFaultyHost()
@@ -160,6 +164,7 @@
 	}
 }
 
+// upstreamLinkFault returns a fault of the link to a random upstream.
 func upstreamLinkFault(f linkFaults) func(context.Context, *soak) func() {
 	return func(_ context.Context, s *soak) func() {
 		u := s.pickUpstream()
@@ -168,6 +173,7 @@
 	}
 }
 
+// upstreamFault returns a fault of a random upstream.
 func upstreamFault(f soakUpstreamFaults) func(context.Context, *soak) func() {
 	return func(_ context.Context, s *soak) func() {
 		u := s.pickUpstream()
@@ -176,15 +182,15 @@
 	}
 }
 
-// must ends the soak's process if its own stand-ins fail.
+// must panics if a stand-in of the soak itself fails.
 func (s *soak) must(err error) {
 	if err != nil {
-		panic(fmt.Errorf("soak: its own stand-in fails: %w", err))
+		panic(fmt.Errorf("soak: stand-in failed: %w", err))
 	}
 }
 
-// restarter returns what starts a host again, once the daemon that runs now has
-// ended. Faults overlap: another may have killed it and started it again.
+// restarter returns a function that restarts a host once its current daemon has ended.
+// It does nothing if an overlapping fault has already restarted the host.
 func (s *soak) restarter(h *soakHost) func() {
 	generation := h.generation()
 	return func() {
@@ -196,7 +202,8 @@
 	}
 }
 
-// replace starts an upstream like another, which leaves.
+// replaceUpstream starts a replacement of an upstream and drains the old one. The
+// returned function removes the old one.
 func (s *soak) replaceUpstream(u *soakUpstream) func() {
 	u.mu.Lock()
 	leaving := u.leavingAt > 0
@@ -212,7 +219,7 @@
 	return func() { s.removeUpstream(u) }
 }
 
-// evacuate asks that the upstreams of the first hall get nothing from now on.
+// evacuateHall publishes the evacuation of the first hall.
 func (s *soak) evacuateHall() {
 	s.publishMu.Lock()
 	defer s.publishMu.Unlock()
@@ -222,8 +229,8 @@
 	s.evacuatedAt = s.now()
 }
 
-// heal ends what may still be wrong. Faults end by themselves; a host that was
-// started while its end was awaited is already there.
+// clearFaults ends all faults that may still be in place. Hosts need no restart here:
+// a fault that ends a daemon also restarts it.
 func (s *soak) clearFaults() {
 	s.store.Fail(0)
 	for _, h := range s.hosts {
--- a/loomfake/soakhost.go
+++ b/loomfake/soakhost.go
@@ -14,55 +14,53 @@
 	"loomgap/platform"
 )
 
-// Addresses of a host of a soak. Each host has a loopback address of its own, which
-// holds the soak's process ID: a port of the shared address that is free now may
-// be taken by the time its daemon binds it.
+// Addresses of a host of a soak.
 const (
-	// soakListen is the port for callers.
-	soakCallerPort = 7400
-	// soakPeer is the port for other hosts.
-	soakPeerPort = 7401
-	// soakOperate is the port for operators.
+	soakCallerPort   = 7400
+	soakPeerPort     = 7401
 	soakOperatorPort = 7402
-	// soakNet is the second byte of the first host's address; 127.0 is everybody's.
+	// soakFirstNet is the second byte of the first host's address. It is not 0, since
+	// other processes use 127.0.0.1.
 	soakFirstNet = 64
-	// soakSeeds is how many hosts a host knows at its start.
+	// soakMaxSeeds limits the seeds in the settings of a host.
 	soakMaxSeeds = 3
 )
 
+// hostAddress returns the loopback address of host i, which contains the process ID of
+// the soak. A free port of a shared address could be taken by another process before
+// the daemon binds it.
 func hostAddress(i int) netip.Addr {
 	pid := os.Getpid()
 	return netip.AddrFrom4([4]byte{127, byte(soakFirstNet + i), byte(pid >> 8), byte(pid)})
 }
 
-// soakHost is one entry host: a daemon that is started again when it ends.
+// soakHost is an entry host, whose daemon is restarted when a fault ends it.
 type soakHost struct {
 	name, hall string
 	listen     netip.AddrPort
 	operate    netip.AddrPort
 	peer       netip.AddrPort
-	// store is the link to the platform's store, storeAt where the host reaches it.
-	storeLink    *link
-	storeAddress netip.AddrPort
-	// settings and log are paths of files.
+	// storeLink is the link to the platform's store, storeAddress the address at which
+	// the host connects to it.
+	storeLink             *link
+	storeAddress          netip.AddrPort
 	settingsPath, logPath string
 
-	// mu guards what follows.
+	// mu guards the fields below.
 	mu sync.Mutex
 	// process is the daemon that was started last; ended is closed when it ends.
 	process *exec.Cmd
 	ended   chan struct{}
 	// generations counts the daemons that were started.
 	generations int
-	// touched is when something was last done to it; it counts as untouched
-	// soakUntouched later.
+	// disturbedAt is when a stop or another fault last started or ended.
 	disturbedAt time.Duration
-	// stopTimes are when it was stopped as planned, faultTimes when any other fault
-	// began or ended.
+	// stopTimes are the times of planned stops, faultTimes the times when any other
+	// fault started or ended.
 	stopTimes, faultTimes []time.Duration
 }
 
-// addHost starts a host, by its index, behind a link to the store.
+// addHost starts host i behind a link to the store.
 func (s *soak) addHost(i int, store netip.AddrPort) error {
 	h := &soakHost{name: fmt.Sprintf("host-%d", i), hall: halls[i%2]}
 	addr := hostAddress(i)
@@ -79,7 +77,7 @@
 	return h.start(s.Daemon)
 }
 
-// writeSettings writes the file of settings, with a few hosts as seeds.
+// writeSettings writes the settings file of a host, with the first hosts as seeds.
 func (s *soak) writeSettings(h *soakHost) error {
 	var seeds []string
 	for _, o := range s.hosts[:min(soakMaxSeeds, len(s.hosts))] {
@@ -100,7 +98,7 @@
 	c.Stdout, c.Stderr = f, f
 	if err := c.Start(); err != nil {
 		_ = f.Close()
-		return fmt.Errorf("start %s: %w: build the daemon and name it by -Daemon", daemon, err)
+		return fmt.Errorf("start %s: %w (build the daemon and set -Daemon)", daemon, err)
 	}
 	ended := make(chan struct{})
 	h.mu.Lock()
@@ -108,19 +106,19 @@
 	h.generations++
 	h.mu.Unlock()
 	go func() {
-		_ = c.Wait() // how it ends is judged by what callers saw
+		_ = c.Wait() // the exit status is not checked, only what callers saw
 		_ = f.Close()
 		close(ended)
 	}()
 	return nil
 }
 
-// signal sends a signal to the daemon that this soak started.
+// signal sends a signal to the daemon.
 func (h *soakHost) signal(sig syscall.Signal) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.process != nil {
-		_ = h.process.Process.Signal(sig) // it may have ended just now
+		_ = h.process.Process.Signal(sig) // fails if the daemon has just ended
 	}
 }
 
@@ -134,8 +132,8 @@
 	}
 }
 
-// restart waits for the end of the daemon of a generation and starts the next,
-// unless another has done so.
+// restart waits for the daemon of a generation to end and starts the next one, unless
+// a concurrent call has already started it.
 func (h *soakHost) restart(generation int, daemon string) error {
 	h.mu.Lock()
 	ended, current := h.ended, h.generations == generation
@@ -150,7 +148,7 @@
 	return h.start(daemon)
 }
 
-// generation counts the daemons that ran so far.
+// generation returns the number of daemons that were started.
 func (h *soakHost) generation() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/loomfake/soakreport.go
+++ b/loomfake/soakreport.go
@@ -11,7 +11,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// report writes what was injected, checked and measured.
+// writeReport writes the injected faults, the checks, the latencies and the violations
+// as Markdown.
 func (s *soak) writeReport(w io.Writer, violations []string) {
 	fmt.Fprintf(w, "# Soak, seed %d\n\n%d hosts, %d callers, %d requests, faults for %s\n\n| Injected | Times |\n| --- | ---: |\n", s.Seed, len(s.hosts), s.Callers, len(s.requests), s.FaultDuration)
 	s.writeTable(w, s.injected)
@@ -27,10 +28,11 @@
 	}
 }
 
-// latencyDigits is how many significant digits of a latency the report keeps.
+// latencyDigits is the number of significant digits of a latency.
 const latencyDigits = 2
 
-// reportKind writes the latencies of the requests of a kind.
+// writeLatencies writes the latencies of the requests of a kind, and how many were not
+// answered with status 200.
 func (s *soak) writeLatencies(w io.Writer, kind requestKind) {
 	h := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), latencyDigits)
 	notOK := 0
@@ -38,7 +40,7 @@
 		switch {
 		case a.kind != kind:
 		case a.status == http.StatusOK && a.err == nil:
-			_ = h.RecordValue((a.endedAt - a.sentAt).Microseconds()) // within bounds by the caller's own
+			_ = h.RecordValue((a.endedAt - a.sentAt).Microseconds()) // the caller's timeouts are below the maximum
 		default:
 			notOK++
 		}
@@ -47,6 +49,7 @@
 	fmt.Fprintf(w, "| %s | %d | %.1f | %.1f | %.1f | %d |\n", kind, h.TotalCount(), ms(50), ms(99), ms(99.9), notOK)
 }
 
+// writeTable writes the rows of a table of counts, sorted by name.
 func (s *soak) writeTable(w io.Writer, counts map[string]int) {
 	for _, n := range slices.Sorted(maps.Keys(counts)) {
 		fmt.Fprintf(w, "| %s | %d |\n", n, counts[n])
--- a/loomfake/soakrestore.go
+++ b/loomfake/soakrestore.go
@@ -9,23 +9,23 @@
 	"loomgap/platform"
 )
 
-// Times of a store that comes back from a copy, as the platform promises them.
+// Settings of a store restore, as the platform guarantees them.
 const (
-	// lostChanges is how many configurations the copy lacks at least: a store that lost
-	// one change gives out its revision again at once.
+	// lostChanges is the least number of configurations that the backup lacks. With
+	// only one, the store would reuse the lost revision at once.
 	lostChanges = 5
-	// restoreAway is how long the store is away before it comes back.
+	// restoreOutage is how long the store is unavailable before the restore.
 	restoreOutage = 300 * time.Millisecond
-	// reportEvery is the time between two status reports of an upstream; within it one
-	// that lives has reported itself to a store that came back.
+	// reportInterval is the time between two status reports of an upstream. After it,
+	// all running upstreams have reported themselves to the restored store.
 	reportInterval = 1200 * time.Millisecond
-	// silentReports is after how many reports that do not come the entry of an upstream
-	// goes.
+	// maxMissedReports is the number of missed reports after which the entry of an
+	// upstream is removed.
 	maxMissedReports = 3
 )
 
-// restoreStore makes a copy of the store, and has it come back from that later. Then the
-// operator and the upstreams write again what they wrote.
+// restoreStore backs the store up and returns a function that restores the backup. After
+// the restore, the operator and the upstreams write their state again.
 func restoreStore(ctx context.Context, s *soak) func() {
 	old := s.store.Copy()
 	for range lostChanges {
@@ -44,8 +44,8 @@
 	}
 }
 
-// writeAgain has all that live write again what they last wrote, spread over the time
-// between two reports.
+// rewriteState makes the operator and all running upstreams write their last state
+// again, spread over a report interval.
 func (s *soak) rewriteState() {
 	s.mu.Lock()
 	upstreams := slices.Clone(s.upstreams)
@@ -63,7 +63,7 @@
 	}
 }
 
-// operateAgain writes the newest configuration and the evacuation again.
+// rewriteOperatorState writes the newest configuration and the evacuation again.
 func (s *soak) rewriteOperatorState() error {
 	s.publishMu.Lock()
 	defer s.publishMu.Unlock()
@@ -78,8 +78,8 @@
 	return s.store.Put(platform.DocumentKey, doc)
 }
 
-// forgetSilent takes off the store the upstreams that have left and that the copy lists,
-// once they have been silent for long enough.
+// removeExpired removes the upstreams that have left but are listed in the backup, once
+// they have missed enough reports.
 func (s *soak) removeExpired(ctx context.Context) {
 	sleepContext(ctx, (maxMissedReports-1)*reportInterval)
 	s.mu.Lock()
--- a/loomfake/soakrun.go
+++ b/loomfake/soakrun.go
@@ -16,62 +16,65 @@
 
 // Times of a soak.
 const (
-	// soakReadyBound is how long hosts may take to be ready at the start.
+	// soakReadyTimeout is how long hosts may take to become ready at the start.
 	soakReadyTimeout = 20 * time.Second
-	// soakReadyEvery is the time between two looks whether they are.
+	// soakReadyInterval is the time between two readiness checks.
 	soakReadyInterval = 50 * time.Millisecond
-	// soakWarm is how long callers ask before the first fault.
+	// soakWarmup is how long callers send requests before the first fault.
 	soakWarmup = 3 * time.Second
-	// soakHeal is how long after the last fault the hosts have to recover.
+	// soakRecoveryTime is how long hosts have to recover after the last fault.
 	soakRecoveryTime = 6 * time.Second
-	// soakLast is how long callers ask after that; what they get is judged for
-	// recovery.
+	// soakFinalTime is how long callers continue after soakRecoveryTime. These requests
+	// show whether the hosts have recovered.
 	soakFinalTime = 3 * time.Second
 )
 
+// soak runs hosts, upstreams, a store and callers, and injects faults.
 type soak struct {
 	soakConfig
 	random  *rand.Rand
 	started time.Time
 	store   *mock.Store
-	// closers end what was started, the last one first.
+	// closers stop the servers, and run in reverse order.
 	closers []func()
 	hosts   []*soakHost
-	// publishing is held while a configuration is written, so that the versions
-	// come into the store in their order: faults that end together publish together.
+	// publishMu is held while a configuration is written, so that concurrent faults
+	// write their versions to the store in order.
 	publishMu sync.Mutex
 
-	// mu guards what follows.
+	// mu guards the fields below.
 	mu        sync.Mutex
 	upstreams []*soakUpstream
-	// sets are the sets of shards so far; the last one is published next.
+	// shardSets are all sets of shards; the next configuration uses the last one.
 	shardSets [][]string
-	// routes counts the routes of the versions.
+	// routeCount counts the routes of the versions.
 	routeCount int
 	soakHistory
 }
 
-// soakRecord is what was done and seen in a soak. The checks judge it once the run
-// is over.
+// soakHistory records what happens in a soak, for the checks after the run.
 type soakHistory struct {
-	// injected counts the faults, checked the checks, both by name.
+	// injected counts the faults by kind, checked the checks by guarantee.
 	injected, checked map[string]int
 	requests          []soakRequest
 	// versions are the published configurations, in order.
 	versions []publishedVersion
 	// document is the newest configuration.
 	document platform.Document
-	// storeTouched is when the store was last disturbed.
+	// storeDisturbedAt is when a fault of the store last started or ended.
 	storeDisturbedAt time.Duration
-	// evacuatedAt is when the first hall was evacuated; 0 for never.
+	// evacuatedAt is when the first hall was evacuated, or 0.
 	evacuatedAt time.Duration
 }
 
+// publishedVersion is a published configuration and the number of its version routes.
 type publishedVersion struct {
 	publishedAt time.Duration
 	routeCount  int
 }
 
+// newSoak starts the hosts, the upstreams and the store of a soak. The returned function
+// stops them.
 func newSoak(c soakConfig) (*soak, func(), error) {
 	s := &soak{
 		soakConfig: c, random: rand.New(rand.NewPCG(c.Seed, 0)), started: time.Now(), store: mock.NewStore(),
@@ -92,7 +95,7 @@
 		h.signal(syscall.SIGKILL)
 	}
 	for _, h := range s.hosts {
-		// The next soak of this process has the same addresses.
+		// The next soak of this process uses the same addresses.
 		h.awaitEnd()
 	}
 	for _, c := range slices.Backward(s.closers) {
@@ -100,7 +103,8 @@
 	}
 }
 
-// run warms up, injects faults while callers ask, heals all, and asks on.
+// run injects faults while callers send requests, clears the faults, and leaves the
+// hosts time to recover before the callers stop.
 func (s *soak) run(ctx context.Context) error {
 	callers, stopCallers := context.WithCancel(ctx)
 	defer stopCallers()
@@ -125,6 +129,7 @@
 	return ctx.Err()
 }
 
+// sleepContext sleeps until d has passed or ctx ends.
 func sleepContext(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -132,7 +137,7 @@
 	}
 }
 
-// waitReady waits until all hosts call themselves ready.
+// waitReady waits until all hosts are ready.
 func (s *soak) waitReady(ctx context.Context) error {
 	for deadline := s.now() + soakReadyTimeout; s.now() < deadline && ctx.Err() == nil; sleepContext(ctx, soakReadyInterval) {
 		ready := 0
@@ -150,5 +155,5 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("hosts are not ready: look at their logs in %s", s.Dir)
+	return fmt.Errorf("hosts are not ready, see their logs in %s", s.Dir)
 }
--- a/loomfake/soaksite.go
+++ b/loomfake/soaksite.go
@@ -13,31 +13,31 @@
 	"loomgap/platform"
 )
 
-// Names and bounds of the soak's site.
+// Names and limits of the soak's routes and upstreams.
 const (
 	soakHostName = "soak.example"
-	// soakTop is how many records the answer of a gather has.
+	// soakTopRecords is the number of records in the answer of a gather.
 	soakTopRecords = 8
-	// soakCoverage is the least part of the shards that the answer of a gather has,
+	// soakMinCoverage is the least share of the shards in the answer of a gather, from
 	// 0 to 1.
 	soakMinCoverage = 0.6
-	// soakRatio bounds the calls beyond the first, as a part of the requests. It is
-	// the setting RetryRatio of the daemons.
+	// soakRetryRatio limits retries as a share of the requests. It is the setting
+	// RetryRatio of the daemons.
 	soakRetryRatio = 0.2
-	// soakSlack is how many calls beyond the first may be made besides, by all
-	// hosts within soakWindow. It is the setting RetrySlack of the daemons.
+	// soakRetrySlack is the number of retries that all hosts together may make within
+	// soakRetryWindow beyond soakRetryRatio. It is the setting RetrySlack of the daemons.
 	soakRetrySlack = 40
-	// soakSingles is how many upstreams the service has that is no shard.
+	// soakSingleUpstreams is the number of upstreams of the service without shards.
 	soakSingleUpstreams = 3
-	// soakRecords is how many records a shard has.
 	soakRecordsPerShard = 6
-	// soakRecordSize is the size of a record in bytes: the protocol's.
+	// soakRecordBytes is the size of a record in the platform's protocol.
 	soakRecordBytes = 16
 )
 
-// halls are the data halls of the site.
+// halls are the data halls of the soak.
 var halls = []string{"hall-a", "hall-b"}
 
+// setUp starts the store, the upstreams and the hosts.
 func (s *soak) setUp() error {
 	storeAddress, err := s.serveLoopback(s.store)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// serve serves a handler at a free loopback port.
+// serveLoopback serves a handler on a free loopback port and returns its address.
 func (s *soak) serveLoopback(h http.Handler) (netip.AddrPort, error) {
 	l, err := listenLoopback(netip.MustParseAddrPort("127.0.0.1:0"))
 	if err != nil {
@@ -76,6 +76,7 @@
 	return netip.MustParseAddrPort(l.Addr().String()), nil
 }
 
+// addLink starts a link and returns it with the address that it listens on.
 func (s *soak) addLink(to netip.AddrPort) (*link, netip.AddrPort, error) {
 	l, err := listenLoopback(netip.MustParseAddrPort("127.0.0.1:0"))
 	if err != nil {
@@ -86,7 +87,8 @@
 	return k, netip.MustParseAddrPort(l.Addr().String()), nil
 }
 
-// shardSet starts a set of shards with a replica in each hall.
+// addShardSet starts set n of shards, with a replica of each shard in each hall, and
+// returns the names of their groups.
 func (s *soak) addShardSet(n int) ([]string, error) {
 	var set []string
 	for i := range s.Shards {
@@ -101,7 +103,7 @@
 	return set, nil
 }
 
-// recordsOf returns the records of a shard, which all its replicas have.
+// shardRecords returns the records of a shard, the same for all its replicas.
 func shardRecords(group string) string {
 	r := rand.New(rand.NewPCG(xxhash.Sum64String(group), 0))
 	var b strings.Builder
@@ -111,8 +113,8 @@
 	return b.String()
 }
 
-// publish writes the configuration with the newest set of shards, and one
-// route more than before, by which hosts are seen to follow.
+// publish writes a configuration with the newest set of shards. Each version adds a
+// route, which shows whether a host has applied it.
 func (s *soak) publish() error {
 	s.publishMu.Lock()
 	defer s.publishMu.Unlock()
@@ -139,8 +141,8 @@
 	return nil
 }
 
-// soakRoutes are a gather over a set of shards, the routes of both kinds to single
-// upstreams, and the routes of so many versions.
+// soakRoutes returns a gather over a set of shards, a safe and an unsafe route to the
+// single upstreams, and a route for each version.
 func soakRoutes(set []string, versions int) []platform.Route {
 	base := platform.Route{HostName: soakHostName, TimeLimitMillis: 2000, ObjectiveMillis: 200, MaxAttempts: 2}
 	gather, safe, unsafe := base, base, base
--- a/loomfake/soakupstream.go
+++ b/loomfake/soakupstream.go
@@ -13,39 +13,44 @@
 	"loomgap/platform/mock"
 )
 
+// arrival is a request that reached an upstream.
 type arrival struct {
 	at time.Duration
 	id string
-	// ran is false if the upstream turned it away.
+	// ran is false if the upstream refused the request.
 	ran bool
 }
 
+// soakUpstream is an upstream of a soak, behind a link.
 type soakUpstream struct {
 	mock.Upstream
-	group   string
-	hall    string
-	link    *link
+	group string
+	hall  string
+	link  *link
+	// address is the address of the link.
 	address netip.AddrPort
 	now     func() time.Duration
 
+	// mu guards the fields below.
 	mu     sync.Mutex
 	faults soakUpstreamFaults
 	// arrivals are in order of time.
 	arrivals []arrival
-	// leftAt is when it was listed as leaving; 0 if it was not.
+	// leavingAt is when the upstream was listed as leaving, or 0.
 	leavingAt time.Duration
-	// state is what it last reported of itself, empty once it has left; reports counts
-	// its reports.
+	// state is the last reported state, empty once the upstream has left; reportCount
+	// counts the reports.
 	state       string
 	reportCount uint64
 }
 
+// soakUpstreamFaults are the faults of an upstream. Shares are probabilities from 0 to 1.
 type soakUpstreamFaults struct {
-	// Shed and Fail are parts of the requests, 0 to 1; Slow is how long each
-	// takes.
+	// Shed is the share of requests that are refused, Fail the share answered with an
+	// error, and Slow the service time.
 	Shed, Fail float64
 	Slow       time.Duration
-	// Reset is the part of requests that run and whose answer is lost.
+	// Reset is the share of requests that run and whose answer is lost.
 	Reset float64
 }
 
@@ -93,6 +98,7 @@
 	return slices.Clone(u.arrivals)
 }
 
+// addUpstream starts an upstream behind a link and reports it as ready.
 func (s *soak) addUpstream(group, hall, body string) error {
 	s.mu.Lock()
 	n := len(s.upstreams)
@@ -111,7 +117,7 @@
 	return s.setUpstreamState(u, "ready")
 }
 
-// list has an upstream report its state to the store.
+// setUpstreamState sets the state of an upstream and reports it to the store.
 func (s *soak) setUpstreamState(u *soakUpstream, state string) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -119,7 +125,8 @@
 	return s.sendReport(u)
 }
 
-// reportAgain writes what an upstream last said of itself. It needs the upstream's mu.
+// sendReport reports the state of an upstream to the store. Callers hold the upstream's
+// mu.
 func (s *soak) sendReport(u *soakUpstream) error {
 	u.reportCount++
 	return s.store.Report(u.Name, platform.Upstream{
@@ -127,7 +134,7 @@
 	})
 }
 
-// unlist takes an upstream that has left off the store.
+// removeUpstream removes an upstream that has left from the store.
 func (s *soak) removeUpstream(u *soakUpstream) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/loomfake/upstream.go
+++ b/loomfake/upstream.go
@@ -10,7 +10,7 @@
 	"loomgap/tier/prog"
 )
 
-// upstreamCommand runs stand-ins of upstreams, on consecutive ports.
+// upstreamCommand runs stand-ins for upstreams on consecutive ports.
 type upstreamCommand struct {
 	listen      netip.AddrPort
 	count       int
@@ -18,14 +18,15 @@
 	maxLifetime time.Duration
 }
 
-// What all upstreams have alike.
+// Settings that all upstreams share.
 const (
-	// backlog is how many calls wait for a slot before an upstream sheds.
+	// backlog is how many calls beyond the number of slots may wait for a slot before
+	// an upstream sheds.
 	backlog = 4
-	// medianService is the median service time until POST /Fake sets another.
+	// defaultServiceTime is the median service time until POST /Fake sets another.
 	defaultServiceTime = 2 * time.Millisecond
-	// connectCost is the time that a new connection costs; the users' larger
-	// upstreams take about as long.
+	// connSetupDelay is about what a new connection costs at the users' larger
+	// upstreams.
 	connSetupDelay = time.Millisecond
 )
 
--- a/loomfake/upstreamserver.go
+++ b/loomfake/upstreamserver.go
@@ -13,61 +13,67 @@
 	"loomgap/tier/wire"
 )
 
-// faults are the switches of a stand-in upstream; POST /Fake sets them all.
-// Shares are probabilities, 0 to 1.
+// upstreamFaults are the faults and the state of a stand-in upstream, which POST /Fake
+// changes. Shares are probabilities from 0 to 1.
 type upstreamFaults struct {
 	// Service is the median service time.
 	Service config.Duration
 	// StraggleShare of the calls take StraggleFactor times as long.
 	StraggleShare, StraggleFactor float64
-	// DropShare of the calls run, and their connection closes with no reply.
+	// DropShare of the calls run, but their connection is closed without a reply.
 	DropShare float64
-	// CrossShare of the replies are another call's: its identity, its count.
+	// CrossShare of the replies carry the identity and the count of another call.
 	CrossShare float64
-	// WrongSnapshotShare of the parts come from another snapshot, and say so.
+	// WrongSnapshotShare of the parts come from another snapshot than the requested
+	// one, and name that snapshot.
 	WrongSnapshotShare float64
-	// GarbageShare of the replies cannot be read.
+	// GarbageShare of the replies are malformed JSON.
 	GarbageShare float64
-	// CutShare of the replies end half-way.
+	// CutShare of the replies are truncated.
 	CutShare float64
 	// EndlessShare of the replies never end.
 	EndlessShare float64
-	// ShedShare of the calls are refused, not run.
+	// ShedShare of the calls are refused without running.
 	ShedShare float64
-	// Draining refuses new work and says so in every reply.
+	// Draining refuses new calls and reports the upstream as leaving in every reply.
 	Draining bool
-	// LieHealth makes the status endpoint report neither leaving nor load.
+	// LieHealth makes the status endpoint report an upstream that is idle and not
+	// leaving.
 	LieHealth bool
-	// Oldest and Newest are the snapshots held.
+	// Oldest and Newest are the range of snapshots held.
 	Oldest, Newest uint64
-	// MapRevision is the shard map served.
+	// MapRevision is the revision of the shard map served.
 	MapRevision uint64
 }
 
+// upstreamConfig are the fixed settings of a stand-in upstream.
 type upstreamConfig struct {
-	// slots is how many calls run at once, connections how many connections it
-	// accepts.
+	// slots limits the calls that run at once, connections the open connections.
 	slots, connections int
-	// keySpace is the number of keys of the data.
+	// keySpace is the number of keys.
 	keySpace uint
-	// seed draws the service times and faults.
+	// seed seeds the service times and the faults.
 	seed uint64
 }
 
-// serviceSigma is the spread of the service times, the standard deviation of their
-// logarithm.
+// serviceSigma is the standard deviation of the logarithm of the service times.
 const serviceSigma = 0.5
 
+// upstream is a stand-in for an upstream that speaks the protocol of package wire.
 type upstream struct {
-	config  upstreamConfig
-	slots   chan struct{}
+	config upstreamConfig
+	// slots holds an element for each running call.
+	slots chan struct{}
+	// waiting counts the calls that wait for a slot.
 	waiting atomic.Int64
-	mu      sync.Mutex
-	faults  upstreamFaults
-	random  *rand.Rand
-	// runs counts how often each order ran; used with mu held.
+
+	// mu guards the fields below.
+	mu     sync.Mutex
+	faults upstreamFaults
+	random *rand.Rand
+	// runs counts how often each order ran, by request ID.
 	runs map[string]int
-	// arrived counts the calls that came, refused ones included; used with mu held.
+	// arrived counts all calls, including refused ones.
 	arrived int
 }
 
@@ -88,7 +94,8 @@
 	return m
 }
 
-// draw decides by chance; all draws share one seeded source.
+// chance returns true with the probability of a share. All calls draw from one seeded
+// source.
 func (u *upstream) chance(share float64) bool {
 	if share <= 0 {
 		return false
@@ -118,6 +125,7 @@
 	return time.Duration(factor * float64(f.Service))
 }
 
+// refuse replies that a call did not run, and why.
 func refuse(w http.ResponseWriter, f *upstreamFaults, id wire.Identity, kind wire.RefusalKind) {
 	code := http.StatusServiceUnavailable
 	if kind == wire.RefusalMoved || kind == wire.RefusalSnapshotGone {
@@ -126,7 +134,8 @@
 	writeJSON(w, code, wire.RefusalReply{Identity: id, UpstreamInfo: f.upstreamInfo(), Refused: kind})
 }
 
-// begin takes a slot, or refuses. It reports whether the call may run.
+// acquireSlot waits for a slot until the deadline, or refuses the call. It reports
+// whether the call may run; the caller must release the slot then.
 func (u *upstream) acquireSlot(w http.ResponseWriter, r *http.Request, f *upstreamFaults, id wire.Identity, deadline time.Time) bool {
 	u.mu.Lock()
 	u.arrived++
@@ -175,16 +184,18 @@
 	})
 }
 
+// upstreamCall is a call to a stand-in upstream.
 type upstreamCall struct {
 	identity       wire.Identity
 	deadlineMillis int64
-	// snapshot is the one asked for; 0 for the newest.
+	// snapshot is the requested snapshot; 0 means the newest.
 	snapshot uint64
-	// order is the request ID of a call that is not repeatable.
+	// orderID is the request ID of a call that is not repeatable, and empty otherwise.
 	orderID string
 }
 
-// serve takes a slot, works, and replies with what fill makes.
+// serve runs a call in a slot for its service time, lets fill complete the reply, and
+// sends it.
 func (u *upstream) serve(w http.ResponseWriter, r *http.Request, c *upstreamCall, fill func(*upstreamFaults, *wire.PartReply)) {
 	f := u.currentFaults()
 	if !u.acquireSlot(w, r, &f, c.identity, time.Now().Add(time.Duration(c.deadlineMillis)*time.Millisecond)) {
@@ -213,7 +224,7 @@
 	u.reply(w, r, &f, out)
 }
 
-// reply sends a reply, right or wrong as the faults demand.
+// reply sends a reply, or breaks it as the faults demand.
 func (u *upstream) reply(w http.ResponseWriter, r *http.Request, f *upstreamFaults, out wire.PartReply) {
 	switch {
 	case u.chance(f.DropShare):
@@ -235,6 +246,7 @@
 	}
 }
 
+// writeEndlessly writes spaces until the client gives up.
 func writeEndlessly(w http.ResponseWriter, r *http.Request) {
 	for r.Context().Err() == nil {
 		if _, err := w.Write([]byte(`                `)); err != nil {
@@ -254,7 +266,7 @@
 	writeJSON(w, http.StatusOK, out)
 }
 
-// onFake changes the faults that the body names.
+// onFake changes the faults that the body names and keeps the others.
 func (u *upstream) onFake(w http.ResponseWriter, r *http.Request) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -267,12 +279,14 @@
 	writeJSON(w, http.StatusOK, f)
 }
 
+// runsReply is the reply to GET /Runs.
 type runsReply struct {
-	// Arrived is how many calls came, refused ones included.
+	// Arrived counts all calls, including refused ones.
 	Arrived int
 	Runs    []orderRuns
 }
 
+// orderRuns tells how often an order ran.
 type orderRuns struct {
 	RequestID string
 	Runs      int
