--- a/loomfake/balancer_test.go
+++ b/loomfake/balancer_test.go
@@ -14,32 +14,28 @@
 	"gotest.tools/v3/assert"
 )
 
-// balancer stands in for the platform's balancer: it asks each host whether it
-// is ready and gives out the ready ones in turn.
+// balancer is a stand-in for the platform's load balancer. It probes the readiness of
+// the hosts and selects the ready ones round-robin.
 type balancer struct {
-	// hosts are the callers' addresses of entry hosts, operate the operators'
-	// addresses of the same hosts in the same order.
+	// hosts are the callers' addresses of the entry hosts, operate their operators'
+	// addresses in the same order.
 	hosts, operate []netip.AddrPort
 	client         *http.Client
-	// probeBound is how long a host may take to say whether it is ready.
-	probeTimeout time.Duration
-	// ready holds the hosts that requests go to; admitting orders those that
-	// change it.
+	probeTimeout   time.Duration
+	// ready holds the hosts that receive requests; updateMu serializes its updates.
 	ready     atomic.Pointer[[]netip.AddrPort]
 	updateMu  sync.Mutex
 	nextIndex atomic.Uint64
 }
 
-// Times of the balancer. Not measured.
+// Times of the balancer in scenarios.
 const (
-	// balanceEvery is the time between two probes of a host.
 	balancerProbeInterval = 100 * time.Millisecond
-	// balanceBound is the probeBound of scenarios.
-	balancerProbeTimeout = 500 * time.Millisecond
+	balancerProbeTimeout  = 500 * time.Millisecond
 )
 
-// run probes the hosts until the context ends, each by itself, so that one that
-// is slow to answer delays none.
+// run probes the hosts until ctx ends. It probes them independently, so that a slow host
+// does not delay the others.
 func (b *balancer) run(ctx context.Context) {
 	ready := make([]atomic.Bool, len(b.hosts))
 	var wg sync.WaitGroup
@@ -55,8 +51,8 @@
 	wg.Wait()
 }
 
-// admit sends requests to the hosts that are ready, or where none is, to those
-// that were.
+// updateReady selects the ready hosts for requests. If no host is ready, it keeps the
+// previous selection.
 func (b *balancer) updateReady(ready []atomic.Bool) {
 	b.updateMu.Lock()
 	defer b.updateMu.Unlock()
@@ -86,14 +82,14 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// next returns the host of the next request.
+// next returns the host for the next request.
 func (b *balancer) next() netip.AddrPort {
 	hosts := *b.ready.Load()
 	return hosts[b.nextIndex.Add(1)%uint64(len(hosts))]
 }
 
-// TestBalancerAsksEachHostByItself has one host not answer until another was
-// asked several times: that one must be taken out meanwhile.
+// TestBalancerProbesHostsIndependently checks that a host without an answer to its probe
+// does not delay the removal of another host that stops.
 func TestBalancerProbesHostsIndependently(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
--- a/loomfake/commands_test.go
+++ b/loomfake/commands_test.go
@@ -19,10 +19,11 @@
 
 type command = func(ts *testscript.TestScript, neg bool, args []string)
 
-// scenarioCommands are the commands that scenarios have besides testscript's.
+// scenarioCommands are the commands of scenarios besides those of testscript.
 var scenarioCommands = map[string]command{
-	// tier HOSTS SHARDS [flags of loomfake upstream]: starts everything. DOCUMENT
-	// in the environment holds flags of loomfake document.
+	// tier HOSTS SHARDS [flags of loomfake upstream]: starts the platform, the upstreams,
+	// the links and the hosts. The environment variable DOCUMENT holds flags of loomfake
+	// document.
 	"tier": scenarioCommand(2, func(s *scenario, ts *testscript.TestScript, args []string) error {
 		hosts, shards := atoi(ts, args[0]), atoi(ts, args[1])
 		s.env = daemonEnv(ts)
@@ -37,12 +38,11 @@
 		}
 		return s.awaitReady(n)
 	}),
-	// signal NAME STOP|CONT|KILL|TERM: the last two wait for the end.
+	// signal NAME STOP|CONT|KILL|TERM: signals a process. KILL and TERM wait for its end.
 	"signal": scenarioCommand(2, func(s *scenario, _ *testscript.TestScript, args []string) error {
 		return s.signal(args[0], args[1])
 	}),
-	// fake U3|L1|P JSON: sets faults of an upstream, of the link to a host, or
-	// of the platform.
+	// fake U3|L1|P JSON: sets faults of an upstream, the link to a host, or the platform.
 	"fake": scenarioCommand(2, func(s *scenario, ts *testscript.TestScript, args []string) error {
 		at, n := s.platformAddress(), 0
 		if args[0] != "P" {
@@ -56,11 +56,11 @@
 		}
 		return call(http.MethodPost, at+"/Fake", args[1], nil)
 	}),
-	// live NAME STATE: sets a line of the platform's live list.
+	// live NAME STATE: sets an entry of the platform's live list.
 	"live": scenarioCommand(2, func(s *scenario, _ *testscript.TestScript, args []string) error {
 		return call(http.MethodPost, s.platformAddress()+"/SetLive", fmt.Sprintf(`{"Name":%q,"State":%q}`, args[0], args[1]), nil)
 	}),
-	// restore JSON: has the platform come back from a copy.
+	// restore JSON: restores the platform from a backup.
 	"restore": scenarioCommand(1, func(s *scenario, _ *testscript.TestScript, args []string) error {
 		return call(http.MethodPost, s.platformAddress()+"/Restore", args[0], nil)
 	}),
@@ -72,43 +72,44 @@
 	"revision": scenarioCommand(2, func(s *scenario, ts *testscript.TestScript, args []string) error {
 		return s.awaitRevision(uint64(atoi(ts, args[0])), atoiAll(ts, args[1:]))
 	}),
-	// members N HOST STATE: waits until host N believes HOST to be in STATE.
+	// members N HOST STATE: waits until host N lists HOST in STATE.
 	"members": scenarioCommand(3, func(s *scenario, ts *testscript.TestScript, args []string) error {
 		return waitUntil("member "+args[1]+" "+args[2], func() bool { return s.memberState(atoi(ts, args[0]), args[1]) == args[2] })
 	}),
-	// orders CLIENTS EACH N...: clients place orders at hosts N in the
-	// background; with EACH 0 until finish.
+	// orders CLIENTS EACH N...: each client places EACH orders at hosts N in the
+	// background. EACH 0 means until finish.
 	"orders": scenarioCommand(3, func(s *scenario, ts *testscript.TestScript, args []string) error {
 		return s.runInBackground(atoi(ts, args[1]) == 0, s.placeOrders(atoi(ts, args[0]), atoi(ts, args[1]), atoiAll(ts, args[2:])))
 	}),
-	// counts CLIENTS EACH N...: clients count at hosts N in the background; with
-	// EACH 0 until finish.
+	// counts CLIENTS EACH N...: each client counts the records EACH times at hosts N in
+	// the background. EACH 0 means until finish.
 	"counts": scenarioCommand(3, func(s *scenario, ts *testscript.TestScript, args []string) error {
 		return s.runInBackground(atoi(ts, args[1]) == 0, s.countRecords(atoi(ts, args[0]), atoi(ts, args[1]), atoiAll(ts, args[2:])))
 	}),
-	// finish: waits for the background clients and checks their history.
+	// finish OUTCOME[=N]...: waits for the background clients and checks their history
+	// and the number of these outcomes.
 	"finish": scenarioCommand(0, func(s *scenario, ts *testscript.TestScript, args []string) error {
 		return s.finish(ts, args)
 	}),
-	// sleep D: lets time pass.
+	// sleep D: sleeps for the duration D.
 	"sleep": scenarioCommand(1, func(_ *scenario, _ *testscript.TestScript, args []string) error {
 		d, err := time.ParseDuration(args[0])
 		time.Sleep(d)
 		return err
 	}),
-	// balancer: from now on clients ask only hosts that say they are ready.
+	// balancer: from now on clients use only hosts that are ready.
 	"balancer": scenarioCommand(0, func(s *scenario, _ *testscript.TestScript, _ []string) error {
 		return s.startBalancer()
 	}),
-	// refused N TEXT: waits until host N tells that it refused a document.
+	// refused N TEXT: waits until host N reports a refused document with TEXT.
 	"refused": scenarioCommand(2, func(s *scenario, ts *testscript.TestScript, args []string) error {
 		return waitUntil("refusal of "+args[1], func() bool {
 			st, err := s.status(atoi(ts, args[0]))
 			return err == nil && strings.Contains(st.Refused, args[1])
 		})
 	}),
-	// post N PATH STATUS TEXT BODY: host N answers with a status, and TEXT in
-	// the body. A BODY of the form SIZE*TEXT repeats the text.
+	// post N PATH STATUS TEXT BODY: posts BODY to host N and checks that it answers with
+	// STATUS and a body that contains TEXT. A BODY of the form COUNT*TEXT repeats TEXT.
 	"post": scenarioCommand(5, func(s *scenario, ts *testscript.TestScript, args []string) error {
 		return s.post(atoi(ts, args[0]), args[1], atoi(ts, args[2]), args[3], args[4])
 	}),
@@ -119,7 +120,7 @@
 		ts.Setenv(args[1], t.Ticket)
 		return err
 	}),
-	// ran TICKET N: the upstreams' record has the order N times.
+	// ran TICKET N: checks that the upstreams ran the order N times.
 	"ran": scenarioCommand(2, func(s *scenario, ts *testscript.TestScript, args []string) error {
 		runs, err := s.sumRuns()
 		if err == nil && runs[args[0]] != atoi(ts, args[1]) {
@@ -127,22 +128,22 @@
 		}
 		return err
 	}),
-	// monitor N...: from now on looks at the revisions of hosts N; finish tells
-	// if one went back.
+	// monitor N...: from now on watches the revisions of hosts N; finish fails if one
+	// decreased.
 	"monitor": scenarioCommand(1, func(s *scenario, ts *testscript.TestScript, args []string) error {
 		for _, n := range atoiAll(ts, args) {
 			go s.monitorRevision(n)
 		}
 		return nil
 	}),
-	// watchers LEAST MOST N...: waits until so many of hosts N watch the platform.
+	// watchers MIN MAX N...: waits until MIN to MAX of hosts N watch the platform.
 	"watchers": scenarioCommand(3, func(s *scenario, ts *testscript.TestScript, args []string) error {
 		return waitUntil("watchers", func() bool {
 			n := s.countWatchers(atoiAll(ts, args[2:]))
 			return n >= atoi(ts, args[0]) && n <= atoi(ts, args[1])
 		})
 	}),
-	// callsabove U3 N: waits until more than N calls came to an upstream.
+	// callsabove U3 N: waits until an upstream has received more than N calls.
 	"callsabove": scenarioCommand(2, func(s *scenario, ts *testscript.TestScript, args []string) error {
 		at, least := s.upstreamAddress(atoi(ts, strings.TrimPrefix(args[0], "U"))), atoi(ts, args[1])
 		for end := time.Now().Add(maxWait); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
@@ -156,7 +157,7 @@
 		}
 		return fmt.Errorf("no call came to %s within %s", args[0], maxWait)
 	}),
-	// calls U3 NAME: stores in NAME how many calls came to an upstream.
+	// calls U3 NAME: stores in NAME how many calls an upstream has received.
 	"calls": scenarioCommand(2, func(s *scenario, ts *testscript.TestScript, args []string) error {
 		var r runsReply
 		err := call(http.MethodGet, s.upstreamAddress(atoi(ts, strings.TrimPrefix(args[0], "U")))+"/Runs", nil, &r)
@@ -165,9 +166,11 @@
 	}),
 }
 
-// longestWait bounds waits for what must happen at some time; it judges no speed.
+// maxWait limits waits for events that must happen, however late.
 const maxWait = 30 * time.Second
 
+// scenarioCommand returns a command with at least minArgs arguments. If the command fails,
+// it prints the logs.
 func scenarioCommand(minArgs int, f func(*scenario, *testscript.TestScript, []string) error) command {
 	return func(ts *testscript.TestScript, neg bool, args []string) {
 		if neg || len(args) < minArgs {
@@ -181,7 +184,7 @@
 	}
 }
 
-// printLogs prints the last lines of the hosts' logs.
+// printLogs prints the last lines of the log of each process.
 func (s *scenario) printLogs(ts *testscript.TestScript) {
 	const last = 15
 	for name := range s.processes {
@@ -205,6 +208,8 @@
 	return out
 }
 
+// daemonEnv returns the environment of the programs, with the daemon settings that a
+// scenario has set.
 func daemonEnv(ts *testscript.TestScript) []string {
 	out := os.Environ()
 	for _, n := range []string{"LOOMD_BEAT", "LOOMD_WATCHWAIT", "LOOMD_SETTLE", "LOOMD_SETTLEMOST", "LOOMD_TICKETLIFE", "LOOMD_LEAVINGHOLD"} {
@@ -215,6 +220,8 @@
 	return out
 }
 
+// startTier starts the platform, the upstreams, the links and the hosts, and waits until
+// the hosts are ready.
 func (s *scenario) startTier(hosts, shards int, upstreamFlags []string) error {
 	s.shards = shards
 	document := filepath.Join(s.dir, "document.json")
@@ -313,7 +320,7 @@
 	return nil
 }
 
-// monitor notes it if a ready host has an older revision than before.
+// monitorRevision records a problem if the revision of a ready host decreases.
 func (s *scenario) monitorRevision(n int) {
 	highest := uint64(0)
 	for s.t.Context().Err() == nil {
@@ -341,7 +348,7 @@
 	return ""
 }
 
-// balance starts the stand-in of the platform's balancer.
+// startBalancer starts the stand-in for the platform's load balancer.
 func (s *scenario) startBalancer() error {
 	s.balancer = &balancer{client: httpClient, probeTimeout: balancerProbeTimeout}
 	for i := 1; i <= 3; i++ {
@@ -358,7 +365,7 @@
 	return nil
 }
 
-// pick returns the address of a host for a client.
+// pickHost returns the address of the host for a request.
 func (s *scenario) pickHost(hosts []int, n int) string {
 	if s.balancer != nil {
 		return s.balancer.next().String()
@@ -366,7 +373,7 @@
 	return s.callerAddress(hosts[n%len(hosts)])
 }
 
-// background runs clients beside the scenario; finish waits for them.
+// runInBackground runs clients concurrently with the scenario; finish waits for them.
 func (s *scenario) runInBackground(untilFinish bool, run func(stop <-chan struct{}) error) error {
 	s.untilFinish = untilFinish
 	s.clientsDone, s.stopClients = make(chan error, 1), make(chan struct{})
--- a/loomfake/golden_test.go
+++ b/loomfake/golden_test.go
@@ -23,15 +23,15 @@
 	"loomgap/tier/prog"
 )
 
-// programCommands are the commands of the three programs, by program.
+// programCommands are the commands of each program.
 var programCommands = map[string][]string{
 	"loomd":    {"serve", "version"},
 	"loomctl":  {"ask", "order", "status", "plan", "check", "drain", "version"},
 	"loomfake": {"document", "platform", "upstream", "link", "replay", "soak"},
 }
 
-// TestHelpStaysAsItIs compares the help of each command, with its flags, with
-// testdata/golden. Operators' scripts and the deploy file use these flags.
+// TestHelpIsStable compares the help and the flags of each command with testdata/golden.
+// Operators' scripts and the deploy file use these flags.
 func TestHelpIsStable(t *testing.T) {
 	for program, names := range programCommands {
 		for _, name := range names {
@@ -46,7 +46,7 @@
 	}
 }
 
-// TestVersionNamesTheProgram runs the version command of the programs that have
+// TestVersionPrintsProgramAndRelease runs the version command of the programs that have
 // one.
 func TestVersionPrintsProgramAndRelease(t *testing.T) {
 	for _, program := range []string{"loomd", "loomctl"} {
@@ -59,8 +59,8 @@
 // metricName is the name of a metric, without its labels.
 var metricName = regexp.MustCompile(`loomgap_[a-z_]+`)
 
-// TestMetricNamesStayAsTheyAre compares the names of all metrics that stand in
-// the code with testdata/golden/metrics.txt.
+// TestMetricNamesAreStable compares all metric names in the code with
+// testdata/golden/metrics.txt.
 func TestMetricNamesAreStable(t *testing.T) {
 	names := map[string]bool{}
 	for _, module := range []string{"tier", "platform", "loomd"} {
@@ -75,7 +75,7 @@
 	golden.Assert(t, sortedLines(names), "golden/metrics.txt")
 }
 
-// collectMetrics adds the metrics that a file names in its string literals.
+// collectMetrics adds the metric names in the string literals of a file to names.
 func collectMetrics(path string, names map[string]bool) error {
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 	if err != nil {
@@ -101,11 +101,11 @@
 	return strings.Join(out, "\n") + "\n"
 }
 
-// TestStatusAndMetricsStayAsTheyAre starts two daemons, counts once at the first, and compares
-// the fields of its /status with testdata/golden/status.txt, and the labels of
-// metrics with those that dashboards use.
+// TestStatusAndMetricsAreStable compares the fields of /status with
+// testdata/golden/status.txt, and checks the metrics and labels that dashboards use, after
+// one request to a tier of two daemons.
 func TestStatusAndMetricsAreStable(t *testing.T) {
-	port := portStart + int(firstPort.Add(portBlock))
+	port := portStart + int(portOffset.Add(portBlock))
 	s := &scenario{t: t, port: port, dir: t.TempDir(), env: os.Environ(), processes: map[string]*process{}, history: &history{}}
 	defer s.stopAll()
 	assert.NilError(t, s.startTier(2, 2, nil))
@@ -137,8 +137,8 @@
 	}
 }
 
-// collectFields adds the paths of all fields of a JSON value, with the kind of
-// each value that is neither object nor list.
+// collectFields adds the paths of all fields of a JSON value to fields, with the kind of
+// each scalar.
 func collectFields(path string, value any, fields map[string]bool) {
 	switch v := value.(type) {
 	case map[string]any:
@@ -151,7 +151,7 @@
 			collectFields(path+"[]", element, fields)
 		}
 	default:
-		text, _ := json.Marshal(v) // it was read from JSON a moment ago
+		text, _ := json.Marshal(v) // value was decoded from JSON
 		kind := map[byte]string{'"': "text", 't': "truth", 'f': "truth", 'n': "null"}[text[0]]
 		if kind == "" {
 			kind = "number"
--- a/loomfake/harness_test.go
+++ b/loomfake/harness_test.go
@@ -16,27 +16,33 @@
 	"github.com/go-json-experiment/json"
 )
 
+// scenarioKey is the key of the scenario in the testscript environment.
 type scenarioKey struct{}
 
-// scene is the processes of one scenario.
+// scenario is the state of a running scenario: its processes and its clients.
 type scenario struct {
-	t      *testing.T
+	t *testing.T
+	// port is the first of the scenario's block of ports.
 	port   int
 	dir    string
 	shards int
-	env    []string
+	// env is the environment of the processes.
+	env []string
 	// documentFlags are flags of loomfake document.
 	documentFlags []string
 	processes     map[string]*process
 	history       *history
-	// balancer knows which hosts are ready; nil while clients ask any.
-	balancer    *balancer
+	// balancer selects ready hosts; nil if clients use all hosts.
+	balancer *balancer
+	// clientsDone receives the result of the background clients, nil if there are none;
+	// closing stopClients stops them.
 	clientsDone chan error
 	stopClients chan struct{}
-	// endless is true if the clients go on until halt is closed.
+	// untilFinish is true if the clients run until stopClients is closed.
 	untilFinish bool
 }
 
+// process is a running program; done is closed when it ends.
 type process struct {
 	args    []string
 	command *exec.Cmd
@@ -51,7 +57,7 @@
 func (s *scenario) upstreamAddress(i int) string { return s.address(100 + i - 1) }
 func (s *scenario) logPath(name string) string   { return filepath.Join(s.dir, name+".log") }
 
-// start runs a program as a process of its own.
+// startProcess starts a program, whose output goes to the log of that name.
 func (s *scenario) startProcess(name string, args ...string) error {
 	f, err := os.OpenFile(s.logPath(name), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -81,14 +87,14 @@
 	}
 }
 
-// link starts the link through which others reach host i.
+// startLink starts the link through which other hosts connect to host i.
 func (s *scenario) startLink(i int) error {
 	return s.startProcess(fmt.Sprintf("L%d", i), "loomfake", "link", "-Listen", s.address(10*i+3), "-To", s.address(10*i+1), "-Admin", s.linkAdminAddress(i), "-Life", "5m")
 }
 
 func (s *scenario) linkAdminAddress(i int) string { return s.address(10*i + 4) }
 
-// host starts entry host i.
+// startHost starts entry host i.
 func (s *scenario) startHost(i int, more ...string) error {
 	args := []string{
 		"loomd", "serve", "-Host", fmt.Sprintf("H%d", i), "-Hall", defaultHall, "-Listen", s.callerAddress(i),
@@ -103,7 +109,7 @@
 	return s.startProcess(fmt.Sprintf("H%d", i), append(args, more...)...)
 }
 
-// await polls until a condition holds; the wait is bounded but never judged.
+// waitUntil polls until a condition holds, and fails after a generous timeout.
 func waitUntil(what string, condition func() bool) error {
 	const timeout = 30 * time.Second
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -111,12 +117,13 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%s: not within %s", what, timeout)
+	return fmt.Errorf("%s: timed out after %s", what, timeout)
 }
 
 var httpClient = &http.Client{Timeout: 2 * time.Second}
 
-// call sends JSON and reads JSON.
+// call sends a request with a JSON body and decodes the JSON reply. A string is sent as it
+// is. A status of 400 or above is an error, except 503.
 func call(method, url string, in, out any) error {
 	var body io.Reader
 	if text, ok := in.(string); ok {
@@ -151,7 +158,7 @@
 	return json.Unmarshal(text, out)
 }
 
-// hostStatus is what a scenario reads of a host's status.
+// hostStatus holds the fields of a host's status that scenarios use.
 type hostStatus struct {
 	State    string
 	Revision uint64
@@ -174,7 +181,7 @@
 	})
 }
 
-// runs sums what all upstreams recorded.
+// sumRuns returns how often each order ran on all upstreams.
 func (s *scenario) sumRuns() (map[string]int, error) {
 	out := map[string]int{}
 	for i := 1; i <= s.shards; i++ {
--- a/loomfake/history_test.go
+++ b/loomfake/history_test.go
@@ -12,9 +12,8 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// askBody, orderBody and ticketBody are messages of the callers' service as
-// clients of a scenario write and read them; answerBody is what they read of an
-// answer.
+// askBody, orderBody and ticketBody are the bodies of the callers' service that clients
+// of a scenario send and receive; answerBody holds the fields of an answer that they use.
 type (
 	askBody struct {
 		Statement, Class string
@@ -30,30 +29,30 @@
 	}
 )
 
-// history is what clients saw; it is checked when they are done.
+// history records what the clients observed, to be checked once they are done.
 type history struct {
 	mu         sync.Mutex
 	operations []porcupine.Operation
 	outcomes   map[string]int
 	problems   []string
-	// losses tells of each request without an answer when it ended and why.
+	// losses describes each request that got no answer: when it ended and why.
 	losses []string
 }
 
-// tryInput is one try of an order, or the last look at the upstreams' record.
+// attemptInput is an attempt of an order, or the final read of the upstreams' records.
 type attemptInput struct {
 	ticket string
 	final  bool
 }
 
-// tryOutput is the outcome of a try, or how often the order ran.
+// attemptOutput is the outcome of an attempt, or the number of times the order ran.
 type attemptOutput struct {
 	outcome string
 	runs    int
 }
 
-// orderModel says what may happen to one ticket: it runs at most once; Complete
-// means that it has run, NotRun that it has not, Unknown either.
+// orderModel models the order of a ticket. The order runs at most once; Complete means
+// that it has run, NotRun that it has not, and other outcomes mean either.
 var orderModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{false} },
 	Step: func(state, input, output any) []any {
@@ -89,7 +88,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// never is a time that no scenario reaches, in nanoseconds since 1970.
+// farFuture is a time after the end of any scenario, in nanoseconds since 1970.
 const farFuture = int64(1) << 62
 
 func (h *history) add(client int, in attemptInput, sentAt time.Time, out attemptOutput) {
@@ -97,7 +96,7 @@
 	defer h.mu.Unlock()
 	returnedAt := time.Now().UnixNano()
 	if out.outcome != "Complete" && out.outcome != "NotRun" {
-		// A try without a known end may take effect at any later time.
+		// An attempt with an unknown outcome may take effect at any later time.
 		returnedAt = farFuture
 	}
 	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: in, Call: sentAt.UnixNano(), Output: out, Return: returnedAt})
@@ -107,10 +106,10 @@
 	h.outcomes[out.outcome]++
 }
 
-// outcomeLost is the outcome of a request that had no answer.
+// outcomeLost is the outcome of a request that got no answer.
 const outcomeLost = "Lost"
 
-// lost keeps why a request that began at a time had no answer.
+// recordLost records why a request got no answer.
 func (h *history) recordLost(sentAt time.Time, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -133,8 +132,8 @@
 	h.outcomes[outcome]++
 }
 
-// clients runs a number of clients, each making a number of requests with a
-// short pause between; 0 for as many as there is time for until halt.
+// runClients runs concurrent clients that each make perClient requests, with a short
+// pause before each. With a perClient of 0 they run until stop is closed.
 func runClients(count, perClient int, stop <-chan struct{}, request func(client, request int)) {
 	const pause = 3 * time.Millisecond
 	var wg sync.WaitGroup
@@ -153,8 +152,8 @@
 	wg.Wait()
 }
 
-// orders has clients place orders, and ask again at the next host until the
-// answer is Complete or the tries are used up.
+// placeOrders returns a function that runs clients which place orders. A client retries
+// an order at the next host until the answer is Complete or maxAttempts is reached.
 func (s *scenario) placeOrders(count, perClient int, hosts []int) func(<-chan struct{}) error {
 	const maxAttempts = 4
 	return func(stop <-chan struct{}) error {
@@ -182,7 +181,7 @@
 	}
 }
 
-// countAnswer is an answer to a count, with its ranges.
+// countAnswer is an answer to a count, with the included and missing key ranges.
 type countAnswer struct {
 	Outcome           string
 	Count, Snapshot   uint64
@@ -193,11 +192,11 @@
 	}
 }
 
-// sceneKeys is the number of keys: the default of loomfake document and upstream.
+// scenarioKeys is the number of keys, the default of loomfake document and upstream.
 const scenarioKeys = 1024
 
-// counts has clients count all records, and checks each answer: one snapshot,
-// and included and missing ranges that are exactly the key space.
+// countRecords returns a function that runs clients which count all records and check
+// each answer.
 func (s *scenario) countRecords(count, perClient int, hosts []int) func(<-chan struct{}) error {
 	return func(stop <-chan struct{}) error {
 		runClients(count, perClient, stop, func(c, n int) {
@@ -219,6 +218,8 @@
 	}
 }
 
+// checkCount checks that the included and missing ranges of an answer cover the key space
+// exactly once, and that its count is that of one snapshot.
 func (s *scenario) checkCount(a *countAnswer) {
 	var covered [scenarioKeys]int
 	expected := uint64(0)
@@ -247,7 +248,7 @@
 	}
 }
 
-// countOf returns how many records a half-open range of keys has at a snapshot.
+// expectedCount returns the number of records with keys [from, to) in a snapshot.
 func expectedCount(from, to uint32, snapshot uint64) uint64 {
 	n := uint64(0)
 	for key := uint64(from); key < uint64(to); key++ {
@@ -258,8 +259,8 @@
 	return n
 }
 
-// finish checks the history. Arguments name outcomes that must have been seen,
-// as in Complete or Complete=50 for at least 50, or Lost=0 for none.
+// finish waits for the clients and checks their history. Arguments name required
+// outcomes: Complete requires at least one, Complete=50 at least 50, and Lost=0 none.
 func (s *scenario) finish(ts *testscript.TestScript, wanted []string) error {
 	if s.clientsDone != nil {
 		if s.untilFinish {
@@ -290,6 +291,7 @@
 	return nil
 }
 
+// checkWanted checks one argument of finish.
 func (h *history) checkWanted(w string) error {
 	name, minCount, hasCount := parseWanted(w)
 	n := h.outcomes[name]
@@ -302,6 +304,7 @@
 	return nil
 }
 
+// parseWanted splits an argument of finish into its outcome and its count.
 func parseWanted(w string) (name string, minCount int, hasCount bool) {
 	for i := range w {
 		if w[i] == '=' {
@@ -312,7 +315,7 @@
 	return w, 1, false
 }
 
-// checkOrders checks the tries against the upstreams' own record.
+// checkOrders checks the attempts against the upstreams' records with orderModel.
 func (s *scenario) checkOrders() error {
 	s.history.mu.Lock()
 	defer s.history.mu.Unlock()
@@ -323,7 +326,7 @@
 	if err != nil {
 		return err
 	}
-	all := s.history.operations
+	operations := s.history.operations
 	seen := map[string]bool{}
 	for _, o := range s.history.operations {
 		t := o.Input.(attemptInput).ticket
@@ -331,7 +334,7 @@
 			continue
 		}
 		seen[t] = true
-		all = append(all, porcupine.Operation{
+		operations = append(operations, porcupine.Operation{
 			ClientId: -1, Input: attemptInput{ticket: t, final: true}, Call: farFuture + 1,
 			Output: attemptOutput{runs: runs[t]}, Return: farFuture + 2,
 		})
@@ -341,8 +344,8 @@
 			return fmt.Errorf("order %s ran %d times", t, n)
 		}
 	}
-	if porcupine.CheckOperations(orderModel.ToModel(), all) {
+	if porcupine.CheckOperations(orderModel.ToModel(), operations) {
 		return nil
 	}
-	return errors.New("the history of tries does not fit an order that runs at most once and is truly described")
+	return errors.New("history of attempts is not that of orders that run at most once and report their outcome correctly")
 }
--- a/loomfake/scenario_test.go
+++ b/loomfake/scenario_test.go
@@ -11,18 +11,18 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// programs is the folder of the programs under test.
+// programs is the directory of the programs under test.
 var programs string
 
-// firstPort is the next block of ports; each scenario gets one of its own.
-var firstPort atomic.Int64
+// portOffset is the offset of the last block of ports given to a scenario; each scenario
+// gets its own.
+var portOffset atomic.Int64
 
-// Ports of scenarios. Not measured.
+// Ports of scenarios.
 const (
-	// portBlock is how many ports a scenario has.
+	// portBlock is the number of ports per scenario.
 	portBlock = 150
-	// portStart is the port before the first block; below the ports that the system
-	// gives out.
+	// portStart is below the ephemeral ports of the system.
 	portStart = 20_000
 )
 
@@ -30,7 +30,7 @@
 	os.Exit(runTests(m))
 }
 
-// runTests builds the programs, the daemon with the race detector.
+// runTests builds the programs, the daemon with the race detector, and runs the tests.
 func runTests(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "loomgap")
 	if err != nil {
@@ -49,14 +49,14 @@
 	return m.Run()
 }
 
-// TestScenarios runs the real programs as separate processes. The language is
-// testscript's, with the commands of commands_test.go.
+// TestScenarios runs the scripts of testdata/scenarios against the real programs, each in
+// its own process. The scripts use testscript with the commands of commands_test.go.
 func TestScenarios(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:  "testdata/scenarios",
 		Cmds: scenarioCommands,
 		Setup: func(e *testscript.Env) error {
-			port := portStart + int(firstPort.Add(portBlock))
+			port := portStart + int(portOffset.Add(portBlock))
 			s := &scenario{t: t, port: port, dir: e.WorkDir, processes: map[string]*process{}, history: &history{}}
 			e.Values[scenarioKey{}] = s
 			e.Setenv("PATH", programs+string(os.PathListSeparator)+e.Getenv("PATH"))
--- a/loomfake/soak_test.go
+++ b/loomfake/soak_test.go
@@ -21,7 +21,7 @@
 	"loomgap/platform/mock"
 )
 
-// failedSeeds are seeds that a soak once failed with, each with the cause.
+// regressionSeeds are seeds that have revealed a fault, with its cause.
 var regressionSeeds = []struct {
 	seed  uint64
 	cause string
@@ -32,7 +32,7 @@
 	{40, "two hosts of the soak were given one port, which was free when each was asked for"},
 }
 
-// TestSoak runs short soaks with fixed seeds, and all that ever failed.
+// TestSoak runs short soaks with fixed seeds, including all regression seeds.
 func TestSoak(t *testing.T) {
 	seeds := []uint64{20261202, 7}
 	for _, f := range regressionSeeds {
@@ -62,10 +62,8 @@
 	assert.Assert(t, len(s.requests) > 0)
 }
 
-// TestClosedSoakHasNoDaemons has a soak be closed as soon as its daemons run. The next one
-// of the same process gets the same addresses: once, "hosts are not ready" was all that a
-// soak had to say after 20 s, since a daemon of the one before had been killed and was
-// still there when the next was to bind its address.
+// TestClosedSoakLeavesNoDaemons checks that closing a soak waits for its daemons to end.
+// Otherwise the daemons of the next soak in the process could not bind the same addresses.
 func TestClosedSoakLeavesNoDaemons(t *testing.T) {
 	s, cleanUp, err := newSoak(soakConfig{Seed: 1, Daemon: filepath.Join(programs, "loomd"), Hosts: 2, Shards: 2, Dir: t.TempDir()})
 	assert.NilError(t, err)
@@ -75,21 +73,21 @@
 		select {
 		case <-h.ended:
 		default:
-			t.Errorf("%s still runs", h.name)
+			t.Errorf("daemon of %s is still running", h.name)
 		}
 	}
 }
 
-// TestVersionsArePublishedInOrder has faults end together that each publish a
-// configuration: the last one in the store is the newest, with all routes.
+// TestVersionsArePublishedInOrder checks that concurrent faults publish their
+// configurations in order: the store ends up with the newest one, which has all routes.
 func TestVersionsArePublishedInOrder(t *testing.T) {
-	const together = 8
+	const concurrent = 8
 	for range 50 {
 		s := finishedSoak()
 		s.store, s.versions, s.routeCount = mock.NewStore(), nil, 0
 		server := httptest.NewServer(s.store)
 		var all sync.WaitGroup
-		for range together {
+		for range concurrent {
 			all.Go(func() { s.must(s.publish()) })
 		}
 		all.Wait()
@@ -98,22 +96,21 @@
 		closeSource()
 		server.Close()
 		assert.NilError(t, err)
-		assert.Equal(t, len(p.Document.Routes), 3+together)
+		assert.Equal(t, len(p.Document.Routes), 3+concurrent)
 		for i, v := range s.versions {
 			assert.Equal(t, v.routeCount, i+1)
 		}
 	}
 }
 
-// controlMessages are the log lines that tell how a daemon follows what is
-// published.
+// controlMessages are the log messages about how a daemon follows the platform.
 var controlMessages = []string{
 	"daemon started", "daemon stops", "turn to read the platform", "platform lost", "platform regained", "history is gone",
 	"document", "directory", "process was paused", "connection to peer is silent",
 }
 
-// controlLines returns those lines of a daemon's log, so that a soak that fails once
-// can be traced: the log itself goes with the test.
+// controlLines returns the lines of a daemon's log with controlMessages. They go into
+// the output of a failed soak, since the log itself is removed after the test.
 func controlLines(t *testing.T, file string) string {
 	text, err := os.ReadFile(file)
 	assert.NilError(t, err)
@@ -123,8 +120,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// soaked is a soak as it is after its run, with one gather of two shards and
-// nothing wrong.
+// finishedSoak returns a soak after a run without requests, in which gathers have two
+// shards.
 func finishedSoak() *soak {
 	s := &soak{soakConfig: soakConfig{Shards: 2}, soakHistory: soakHistory{checked: map[string]int{}, injected: map[string]int{}}}
 	s.shardSets = [][]string{{"set0-a", "set0-b"}, {"set1-a", "set1-b"}}
@@ -152,7 +149,7 @@
 	u.arrivals = append(u.arrivals, arrival{at: at, id: id, ran: true})
 }
 
-// answerOf is the right answer from parts.
+// gatherAnswer returns a gather with the correct answer from the named upstreams.
 func (s *soak) gatherAnswer(id string, missing string, names ...string) soakRequest {
 	a := soakRequest{id: id, kind: "gather", status: http.StatusOK, header: http.Header{}}
 	var stamps, records []string
@@ -174,7 +171,7 @@
 	return a
 }
 
-// TestEachCheckCanFail breaks one promise after the other.
+// TestEachCheckDetectsViolation checks that the violation of each guarantee is reported.
 func TestEachCheckDetectsViolation(t *testing.T) {
 	second := time.Second
 	tests := []struct {
@@ -268,8 +265,9 @@
 	}
 }
 
-// TestRequestsUnderWayAtOnceSayNothingOfEachOther has a host take a version in
-// while two requests are under way: the one that was sent first is served.
+// TestConcurrentRequestsAreNotCompared checks that checkVersions reports a refused request
+// only if it was sent after a served one had ended. A host may apply a version while both
+// are in flight.
 func TestConcurrentRequestsAreNotCompared(t *testing.T) {
 	const second = time.Second
 	tests := []struct {
