--- a/loomfake/soakfault.go
+++ b/loomfake/soakfault.go
@@ -190,7 +190,7 @@
 }
 
 // restarter returns a function that restarts a host once its current daemon has ended.
-// It does nothing if an overlapping fault has already restarted the host.
+// It starts no second daemon if an overlapping fault has already restarted the host.
 func (s *soak) restarter(h *soakHost) func() {
 	generation := h.generation()
 	return func() {
