--- a/loomfake/replay.go
+++ b/loomfake/replay.go
@@ -11,7 +11,8 @@
 	"loomgap/tier/replay"
 )
 
-// replayCommand replays the cases of docs/DECISIONS.md in virtual time.
+// replayCommand replays the cases of docs/DECISIONS.md in virtual time and prints their
+// results.
 type replayCommand struct {
 	only string
 	seed uint64
@@ -22,7 +23,7 @@
 	return prog.Command{
 		Name: "replay", Synopsis: "replay the decisions in virtual time and print a table",
 		Usage: "loomfake replay [-Only TEXT] [-Seed N]\n",
-		Flags: c.flags, Run: logged(c.run),
+		Flags: c.flags, Run: withExitStatus(c.run),
 	}
 }
 
--- a/loomfake/soakrun.go
+++ b/loomfake/soakrun.go
@@ -16,68 +16,71 @@
 
 // Times of a soak.
 const (
-	// soakReadyBound is how long hosts may take to be ready at the start.
-	soakReadyBound = 20 * time.Second
-	// soakReadyEvery is the time between two looks whether they are.
-	soakReadyEvery = 50 * time.Millisecond
-	// soakWarm is how long callers ask before the first fault.
-	soakWarm = 3 * time.Second
-	// soakHeal is how long after the last fault the hosts have to recover.
-	soakHeal = 6 * time.Second
-	// soakLast is how long callers ask after that; what they get is judged for
-	// recovery.
-	soakLast = 3 * time.Second
+	// soakReadyTimeout is how long hosts may take to become ready at the start.
+	soakReadyTimeout = 20 * time.Second
+	// soakReadyInterval is the time between two readiness checks.
+	soakReadyInterval = 50 * time.Millisecond
+	// soakWarmup is how long callers send requests before the first fault.
+	soakWarmup = 3 * time.Second
+	// soakRecoveryTime is how long hosts have to recover after the last fault.
+	soakRecoveryTime = 6 * time.Second
+	// soakFinalTime is how long callers continue after soakRecoveryTime. These requests
+	// show whether the hosts have recovered.
+	soakFinalTime = 3 * time.Second
 )
 
+// soak runs hosts, upstreams, a store and callers, and injects faults.
 type soak struct {
 	soakConfig
 	random  *rand.Rand
 	started time.Time
 	store   *mock.Store
-	// closers end what was started, the last one first.
+	// closers stop the servers, and run in reverse order.
 	closers []func()
 	hosts   []*soakHost
-	// publishing is held while a configuration is written, so that the versions
-	// come into the store in their order: faults that end together publish together.
-	publishing sync.Mutex
+	// publishMu is held while a configuration is written, so that concurrent faults
+	// write their versions to the store in order.
+	publishMu sync.Mutex
 
-	// mu guards what follows.
+	// mu guards the fields below.
 	mu        sync.Mutex
 	upstreams []*soakUpstream
-	// sets are the sets of shards so far; the last one is published next.
-	sets [][]string
-	// routes counts the routes of the versions.
-	routes int
-	soakRecord
+	// shardSets are all sets of shards; the next configuration uses the last one.
+	shardSets [][]string
+	// routeCount counts the routes of the versions.
+	routeCount int
+	soakHistory
 }
 
-// soakRecord is what was done and seen in a soak. The checks judge it once the run
-// is over.
-type soakRecord struct {
-	// injected counts the faults, checked the checks, both by name.
+// soakHistory records what happens in a soak, for the checks after the run.
+type soakHistory struct {
+	// injected counts the faults by kind, checked the checks by guarantee.
 	injected, checked map[string]int
-	asked             []asked
+	requests          []soakRequest
 	// versions are the published configurations, in order.
-	versions []version
+	versions []publishedVersion
 	// document is the newest configuration.
 	document platform.Document
-	// storeTouched is when the store was last disturbed.
-	storeTouched time.Duration
-	// evacuatedAt is when the first hall was evacuated; 0 for never.
+	// storeDisturbedAt is when a fault of the store last started or ended.
+	storeDisturbedAt time.Duration
+	// evacuatedAt is when the first hall was evacuated, or 0.
 	evacuatedAt time.Duration
 }
 
-type version struct {
-	at     time.Duration
-	routes int
+// publishedVersion is a published configuration and the number of its version routes.
+type publishedVersion struct {
+	publishedAt time.Duration
+	routeCount  int
 }
 
+// newSoak starts the hosts, the upstreams and the store of a soak. The returned function
+// stops them.
 func newSoak(c soakConfig) (*soak, func(), error) {
 	s := &soak{
 		soakConfig: c, random: rand.New(rand.NewPCG(c.Seed, 0)), started: time.Now(), store: mock.NewStore(),
-		soakRecord: soakRecord{injected: map[string]int{}, checked: map[string]int{}},
+		soakHistory: soakHistory{injected: map[string]int{}, checked: map[string]int{}},
 	}
-	if err := s.build(); err != nil {
+	if err := s.setUp(); err != nil {
 		s.close()
 		return nil, nil, err
 	}
@@ -92,7 +95,7 @@
 		h.signal(syscall.SIGKILL)
 	}
 	for _, h := range s.hosts {
-		// The next soak of this process has the same addresses.
+		// The next soak of this process uses the same addresses.
 		h.awaitEnd()
 	}
 	for _, c := range slices.Backward(s.closers) {
@@ -100,41 +103,43 @@
 	}
 }
 
-// run warms up, injects faults while callers ask, heals all, and asks on.
+// run injects faults while callers send requests, clears the faults, and leaves the
+// hosts time to recover before the callers stop.
 func (s *soak) run(ctx context.Context) error {
 	callers, stopCallers := context.WithCancel(ctx)
 	defer stopCallers()
 	if err := s.waitReady(ctx); err != nil {
 		return err
 	}
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range s.Callers {
-		all.Go(func() { s.call(callers, i) })
+		wg.Go(func() { s.runCaller(callers, i) })
 	}
-	sleep(ctx, soakWarm)
-	faults, stopFaults := context.WithTimeout(ctx, s.For)
-	s.inject(faults)
+	sleepContext(ctx, soakWarmup)
+	faults, stopFaults := context.WithTimeout(ctx, s.FaultDuration)
+	s.injectFaults(faults)
 	stopFaults()
-	s.heal()
+	s.clearFaults()
 	if s.Evacuate {
-		s.evacuate()
+		s.evacuateHall()
 	}
-	sleep(ctx, soakHeal+soakLast)
+	sleepContext(ctx, soakRecoveryTime+soakFinalTime)
 	stopCallers()
-	all.Wait()
+	wg.Wait()
 	return ctx.Err()
 }
 
-func sleep(ctx context.Context, d time.Duration) {
+// sleepContext sleeps until d has passed or ctx ends.
+func sleepContext(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-// waitReady waits until all hosts call themselves ready.
+// waitReady waits until all hosts are ready.
 func (s *soak) waitReady(ctx context.Context) error {
-	for end := s.now() + soakReadyBound; s.now() < end && ctx.Err() == nil; sleep(ctx, soakReadyEvery) {
+	for deadline := s.now() + soakReadyTimeout; s.now() < deadline && ctx.Err() == nil; sleepContext(ctx, soakReadyInterval) {
 		ready := 0
 		for _, h := range s.hosts {
 			r, err := http.Get("http://" + h.operate.String() + "/ready")
@@ -150,5 +155,5 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("hosts are not ready: look at their logs in %s", s.Dir)
+	return fmt.Errorf("hosts are not ready, see their logs in %s", s.Dir)
 }
--- a/loomfake/soaksite.go
+++ b/loomfake/soaksite.go
@@ -13,42 +13,42 @@
 	"loomgap/platform"
 )
 
-// Names and bounds of the soak's site.
+// Names and limits of the soak's routes and upstreams.
 const (
 	soakHostName = "soak.example"
-	// soakTop is how many records the answer of a gather has.
-	soakTop = 8
-	// soakCoverage is the least part of the shards that the answer of a gather has,
+	// soakTopRecords is the number of records in the answer of a gather.
+	soakTopRecords = 8
+	// soakMinCoverage is the least share of the shards in the answer of a gather, from
 	// 0 to 1.
-	soakCoverage = 0.6
-	// soakRatio bounds the calls beyond the first, as a part of the requests. It is
-	// the setting RetryRatio of the daemons.
-	soakRatio = 0.2
-	// soakSlack is how many calls beyond the first may be made besides, by all
-	// hosts within soakWindow. It is the setting RetrySlack of the daemons.
-	soakSlack = 40
-	// soakSingles is how many upstreams the service has that is no shard.
-	soakSingles = 3
-	// soakRecords is how many records a shard has.
-	soakRecords = 6
-	// soakRecordSize is the size of a record in bytes: the protocol's.
-	soakRecordSize = 16
+	soakMinCoverage = 0.6
+	// soakRetryRatio limits retries as a share of the requests. It is the setting
+	// RetryRatio of the daemons.
+	soakRetryRatio = 0.2
+	// soakRetrySlack is the number of retries that all hosts together may make within
+	// soakRetryWindow beyond soakRetryRatio. It is the setting RetrySlack of the daemons.
+	soakRetrySlack = 40
+	// soakSingleUpstreams is the number of upstreams of the service without shards.
+	soakSingleUpstreams = 3
+	soakRecordsPerShard = 6
+	// soakRecordBytes is the size of a record in the platform's protocol.
+	soakRecordBytes = 16
 )
 
-// halls are the data halls of the site.
+// halls are the data halls of the soak.
 var halls = []string{"hall-a", "hall-b"}
 
-func (s *soak) build() error {
-	at, err := s.serve(s.store)
+// setUp starts the store, the upstreams and the hosts.
+func (s *soak) setUp() error {
+	storeAddress, err := s.serveLoopback(s.store)
 	if err != nil {
 		return err
 	}
-	set, err := s.shardSet(0)
+	set, err := s.addShardSet(0)
 	if err != nil {
 		return err
 	}
-	s.sets = append(s.sets, set)
-	for i := range soakSingles {
+	s.shardSets = append(s.shardSets, set)
+	for i := range soakSingleUpstreams {
 		if err := s.addUpstream("single", halls[i%2], fmt.Sprint("the body of single ", i)); err != nil {
 			return err
 		}
@@ -57,16 +57,16 @@
 		return err
 	}
 	for i := range 2 * s.Hosts {
-		if err := s.addHost(i, at); err != nil {
+		if err := s.addHost(i, storeAddress); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// serve serves a handler at a free loopback port.
-func (s *soak) serve(h http.Handler) (netip.AddrPort, error) {
-	l, err := listen(netip.MustParseAddrPort("127.0.0.1:0"))
+// serveLoopback serves a handler on a free loopback port and returns its address.
+func (s *soak) serveLoopback(h http.Handler) (netip.AddrPort, error) {
+	l, err := listenLoopback(netip.MustParseAddrPort("127.0.0.1:0"))
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
@@ -76,24 +76,26 @@
 	return netip.MustParseAddrPort(l.Addr().String()), nil
 }
 
-func (s *soak) linkTo(to netip.AddrPort) (*link, netip.AddrPort, error) {
-	l, err := listen(netip.MustParseAddrPort("127.0.0.1:0"))
+// addLink starts a link and returns it with the address that it listens on.
+func (s *soak) addLink(to netip.AddrPort) (*link, netip.AddrPort, error) {
+	l, err := listenLoopback(netip.MustParseAddrPort("127.0.0.1:0"))
 	if err != nil {
 		return nil, netip.AddrPort{}, err
 	}
 	k := startLink(l, to)
-	s.closers = append(s.closers, func() { _ = l.Close(); k.set(linkFaults{Reset: true}) })
+	s.closers = append(s.closers, func() { _ = l.Close(); k.setFaults(linkFaults{Reset: true}) })
 	return k, netip.MustParseAddrPort(l.Addr().String()), nil
 }
 
-// shardSet starts a set of shards with a replica in each hall.
-func (s *soak) shardSet(n int) ([]string, error) {
+// addShardSet starts set n of shards, with a replica of each shard in each hall, and
+// returns the names of their groups.
+func (s *soak) addShardSet(n int) ([]string, error) {
 	var set []string
 	for i := range s.Shards {
 		group := fmt.Sprintf("set%d-shard%d", n, i)
 		set = append(set, group)
 		for _, h := range halls {
-			if err := s.addUpstream(group, h, recordsOf(group)); err != nil {
+			if err := s.addUpstream(group, h, shardRecords(group)); err != nil {
 				return nil, err
 			}
 		}
@@ -101,50 +103,50 @@
 	return set, nil
 }
 
-// recordsOf returns the records of a shard, which all its replicas have.
-func recordsOf(group string) string {
+// shardRecords returns the records of a shard, the same for all its replicas.
+func shardRecords(group string) string {
 	r := rand.New(rand.NewPCG(xxhash.Sum64String(group), 0))
 	var b strings.Builder
-	for range soakRecords {
+	for range soakRecordsPerShard {
 		fmt.Fprintf(&b, "%016x", r.Uint64())
 	}
 	return b.String()
 }
 
-// publish writes the configuration with the newest set of shards, and one
-// route more than before, by which hosts are seen to follow.
+// publish writes a configuration with the newest set of shards. Each version adds a
+// route, which shows whether a host has applied it.
 func (s *soak) publish() error {
-	s.publishing.Lock()
-	defer s.publishing.Unlock()
+	s.publishMu.Lock()
+	defer s.publishMu.Unlock()
 	s.mu.Lock()
-	s.routes++
-	n, set := s.routes, s.sets[len(s.sets)-1]
+	s.routeCount++
+	version, set := s.routeCount, s.shardSets[len(s.shardSets)-1]
 	var groups []string
 	for _, u := range s.upstreams {
 		groups = append(groups, u.group)
 	}
 	s.mu.Unlock()
-	v := platform.Document{Version: uint64(n), Limits: platform.Limits{BodyBytes: 1 << 16}, Routes: soakRoutes(set, n)}
+	doc := platform.Document{Version: uint64(version), Limits: platform.Limits{BodyBytes: 1 << 16}, Routes: soakRoutes(set, version)}
 	slices.Sort(groups)
 	for _, g := range slices.Compact(groups) {
-		v.Groups = append(v.Groups, platform.Group{Name: g, Connections: 40})
+		doc.Groups = append(doc.Groups, platform.Group{Name: g, Connections: 40})
 	}
-	if err := s.store.Put(platform.DocumentKey, v); err != nil {
+	if err := s.store.Put(platform.DocumentKey, doc); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.document = v
-	s.versions = append(s.versions, version{at: s.now(), routes: n})
+	s.document = doc
+	s.versions = append(s.versions, publishedVersion{publishedAt: s.now(), routeCount: version})
 	return nil
 }
 
-// soakRoutes are a gather over a set of shards, the routes of both kinds to single
-// upstreams, and the routes of so many versions.
+// soakRoutes returns a gather over a set of shards, a safe and an unsafe route to the
+// single upstreams, and a route for each version.
 func soakRoutes(set []string, versions int) []platform.Route {
 	base := platform.Route{HostName: soakHostName, TimeLimitMillis: 2000, ObjectiveMillis: 200, MaxAttempts: 2}
 	gather, safe, unsafe := base, base, base
-	gather.Name, gather.Prefix, gather.Kind, gather.Gather, gather.Top, gather.Coverage = "gather", "/gather/", platform.KindRepeatable, set, soakTop, soakCoverage
+	gather.Name, gather.Prefix, gather.Kind, gather.Gather, gather.Top, gather.Coverage = "gather", "/gather/", platform.KindRepeatable, set, soakTopRecords, soakMinCoverage
 	safe.Name, safe.Prefix, safe.Kind, safe.Group = "safe", "/safe/", platform.KindRepeatable, "single"
 	unsafe.Name, unsafe.Prefix, unsafe.Kind, unsafe.Group = "unsafe", "/unsafe/", "unsafe", "single"
 	routes := []platform.Route{gather, safe, unsafe}
--- a/loomfake/soakupstream.go
+++ b/loomfake/soakupstream.go
@@ -13,39 +13,44 @@
 	"loomgap/platform/mock"
 )
 
+// arrival is a request that reached an upstream.
 type arrival struct {
 	at time.Duration
 	id string
-	// ran is false if the upstream turned it away.
+	// ran is false if the upstream refused the request.
 	ran bool
 }
 
+// soakUpstream is an upstream of a soak, behind a link.
 type soakUpstream struct {
 	mock.Upstream
 	group string
 	hall  string
 	link  *link
-	at    netip.AddrPort
-	now   func() time.Duration
+	// address is the address of the link.
+	address netip.AddrPort
+	now     func() time.Duration
 
+	// mu guards the fields below.
 	mu     sync.Mutex
-	faults upstreamFaults
+	faults soakUpstreamFaults
 	// arrivals are in order of time.
 	arrivals []arrival
-	// leftAt is when it was listed as leaving; 0 if it was not.
-	leftAt time.Duration
-	// state is what it last reported of itself, empty once it has left; reports counts
-	// its reports.
-	state   string
-	reports uint64
+	// leavingAt is when the upstream was listed as leaving, or 0.
+	leavingAt time.Duration
+	// state is the last reported state, empty once the upstream has left; reportCount
+	// counts the reports.
+	state       string
+	reportCount uint64
 }
 
-type upstreamFaults struct {
-	// Shed and Fail are parts of the requests, 0 to 1; Slow is how long each
-	// takes.
+// soakUpstreamFaults are the faults of an upstream. Shares are probabilities from 0 to 1.
+type soakUpstreamFaults struct {
+	// Shed is the share of requests that are refused, Fail the share answered with an
+	// error, and Slow the service time.
 	Shed, Fail float64
 	Slow       time.Duration
-	// Reset is the part of requests that run and whose answer is lost.
+	// Reset is the share of requests that run and whose answer is lost.
 	Reset float64
 }
 
@@ -70,7 +75,7 @@
 	switch {
 	case rand.Float64() < f.Reset:
 		if c, _, err := http.NewResponseController(w).Hijack(); err == nil {
-			hardClose(c)
+			resetConn(c)
 		}
 	case rand.Float64() < f.Fail:
 		w.Header().Set(h.RequestID, r.Header.Get(h.RequestID))
@@ -81,54 +86,56 @@
 	}
 }
 
-func (u *soakUpstream) set(f upstreamFaults) {
+func (u *soakUpstream) setFaults(f soakUpstreamFaults) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.faults = f
 }
 
-func (u *soakUpstream) seen() []arrival {
+func (u *soakUpstream) arrivalsSoFar() []arrival {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return slices.Clone(u.arrivals)
 }
 
+// addUpstream starts an upstream behind a link and reports it as ready.
 func (s *soak) addUpstream(group, hall, body string) error {
 	s.mu.Lock()
 	n := len(s.upstreams)
 	s.mu.Unlock()
 	u := &soakUpstream{Upstream: mock.Upstream{Name: fmt.Sprintf("u-%d", n), Body: body}, group: group, hall: hall, now: s.now}
-	at, err := s.serve(u)
+	addr, err := s.serveLoopback(u)
 	if err != nil {
 		return err
 	}
-	if u.link, u.at, err = s.linkTo(at); err != nil {
+	if u.link, u.address, err = s.addLink(addr); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	s.upstreams = append(s.upstreams, u)
 	s.mu.Unlock()
-	return s.list(u, "ready")
+	return s.setUpstreamState(u, "ready")
 }
 
-// list has an upstream report its state to the store.
-func (s *soak) list(u *soakUpstream, state string) error {
+// setUpstreamState sets the state of an upstream and reports it to the store.
+func (s *soak) setUpstreamState(u *soakUpstream, state string) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.state = state
-	return s.reportAgain(u)
+	return s.sendReport(u)
 }
 
-// reportAgain writes what an upstream last said of itself. It needs the upstream's mu.
-func (s *soak) reportAgain(u *soakUpstream) error {
-	u.reports++
+// sendReport reports the state of an upstream to the store. Callers hold the upstream's
+// mu.
+func (s *soak) sendReport(u *soakUpstream) error {
+	u.reportCount++
 	return s.store.Report(u.Name, platform.Upstream{
-		Group: u.group, Address: u.at, Hall: u.hall, Slots: 4, State: u.state, Sequence: u.reports,
+		Group: u.group, Address: u.address, Hall: u.hall, Slots: 4, State: u.state, Sequence: u.reportCount,
 	})
 }
 
-// unlist takes an upstream that has left off the store.
-func (s *soak) unlist(u *soakUpstream) {
+// removeUpstream removes an upstream that has left from the store.
+func (s *soak) removeUpstream(u *soakUpstream) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.state = ""
