--- a/tier/pass/admit.go
+++ b/tier/pass/admit.go
@@ -9,12 +9,12 @@
 	"loomgap/tier/query"
 )
 
-// admits reports whether a call may be sent to an upstream now. Every call is checked
-// here just before it is sent, whichever host planned it and whenever.
+// admits reports whether a call may be sent to an upstream now. Every call is checked here
+// just before it is sent, whichever host planned it and whenever.
 func (e *engine) admits(now time.Duration, c *call, u *policy.Upstream) bool {
 	reason := e.barReason(c.route, u.Name)
 	// The request may have been quarantined since the call was planned.
-	if verdict, _ := e.kernel.Fleet.Judge(now, c.subject); verdict == policy.VerdictQuarantined {
+	if verdict, _ := e.kernel.Fleet.Judge(now, c.identity); verdict == policy.VerdictQuarantined {
 		reason = query.ReasonQuarantined
 	}
 	if reason == "" && !e.kernel.Fleet.AdmitCold(now, u) {
@@ -29,14 +29,14 @@
 	return false
 }
 
-// barrier returns why an upstream may get no call of a route now; empty if it may. It
-// uses the newest view: the request that the call belongs to, or the host that sent the
-// call, may have been planned before a hall was evacuated or the homes changed.
+// barReason returns why calls of a route may not go to an upstream now, or "" if they may.
+// It uses the newest view, since a hall may have been evacuated, or the homes changed,
+// after the request was planned by this host or the sender of the call.
 func (e *engine) barReason(route, upstream string) query.Reason {
 	v := e.kernel.View()
 	l, listed := v.Directory.Find(upstream)
 	if !listed {
-		return "" // it has no link either
+		return "" // it has no connection pool either
 	}
 	var homes []string
 	if r := v.Index.RouteNamed(route); r != nil {
--- a/tier/pass/admit_test.go
+++ b/tier/pass/admit_test.go
@@ -15,16 +15,16 @@
 	"loomgap/tier/kernel"
 )
 
-// eastAndWest are the regions of the halls of these tests.
 var eastWestRegions = config.Regions{"A": "East", "B": "West"}
 
-// placed is a host in each of two halls, with an upstream of each shard in both.
+// twoHallSetup has a host in each of two halls, and an upstream of each shard in both
+// halls.
 type twoHallSetup struct {
 	east, west *host
 	upstreams  [][]*fakeUpstream
 }
 
-// newPlaced joins the hosts; the one in the east can reach the other.
+// newTwoHallSetup connects the hosts; the one in the east can call the other.
 func newTwoHallSetup(t *testing.T, reply func(shard, replica int) replyFunc) *twoHallSetup {
 	w := newNetwork()
 	p := &twoHallSetup{
@@ -41,7 +41,8 @@
 	return p
 }
 
-// placedDoc is a gather of all shards and a route to the first, with homes.
+// homesDoc returns a document with a gather of all shards and a route to the first one,
+// both with the given homes.
 func homesDoc(homes ...string) config.Document {
 	d := gatherDoc(0.5, 15)
 	d.Routes[0].Homes = homes
@@ -52,14 +53,15 @@
 	return d
 }
 
-// leastCovered is the same with a gather that one shard is enough for.
+// lowCoverageDoc returns homesDoc with a gather that requires the coverage of one shard
+// only.
 func lowCoverageDoc(homes ...string) config.Document {
 	d := homesDoc(homes...)
 	d.Routes[0].Gather.Coverage = 0.1
 	return d
 }
 
-// total counts the calls of all requests in one hall.
+// total counts the calls of all requests to the upstreams of one hall.
 func (p *twoHallSetup) total(replica int) int {
 	n := 0
 	for _, us := range p.upstreams {
@@ -68,22 +70,22 @@
 	return n
 }
 
-// evacuate tells a host that a hall is evacuated.
+// evacuate tells the host that a hall is evacuated.
 func (h *host) evacuate(hall string) {
 	h.revision++
 	c := config.DirectoryChange{Revision: h.revision, Evacuated: []config.Evacuation{{Hall: hall, Revision: h.revision}}}
 	h.do(func(s *kernel.State) { s.List(&c) })
 }
 
-// resume tells a host that a hall is no longer evacuated.
+// resume tells the host that a hall is no longer evacuated.
 func (h *host) resume(hall string) {
 	h.revision++
 	c := config.DirectoryChange{Revision: h.revision, Resumed: []config.Removal{{Name: hall, Revision: h.revision}}}
 	h.do(func(s *kernel.State) { s.List(&c) })
 }
 
-// TestHomesBindEveryCall has the upstreams at home fail in each way that has others
-// asked in their place: none that is not at home ever gets a call.
+// TestHomesApplyToEveryCall checks that no upstream outside the homes gets a call,
+// whichever way the upstreams at home fail.
 func TestHomesApplyToEveryCall(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -122,9 +124,9 @@
 	}
 }
 
-// TestRequestWithoutAnUpstreamAtHomeIsRefused looks at refusals that are given at
-// once, without a call, and with a time to come back.
-func TestRequestWithoutAnUpstreamAtHomeIsRefused(t *testing.T) {
+// TestRequestWithoutUpstreamAtHomeIsRefused checks that a request is refused with
+// Retry-After and without a call if no upstream is allowed.
+func TestRequestWithoutUpstreamAtHomeIsRefused(t *testing.T) {
 	tests := []struct {
 		name   string
 		homes  []string
@@ -151,10 +153,10 @@
 	}
 }
 
-// TestRelayKeepsWhatItKnowsOfPlaces has a host send calls to a relay that knows of
-// newer homes, or of an evacuation: the relay makes none of them, and the shards are
-// asked elsewhere. With the least coverage, the request is not over before the relay
-// has told of all calls.
+// TestRelayAppliesItsOwnPlacement checks that a relay that knows of newer homes, or of an
+// evacuation, makes none of the calls that a host sends it, and that other upstreams of the
+// shards are called. The low coverage keeps the request going until the relay has reported
+// all calls.
 func TestRelayAppliesItsOwnPlacement(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -168,7 +170,7 @@
 			p := newTwoHallSetup(t, func(s, _ int) replyFunc { return good(shardRecords(s)) })
 			p.east.applyDocument(lowCoverageDoc())
 			tt.change(p.west)
-			// Nothing of the east hall can be asked by itself first.
+			// With the east hall evacuated, all calls go to the relay.
 			p.east.evacuate("A")
 			r := p.east.send(http.MethodGet, "/find/x", "one", 900, "")
 			assert.NilError(t, r.err)
@@ -182,7 +184,7 @@
 	}
 }
 
-// TestEvacuatedHallGetsNothing evacuates a hall and takes it back.
+// TestEvacuatedHallGetsNoCalls evacuates a hall, resumes it and evacuates the other one.
 func TestEvacuatedHallGetsNoCalls(t *testing.T) {
 	p := newTwoHallSetup(t, func(s, _ int) replyFunc { return good(shardRecords(s)) })
 	p.east.applyDocument(homesDoc())
@@ -201,8 +203,8 @@
 	assert.Equal(t, p.total(0), shards)
 }
 
-// TestEvacuationBindsCallsThatWait has calls wait for the slots of an upstream while
-// its hall is evacuated: none of them goes there afterwards.
+// TestEvacuationAppliesToQueuedCalls checks that calls that wait for a slot of an upstream
+// are not sent after its hall was evacuated.
 func TestEvacuationAppliesToQueuedCalls(t *testing.T) {
 	h := newHost(t, hostConfig{name: "H1", hall: "A"})
 	release := make(chan struct{})
@@ -229,8 +231,8 @@
 	assert.Equal(t, u.total(), 1)
 }
 
-// TestForwardingStaysAtHome has a weak host hand gathers to a strong one of its hall
-// only if the hall is at home.
+// TestForwardingRespectsHomes checks that a host forwards gathers to a coordinator only if
+// the coordinator's hall is in the homes.
 func TestForwardingRespectsHomes(t *testing.T) {
 	tests := []struct {
 		homes     []string
@@ -252,13 +254,13 @@
 	}
 }
 
-// fragile is an upstream that falls over once it gets more requests within a second
-// than it bears, and fails all from then on.
+// overloadable is an upstream that fails all requests once it has got more than limit
+// within a second.
 type overloadable struct {
 	limit int
 	mu    sync.Mutex
 	at    []time.Time
-	// fallen is true once it got too much.
+	// overloaded is true once the limit was exceeded.
 	overloaded bool
 }
 
@@ -292,9 +294,9 @@
 	}
 }
 
-// TestColdUpstreamsBearTheirCalls has two hosts of a hall gather from upstreams that
-// are all cold: none gets more within a second than it bears, the calls of both hosts
-// reach them, through the owner, and what they do not bear is left out or refused.
+// TestColdUpstreamsStayWithinTheirRate has two hosts of a hall gather from cold upstreams:
+// no upstream may get more calls within a second than its cold rate, and requests of both
+// hosts must be served.
 func TestColdUpstreamsStayWithinTheirRate(t *testing.T) {
 	const limit = 8
 	var all [shards][2]*overloadable
@@ -342,7 +344,7 @@
 	asking.Wait()
 	for s := range all {
 		for r, f := range all[s] {
-			assert.Assert(t, !f.isOverloaded(), "upstream %d of shard %d got more than it bears", r, s)
+			assert.Assert(t, !f.isOverloaded(), "upstream %d of shard %d was overloaded", r, s)
 		}
 	}
 	assert.Assert(t, served[0] > 0 && served[1] > 0, "%v", served)
--- a/tier/pass/answer.go
+++ b/tier/pass/answer.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// answerGathered gives the caller the merged answer, if it covers enough.
+// respondGathered writes the merged response if it meets the required coverage.
 func (q *request) respondGathered(ctx context.Context, w http.ResponseWriter, r *policy.Result) {
 	q.fetchOmittedRecords(ctx)
 	total := len(q.plan.groups)
@@ -57,7 +57,8 @@
 	}
 }
 
-// write gives headers and body to the caller, with no header added.
+// write writes a response with the headers of src and suppresses the ones that net/http
+// adds by default.
 func (q *request) write(w http.ResponseWriter, status int, src http.Header, body []byte) {
 	stripConnectionHeaders(src)
 	h := w.Header()
@@ -65,7 +66,7 @@
 	h.Del("Content-Length")
 	for _, name := range []string{"Content-Type", "Date"} {
 		if _, ok := h[name]; !ok {
-			h[name] = nil // net/http would add one
+			h[name] = nil // suppresses the default of net/http
 		}
 	}
 	if q.in.method != http.MethodHead {
@@ -75,12 +76,12 @@
 	}
 	w.WriteHeader(status)
 	if _, err := w.Write(body); err != nil {
-		q.engine.kernel.Decisions.Info().Str("RequestID", q.in.id).Err(err).Msg("answer not taken by its caller")
+		q.engine.kernel.Decisions.Info().Str("RequestID", q.in.id).Err(err).Msg("writing response to caller failed")
 	}
 }
 
-// fail answers that the request may have run and has no answer: because the deadline has
-// passed, or as the outcome says.
+// fail responds to a request that may have run and has no response. The outcome is
+// outcomeLate if the deadline has passed.
 func (q *request) fail(w http.ResponseWriter, o outcome, r *policy.Result) {
 	status := http.StatusBadGateway
 	if q.engine.kernel.Now() >= q.times.deadline {
@@ -91,10 +92,10 @@
 	http.Error(w, noResponseText(o), status)
 }
 
-// noAnswer is the text for a caller whose request may have run and has no answer.
+// noResponseText returns the body of a response that fail writes.
 func noResponseText(o outcome) string { return "no answer: " + string(o) }
 
-// reject answers what is wrong with the request itself.
+// reject responds to a request that is itself invalid.
 func (q *request) reject(w http.ResponseWriter, status int, o outcome, problem string) {
 	q.log(o, status).Str("Problem", problem).Msg("request rejected")
 	http.Error(w, problem, status)
--- a/tier/pass/backoff.go
+++ b/tier/pass/backoff.go
@@ -3,20 +3,19 @@
 import "time"
 
 const (
-	// backoffFirst is how long a host or hall that did not answer gets nothing. Each
-	// attempt to use a host that is cut off costs the calls of a batch. The gain of
-	// backoffs is with hallUnresponsiveAfter.
+	// backoffInitial is the backoff of a host or hall after its first failure. Each attempt
+	// to use a host that is cut off costs the calls of a batch.
 	backoffInitial = 2 * time.Second
-	// backoffMost bounds the time, which doubles with each failure in a row.
+	// backoffMax caps the backoff, which doubles with each consecutive failure.
 	backoffMax = 16 * time.Second
 )
 
-// backoff keeps a host or hall that does not answer from being asked, for twice as long
-// after each failure in a row. The zero value is not backing off.
+// backoff is an exponential backoff for a host or hall that does not respond. The zero
+// value is inactive.
 type backoff struct {
 	// until is when the backoff ends, as time since the process started.
 	until time.Duration
-	// last is how long the last one took; 0 after an answer.
+	// last is the duration of the last backoff; 0 after a response.
 	last time.Duration
 }
 
--- a/tier/pass/backoff_test.go
+++ b/tier/pass/backoff_test.go
@@ -7,7 +7,6 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestBackoffDoubles begins a backoff again and again, as after failures in a row.
 func TestBackoffDoubles(t *testing.T) {
 	var b backoff
 	assert.Assert(t, !b.active(0))
@@ -20,5 +19,5 @@
 	}
 	b = backoff{}
 	b.begin(now)
-	assert.Assert(t, !b.active(now+backoffInitial), "it begins anew after an answer")
+	assert.Assert(t, !b.active(now+backoffInitial), "the backoff starts over after a response")
 }
--- a/tier/pass/bench_test.go
+++ b/tier/pass/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// BenchmarkGather asks 6 shards of upstreams in the same process; the
-// upstreams' own time is in it.
+// BenchmarkGather gathers from 6 shards in the same process, so it includes the time of the
+// upstreams.
 func BenchmarkGather(b *testing.B) {
 	h := newHost(b, hostConfig{name: "H1", hall: "A"})
 	h.applyDocument(gatherDoc(1, 50))
@@ -16,7 +16,7 @@
 	for b.Loop() {
 		i++
 		if r := h.send(http.MethodGet, "/find/x", strconv.Itoa(i), 1500, ""); r.status != http.StatusOK {
-			b.Fatalf("answer %d: %v", r.status, r.err)
+			b.Fatalf("response %d: %v", r.status, r.err)
 		}
 	}
 }
--- a/tier/pass/call.go
+++ b/tier/pass/call.go
@@ -21,110 +21,111 @@
 )
 
 const (
-	// maxAnswer bounds the body of an upstream's answer, in bytes, so that a few of them
-	// fit into the memory of a small host.
+	// maxResponseBytes bounds the body of a response, so that several of them fit into the
+	// memory of a small host.
 	maxResponseBytes = 8 << 20
-	// answersRead is how many answers are read for one call: a surplus answer to the
-	// request before may come first.
+	// maxResponsesRead bounds the responses that are read for one call: a surplus response
+	// to the previous request may come first.
 	maxResponsesRead = 2
-	// eagerBody is the largest body, in bytes, that is written before the answer is read. A
-	// longer one is written meanwhile, since an upstream may answer early.
+	// maxSyncBodyBytes is the largest body that is written before the response is read. A
+	// larger one is written concurrently, since an upstream may respond early.
 	maxSyncBodyBytes = 8 << 10
-	// ownHeaderBytes is about the size of the headers that differ between upstreams.
+	// perUpstreamHeaderBytes is the approximate size of the headers that differ between
+	// upstreams.
 	perUpstreamHeaderBytes = 128
 )
 
-// errCrossed means that an answer is not that of the call it was read for.
-var errResponseMismatch = errors.New("answer belongs to another request")
+// errResponseMismatch means that a response does not belong to the call it was read for.
+var errResponseMismatch = errors.New("response belongs to another request")
 
-// answer is an upstream's whole answer, or one part of a block.
+// response is the whole response of an upstream, or a reference to the block that contains
+// it.
 type response struct {
 	status int
 	header http.Header
 	body   []byte
-	// block is nil unless the part came merged with others.
+	// block is the block that contains this part; nil if the part was not merged by a
+	// relay.
 	block *block
 }
 
 type call struct {
 	headers *kernel.Headers
 	method  string
-	// head is the request up to the headers that differ between upstreams.
+	// head is the request line and the headers that are the same for all upstreams.
 	head []byte
 	body []byte
-	// route and id name the request that the call belongs to.
+	// route and id are the route name and the ID of the request.
 	route, id string
-	// subject identifies the request if it crashes upstreams; the zero value if the host
+	// identity serves to detect requests that crash upstreams; the zero value if the host
 	// that planned the call did not send it.
-	subject policy.Subject
-	// upstream is the name that the upstream must have to run the request.
+	identity policy.Subject
+	// upstream is the name of the upstream that may run the request; any other one must
+	// refuse it.
 	upstream string
-	// left is the time until the deadline.
 	timeLeft time.Duration
-	// unrepeatable is true for a request that goes on new connections only, or on one
-	// that was used a moment ago.
+	// nonRepeatable is true if the request is not repeatable. It is then sent only on a new
+	// connection or a recently used one.
 	nonRepeatable bool
-	// gathered is true for one part of a gather.
-	fromGather bool
-	// batched is true for a call of a batch: one that broke after it was cancelled
-	// counts as cancelled.
+	fromGather    bool
+	// fromBatch is true for a call that a relay makes. If its connection breaks after it
+	// was cancelled, it counts as cancelled.
 	fromBatch bool
 }
 
-// callUpstream makes a call within a span of its own, unless the upstream may not get it
-// now.
-func (e *engine) callUpstream(ctx context.Context, l *connPool, u *policy.Upstream, c *call) runner.Reply[*response] {
+// callUpstream makes a call in a span of its own, if it is admitted.
+func (e *engine) callUpstream(ctx context.Context, pool *connPool, u *policy.Upstream, c *call) runner.Reply[*response] {
 	if !e.admits(e.kernel.Now(), c, u) {
 		return runner.Reply[*response]{Outcome: policy.CallBarred}
 	}
 	ctx, span := e.kernel.Tracer.Start(ctx, "upstream", trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
 	c.headers, c.upstream = &e.headers, u.Name
-	out := l.call(ctx, c)
+	out := pool.call(ctx, c)
 	if span.IsRecording() {
 		span.SetAttributes(attribute.String("Upstream", u.Name), attribute.String("Outcome", string(out.Outcome)))
 	}
 	return out
 }
 
-// call makes a call and judges the result. One that was cancelled while its connection
-// was being made is no evidence against the upstream.
-func (l *connPool) call(ctx context.Context, c *call) runner.Reply[*response] {
-	out := l.send(ctx, c)
+// call makes a call and classifies its result. A call that is cancelled while its
+// connection is being made counts as not sent, and not against the upstream.
+func (p *connPool) call(ctx context.Context, c *call) runner.Reply[*response] {
+	out := p.send(ctx, c)
 	if out.Outcome == policy.CallUnreachable && ctx.Err() != nil {
 		out.Outcome = policy.CallNotSent
 	}
-	out.Outcome = runner.DetectCrash(ctx, out.Outcome, l.address)
+	out.Outcome = runner.DetectCrash(ctx, out.Outcome, p.address)
 	if c.fromBatch && out.Outcome == policy.CallBroken && ctx.Err() != nil {
 		out.Outcome = policy.CallCancelled
 	}
 	return out
 }
 
-func (l *connPool) send(ctx context.Context, c *call) runner.Reply[*response] {
-	n, err := l.get(ctx, c.nonRepeatable)
+func (p *connPool) send(ctx context.Context, c *call) runner.Reply[*response] {
+	n, err := p.get(ctx, c.nonRepeatable)
 	if err != nil {
 		return runner.Reply[*response]{Outcome: policy.CallUnreachable}
 	}
-	// A cancelled call closes its connection: that is how the upstream learns of it.
+	// Closing the connection tells the upstream that the call is cancelled.
 	stop := context.AfterFunc(ctx, func() { _ = n.Close() })
-	started := l.now()
+	started := p.now()
 	resp, reusable, err := n.roundTrip(c)
 	out := classify(c, resp, err)
 	if stop() && reusable {
-		l.put(n)
+		p.put(n)
 		return out
 	}
 	_ = n.Close()
-	if err != nil && n.reused && l.now()-started >= silentCallTimeout {
-		l.closeIdle(func(c *conn) bool { return c.idleSince < started })
+	if err != nil && n.reused && p.now()-started >= silentCallTimeout {
+		p.closeIdle(func(c *conn) bool { return c.idleSince < started })
 	}
 	out.Crowded = !n.reused && errors.Is(err, syscall.ECONNRESET)
 	return out
 }
 
-// exchange writes the request and reads its answer. The connection may be reused only if
-// keep is true.
+// roundTrip writes the request and reads its response. The connection may be used again
+// only if reusable is true.
 func (n *conn) roundTrip(c *call) (resp *response, reusable bool, err error) {
 	if err := n.SetDeadline(time.Now().Add(c.timeLeft)); err != nil {
 		return nil, false, err
@@ -143,8 +144,8 @@
 	case err := <-written:
 		return resp, reusable && err == nil, nil
 	default:
-		// The upstream answered before it had the whole body. What is not
-		// written yet must not be followed by another request.
+		// The upstream responded before it had the whole body, so the rest of the body may
+		// still be written to the connection.
 		return resp, false, nil
 	}
 }
@@ -159,7 +160,8 @@
 	return err
 }
 
-// read reads the answer to a call; a surplus answer to the call before is skipped.
+// readResponse reads the response to a call and skips a surplus response to the previous
+// one.
 func (n *conn) readResponse(c *call) (resp *response, reusable bool, err error) {
 	for range maxResponsesRead {
 		resp, reusable, err = n.readOneResponse(c.method)
@@ -178,8 +180,9 @@
 	return nil, false, errResponseMismatch
 }
 
-// readOne reads one answer; keep is false if nothing can follow it.
-func (n *conn) readOneResponse(method string) (a *response, reusable bool, err error) {
+// readOneResponse reads one response. If reusable is false, the connection carries no
+// further response.
+func (n *conn) readOneResponse(method string) (resp *response, reusable bool, err error) {
 	r, err := http.ReadResponse(n.reader, &http.Request{Method: method})
 	for err == nil && r.StatusCode < http.StatusOK {
 		r, err = http.ReadResponse(n.reader, &http.Request{Method: method})
@@ -197,7 +200,7 @@
 	return &response{status: r.StatusCode, header: r.Header, body: body}, reusable, nil
 }
 
-// noteKeepAlive takes in how long the upstream keeps an idle connection.
+// updateIdleTimeout sets the idle timeout from the upstream's Keep-Alive header.
 func (n *conn) updateIdleTimeout(h http.Header) {
 	_, after, found := strings.Cut(h.Get("Keep-Alive"), "timeout=")
 	if !found {
@@ -211,8 +214,8 @@
 	n.idleTimeout = time.Duration(seconds)*time.Second - idleTimeoutMargin
 }
 
-// judge says what the answer to a call that was sent means, or its error. A reply carries the answer only if it may
-// be given to the caller or merged.
+// classify maps the response to a call that was sent, or its error, to an outcome. The
+// reply contains the response only if it may be passed to the caller or merged.
 func classify(c *call, resp *response, err error) runner.Reply[*response] {
 	switch {
 	case errors.Is(err, errResponseMismatch) || errors.Is(err, wire.ErrTooLarge):
@@ -236,7 +239,7 @@
 	return out
 }
 
-// promisesNotRun reports whether a status promises that the request did not run.
+// meansNotRun reports whether a status code means that the request was not run.
 func meansNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -245,7 +248,7 @@
 	return false
 }
 
-// loadOf reads "running, waiting, slots"; zero if the text is not that.
+// parseLoad parses "running, waiting, slots". It returns the zero value for other text.
 func parseLoad(text string) policy.Load {
 	var counts [3]int
 	rest := text
--- a/tier/pass/call_test.go
+++ b/tier/pass/call_test.go
@@ -10,7 +10,6 @@
 	"loomgap/tier/policy"
 )
 
-// TestNoteKeepAlive reads how long an upstream keeps an idle connection.
 func TestUpdateIdleTimeout(t *testing.T) {
 	tests := []struct {
 		header string
@@ -31,7 +30,6 @@
 	}
 }
 
-// TestLoadOf reads the load that an upstream reports.
 func TestParseLoad(t *testing.T) {
 	tests := []struct {
 		text string
--- a/tier/pass/conn.go
+++ b/tier/pass/conn.go
@@ -15,45 +15,42 @@
 )
 
 const (
-	// upstreamDialBound is how long a connection to an upstream may take to make; hosts of
-	// one platform are milliseconds apart.
 	upstreamDialTimeout = 700 * time.Millisecond
-	// idleUnknown is how long a connection may be idle if the upstream does not say how
-	// long it keeps one.
+	// defaultIdleTimeout applies if the upstream does not send a Keep-Alive timeout.
 	defaultIdleTimeout = 4 * time.Second
-	// idleReserve is taken off the time that an upstream says it keeps an idle connection,
-	// so that a request does not cross its close.
+	// idleTimeoutMargin is subtracted from the upstream's Keep-Alive timeout, so that a
+	// request is not sent while the upstream closes the connection.
 	idleTimeoutMargin = 500 * time.Millisecond
-	// freshEnough is how long a connection may have been idle that carries a request which
-	// is not repeatable.
-	maxFreshIdle = 500 * time.Millisecond
-	// readBuffer is the size of a connection's buffer for answers, in bytes.
+	// maxFreshIdle is how long a connection may have been idle to be used for a request
+	// that is not repeatable.
+	maxFreshIdle    = 500 * time.Millisecond
 	readBufferBytes = 4 << 10
-	// silentCallBound is how long a call on a reused connection must go without an answer
-	// until the other idle connections are closed: longer than upstreams pause, and no
-	// longer than an unwanted call lingers that shows it. Without it, one request after
-	// another is sent on connections that have all gone silent without a reset.
+	// silentCallTimeout is how long a call on a reused connection must go unanswered before
+	// the other idle connections of the pool are closed. It is longer than upstreams
+	// usually pause, and no longer than the time for which an unwanted call lingers, so
+	// that a lingering call can show it. Without it, requests would be sent one after
+	// another on connections that have all failed without a reset.
 	silentCallTimeout = policy.LingerFor
 )
 
-// conn is one connection to an upstream. One request is on it at a time.
+// conn is a connection to an upstream. It carries one request at a time.
 type conn struct {
 	net.Conn
 	raw    syscall.RawConn
 	reader *bufio.Reader
-	// lastID is the request that was answered before on it.
+	// lastRequestID is the ID of the last request that was answered on the connection.
 	lastRequestID string
-	// idleSince is when it was put back, as time since the process started.
-	idleSince time.Duration
-	// idleBound is how long it may be idle.
+	// idleSince is when the connection was returned to the pool, as time since the process
+	// started.
+	idleSince   time.Duration
 	idleTimeout time.Duration
-	// reused is true once the connection has been put back.
+	// reused is true once the connection was returned to the pool.
 	reused bool
 }
 
 type connPool struct {
 	address netip.AddrPort
-	// born is when the process there started, as of config.Listing.
+	// startedAt is when the upstream's process started; see config.Listing.
 	startedAt int64
 	now       func() time.Duration
 
@@ -63,18 +60,17 @@
 	closed bool
 }
 
-// upstreamDialer makes the connections to upstreams.
 var upstreamDialer = net.Dialer{Timeout: upstreamDialTimeout, KeepAlive: -1}
 
-// get returns an idle connection that is still usable, or makes one. With fresh, only one
-// that was used a moment ago is taken.
-func (l *connPool) get(ctx context.Context, fresh bool) (*conn, error) {
+// get returns a usable idle connection, or dials a new one. With fresh, only a recently
+// used connection is taken.
+func (p *connPool) get(ctx context.Context, fresh bool) (*conn, error) {
 	for {
-		c := l.pop()
+		c := p.pop()
 		if c == nil {
-			return l.dial(ctx)
+			return p.dial(ctx)
 		}
-		idle := l.now() - c.idleSince
+		idle := p.now() - c.idleSince
 		if idle < c.idleTimeout && (!fresh || idle < maxFreshIdle) && c.usable() {
 			return c, nil
 		}
@@ -82,20 +78,20 @@
 	}
 }
 
-func (l *connPool) pop() *conn {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	n := len(l.idle)
+func (p *connPool) pop() *conn {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	n := len(p.idle)
 	if n == 0 {
 		return nil
 	}
-	c := l.idle[n-1]
-	l.idle = l.idle[:n-1]
+	c := p.idle[n-1]
+	p.idle = p.idle[:n-1]
 	return c
 }
 
-func (l *connPool) dial(ctx context.Context) (*conn, error) {
-	c, err := upstreamDialer.DialContext(ctx, "tcp4", l.address.String())
+func (p *connPool) dial(ctx context.Context) (*conn, error) {
+	c, err := upstreamDialer.DialContext(ctx, "tcp4", p.address.String())
 	if err != nil {
 		return nil, err
 	}
@@ -107,27 +103,27 @@
 	return &conn{Conn: c, raw: raw, reader: bufio.NewReaderSize(c, readBufferBytes), idleTimeout: defaultIdleTimeout}, nil
 }
 
-func (l *connPool) put(c *conn) {
-	c.idleSince, c.reused = l.now(), true
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.closed {
+func (p *connPool) put(c *conn) {
+	c.idleSince, c.reused = p.now(), true
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
 		_ = c.Close()
 		return
 	}
-	l.idle = append(l.idle, c)
+	p.idle = append(p.idle, c)
 }
 
-func (l *connPool) closeExpired() {
-	now := l.now()
-	l.closeIdle(func(c *conn) bool { return now-c.idleSince >= c.idleTimeout })
+func (p *connPool) closeExpired() {
+	now := p.now()
+	p.closeIdle(func(c *conn) bool { return now-c.idleSince >= c.idleTimeout })
 }
 
-// closeIdle closes the idle connections that dropped picks.
-func (l *connPool) closeIdle(match func(c *conn) bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.idle = slices.DeleteFunc(l.idle, func(c *conn) bool {
+// closeIdle closes the idle connections that match.
+func (p *connPool) closeIdle(match func(c *conn) bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.idle = slices.DeleteFunc(p.idle, func(c *conn) bool {
 		if !match(c) {
 			return false
 		}
@@ -136,16 +132,16 @@
 	})
 }
 
-// close closes the idle connections; calls under way go on.
-func (l *connPool) close() {
-	l.mu.Lock()
-	l.closed = true
-	l.mu.Unlock()
-	l.closeIdle(func(*conn) bool { return true })
+// close closes the idle connections. Calls in flight continue.
+func (p *connPool) close() {
+	p.mu.Lock()
+	p.closed = true
+	p.mu.Unlock()
+	p.closeIdle(func(*conn) bool { return true })
 }
 
-// usable reports whether the upstream left an idle connection open and sent no bytes that
-// nobody asked for. It peeks without waiting and consumes nothing.
+// usable reports whether an idle connection is still open and has no unexpected bytes to
+// read. It peeks without blocking and consumes nothing.
 func (n *conn) usable() bool {
 	if n.reader.Buffered() > 0 {
 		return false
--- a/tier/pass/links.go
+++ b/tier/pass/conn_pools.go
@@ -7,22 +7,22 @@
 	"loomgap/tier/config"
 )
 
-// linkTable holds a link for each listed upstream. It is changed on the control thread,
-// one link for each upstream that changed, and safe for concurrent use.
+// connPools holds the connection pool of each listed upstream. It is modified on the
+// control thread and safe for concurrent use; a change of one upstream costs one update.
 type connPools struct {
-	// links holds a *link by the name of its upstream.
+	// byUpstream maps the name of each upstream to its *connPool.
 	byUpstream sync.Map
 }
 
 func (t *connPools) find(name string) *connPool {
-	if l, ok := t.byUpstream.Load(name); ok {
-		return l.(*connPool)
+	if p, ok := t.byUpstream.Load(name); ok {
+		return p.(*connPool)
 	}
 	return nil
 }
 
-// update makes the links of upstreams that are listed, unless they have one to the same
-// process, and closes those of upstreams that are gone.
+// update creates the pools of listed upstreams, unless they have one for the same process,
+// and closes the pools of removed upstreams.
 func (t *connPools) update(listed []config.Listing, removed []string, now func() time.Duration) {
 	for i := range listed {
 		l := &listed[i]
@@ -42,7 +42,7 @@
 	}
 }
 
-// replace makes the links of all listed upstreams and closes those of all others.
+// replace creates the pools of all listed upstreams and closes all others.
 func (t *connPools) replace(listed []config.Listing, now func() time.Duration) {
 	isListed := make(map[string]bool, len(listed))
 	for i := range listed {
@@ -57,22 +57,22 @@
 	t.update(listed, removed, now)
 }
 
-// all iterates over the links by the names of their upstreams.
+// all iterates over the pools and the names of their upstreams.
 func (t *connPools) all() func(yield func(string, *connPool) bool) {
 	return func(yield func(string, *connPool) bool) {
-		t.byUpstream.Range(func(n, l any) bool { return yield(n.(string), l.(*connPool)) })
+		t.byUpstream.Range(func(n, p any) bool { return yield(n.(string), p.(*connPool)) })
 	}
 }
 
-// sweep closes connections that were idle for too long.
+// closeExpired closes the connections that exceed their idle timeout.
 func (t *connPools) closeExpired() {
-	for _, l := range t.all() {
-		l.closeExpired()
+	for _, p := range t.all() {
+		p.closeExpired()
 	}
 }
 
 func (t *connPools) closeAll() {
-	for _, l := range t.all() {
-		l.close()
+	for _, p := range t.all() {
+		p.close()
 	}
 }
--- a/tier/pass/coordinate_client.go
+++ b/tier/pass/coordinate_client.go
@@ -13,34 +13,34 @@
 	"loomgap/tier/wire"
 )
 
-// This file is the sender's end of the exchange with a coordinator: a weak host hands
-// a whole gather over to a stronger one.
+// This file is the sender's end of the coordinator protocol: a host with little capacity
+// forwards whole gathers to one with more.
 
 const (
-	// coordinatorsTried is how many coordinators are tried before the host carries the
-	// request out itself.
+	// maxCoordinatorAttempts is how many coordinators are tried before the host executes
+	// the request itself.
 	maxCoordinatorAttempts = 2
-	// firstSignBound is how long, beyond the round trip, the first sign of a
-	// coordinator is waited for. A busy one needs up to 20 ms. A host that is frozen
-	// or cut off takes no more than a sixth of an objective of 300 ms.
+	// firstHeartbeatTimeout is how long after the round trip the first heartbeat of a
+	// coordinator may come. It leaves a busy coordinator time to respond, and an
+	// unresponsive one takes up only a small part of the objective.
 	firstHeartbeatTimeout = 50 * time.Millisecond
-	// signBound is how long a coordinator may be silent after a sign: it misses three signs
-	// in a row.
-	heartbeatTimeout = 150 * time.Millisecond
-	// signEvery is the time from one sign of a coordinator to the next.
+	// heartbeatTimeout is how long a coordinator may be silent after a heartbeat: three
+	// heartbeats are missed by then.
+	heartbeatTimeout  = 150 * time.Millisecond
 	heartbeatInterval = 40 * time.Millisecond
 )
 
-// signTimes are the times within which a coordinator shows that it works on a request.
+// heartbeatTimeouts bound the waits for the heartbeats of a coordinator.
 type heartbeatTimeouts struct {
-	// first is waited for beyond the round trip, next from one sign to the next.
+	// first bounds the wait for the first heartbeat, beyond the round trip; next the wait
+	// for each later one.
 	first, next time.Duration
 }
 
-// handOver has a coordinator carry the request out, and reports whether the caller has
-// its answer. If a coordinator does not begin, the next is asked. If one has begun and
-// is lost, its calls may have run, and calls of this host would exceed what a request
-// may have.
+// forward has a coordinator execute the request, and reports whether the caller was
+// responded to. If a coordinator does not begin, the next one is tried. If a coordinator
+// has begun and is lost, the request fails: its calls may have run, and further calls would
+// exceed the attempts that a request may have.
 func (q *request) forward(ctx context.Context, w http.ResponseWriter) bool {
 	if q.route.Gather == nil || !q.route.Repeatable {
 		return false
@@ -56,7 +56,7 @@
 		reply := s.do(ctx)
 		switch {
 		case ctx.Err() != nil:
-			q.log(outcomeGivenUp, 0).Str("Coordinator", target.Host).Msg("request given up by its caller")
+			q.log(outcomeGivenUp, 0).Str("Coordinator", target.Host).Msg("request cancelled by caller")
 			return true
 		case reply != nil:
 			q.respondCoordinated(w, target.Host, reply)
@@ -70,7 +70,7 @@
 	return false
 }
 
-// answerCoordinated gives the caller what a coordinator answered.
+// respondCoordinated writes the response of a coordinator.
 func (q *request) respondCoordinated(w http.ResponseWriter, coordinator string, reply *coordinateReply) {
 	h := w.Header()
 	for name, value := range reply.Header {
@@ -82,22 +82,21 @@
 	q.engine.overhead.forwarding.Observe(q.engine.kernel.Now() - q.times.startedAt - held)
 }
 
-// sentRequest is a request that a coordinator carries out. It is used by one
+// sentRequest is a request that a coordinator executes for this host. It is used by one
 // goroutine.
 type sentRequest struct {
 	request *request
 	target  policy.Candidate
 	started time.Duration
-	// heard is true once there was a sign of the coordinator.
+	// responded is true once the coordinator has sent a heartbeat or a reply.
 	responded bool
-	// begun is true once the coordinator was told to begin: before that it makes no
-	// calls.
+	// begun is true once the coordinator was told to begin. Before that it makes no calls.
 	begun bool
 	reply coordinateReply
 }
 
-// carryOut sends the request and waits for its answer; nil if the coordinator gave
-// none, or declined.
+// do sends the request and waits for the reply. It returns nil if the coordinator sent none
+// or declined.
 func (s *sentRequest) do(ctx context.Context) *coordinateReply {
 	q, e := s.request, s.request.engine
 	ctx, span := e.kernel.Tracer.Start(ctx, "forward", trace.WithSpanKind(trace.SpanKindClient))
@@ -136,30 +135,30 @@
 	}
 }
 
-// coordinateRequest describes the request for a coordinator.
+// coordinateRequest builds the message for a coordinator.
 func (q *request) coordinateRequest(ctx context.Context) *coordinateRequest {
 	e := q.engine
 	now := e.kernel.Now()
 	spent := max(now-q.times.startedAt, e.overhead.forwarding.Estimate())
 	return &coordinateRequest{
 		ID: e.ids.next(), RequestID: q.in.id, HostName: q.in.hostName, Path: q.in.path, Route: q.route.Digest(),
-		Method: q.in.method, Head: string(q.in.head), Body: q.in.body, Caller: q.in.subject.Caller,
+		Method: q.in.method, Head: string(q.in.head), Body: q.in.body, Caller: q.in.identity.Caller,
 		SpentMicros: spent.Microseconds(), LeftMillis: (q.times.deadline - now).Milliseconds(), Trace: wire.TraceOf(ctx),
 	}
 }
 
-// begin tells the coordinator to begin after its first sign, and reports whether it
-// was told. That costs a round trip; without it, a coordinator that was frozen or cut
-// off could begin a request that another host carries out meanwhile.
+// begin tells the coordinator to begin, after its first heartbeat, and reports whether it
+// was told. This costs a round trip, and prevents a coordinator that was frozen or cut off
+// from executing a request that another host executes meanwhile.
 func (s *sentRequest) begin(ctx context.Context, id string) bool {
 	if s.begun {
 		return true
 	}
-	s.noteHeartbeat(0)
+	s.noteFirstResponse(0)
 	e := s.request.engine
 	if err := e.kernel.Peers.Notify(ctx, s.target.Host, methodCoordinateBegin, coordinateID{ID: id}); err != nil {
 		s.log().Err(err).Msg("coordinator not told to begin")
-		// The message may have arrived all the same.
+		// The message may have arrived despite the error.
 		s.begun = !notDelivered(err)
 		return false
 	}
@@ -167,9 +166,9 @@
 	return true
 }
 
-// noteSign notes the first sign of the coordinator, which had the request for a while
-// before it.
-func (s *sentRequest) noteHeartbeat(held time.Duration) {
+// noteFirstResponse records the first response of the coordinator, which had held the
+// request for a time before it responded.
+func (s *sentRequest) noteFirstResponse(held time.Duration) {
 	if s.responded {
 		return
 	}
@@ -179,7 +178,7 @@
 	e.hosts.answered(s.target.Host, s.target.Hall, now, max(now-s.started-held, time.Microsecond))
 }
 
-// finish takes the answer in, or that there is none.
+// finish handles the reply to the request, or its error.
 func (s *sentRequest) finish(err error) *coordinateReply {
 	e := s.request.engine
 	if err != nil {
@@ -189,7 +188,7 @@
 		s.log().Bool("Begun", s.begun).Err(err).Msg("request not answered by a coordinator")
 		return nil
 	}
-	s.noteHeartbeat(time.Duration(s.reply.HeldMicros) * time.Microsecond)
+	s.noteFirstResponse(time.Duration(s.reply.HeldMicros) * time.Microsecond)
 	if s.reply.Declined != "" {
 		e.hosts.declined(s.target.Host, e.kernel.Now(), s.reply.Declined)
 		s.log().Str("Declined", string(s.reply.Declined)).Msg("request declined by a coordinator")
@@ -198,7 +197,8 @@
 	return &s.reply
 }
 
-// giveUp ends the request at the coordinator: it is silent, or the caller is gone.
+// giveUp stops the request at the coordinator, because it is unresponsive or the caller is
+// gone.
 func (s *sentRequest) giveUp(id string, callerGone bool) {
 	e := s.request.engine
 	if !s.responded {
@@ -209,18 +209,18 @@
 	}
 	go func() {
 		if err := e.notifyStop(s.target.Host, methodCoordinateStop, coordinateID{ID: id}); err != nil {
-			s.log().Err(err).Msg("forwarded request not stopped")
+			s.log().Err(err).Msg("stopping forwarded request failed")
 		}
 	}()
 }
 
-// log begins a line about the request at its coordinator.
+// log starts a log event about the request at its coordinator.
 func (s *sentRequest) log() *zerolog.Event {
 	return s.request.engine.kernel.Decisions.Info().Str("RequestID", s.request.in.id).Str("Coordinator", s.target.Host)
 }
 
-// onCoordinateSign takes in that a coordinator works on a request. The request may have
-// its answer by now, or not have taken the sign before in.
+// onCoordinateHeartbeat handles a heartbeat of a coordinator. It is dropped if the request
+// has ended or if the previous heartbeat is not handled yet.
 func (e *engine) onCoordinateHeartbeat(_ context.Context, in *coordinateID) (any, error) {
 	e.coordinate.inboxes.deliver(in.ID, struct{}{})
 	return struct{}{}, nil
--- a/tier/pass/coordinate_messages.go
+++ b/tier/pass/coordinate_messages.go
@@ -2,73 +2,73 @@
 
 import "net/netip"
 
-// Methods of the exchange between a host and a coordinator, a stronger host that
-// carries whole gathers out for it. On the wire this is called forwarding; these names
-// stay, since hosts of two versions talk to each other.
+// Methods of the protocol between a host and a coordinator, a host with more capacity that
+// executes whole gathers for it. The values are wire names and stay compatible with hosts
+// of other versions.
 const (
-	// methodCoordinate has the coordinator carry a request out. Its reply is the
-	// answer for the caller.
+	// methodCoordinate has the coordinator execute a request. Its reply is the response for
+	// the caller.
 	methodCoordinate = "Forward"
-	// methodCoordinateSign is pushed to the sender of methodCoordinate, at once and
-	// every signEvery, while the coordinator works on the request.
+	// methodCoordinateHeartbeat is pushed to the sender of methodCoordinate, at once and
+	// then every heartbeatInterval, while the coordinator works on the request.
 	methodCoordinateHeartbeat = "ForwardSign"
-	// methodCoordinateBegin has the coordinator begin, once it has given its first
-	// sign. Until then it makes no call.
+	// methodCoordinateBegin has the coordinator begin, after its first heartbeat. Until
+	// then it makes no calls.
 	methodCoordinateBegin = "ForwardBegin"
-	// methodCoordinateStop ends a request whose answer is not wanted any more.
+	// methodCoordinateStop cancels a request.
 	methodCoordinateStop = "ForwardStop"
 )
 
-// coordinateRequest asks a coordinator to carry a request out.
+// coordinateRequest asks a coordinator to execute a request.
 type coordinateRequest struct {
-	// ID names the exchange; no other of any host has it.
+	// ID is the unique ID of the exchange.
 	ID        string
 	RequestID string
 	HostName  string
 	Path      string
-	// Route is the digest of the route at the sender. A coordinator whose route
-	// differs declines, so that a caller never gets an answer by an older
-	// configuration through one host than through the one before.
+	// Route is the digest of the route at the sender. A coordinator whose route differs
+	// declines, so that callers do not get responses of different configurations depending
+	// on the host that executes the request.
 	Route  uint64
 	Method string
-	// Head is the request line and the headers that all upstreams get alike.
+	// Head is the request line and the headers that are the same for all upstreams.
 	Head string
 	Body []byte `json:",omitempty"`
-	// Caller is the address that the request came from.
+	// Caller is the address of the caller.
 	Caller netip.Addr `json:",omitzero"`
-	// SpentMicros is how much of the objective is gone, the way back included, in
-	// microseconds.
+	// SpentMicros is how much of the objective is spent, in microseconds, including the
+	// time that the reply takes.
 	SpentMicros int64
-	// LeftMillis is how long the caller still waits, in milliseconds; above 0.
+	// LeftMillis is the time until the deadline, in milliseconds; above 0.
 	LeftMillis int64
 	Trace      string `json:",omitempty"`
 }
 
-// declineReason says why a coordinator declined a request. It made no call then.
+// declineReason is why a coordinator declined a request without making a call.
 type declineReason string
 
 const (
-	// declineStopping means that the host stops or has not started.
+	// declineStopping means that the host is stopping or still starting.
 	declineStopping declineReason = "Stopping"
-	// declineRoute means that the request has another route there.
+	// declineRoute means that the request has a different route at the coordinator.
 	declineRoute declineReason = "Route"
-	// declineNotBegun means that methodCoordinateBegin did not come in time.
+	// declineNotBegun means that methodCoordinateBegin did not arrive in time.
 	declineNotBegun declineReason = "NotBegun"
 )
 
 type coordinateReply struct {
-	// Declined is empty if the request was carried out or refused.
+	// Declined is empty if the request was executed or refused.
 	Declined declineReason `json:",omitempty"`
 	Status   int
-	// Outcome is that of the coordinator's log line.
+	// Outcome is the outcome that the coordinator logged.
 	Outcome outcome
 	Header  map[string]string
 	Body    []byte
-	// HeldMicros is how long the coordinator took, in microseconds.
+	// HeldMicros is how long the coordinator held the request, in microseconds.
 	HeldMicros int64
 }
 
-// coordinateID names a request in the other three methods.
+// coordinateID identifies a request in the other three methods.
 type coordinateID struct {
 	ID string
 }
--- a/tier/pass/coordinate_server.go
+++ b/tier/pass/coordinate_server.go
@@ -14,21 +14,21 @@
 	"loomgap/tier/wire"
 )
 
-// This file is the coordinator's end of the exchange: it carries whole gathers out for
-// weaker hosts.
+// This file is the coordinator's end of the protocol: it executes whole gathers for hosts
+// with less capacity.
 
-// beginBound is how long a coordinator waits to be told to begin: longer than a message
-// takes to a busy host and back, and shorter than most objectives.
+// beginTimeout is how long a coordinator waits to be told to begin. It exceeds the round
+// trip to a busy host and is shorter than most objectives.
 const beginTimeout = 200 * time.Millisecond
 
-// servedRequest is one request that this host carries out for another.
+// servedRequest is a request that this host executes for another one.
 type servedRequest struct {
-	// begin opens when the request may begin.
+	// begin opens when the sender has told this host to begin.
 	begin  startGate
 	cancel context.CancelFunc
 }
 
-// handleCoordinate registers the methods of both ends of the exchange.
+// handleCoordinate registers the handlers of both ends of the protocol.
 func (e *engine) handleCoordinate() {
 	const name = "name of a forwarded request"
 	kernel.HandleMessage(e.kernel, methodCoordinate, "forwarded request", e.onCoordinate)
@@ -63,7 +63,7 @@
 	return w.reply(q.outcome, e.kernel.Now()-started), nil
 }
 
-// accept makes the request that another host has sent, or declines it.
+// accept creates the request that another host has sent, or declines it.
 func (e *engine) accept(in *coordinateRequest) (*request, declineReason) {
 	e.kernel.Wake()
 	if e.kernel.Phase() != kernel.PhaseReady {
@@ -72,7 +72,7 @@
 	now := e.kernel.Now()
 	q := &request{
 		engine: e, view: e.kernel.View(),
-		in: inboundRequest{id: in.RequestID, hostName: in.HostName, path: in.Path, method: in.Method, subject: policy.Subject{Caller: in.Caller}},
+		in: inboundRequest{id: in.RequestID, hostName: in.HostName, path: in.Path, method: in.Method, identity: policy.Subject{Caller: in.Caller}},
 		times: requestTimes{
 			startedAt: now - max(time.Duration(in.SpentMicros)*time.Microsecond, 0),
 			deadline:  now + time.Duration(in.LeftMillis)*time.Millisecond,
@@ -86,13 +86,13 @@
 	return q, ""
 }
 
-// signWhile tells the sender of a request that this host works on it, until it ends.
+// sendHeartbeats sends heartbeats to the sender of a request until the request ends.
 func (e *engine) sendHeartbeats(ctx, runCtx context.Context, id string, cancel context.CancelFunc) {
 	tick := time.NewTicker(heartbeatInterval)
 	defer tick.Stop()
 	for {
 		if err := kernel.Push(ctx, methodCoordinateHeartbeat, coordinateID{ID: id}); err != nil {
-			e.kernel.Decisions.Info().Err(err).Msg("sender of a request is gone")
+			e.kernel.Decisions.Info().Err(err).Msg("sender of forwarded request is gone")
 			cancel()
 			return
 		}
@@ -113,7 +113,7 @@
 	return struct{}{}, nil
 }
 
-// onCoordinateStop ends a request; one that has ended already needs nothing.
+// onCoordinateStop cancels a request if it is still in flight.
 func (e *engine) onCoordinateStop(_ context.Context, in *coordinateID) (any, error) {
 	if r := e.coordinate.served.find(in.ID); r != nil {
 		r.cancel()
@@ -121,7 +121,7 @@
 	return struct{}{}, nil
 }
 
-// recorder keeps an answer that is for another host's caller.
+// recorder records a response for the host that sent the request.
 type recorder struct {
 	status int
 	header http.Header
@@ -134,7 +134,7 @@
 
 func (r *recorder) WriteHeader(status int) { r.status = status }
 
-// reply describes the answer for the host that sent the request.
+// reply converts the recorded response to a reply.
 func (r *recorder) reply(o outcome, held time.Duration) *coordinateReply {
 	out := &coordinateReply{
 		Status: r.status, Outcome: o, Header: map[string]string{}, Body: r.Bytes(), HeldMicros: held.Microseconds(),
--- a/tier/pass/coordinate_test.go
+++ b/tier/pass/coordinate_test.go
@@ -15,7 +15,7 @@
 	"loomgap/tier/kernel"
 )
 
-// forwarding is a weak host and a strong one of the same hall, with upstreams.
+// forwardSetup has a weak host, a strong host of the same hall, and upstreams.
 type forwardSetup struct {
 	network      *network
 	weak, strong *host
@@ -26,7 +26,7 @@
 	return newForwardSetupWithLog(t, reply, nil)
 }
 
-// newForwardingLogged is newForwarding with a log of the weak host.
+// newForwardSetupWithLog is newForwardSetup with a log for the weak host.
 func newForwardSetupWithLog(t *testing.T, reply func(shard, replica int) replyFunc, log io.Writer) *forwardSetup {
 	w := newNetwork()
 	f := &forwardSetup{
@@ -34,7 +34,7 @@
 		weak:    newHost(t, hostConfig{name: "Weak", hall: "A", peers: w, cores: 0.2, log: log}),
 		strong:  newHost(t, hostConfig{name: "Strong", hall: "A", peers: w}),
 	}
-	// What is not the matter of a test does not depend on the machine's speed.
+	// Long timeouts, so that a slow machine does not change the result.
 	f.weak.engine.coordinate.heartbeat = heartbeatTimeouts{first: testBound, next: testBound}
 	w.hosts["Strong"] = f.strong
 	f.upstreams = newShardUpstreams(t, f.weak, [2]string{"A", "A"}, reply)
@@ -46,7 +46,7 @@
 	return f
 }
 
-// asked counts the calls of each shard for a request.
+// callsPerShard counts the calls of each shard for a request.
 func (f *forwardSetup) callsPerShard(id string) []int {
 	var out []int
 	for _, us := range f.upstreams {
@@ -57,9 +57,8 @@
 
 func replyWithPart(s, _ int) replyFunc { return good(shardRecords(s)) }
 
-// TestGatherIsForwardedToAStrongerHost has a weak host ask a strong one, in each
-// state that this one can be in: the caller has the whole answer, and no shard is
-// asked twice.
+// TestGatherIsForwardedToStrongerHost puts the strong host into different states: the
+// caller always gets the whole response, and no shard is called twice.
 func TestGatherIsForwardedToStrongerHost(t *testing.T) {
 	soon := heartbeatTimeouts{first: time.Millisecond, next: testBound}
 	tests := []struct {
@@ -110,14 +109,14 @@
 	}
 }
 
-// carried reports whether the host has made calls for a request.
+// madeCalls reports whether the host has made calls for a request.
 func (h *host) madeCalls() bool {
 	near, _ := h.kernel.Fleet.RoutedPools("Find")
 	return near.Count() > 0
 }
 
-// TestLostCoordinatorIsNotReplaced has a coordinator begin and fall silent: its
-// calls may have run, so the host makes none of its own and says so soon.
+// TestLostCoordinatorIsNotReplaced has a coordinator begin and become silent. Since its
+// calls may have run, the host must fail the request soon and make no calls of its own.
 func TestLostCoordinatorIsNotReplaced(t *testing.T) {
 	f := newForwardSetup(t, func(int, int) replyFunc { return silent })
 	f.network.pushesLeft = 1
@@ -126,12 +125,12 @@
 	assert.NilError(t, r.err)
 	assert.Equal(t, r.status, http.StatusBadGateway)
 	for _, n := range f.callsPerShard("one") {
-		assert.Assert(t, n <= 2, "a shard is asked %d times", n)
+		assert.Assert(t, n <= 2, "a shard was called %d times", n)
 	}
 }
 
-// TestRefusalOfACoordinatorIsPassedOn has a coordinator refuse: the caller learns
-// that nothing ran, and when to come back.
+// TestCoordinatorRefusalIsPassedOn checks that the caller learns that the request did not
+// run, and when to retry.
 func TestCoordinatorRefusalIsPassedOn(t *testing.T) {
 	f := newForwardSetup(t, replyWithPart)
 	f.strong.do(func(s *kernel.State) {
@@ -144,7 +143,8 @@
 	assert.DeepEqual(t, f.callsPerShard("one"), make([]int, shards))
 }
 
-// TestForwardedRequestEndsWithItsCaller looks at the upstreams' connections.
+// TestForwardedRequestEndsWithItsCaller checks that the calls of the coordinator are
+// cancelled when the caller of the request is gone.
 func TestForwardedRequestEndsWithItsCaller(t *testing.T) {
 	ended := make(chan struct{}, 100)
 	f := newForwardSetup(t, func(int, int) replyFunc {
@@ -173,15 +173,15 @@
 	}
 }
 
-// TestHostsAlikeForwardNothing has two hosts of the same strength.
+// TestEqualHostsDoNotForward has two hosts of about the same capacity.
 func TestEqualHostsDoNotForward(t *testing.T) {
 	w := newNetwork()
 	h := newHost(t, hostConfig{name: "H1", hall: "A", peers: w})
-	mate := newHost(t, hostConfig{name: "H2", hall: "A", peers: w, cores: 1.9})
-	w.hosts["H2"] = mate
+	other := newHost(t, hostConfig{name: "H2", hall: "A", peers: w, cores: 1.9})
+	w.hosts["H2"] = other
 	newShardUpstreams(t, h, [2]string{"A", "A"}, replyWithPart)
 	h.applyDocument(gatherDoc(1, 15))
-	h.addMember(mate)
+	h.addMember(other)
 	for i := range 5 {
 		assert.Equal(t, h.send(http.MethodGet, "/find/x", fmt.Sprint(i), 15000, "").status, http.StatusOK)
 	}
--- a/tier/pass/coordinators.go
+++ b/tier/pass/coordinators.go
@@ -9,24 +9,25 @@
 	"loomgap/tier/policy"
 )
 
-// upstreamShare is the part of the upstreams of the hall with the most that a hall must
-// list for its hosts to be coordinators: elsewhere most calls would go to another hall
-// again.
+// minUpstreamShare is the minimum number of upstreams that a hall must list for its hosts
+// to be coordinators, as a fraction of those of the hall with the most. In smaller halls,
+// most calls would go to another hall again.
 const minUpstreamShare = 0.5
 
-// coordinators are the hosts that may carry gathers out. It is changed on the control
-// thread and read by requests.
+// coordinators holds the hosts that may execute gathers for others. It is written on the
+// control thread and read by requests.
 type coordinators struct {
-	// candidates are the other live hosts of halls that have the upstreams of gathers.
-	// They are set before requests pass the start gate; the slice is never changed.
+	// candidates are the other live hosts of halls with many upstreams. They are set before
+	// requests pass the start gate; the slice is never modified.
 	candidates atomic.Pointer[[]policy.Candidate]
-	// halls are those with many upstreams in directory; used on the control thread only.
+	// halls are the halls that list many upstreams in directory; used on the control thread
+	// only.
 	halls     map[string]bool
 	directory *config.Directory
 }
 
-// followHalls notes which halls have many upstreams, and reports whether they are others
-// than before; it runs on the control thread.
+// updateHalls determines which halls have many upstreams, and reports whether they have
+// changed. It runs on the control thread.
 func (c *coordinators) updateHalls(d *config.Directory) bool {
 	if d == c.directory {
 		return false
@@ -36,13 +37,13 @@
 	return before == nil || !maps.Equal(before, c.halls)
 }
 
-// followMembers takes the candidates from a view; it runs on the control thread.
+// updateMembers sets the candidates from a view. It runs on the control thread.
 func (c *coordinators) updateMembers(v *kernel.View) {
 	all := liveHosts(v, func(hall string) bool { return c.halls[hall] })
 	c.candidates.Store(&all)
 }
 
-// hallsWithUpstreams names the halls that list many upstreams.
+// hallsWithUpstreams reports for each hall whether it lists many upstreams.
 func hallsWithUpstreams(d *config.Directory) map[string]bool {
 	listed := d.PerHall()
 	largest := 0
@@ -56,11 +57,11 @@
 	return out
 }
 
-// coordinator picks the host that is to carry the request out; false for this one.
+// coordinator selects the host that is to execute the request; false means this one.
 func (q *request) coordinator(tried map[string]bool) (policy.Candidate, bool) {
 	e := q.engine
-	carriers := e.placement(q.view).Carriers(*e.coordinators.candidates.Load(), q.route.Homes)
-	best := policy.Coordinators(e.self(), e.hosts.candidates(carriers, e.kernel.Now(), tried))
+	allowed := e.placement(q.view).Carriers(*e.coordinators.candidates.Load(), q.route.Homes)
+	best := policy.Coordinators(e.self(), e.hosts.candidates(allowed, e.kernel.Now(), tried))
 	if len(best) == 0 {
 		return policy.Candidate{}, false
 	}
@@ -72,7 +73,7 @@
 	return policy.Candidate{Host: s.Host, Hall: s.Hall, Capacity: s.Capacity()}
 }
 
-// liveHosts describes the other live hosts that are not leaving, of some halls.
+// liveHosts returns the other live hosts that are not leaving, of the halls that match.
 func liveHosts(v *kernel.View, of func(hall string) bool) []policy.Candidate {
 	var out []policy.Candidate
 	for n, m := range v.Members {
--- a/tier/pass/crash_test.go
+++ b/tier/pass/crash_test.go
@@ -14,35 +14,26 @@
 	"loomgap/tier/kernel"
 )
 
-// Upstreams of all shards ended together, within a second, again and again: one
-// request crashed whatever ran it, and it kept coming back at other hosts under a new
-// ID. A gather sent it to an upstream of each shard at once and tried each call that
-// broke at the other replica, so that one attempt of its caller took 38 to 40 of 40
-// upstreams; nothing of it was remembered, so that its repeats took them again as soon
-// as they were back. Of 60 gathers a second none were served for up to ten seconds,
-// and under the worst request 154 upstreams ended. The logs had 20 to 32 calls for
-// each attempt, as for any other request, and 39 calls in 120 ms ended like this:
-//
-//	"Call":1,"Outcome":"Broken","TookMillis":16,"message":"call ended"
-
-// Times and counts of these tests.
+// The tests of this file guard against a request that crashes every upstream that runs it.
+// Hedges, retries and repeated attempts at other hosts would spread it to all upstreams.
+
 const (
-	// crashRepeats is how often the request comes, each crashGap once.
+	// The request is sent crashAttempts times, once every crashInterval.
 	crashAttempts = 16
 	crashInterval = 100 * time.Millisecond
-	// crashDown is how long an upstream is away, less than a gap.
+	// crashDowntime is how long a crashed upstream is down; shorter than crashInterval.
 	crashDowntime = 30 * time.Millisecond
-	// crashLate is how long some requests run until their upstreams end: longer than
-	// until a call is hedged.
+	// lateCrashDelay is how long some requests run before they crash the upstream; longer
+	// than the time until a call is hedged.
 	lateCrashDelay = 60 * time.Millisecond
-	// crashReaching is how many of the attempts may reach upstreams: those that
-	// show what the request does, and some that were on their way meanwhile.
+	// maxReachingAttempts bounds the attempts that reach upstreams: those needed to detect
+	// the crashes, and some already in flight.
 	maxReachingAttempts = 6
 )
 
-// crashable is a stand-in that crashes when it runs a marked request, and is back at
-// the same address after crashDown. A request marked as late runs for crashLate before,
-// whatever becomes of its call.
+// crashOnMarked returns a reply that crashes the upstream on a marked request and restarts
+// it at the same address after crashDowntime. A request marked as late runs for
+// lateCrashDelay first, even if its call is cancelled.
 func crashOnMarked(s int) replyFunc {
 	return func(u *fakeUpstream, c net.Conn, r *http.Request) bool {
 		if !strings.Contains(r.RequestURI, "crash") {
@@ -56,7 +47,7 @@
 	}
 }
 
-// crash ends the upstream, with its connections, and starts it again in a while.
+// crash closes the upstream and its connections, and restarts it after the given time.
 func (u *fakeUpstream) crash(down time.Duration) {
 	u.mu.Lock()
 	old := u.listener
@@ -66,7 +57,7 @@
 	time.AfterFunc(down, func() {
 		l, err := net.Listen("tcp", old.Addr().String())
 		if err != nil {
-			return // it crashed again before, and is back already
+			return // it has crashed again and was restarted already
 		}
 		u.mu.Lock()
 		u.listener = l
@@ -76,7 +67,7 @@
 	})
 }
 
-// crashSite is hosts that callers ask in turn, and the upstreams behind them.
+// crashSetup has hosts that are called in turn, and the upstreams behind them.
 type crashSetup struct {
 	hosts     []*host
 	upstreams [][]*fakeUpstream
@@ -94,7 +85,7 @@
 	return false
 }
 
-// crashDoc has a gather of all shards and a route to one of them.
+// crashDoc returns a document with a gather of all shards and a route to one of them.
 func crashDoc() config.Document {
 	d := gatherDoc(0.8, 15)
 	d.Routes = append(d.Routes, config.Route{
@@ -106,14 +97,14 @@
 
 func crashReply(s, _ int) replyFunc { return crashOnMarked(s) }
 
-// share gives a host the directory of another and the document.
+// share gives the host the directory of another host, and a document.
 func (h *host) share(from *host, d config.Document) {
 	whole := from.kernel.View().Directory.Whole()
 	h.do(func(s *kernel.State) { s.List(&whole) })
 	h.applyDocument(d)
 }
 
-// alikeSite has three hosts of the upstreams' hall.
+// sameHallSetup has three hosts in the hall of the upstreams.
 func sameHallSetup(t *testing.T) *crashSetup {
 	w, s := newNetwork(), &crashSetup{}
 	for i := range 3 {
@@ -137,7 +128,7 @@
 	return s
 }
 
-// relayedSite has the upstreams in another hall, called by a host there.
+// relayedSetup has the upstreams in another hall, called through a relay there.
 func relayedSetup(t *testing.T) *crashSetup {
 	w := newNetwork()
 	h := newHost(t, hostConfig{name: "Near", hall: "A", peers: w})
@@ -151,7 +142,7 @@
 	return &crashSetup{hosts: []*host{h}, upstreams: us}
 }
 
-// forwardedSite has a weak host hand its gathers over to a strong one.
+// forwardedSetup has a weak host that forwards its gathers to a strong one.
 func forwardedSetup(t *testing.T) *crashSetup {
 	f := newForwardSetup(t, crashReply)
 	f.network.hosts["Weak"] = f.weak
@@ -161,9 +152,8 @@
 	return &crashSetup{hosts: []*host{f.weak}, upstreams: f.upstreams}
 }
 
-// TestCrashingRequestIsContained has a request that crashes its upstreams come again
-// and again, at each host in turn: a few attempts show what it does, the others reach
-// no upstream and are refused, and other requests are served.
+// TestCrashingRequestIsContained repeats a crashing request at each host in turn: only a
+// few attempts may reach upstreams, the others are refused, and other requests are served.
 func TestCrashingRequestIsContained(t *testing.T) {
 	tests := []struct {
 		name, path string
--- a/tier/pass/doc.go
+++ b/tier/pass/doc.go
@@ -1,44 +1,46 @@
-// Package pass serves routed requests: it finds the route of an opaque HTTP request,
-// passes the request on to one upstream, or to one of each shard, and gives the caller
-// the upstream's answer, or the greatest records of all.
+// Package pass serves routed requests: it finds the route of an HTTP request, passes the
+// request on to one upstream, or to one upstream of each shard, and returns the upstream's
+// response, or the merged greatest records of all shards.
 //
-// It owns the callers' server, the connections to upstreams (link), and what this host
-// knows of other hosts as relays and coordinators (hostTracker). All of it lives in
-// memory and ends with the process.
+// It owns the HTTP server for callers, the connections to upstreams (connPool), and what
+// this host knows of other hosts as relays and coordinators (hostTracker). All of it is
+// kept in memory only.
 //
-// It relies on package policy for decisions: which upstream gets a call, when a call is
-// hedged or retried, when a run ends, which host coordinates. Package runner carries
-// these out and calls back. Package kernel gives the view of configuration and hosts,
-// and the calls between hosts. This package decides only what its constants say.
+// Decisions are made by package policy: which upstream gets a call, when a call is hedged
+// or retried, when a run ends, and which host coordinates. Package runner carries them out
+// and calls back. Package kernel provides the view of configuration and hosts, and the
+// calls between hosts.
 //
-// # The way of a request
+// # Request processing
 //
-// Begin reading at ServeHTTP in serve.go, which lists the stages. Their files, in order:
+// ServeHTTP in serve.go lists the stages of a request. The files, in the order of the
+// stages:
 //
 //	start.go              wait for the first configuration
-//	inbound.go            find the route, read the request, and what of it is passed on
-//	refuse.go             refuse, with each Retry-After
-//	coordinate_client.go  hand a gather over to a coordinator (coordinators.go), a
-//	                      stronger host that carries it out (coordinate_server.go)
-//	plan.go               which upstreams may answer, and which group of a split
-//	run.go                make the calls; admit.go whether a call may be sent
+//	inbound.go            find the route, read the request, build what upstreams get
+//	refuse.go             refuse requests, with Retry-After
+//	coordinate_client.go  forward a gather to a coordinator (coordinators.go), a host
+//	                      with more capacity that executes it (coordinate_server.go)
+//	plan.go               select the upstreams of each part and the group of a split
+//	run.go                make the calls; admit.go checks each one before it is sent
 //	call.go               one call to an upstream, on a connection of conn.go
 //	relay_client.go       calls to another hall, in batches through a relay, a host
 //	                      there that makes them (relay_server.go)
-//	merge.go              merge the parts; relay_records.go fetch what they lack
-//	answer.go             answer the caller; outcome.go the log line and metrics
+//	merge.go              merge the parts; relay_records.go fetches omitted records
+//	answer.go             respond to the caller; outcome.go logs and counts the outcome
 //
-// exchange.go has what both exchanges between hosts share. engine.follow takes each view
-// of the kernel in: shares.go, preconnect.go, warmup.go.
+// exchange.go is shared by the relay and coordinator protocols. engine.applyView applies
+// each new view of the kernel; see shares.go, preconnect.go and warmup.go.
 //
 // # Concurrency
 //
-// The control thread runs follow and what it calls. Each request has a goroutine of
-// its caller, or of the host that sent it, and calls run in goroutines of the runner.
-// A request takes one view and keeps it, but for the check just before each call.
+// applyView and its callees run on the control thread. Each request runs on the goroutine
+// of its caller, or of the message of the host that sent it, and calls run on goroutines of
+// the runner. A request uses one view throughout, except for the check just before each
+// call.
 //
 // # Embedding
 //
-// Importing the package registers its plug-in, which serves routed requests if an
-// adapter is set; nothing is exported.
+// Importing the package registers its plug-in, which serves routed requests if an adapter
+// is set. Nothing is exported.
 package pass
--- a/tier/pass/engine.go
+++ b/tier/pass/engine.go
@@ -9,58 +9,58 @@
 	"loomgap/tier/policy"
 )
 
-// sweepEvery is how often idle connections to upstreams are looked through.
 const sweepInterval = time.Second
 
-// engine serves routed requests. It is safe for concurrent use; fields that say so are
-// used on the control thread only.
+// engine serves routed requests. It is safe for concurrent use, except for the fields
+// marked as used on the control thread only.
 type engine struct {
 	kernel  *kernel.Kernel
 	headers kernel.Headers
-	// links holds a link for each listed upstream, by name.
+	// pools holds the connection pool of each listed upstream.
 	pools     connPools
 	splitters splitters
 	hosts     hostTracker
 	ids       idSource
-	// relay has this host's part in the exchange with relays, coordinate that in the
-	// exchange with coordinators.
+	// relay and coordinate hold this host's state in the protocols with relays and with
+	// coordinators.
 	relay        relayState
 	coordinate   coordinateState
 	coordinators coordinators
 	overhead     overhead
-	// start opens once there is a configuration to serve requests by.
+	// start opens once there is a configuration to serve requests with.
 	start startGate
-	// preconnected are the hosts that were connected to ahead; used on the control
-	// thread.
+	// preconnected are the hosts that connections were opened to in advance; used on the
+	// control thread only.
 	preconnected map[string]bool
-	// basis is what shares and links were made from, counted the hosts of the last view,
-	// members the MemberChanges that this count and the choice of other hosts were made
-	// from; used on the control thread.
+	// inputs is what the current shares and pools were computed from. counts are the hosts
+	// of the last view; memberChanges is the View.MemberChanges that counts, the
+	// coordinators and the preconnections are up to date with. Used on the control thread
+	// only.
 	inputs        shareInputs
 	counts        hostCounts
 	memberChanges uint64
 }
 
-// relayExchange is one host's part in the exchange with relays, at both ends.
+// relayState is the state of both ends of the relay protocol: this host as a sender of
+// batches and as a relay.
 type relayState struct {
 	inboxes inboxes[*batchReply]
-	// served has each batch while it has calls under way or records that were left
-	// out.
+	// served holds each batch while it has calls in flight or omitted records.
 	served registry[*servedBatch]
-	// allRecords notes the routes of this host's requests that need all records.
+	// fullRecordRoutes are the routes whose requests from this host need all records.
 	fullRecordRoutes fullRecordRoutes
 }
 
-// coordinateExchange is one host's part in the exchange with coordinators, at both
-// ends.
+// coordinateState is the state of both ends of the coordinator protocol: this host as a
+// sender of requests and as a coordinator.
 type coordinateState struct {
 	inboxes inboxes[struct{}]
 	served  registry[*servedRequest]
-	// times are for requests sent. They are changed by tests only.
+	// heartbeat holds the timeouts for requests sent; only tests change it.
 	heartbeat heartbeatTimeouts
 }
 
-// newEngine makes an engine that follows the kernel's views, and returns what closes
+// newEngine returns an engine that applies the kernel's views, and a function that closes
 // its connections.
 func newEngine(k *kernel.Kernel, h kernel.Headers) (*engine, func()) {
 	e := &engine{
@@ -77,7 +77,7 @@
 	}
 }
 
-// sweep closes connections that were idle for too long, until the context ends.
+// closeExpired closes connections that exceed their idle timeout, until the context ends.
 func (e *engine) closeExpired(ctx context.Context) {
 	for ctx.Err() == nil {
 		e.pools.closeExpired()
@@ -85,7 +85,7 @@
 	}
 }
 
-// follow takes a new view in; it runs on the control thread.
+// applyView applies a new view. It runs on the control thread.
 func (e *engine) applyView(v *kernel.View) {
 	if v.Index == nil || v.Directory == nil {
 		return
@@ -100,8 +100,8 @@
 	e.assignColdOwners(v)
 }
 
-// followShares sets shares, links and retry budgets, as far as what they depend on has
-// changed; it runs on the control thread.
+// updateShares updates the shares, connection pools and retry budgets that are affected by
+// a change of the view. It runs on the control thread.
 func (e *engine) updateShares(v *kernel.View) {
 	next := shareInputs{index: v.Index, directory: v.Directory, retryBudget: e.kernel.Live().RetryBudget, hostCounts: e.counts}
 	changed, known := v.Directory.Touched(e.inputs.directory)
@@ -117,7 +117,7 @@
 	}
 }
 
-// shareAll sets the shares of all upstreams anew, and their links.
+// rebuildShares recomputes the shares and connection pools of all upstreams.
 func (e *engine) rebuildShares() {
 	all := e.inputs.directory.All()
 	shares := make([]policy.Share, 0, len(all))
@@ -126,11 +126,12 @@
 	}
 	granted := e.kernel.Fleet.Apply(e.kernel.Now(), shares)
 	e.pools.replace(all, e.kernel.Now)
-	// The control thread carries no traffic.
+	// Waiters are notified off the control thread, which does no work for requests.
 	go policy.Deliver(granted)
 }
 
-// shareSome sets the shares and links of upstreams that were listed, changed or removed.
+// updateSharesOf updates the shares and connection pools of upstreams that were listed,
+// changed or removed.
 func (e *engine) updateSharesOf(names []string) {
 	var listed []config.Listing
 	var shares []policy.Share
@@ -149,5 +150,5 @@
 	go policy.Deliver(granted)
 }
 
-// link returns the link to an upstream; nil if it is not listed.
+// connPool returns the connection pool of an upstream, or nil if it is not listed.
 func (e *engine) connPool(name string) *connPool { return e.pools.find(name) }
--- a/tier/pass/exchange.go
+++ b/tier/pass/exchange.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// This file has what the exchanges with relays and coordinators share.
+// This file is shared by the relay and coordinator protocols.
 
-// stopBound is how long telling a host to stop may take.
+// stopTimeout bounds the call that tells a host to stop.
 const stopTimeout = time.Second
 
-// notifyStop tells a host that the result of what it was sent is not wanted any more; the
-// context of the request has ended by then.
+// notifyStop tells a host that the result of a message is no longer wanted. It does not use
+// the context of the request, which has ended by then.
 func (e *engine) notifyStop(host, method string, message any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	return e.kernel.Peers.Notify(ctx, host, method, message)
 }
 
-// idBitsSpare is how many of 64 random bits the prefix of IDs does without: with 48
-// left, two of 1,000 hosts draw the same once in 500 million times.
+// idBitsDropped is how many of the 64 random bits the prefix of IDs omits. The 48 bits left
+// keep the IDs short and make a collision between hosts very unlikely.
 const idBitsDropped = 16
 
-// idSource makes the IDs of what is sent to relays and coordinators. It is safe for
+// idSource generates the IDs of messages to relays and coordinators. It is safe for
 // concurrent use.
 type idSource struct {
-	// prefix begins the IDs of this process; no other process has it.
+	// prefix is unique to this process.
 	prefix string
 	count  atomic.Uint64
 }
@@ -38,25 +38,25 @@
 	return idSource{prefix: strconv.FormatUint(rand.Uint64()>>idBitsDropped, 36) + "-"}
 }
 
-// next returns an ID that nothing else sent by any host has.
+// next returns an ID that is unique across hosts.
 func (s *idSource) next() string { return s.prefix + strconv.FormatUint(s.count.Add(1), 36) }
 
-// inboxes deliver what other hosts push about something that they were sent: a batch or a
-// request. It is safe for concurrent use; the zero value is ready.
+// inboxes deliver what other hosts push about a batch or request that they were sent. It is
+// safe for concurrent use; the zero value is ready to use.
 type inboxes[T any] struct {
 	registry[chan T]
 }
 
-// open returns what is pushed about an ID, of which so many may wait, until it is
-// forgotten.
+// open returns a channel of what is pushed about an ID, with a buffer of backlog items, and
+// a function that closes the inbox.
 func (s *inboxes[T]) open(id string, backlog int) (pushed <-chan T, release func()) {
 	c := make(chan T, backlog)
 	s.add(id, c)
 	return c, func() { s.drop(id) }
 }
 
-// deliver hands over what was pushed about an ID. known is false if the ID is not under way,
-// taken if too much waits already.
+// deliver passes on what was pushed about an ID. known is false if the ID is not in flight;
+// taken is false if the buffer is full.
 func (s *inboxes[T]) deliver(id string, pushed T) (known, taken bool) {
 	c := s.find(id)
 	if c == nil {
@@ -70,16 +70,16 @@
 	}
 }
 
-// registry holds what is under way, by ID. It is safe for concurrent use; the zero value
-// is ready.
+// registry holds items in flight by ID. It is safe for concurrent use; the zero value is
+// ready to use.
 type registry[T any] struct {
-	// byID holds a T for each ID under way.
+	// byID maps each ID to a T.
 	byID sync.Map
 }
 
 func (s *registry[T]) add(id string, item T) { s.byID.Store(id, item) }
 
-// find returns the zero value for an ID that ended or was never begun.
+// find returns the item of an ID, or the zero value if there is none.
 func (s *registry[T]) find(id string) T {
 	item, _ := s.byID.Load(id)
 	found, _ := item.(T)
--- a/tier/pass/exchange_test.go
+++ b/tier/pass/exchange_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestInboxes has things pushed about an ID before, while and after it is under way.
+// TestInboxes delivers items before, while and after an inbox is open.
 func TestInboxes(t *testing.T) {
 	var in inboxes[int]
 	deliver := func(pushed int, known, taken bool) {
@@ -25,7 +25,7 @@
 	deliver(5, false, false)
 }
 
-// TestIDsDiffer draws IDs of two processes.
+// TestIDsDiffer checks that IDs are unique within and across processes.
 func TestIDsDiffer(t *testing.T) {
 	seen := map[string]bool{}
 	for range 2 {
--- a/tier/pass/follow_test.go
+++ b/tier/pass/follow_test.go
@@ -12,7 +12,7 @@
 	"loomgap/tier/kernel"
 )
 
-// listingOf is an upstream of a fleet with groups of 12, as of a revision.
+// testListing returns the listing of one upstream, with groups of 12, at a revision.
 func testListing(i int, revision uint64) config.Listing {
 	return config.Listing{
 		Name: fmt.Sprintf("u-%d", i), Group: fmt.Sprintf("shard-%d", i/12), Hall: fmt.Sprintf("hall-%d", i%6),
@@ -20,7 +20,7 @@
 	}
 }
 
-// knowFleet has a host know so many upstreams and other hosts, in six halls.
+// addFleet lists upstreams and adds members, in six halls.
 func addFleet(h *host, upstreams, members int) {
 	change := config.DirectoryChange{Revision: 1, Whole: true}
 	for i := range upstreams {
@@ -39,8 +39,8 @@
 	})
 }
 
-// BenchmarkOneUpstreamFollowed is the cost for the control thread of a change of one
-// upstream, by the number of upstreams, in a fleet of 584 hosts.
+// BenchmarkUpstreamChange measures the cost of a change of one upstream on the control
+// thread, by the number of upstreams, in a fleet of 584 hosts.
 func BenchmarkUpstreamChange(b *testing.B) {
 	for _, upstreams := range []int{545, 5448, 54_480} {
 		b.Run(fmt.Sprintf("upstreams=%d", upstreams), func(b *testing.B) {
@@ -61,8 +61,9 @@
 	}
 }
 
-// TestOneUpstreamFollowedCostsWhatChanged compares the memory that following a change of
-// one upstream takes in fleets ten times apart, and that its share and its link follow.
+// TestUpstreamChangeCostIsIndependentOfFleetSize compares the memory allocated for a change
+// of one upstream in fleets that differ tenfold in size, and checks that the share and the
+// connection pool of the upstream are updated.
 func TestUpstreamChangeCostIsIndependentOfFleetSize(t *testing.T) {
 	const changes = 100
 	cost := func(upstreams int) uint64 {
@@ -95,6 +96,6 @@
 		return (after.TotalAlloc - before.TotalAlloc) / changes
 	}
 	small, large := cost(1000), cost(10_000)
-	t.Logf("bytes for a change: %d of 1,000 upstreams, %d of 10,000", small, large)
-	assert.Assert(t, large < 2*small, "%d bytes of 1,000 upstreams, %d of 10,000", small, large)
+	t.Logf("bytes per change: %d with 1,000 upstreams, %d with 10,000", small, large)
+	assert.Assert(t, large < 2*small, "%d bytes with 1,000 upstreams, %d with 10,000", small, large)
 }
--- a/tier/pass/gather_test.go
+++ b/tier/pass/gather_test.go
@@ -23,7 +23,7 @@
 
 const shards = 6
 
-// gatherDoc is a document with one gather of shards S0 to S5.
+// gatherDoc returns a document with one gather of shards S0 to S5.
 func gatherDoc(coverage float64, top int) config.Document {
 	d := config.Document{}
 	g := &config.Gather{Top: top, Coverage: coverage}
@@ -39,7 +39,8 @@
 	return d
 }
 
-// part gives some records of a shard, in no order, with a rest that is none.
+// shardRecords returns records of a shard, unsorted, with a remainder that is too short for
+// a record.
 func shardRecords(shard int) string {
 	r := rand.New(rand.NewPCG(uint64(shard), 7))
 	var b strings.Builder
@@ -49,7 +50,7 @@
 	return b.String() + "rest"
 }
 
-// greatest is the answer that the parts of some shards make.
+// topRecords returns the response expected from the parts of some shards.
 func topRecords(top int, parts ...int) string {
 	var records []string
 	for _, p := range parts {
@@ -62,7 +63,7 @@
 	return strings.Join(records[:min(top, len(records))], "")
 }
 
-// gatherers starts two upstreams for each shard; reply tells what each does.
+// newShardUpstreams starts two upstreams for each shard, with the given replies.
 func newShardUpstreams(t testing.TB, h *host, halls [2]string, reply func(shard, replica int) replyFunc) [][]*fakeUpstream {
 	var out [][]*fakeUpstream
 	for s := range shards {
@@ -91,7 +92,7 @@
 		reply    func(shard, replica int) replyFunc
 		status   int
 		in       []int
-		// most is the most arrivals at one shard.
+		// most bounds the calls of one shard.
 		most int
 	}{
 		{"all well", 1, func(s, _ int) replyFunc { return good(shardRecords(s)) }, 200, whole, 2},
@@ -161,8 +162,8 @@
 	}
 }
 
-// TestGatherThatAllShed says that nothing ran only if that is certain: a call
-// may still be under way when the coverage is out of reach.
+// TestGatherAllShed accepts either failure: a gather is refused only if it certainly did
+// not run, and a call may still be in flight when the coverage becomes unreachable.
 func TestGatherAllShed(t *testing.T) {
 	h := newHost(t, hostConfig{name: "H1", hall: "A"})
 	h.applyDocument(gatherDoc(0.5, 15))
@@ -172,12 +173,12 @@
 	assert.Assert(t, r.status == http.StatusServiceUnavailable || r.status == http.StatusBadGateway, "%d", r.status)
 }
 
-// TestGatherGoesThroughANearHost has all upstreams in another hall, where a
-// host makes the calls.
+// TestGatherGoesThroughRelay has all upstreams in another hall, where a relay makes the
+// calls.
 func TestGatherGoesThroughRelay(t *testing.T) {
 	tests := []struct {
 		name string
-		// change prepares the cable and the upstreams.
+		// change prepares the network and the upstreams.
 		change func(w *network, reply *func(int, int) replyFunc)
 		status int
 		in     []int
@@ -212,8 +213,8 @@
 			w.hosts["Far"] = far
 			us := newShardUpstreams(t, h, [2]string{"B", "B"}, reply)
 			d := gatherDoc(0.8, 15)
-			// At the objective an answer with the least coverage is complete enough; it
-			// must be far enough away that a busy machine makes every call before.
+			// At the objective, a response with the minimum coverage is returned, so the
+			// objective must leave a busy machine time to make every call.
 			d.Routes[0].Objective = 1000 * millisecond
 			h.applyDocument(d)
 			far.share(h, d)
@@ -226,7 +227,7 @@
 			arrivals := 0
 			for s := range us {
 				n := us[s][0].seen("one") + us[s][1].seen("one")
-				assert.Assert(t, n <= 2, "a shard is asked %d times", n)
+				assert.Assert(t, n <= 2, "a shard was called %d times", n)
 				arrivals += n
 			}
 			assert.Assert(t, arrivals >= len(tt.in))
@@ -235,7 +236,8 @@
 	}
 }
 
-// TestBatchIsStoppedForACallerThatLeaves looks at the upstreams' connections.
+// TestBatchStopsWhenCallerLeaves checks that the calls of a relay are cancelled when the
+// caller of the request is gone.
 func TestBatchStopsWhenCallerLeaves(t *testing.T) {
 	w := newNetwork()
 	h := newHost(t, hostConfig{name: "H1", hall: "A", peers: w})
@@ -349,8 +351,8 @@
 	assert.Equal(t, out.(*batchReply).Ended[0].Outcome, string(policy.CallUnreachable))
 }
 
-// TestRelayedCallsHaveOneTrace looks at the spans of a gather through a near
-// host: each hop has one, and all belong to the caller's trace.
+// TestRelayedCallsHaveOneTrace checks that each hop of a gather through a relay has a span,
+// and that all spans belong to the caller's trace.
 func TestRelayedCallsHaveOneTrace(t *testing.T) {
 	spans := tracetest.NewInMemoryExporter()
 	tracer := sdk.NewTracerProvider(sdk.WithSyncer(spans)).Tracer("")
@@ -372,15 +374,15 @@
 		}
 		return out
 	}
-	// A span ends a little after the answer that it is about.
+	// A span may end shortly after the response.
 	eventually(t, "each hop has its span", func() bool { return hops()["relay"] >= 1 && hops()["upstream"] >= shards })
 	for _, s := range spans.GetSpans() {
 		assert.Equal(t, s.SpanContext.TraceID(), spans.GetSpans()[0].SpanContext.TraceID())
 	}
 }
 
-// TestHostsOfOtherHallsAreMetAhead has a host learn of others: it connects to two
-// of each other hall, once.
+// TestPreconnectToOtherHalls checks that a host connects once to each of the first two
+// hosts of each other hall.
 func TestPreconnectToOtherHalls(t *testing.T) {
 	w := newNetwork()
 	h := newHost(t, hostConfig{name: "H1", hall: "A", peers: w})
--- a/tier/pass/golden_test.go
+++ b/tier/pass/golden_test.go
@@ -23,7 +23,7 @@
 	"loomgap/tier/query"
 )
 
-// messages are the messages between hosts with every field set.
+// messages are the messages between hosts, with every field set.
 var messages = []any{
 	&batchRequest{
 		ID: "b-1", Route: "Find", RequestID: "r-1", Method: "POST", Head: "POST / HTTP/1.1\r\n", Body: []byte("body"),
@@ -54,9 +54,9 @@
 	&coordinateID{ID: "f-1"},
 }
 
-// TestMessagesBetweenHosts pins each message as JSON, with every field set and with
-// none, and that the JSON is read back to the same value. A host of the version
-// before must understand a host of this one.
+// TestMessagesBetweenHosts pins the JSON of each message, with every field set and with
+// none, and checks that it decodes to the same value. Hosts of different versions must
+// understand each other.
 func TestMessagesBetweenHosts(t *testing.T) {
 	var b strings.Builder
 	for _, full := range messages {
@@ -76,7 +76,7 @@
 	golden.Assert(t, b.String(), "messages.golden")
 }
 
-// TestMethodsBetweenHosts pins the names of the methods, and that each is served.
+// TestMethodsBetweenHosts pins the names of the methods and checks that each has a handler.
 func TestMethodsBetweenHosts(t *testing.T) {
 	methods := map[string]string{
 		methodBatch: "Gather", methodBatchProgress: "GatherProgress", methodBatchStop: "GatherStop", methodRecords: "GatherRecords",
@@ -89,7 +89,7 @@
 	}
 }
 
-// TestWordsOfOutcomes pins the words of logs, metrics and messages.
+// TestOutcomeNames pins the values that appear in logs, metrics and messages.
 func TestOutcomeNames(t *testing.T) {
 	assert.DeepEqual(t, []outcome{
 		outcomeServed, outcomePartial, outcomeFailed, outcomeNotRun, outcomeUnknown, outcomeLate, outcomeNoRoute,
@@ -101,21 +101,21 @@
 	assert.DeepEqual(t, []declineReason{declineStopping, declineRoute, declineNotBegun}, []declineReason{"Stopping", "Route", "NotBegun"})
 }
 
-// observed is what callers and log readers see of some requests.
+// observation collects the responses and log lines of some requests.
 type observation struct {
-	answers strings.Builder
-	// logs holds the messages with the names of their fields.
+	responses strings.Builder
+	// logs is the set of log messages with the names of their fields.
 	logs map[string]bool
 }
 
-// answer notes the status, the names of the headers and the text of an answer.
+// addResponse adds the status, headers and body of a response.
 func (o *observation) addResponse(name string, r result) {
 	body := r.body
 	if strings.HasPrefix(r.header.Get("Content-Type"), "application/octet-stream") {
 		body = fmt.Sprint(len(body), " bytes")
 	}
 	if r.header.Get(names.Parts) != "" {
-		// The stamps come as the calls end.
+		// The order of the stamps varies.
 		r.header.Set(names.Parts, fmt.Sprint(len(sortedStamps(r)), " stamps"))
 	}
 	var headers []string
@@ -125,10 +125,10 @@
 		}
 		headers = append(headers, n)
 	}
-	fmt.Fprintf(&o.answers, "%s: %d %q\n  %s\n", name, r.status, body, strings.Join(headers, "\n  "))
+	fmt.Fprintf(&o.responses, "%s: %d %q\n  %s\n", name, r.status, body, strings.Join(headers, "\n  "))
 }
 
-// take notes the fields of the lines of a log, by message.
+// addLog adds the lines of a log.
 func (o *observation) addLog(t *testing.T, log *lockedBuffer) {
 	for _, text := range strings.Split(strings.TrimSpace(log.String()), "\n") {
 		var line map[string]any
@@ -145,7 +145,7 @@
 	}
 }
 
-// observeSingle has requests to one group meet each of their ends.
+// observeSingle sends requests to one group that end with each outcome.
 func (o *observation) observeSingle(t *testing.T) {
 	var log lockedBuffer
 	h := newHost(t, hostConfig{name: "H1", hall: "A", log: &log})
@@ -176,15 +176,15 @@
 	o.addLog(t, &log)
 }
 
-// unhurriedDoc is gatherDoc with an objective that a busy machine meets: before it, an
-// answer has all parts that there are.
+// longObjectiveDoc returns gatherDoc with an objective that a busy machine meets, so that
+// responses include all available parts.
 func longObjectiveDoc(coverage float64, top int) config.Document {
 	d := gatherDoc(coverage, top)
 	d.Routes[0].TimeLimit, d.Routes[0].Objective = 20000*millisecond, 10000*millisecond
 	return d
 }
 
-// observeForwarded has a gather handed over to a coordinator in each of its states.
+// observeForwarded forwards a gather to a coordinator in each of its states.
 func (o *observation) observeForwarded(t *testing.T) {
 	soon := heartbeatTimeouts{first: time.Millisecond, next: testBound}
 	cases := []struct {
@@ -223,7 +223,7 @@
 	}
 }
 
-// observeRelayed has the calls of a gather made by a host of another hall.
+// observeRelayed has a host of another hall make the calls of a gather.
 func (o *observation) observeRelayed(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -246,7 +246,7 @@
 				hall, text = "B", strings.ReplaceAll(shardRecords(s), ".", "z")
 			}
 			if s >= shards/2 && w.failingMethods != nil {
-				// The records of this hall come before all others.
+				// The records of this hall sort before all others.
 				text = regexp.MustCompile(".{16}").ReplaceAllStringFunc(text, func(r string) string { return "z" + r[1:] })
 			}
 			h.listUpstream(fmt.Sprint("S", s), hall, newFakeUpstream(t, fmt.Sprint("U", s), good(text)), false)
@@ -260,14 +260,14 @@
 	}
 }
 
-// TestWhatCallersAndLogReadersSee pins the answers to callers with their headers,
-// the fields of the log lines of requests, and the metrics.
+// TestResponsesLogsAndMetrics pins the responses to callers with their headers, the fields
+// of the log lines of requests, and the metrics.
 func TestResponsesLogsAndMetrics(t *testing.T) {
 	o := &observation{logs: map[string]bool{}}
 	o.observeSingle(t)
 	o.observeForwarded(t)
 	o.observeRelayed(t)
-	golden.Assert(t, o.answers.String(), "answers.golden")
+	golden.Assert(t, o.responses.String(), "answers.golden")
 	golden.Assert(t, strings.Join(slices.Sorted(maps.Keys(o.logs)), "\n")+"\n", "logs.golden")
 
 	label := regexp.MustCompile(`="[^"]*"`)
--- a/tier/pass/host_test.go
+++ b/tier/pass/host_test.go
@@ -28,41 +28,41 @@
 	"loomgap/tier/policy"
 )
 
-// names are the headers of these tests.
+// names are the header names used in the tests.
 var names = kernel.Headers{
 	RequestID: "X-Id", DeadlineMillis: "X-Left", Upstream: "X-Upstream", Stamp: "X-Stamp",
 	NotRun: "X-Not-Run", Load: "X-Load", Parts: "X-Parts", Missing: "X-Missing",
 }
 
-// testBound is how long anything in these tests may take; it is far more than
-// what is expected and judges nothing.
+// testBound is a generous timeout for anything in the tests; no result depends on it.
 const testBound = 20 * time.Second
 
-// replyFunc answers one request on a connection; false closes the connection.
+// replyFunc answers one request on a connection. If it returns false, the connection is
+// closed.
 type replyFunc func(u *fakeUpstream, c net.Conn, r *http.Request) bool
 
-// upstream is a stand-in of an upstream. It counts what arrives.
+// fakeUpstream is an upstream that records the requests it gets.
 type fakeUpstream struct {
 	t        testing.TB
 	name     string
 	listener net.Listener
 
 	mu sync.Mutex
-	// arrivals counts requests by ID; requests keeps the last one of each ID,
-	// bodies its body.
+	// arrivals counts the requests by ID; requests and bodies keep the last request of each
+	// ID and its body.
 	arrivals map[string]int
 	requests map[string]*http.Request
 	bodies   map[string]string
 	accepted int
-	// carried counts the connections that brought a request.
+	// usedConns counts the connections that carried a request.
 	usedConns int
 	reply     replyFunc
 	conns     []net.Conn
-	// silenced is how many of conns, the first, never answer again.
+	// silencedConns is how many of conns, from the first, no longer respond.
 	silencedConns int
 }
 
-// forget resets the connections that are there, without a word.
+// resetConns resets the open connections.
 func (u *fakeUpstream) resetConns() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -75,7 +75,7 @@
 	u.conns = nil
 }
 
-// silence has the connections that are there never answer again; new ones work.
+// silenceConns makes the open connections unresponsive; new ones work.
 func (u *fakeUpstream) silenceConns() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -88,7 +88,7 @@
 	return len(u.conns)
 }
 
-// isSilenced reports whether a connection was there when they were silenced.
+// isSilenced reports whether a connection was silenced.
 func (u *fakeUpstream) isSilenced(c net.Conn) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -169,7 +169,7 @@
 	return n
 }
 
-// answerWith writes a whole answer.
+// writeResponse writes a whole response.
 func writeResponse(c net.Conn, status int, headers map[string]string, body string) bool {
 	var b strings.Builder
 	fmt.Fprintf(&b, "HTTP/1.1 %d X\r\nContent-Length: %d\r\n", status, len(body))
@@ -181,7 +181,7 @@
 	return err == nil
 }
 
-// good answers as an upstream does that is well.
+// good returns a reply as of a healthy upstream.
 func good(body string) replyFunc {
 	return func(u *fakeUpstream, c net.Conn, r *http.Request) bool {
 		id := r.Header.Get(names.RequestID)
@@ -189,7 +189,8 @@
 	}
 }
 
-// failing answers with a status and, with notRun, the word that it did not run.
+// fail returns a reply with a status code. With notRun, it has the header which says that
+// the request did not run; otherwise it has a stamp.
 func fail(status int, notRun bool) replyFunc {
 	return func(u *fakeUpstream, c net.Conn, r *http.Request) bool {
 		h := map[string]string{names.RequestID: r.Header.Get(names.RequestID)}
@@ -202,25 +203,25 @@
 	}
 }
 
-// reset ends the connection with a reset.
+// reset resets the connection.
 func reset(_ *fakeUpstream, c net.Conn, _ *http.Request) bool {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	return false
 }
 
-// silent never answers.
+// silent never responds.
 func silent(_ *fakeUpstream, c net.Conn, _ *http.Request) bool {
 	_, _ = io.Copy(io.Discard, c)
 	return false
 }
 
-// host is an entry host in the test's own process.
+// host is an entry host in the process of the test.
 type host struct {
 	t      testing.TB
 	kernel *kernel.Kernel
 	engine *engine
 	server *httptest.Server
-	// revision is that of the last change.
+	// revision is the revision of the last change.
 	revision uint64
 }
 
@@ -229,11 +230,11 @@
 	peers       kernel.PeerCaller
 	retryBudget kernel.RetryBudget
 	log         io.Writer
-	// age is that of the process; 0 for a minute.
+	// age is the age of the process; a minute if 0.
 	age time.Duration
-	// cores is the share of processors; 0 for one.
+	// cores is the number of CPU cores; one if 0.
 	cores float64
-	// regions says where halls lie; none by default.
+	// regions maps halls to regions; none by default.
 	regions config.Regions
 }
 
@@ -269,7 +270,7 @@
 	return h
 }
 
-// do runs a job on the control thread and waits for its view.
+// do runs a job on the control thread and waits for the view that results.
 func (h *host) do(job func(s *kernel.State)) {
 	for _, j := range []func(*kernel.State){job, func(*kernel.State) {}} {
 		done := make(chan struct{})
@@ -287,7 +288,7 @@
 	assert.Equal(h.t, h.kernel.View().Refused, "")
 }
 
-// list puts an upstream into the directory.
+// listUpstream adds an upstream to the directory.
 func (h *host) listUpstream(group, hall string, u *fakeUpstream, leaving bool) {
 	h.revision++
 	l := config.Listing{
@@ -299,7 +300,7 @@
 	})
 }
 
-// member makes another host a live member.
+// addMember makes another host a live member.
 func (h *host) addMember(o *host) {
 	h.do(func(s *kernel.State) {
 		n := o.kernel.Settings.Host
@@ -315,7 +316,7 @@
 	err    error
 }
 
-// ask sends one request with an ID and a deadline in milliseconds.
+// send sends a request with an ID and a deadline in milliseconds.
 func (h *host) send(method, path, id string, left int, body string) result {
 	ctx, cancel := context.WithTimeout(h.t.Context(), testBound)
 	defer cancel()
@@ -330,29 +331,30 @@
 		r.Header.Set(names.RequestID, id)
 	}
 	r.Header.Set(names.DeadlineMillis, strconv.Itoa(left))
-	answer, err := h.server.Client().Do(r)
+	resp, err := h.server.Client().Do(r)
 	if err != nil {
 		return result{err: err}
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(answer.Body)
-	return result{status: answer.StatusCode, header: answer.Header, body: string(text), err: err}
+	defer resp.Body.Close()
+	text, err := io.ReadAll(resp.Body)
+	return result{status: resp.StatusCode, header: resp.Header, body: string(text), err: err}
 }
 
-// cable joins hosts: calls between them go through JSON, as over a connection.
+// network connects hosts in memory. Messages are encoded as JSON, as on a real connection.
 type network struct {
 	mu    sync.Mutex
 	hosts map[string]*host
-	// cut are hosts that cannot be reached, mute those that never answer.
+	// unreachable are hosts that cannot be reached; unresponsive are hosts that never
+	// reply.
 	unreachable, unresponsive map[string]bool
-	// broken are methods that no host can be reached for.
+	// failingMethods are methods that cannot reach any host.
 	failingMethods map[string]bool
-	// pushes is how many pushes arrive, the first ones; below 0 for all.
+	// pushesLeft is how many more pushes are delivered; all if negative.
 	pushesLeft int
 	calls      map[string]int
-	// met are the hosts that were connected to ahead.
+	// preconnected are the hosts that were connected to in advance.
 	preconnected []string
-	// sender is the host that calls others: the first that was made.
+	// sender is the host that calls others: the first one created.
 	sender *host
 }
 
@@ -415,7 +417,7 @@
 	}
 }
 
-// push tells the sender something before the answer.
+// push delivers a message to the sender before the reply.
 func (w *network) push(method string, params any) error {
 	w.mu.Lock()
 	lost := w.pushesLeft == 0
@@ -448,7 +450,7 @@
 	return w.Call(ctx, to, method, params, &none)
 }
 
-// eventually waits until something holds.
+// eventually waits until a condition holds.
 func eventually(t testing.TB, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testBound); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -456,5 +458,5 @@
 			return
 		}
 	}
-	t.Fatalf("never: %s", what)
+	t.Fatalf("timed out waiting until %s", what)
 }
--- a/tier/pass/host_tracker.go
+++ b/tier/pass/host_tracker.go
@@ -11,47 +11,46 @@
 )
 
 const (
-	// replyGrace is how late the first sign of a host may be until the host is considered
-	// unresponsive: other hosts are asked first then.
+	// replyGrace is how late the first reply of a host may be before the host is considered
+	// unresponsive and other hosts are tried first.
 	replyGrace = 100 * time.Millisecond
-	// hallUnresponsiveAfter is how many different hosts of a hall in a row must leave
-	// a batch unanswered until the upstreams of the hall are called directly: this
-	// host may be cut off from the hosts there and not from the upstreams.
+	// hallUnresponsiveThreshold is how many different hosts of a hall must consecutively
+	// leave a batch unanswered before the upstreams of the hall are called directly: this
+	// host may be cut off from the hosts there but not from the upstreams.
 	hallUnresponsiveThreshold = 2
 )
 
-// hostTracker knows which other hosts answer what this host sends them, as relays and
-// as coordinators alike, and how long a message to them takes. It is safe for
-// concurrent use.
+// hostTracker tracks which other hosts respond to this host, as relays or as coordinators,
+// and the round trip to them. It is safe for concurrent use.
 type hostTracker struct {
 	mu sync.Mutex
-	// hosts are by name of the host, halls by name of the hall.
+	// hosts and halls are by name.
 	hosts map[string]*trackedHost
 	halls map[string]*trackedHall
 }
 
-// trackedHost is what is known of one host from its answers.
+// trackedHost is the state of one host.
 type trackedHost struct {
-	// pending counts the batches and requests that it has not answered yet.
+	// pending counts the batches and requests that the host has not responded to yet.
 	pending int
-	// dueAt is when the first sign of the oldest pending one is due; 0 if none is
+	// dueAt is when the first reply to the oldest pending message is due; 0 if none is
 	// pending.
 	dueAt time.Duration
-	// backoff is active while other hosts are asked first.
+	// backoff is active while other hosts are tried first.
 	backoff backoff
-	// roundTrip is the least time that a message and its answer took; 0 if unknown.
+	// roundTrip is the shortest round trip seen; 0 if unknown.
 	roundTrip time.Duration
 }
 
-// trackedHall is what is known of the hosts of one hall together.
+// trackedHall is the state of the hosts of one hall together.
 type trackedHall struct {
-	// unresponsive counts the different hosts in a row that did not answer in time;
-	// last is the last of them.
+	// unresponsive counts the different hosts that consecutively did not respond in time;
+	// last is the most recent of them.
 	unresponsive int
 	last         string
-	// backoff is active while no host of the hall is asked.
+	// backoff is active while no host of the hall is tried.
 	backoff backoff
-	// roundTrip is the least time that a message and its answer took; 0 if unknown.
+	// roundTrip is the shortest round trip seen; 0 if unknown.
 	roundTrip time.Duration
 }
 
@@ -59,10 +58,11 @@
 	return hostTracker{hosts: map[string]*trackedHost{}, halls: map[string]*trackedHall{}}
 }
 
-// leastPending returns the responsive live host of a hall with the fewest pending
-// answers for its capacity, and with none to the request that counts its own in
-// pending; empty if there is none. Among equals all senders take the same host: it
-// sees most calls to the upstreams of its hall, so it learns their state early.
+// leastPending returns the responsive host of a hall with the fewest pending messages in
+// proportion to its capacity, or "" if there is none. Hosts that the request itself waits
+// for, as counted in pending, are excluded. Ties are broken by name, so that all senders
+// choose the same host: it then sees most calls to the upstreams of its hall and learns
+// their state early.
 func (t *hostTracker) leastPending(v *kernel.View, hall string, now time.Duration, pending map[string]int) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -86,12 +86,13 @@
 	})
 }
 
-// pendingPerCapacity is a host's pending answers, with one more, for its capacity.
+// pendingPerCapacity returns the load of a host with one more pending message, in
+// proportion to its capacity.
 func pendingPerCapacity(pending, capacity int) float64 {
 	return float64(pending+1) / float64(max(capacity, 1))
 }
 
-// ifResponsive returns a host if it is live and responsive; else an empty name.
+// ifResponsive returns the host if it is live and responsive, or else "".
 func (t *hostTracker) ifResponsive(v *kernel.View, host string, now time.Duration) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -101,8 +102,8 @@
 	return host
 }
 
-// candidates returns the responsive ones of some candidates that were not tried yet,
-// with what is known of them.
+// candidates returns the responsive candidates that were not tried yet, with their pending
+// messages and round trips.
 func (t *hostTracker) candidates(all []policy.Candidate, now time.Duration, tried map[string]bool) []policy.Candidate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -117,14 +118,14 @@
 	return out
 }
 
-// roundTrip returns how long a message to a host and its answer take; 0 if unknown.
+// roundTrip returns the round trip to a host; 0 if unknown.
 func (t *hostTracker) roundTrip(host string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.host(host).roundTrip
 }
 
-// observe notes how long a connection to a host of a hall took to make.
+// observeConnect records how long connecting to a host of a hall took.
 func (t *hostTracker) observeConnect(hall string, roundTrip time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -132,7 +133,7 @@
 	h.roundTrip = minKnown(h.roundTrip, roundTrip)
 }
 
-// sent notes a batch or request, and when the first sign of it is due.
+// sent records a batch or request that was sent, and when the first reply to it is due.
 func (t *hostTracker) sent(host string, due time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -143,8 +144,7 @@
 	}
 }
 
-// answered notes the first sign of a batch or request, and how long the message and
-// the sign took.
+// answered records the first reply to a batch or request, and the round trip.
 func (t *hostTracker) answered(host, hall string, now, roundTrip time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -156,8 +156,8 @@
 	*h = trackedHall{roundTrip: minKnown(h.roundTrip, roundTrip)}
 }
 
-// unanswered notes a batch or request that ended without any sign. With overdue the
-// sign was due long before, and the host gets nothing for a while.
+// unanswered records a batch or request that ended without any reply. If the reply is
+// overdue, the host and possibly its hall back off.
 func (t *hostTracker) unanswered(host, hall string, now time.Duration, overdue bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -181,8 +181,8 @@
 	}
 }
 
-// declined notes that a host declined a request. One that is stopping gets nothing
-// for a while; one that has another configuration will soon have this one.
+// declined records that a host declined a request. A host that is stopping backs off; one
+// with another configuration does not, since it will soon have the same one.
 func (t *hostTracker) declined(host string, now time.Duration, why declineReason) {
 	if why != declineStopping {
 		return
@@ -192,13 +192,13 @@
 	t.host(host).backoff.begin(now)
 }
 
-// host returns what is known of a host; mu is held.
+// host returns the state of a host. mu must be held.
 func (t *hostTracker) host(name string) *trackedHost { return getOrCreate(t.hosts, name) }
 
-// hall returns what is known of a hall; mu is held.
+// hall returns the state of a hall. mu must be held.
 func (t *hostTracker) hall(name string) *trackedHall { return getOrCreate(t.halls, name) }
 
-// tracked returns the item of a name, which is made when it is first asked for.
+// getOrCreate returns the item of a name and creates it if necessary.
 func getOrCreate[T any](items map[string]*T, name string) *T {
 	if items[name] == nil {
 		items[name] = new(T)
@@ -206,13 +206,13 @@
 	return items[name]
 }
 
-// responsive reports whether a host may be asked; mu is held.
+// responsive reports whether a host may be used. mu must be held.
 func (t *hostTracker) responsive(host string, now time.Duration) bool {
 	s := t.host(host)
 	return !s.backoff.active(now) && (s.dueAt == 0 || now-s.dueAt < replyGrace)
 }
 
-// ended notes that a batch or request is not pending any more.
+// removePending removes a batch or request that is no longer pending.
 func (h *trackedHost) removePending(now time.Duration) {
 	h.pending--
 	h.dueAt = 0
@@ -221,7 +221,7 @@
 	}
 }
 
-// leastKnown returns the lesser of two times; 0 stands for one that is not known.
+// minKnown returns the shorter of two times, where 0 means unknown.
 func minKnown(a, b time.Duration) time.Duration {
 	if a == 0 || b > 0 && b < a {
 		return b
--- a/tier/pass/host_tracker_test.go
+++ b/tier/pass/host_tracker_test.go
@@ -12,18 +12,18 @@
 	"loomgap/tier/policy"
 )
 
-// TestSilentHostRestsLongerEachTime has a host of another hall leave batches
-// unanswered, and then answer one.
+// TestUnresponsiveHostBackoffGrows leaves messages to a host unanswered, and then has it
+// answer one, which resets the backoff.
 func TestUnresponsiveHostBackoffGrows(t *testing.T) {
 	r := newHostTracker()
 	now := time.Minute
-	for _, backoff := range []time.Duration{backoffInitial, 2 * backoffInitial, 4 * backoffInitial, backoffMax, backoffMax} {
+	for _, want := range []time.Duration{backoffInitial, 2 * backoffInitial, 4 * backoffInitial, backoffMax, backoffMax} {
 		r.sent("Far", now)
 		assert.Assert(t, r.responsive("Far", now+replyGrace-1))
 		assert.Assert(t, !r.responsive("Far", now+replyGrace))
 		r.unanswered("Far", "B", now, true)
-		assert.Assert(t, !r.responsive("Far", now+backoff-1), "%s", backoff)
-		now += backoff
+		assert.Assert(t, !r.responsive("Far", now+want-1), "%s", want)
+		now += want
 		assert.Assert(t, r.responsive("Far", now))
 	}
 	r.sent("Far", now)
@@ -33,8 +33,8 @@
 	assert.Assert(t, r.responsive("Far", now+backoffInitial))
 }
 
-// TestSilentHallIsCalledDirectly has a host be cut off from ten hosts of another
-// hall: after two batches it calls the upstreams there itself, for a while.
+// TestUnresponsiveHallIsCalledDirectly cuts a host off from ten hosts of another hall:
+// after two batches it must call the upstreams there itself for a while.
 func TestUnresponsiveHallIsCalledDirectly(t *testing.T) {
 	r := newHostTracker()
 	v := &kernel.View{Members: map[string]kernel.Member{}}
@@ -43,7 +43,7 @@
 		v.Members[n] = kernel.Member{Host: n, Hall: "B", Live: true, Peer: netip.MustParseAddrPort("127.0.0.1:1")}
 	}
 	now := time.Minute
-	lost := func() string {
+	sendLost := func() string {
 		host := r.leastPending(v, "B", now, nil)
 		if host != "" {
 			r.sent(host, now)
@@ -51,12 +51,12 @@
 		}
 		return host
 	}
-	assert.Equal(t, lost(), "B0")
-	assert.Equal(t, lost(), "B1")
-	assert.Equal(t, lost(), "")
+	assert.Equal(t, sendLost(), "B0")
+	assert.Equal(t, sendLost(), "B1")
+	assert.Equal(t, sendLost(), "")
 	now += backoffInitial
-	assert.Equal(t, lost(), "B0", "one batch looks whether the way is back")
-	assert.Equal(t, lost(), "")
+	assert.Equal(t, sendLost(), "B0", "one batch looks whether the way is back")
+	assert.Equal(t, sendLost(), "")
 	now += 2 * backoffInitial
 	host := r.leastPending(v, "B", now, nil)
 	r.sent(host, now)
@@ -64,7 +64,6 @@
 	assert.Assert(t, r.leastPending(v, "B", now, nil) != "")
 }
 
-// TestRoundTripIsTheLeastKnown notes how long connections and messages took.
 func TestRoundTripIsMinimum(t *testing.T) {
 	r := newHostTracker()
 	assert.Equal(t, r.roundTrip("Far"), time.Duration(0))
@@ -81,7 +80,8 @@
 	assert.Equal(t, len(r.candidates(far, 0, map[string]bool{"Far": true})), 0)
 }
 
-// TestHostThatStopsGetsNothing has hosts decline requests.
+// TestStoppingHostBacksOff checks that only a host that declined because it is stopping
+// backs off.
 func TestStoppingHostBacksOff(t *testing.T) {
 	r := newHostTracker()
 	r.declined("Route", time.Minute, declineRoute)
--- a/tier/pass/inbound.go
+++ b/tier/pass/inbound.go
@@ -16,36 +16,36 @@
 )
 
 const (
-	// responseReserve is kept back from a caller's deadline, so that the answer is there
-	// while the caller still waits: a link's delay and a late timer.
+	// responseReserve is subtracted from the caller's deadline, so that the response
+	// arrives in time despite network delay and late timers.
 	responseReserve = 10 * time.Millisecond
-	// responseReserveParts bounds the reserve to one of so many parts of the time limit.
+	// responseReserveDivisor limits the reserve to this fraction of the time limit.
 	responseReserveDivisor = 4
-	// defaultBody bounds a request's body, in bytes, where the document says nothing.
+	// defaultMaxBodyBytes bounds the body of a request if the document sets no limit.
 	defaultMaxBodyBytes = 1 << 20
 )
 
 type inboundRequest struct {
 	id string
-	// hostName and path are what the route is found by.
+	// hostName and path select the route.
 	hostName, path string
 	method         string
-	// head is the request line and the headers that all upstreams get alike.
+	// head is the request line and the headers that are the same for all upstreams.
 	head, body []byte
-	// subject identifies the request if it crashes upstreams; its fingerprint is empty
+	// identity serves to detect requests that crash upstreams; its fingerprint is empty
 	// until the request is read.
-	subject policy.Subject
+	identity policy.Subject
 }
 
-// setContent sets what the request asks for, and the fingerprint of that.
+// setContent sets head and body, and the fingerprint computed from them.
 func (i *inboundRequest) setContent(head, body []byte) {
 	i.head, i.body = head, body
 	content := parseContent(head, body)
-	i.subject.Fingerprint = content.Fingerprint()
+	i.identity.Fingerprint = content.Fingerprint()
 }
 
-// callerOf returns the address that a request came from; the zero value if the server
-// does not give one.
+// callerAddr returns the address of the caller, or the zero value if the server does not
+// provide a valid one.
 func callerAddr(r *http.Request) netip.Addr {
 	addrPort, err := netip.ParseAddrPort(r.RemoteAddr)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return addrPort.Addr().Unmap()
 }
 
-// findRoute finds the route of a request; it answers a request that has none.
+// findRoute finds the route of a request, and responds to a request that has none.
 func (q *request) findRoute(w http.ResponseWriter, r *http.Request) bool {
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	if !strings.HasPrefix(path, "/") {
@@ -63,7 +63,7 @@
 	q.in.hostName, q.in.path = stripPort(r.Host), path
 	q.route, q.class = q.view.Index.Route(q.in.hostName, q.in.path)
 	if q.route == nil && !q.view.Confirmed {
-		// The route may be in a newer document, so that this is no final answer yet.
+		// A newer document may have the route, so the caller may retry.
 		q.refuse(w, "no such route in a document that may be old", retryAfterNoConfig)
 		return false
 	}
@@ -81,7 +81,7 @@
 	return host
 }
 
-// read reads ID, deadline, headers and body; it answers a request that is wrong.
+// read reads the ID, deadline, headers and body, and responds to an invalid request.
 func (q *request) read(w http.ResponseWriter, r *http.Request) bool {
 	if q.in.id == "" {
 		q.reject(w, http.StatusBadRequest, outcomeInvalid, "header "+q.engine.headers.RequestID+" is missing: send an ID of the request")
@@ -97,8 +97,8 @@
 	return ok
 }
 
-// readDeadline sets the deadline: the route's time limit, or the caller's if that is
-// shorter, less what is kept back for the response.
+// readDeadline sets the deadline to the shorter of the route's time limit and the caller's,
+// less a reserve for the response.
 func (q *request) readDeadline(w http.ResponseWriter, r *http.Request) bool {
 	limit := time.Duration(q.route.TimeLimit)
 	if text := r.Header.Get(q.engine.headers.DeadlineMillis); text != "" {
@@ -113,7 +113,7 @@
 	return true
 }
 
-// readBody reads the body; ok is false if the request was answered.
+// readBody reads the body. If ok is false, it has responded to the request.
 func (q *request) readBody(w http.ResponseWriter, r *http.Request) (body []byte, ok bool) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, true
@@ -129,7 +129,7 @@
 		q.reject(w, http.StatusRequestEntityTooLarge, outcomeTooLarge, "body over "+strconv.FormatInt(maxBytes, 10)+" bytes: send a shorter one")
 		return nil, false
 	case err != nil:
-		q.log(outcomeInvalid, http.StatusBadRequest).Err(err).Msg("request not read")
+		q.log(outcomeInvalid, http.StatusBadRequest).Err(err).Msg("reading request body failed")
 		w.Header().Set("Connection", "close")
 		w.WriteHeader(http.StatusBadRequest)
 		return nil, false
@@ -137,13 +137,15 @@
 	return body, true
 }
 
-// connectionHeaders pertain to one connection and are not passed on (RFC 9110, 7.6.1).
+// connectionHeaders are the hop-by-hop headers, which are not forwarded (RFC 9110, section
+// 7.6.1).
 var connectionHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// strip removes the headers that pertain to one connection.
+// stripConnectionHeaders removes the hop-by-hop headers, including those that Connection
+// lists.
 func stripConnectionHeaders(h http.Header) {
 	for _, line := range h["Connection"] {
 		for _, name := range strings.Split(line, ",") {
@@ -155,7 +157,7 @@
 	}
 }
 
-// contentOf returns what a request asks for, read from the head that headOf wrote.
+// parseContent parses a head written by buildHead.
 func parseContent(head, body []byte) policy.Content {
 	line, rest, _ := strings.Cut(string(head), "\r\n")
 	method, line, _ := strings.Cut(line, " ")
@@ -163,11 +165,12 @@
 	return policy.Content{Method: method, Target: strings.TrimSuffix(line, " HTTP/1.1"), HostName: host, Body: body}
 }
 
-// headOf writes the request line and the headers that all upstreams get alike.
+// buildHead serializes the request line and the headers that are the same for all
+// upstreams.
 func buildHead(r *http.Request, names *kernel.Headers, body int) []byte {
 	h := r.Header.Clone()
 	stripConnectionHeaders(h)
-	// A caller cannot take the ID away by naming it in Connection.
+	// A caller must not be able to remove the ID by listing it in Connection.
 	h[http.CanonicalHeaderKey(names.RequestID)] = r.Header[http.CanonicalHeaderKey(names.RequestID)]
 	h.Del(names.DeadlineMillis)
 	h.Del(names.Upstream)
@@ -178,6 +181,6 @@
 	}
 	var b bytes.Buffer
 	b.WriteString(r.Method + " " + r.RequestURI + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
-	_ = h.Write(&b) // a bytes.Buffer takes all
+	_ = h.Write(&b) // a bytes.Buffer returns no error
 	return b.Bytes()
 }
--- a/tier/pass/inbound_test.go
+++ b/tier/pass/inbound_test.go
@@ -10,7 +10,7 @@
 	"loomgap/tier/policy"
 )
 
-// TestContentOfHead reads what a request asks for back from its head, as a relay does.
+// TestParseContent parses heads written by buildHead, as a relay does.
 func TestParseContent(t *testing.T) {
 	for _, target := range []string{"/find/x?page=1&sort=new", "/find/a%20b", "/"} {
 		r := httptest.NewRequest("POST", target, strings.NewReader("body"))
--- a/tier/pass/merge.go
+++ b/tier/pass/merge.go
@@ -7,22 +7,23 @@
 )
 
 const (
-	// recordBytes is the size of a record; a shorter piece at the end of a part is none.
+	// recordBytes is the size of a record. A shorter remainder at the end of a part is
+	// ignored.
 	recordBytes = 16
-	// mergeSpareTops is how many times the records of an answer a merger may hold until it
-	// drops the least.
+	// mergeBufferFactor and mergeBufferExtra bound the buffer of a merger to
+	// mergeBufferFactor*top+mergeBufferExtra records; beyond that, it drops all but the
+	// greatest.
 	mergeBufferFactor = 8
-	// mergeSpareRecords is how many records it may hold besides.
-	mergeBufferExtra = 1024
+	mergeBufferExtra  = 1024
 )
 
-// merger keeps the greatest records of the parts added; top is how many.
+// merger keeps the greatest records, at most top of them, of the parts added.
 type merger struct {
 	top     int
 	records [][]byte
 }
 
-// add adds the records of a part, which must not change afterwards.
+// add adds the records of a part, which must not be modified afterwards.
 func (m *merger) add(part []byte) {
 	for ; len(part) >= recordBytes; part = part[recordBytes:] {
 		m.records = append(m.records, part[:recordBytes])
@@ -44,18 +45,19 @@
 	m.records = m.records[:keep]
 }
 
-// block is the merged records of several parts. They cannot be told apart, so a block
-// is in an answer with all its parts or not at all.
+// block holds the merged records of several parts. They cannot be separated, so a response
+// includes either all parts of a block or none.
 type block struct {
 	records []byte
-	// stamps are the proofs of the parts, by number of the part.
+	// stamps are the upstreams' stamps by part index.
 	stamps map[int]string
-	// leftOut says where the least records are that were not sent; nil if all were.
+	// omitted identifies the least records, which the relay did not send; nil if it sent
+	// all.
 	omitted *omittedRef
 }
 
-// lacks reports whether records that were not sent may belong to an answer whose
-// least record is given, nil for an answer with room for more.
+// mayMissRecords reports whether omitted records may belong to a response whose least
+// record is given. least is nil if the response has room for more records.
 func (b *block) mayMissRecords(least []byte) bool {
 	if b.omitted == nil || len(b.records) < recordBytes {
 		return b.omitted != nil
@@ -64,9 +66,9 @@
 	return least == nil || bytes.Compare(last, least) > 0
 }
 
-// gatheredParts collects the parts of one answer. It is not safe for concurrent use.
+// gatheredParts collects the parts of a response. It is not safe for concurrent use.
 type gatheredParts struct {
-	// single are the parts that came by themselves, by number of the part.
+	// single holds the parts that are not in a block, by part index.
 	single map[int]*response
 	blocks []*block
 }
@@ -83,21 +85,20 @@
 	}
 }
 
-// merged merges what makes the answer, and returns that too.
+// mergeChosen merges the chosen blocks and parts, and returns those too.
 func (g *gatheredParts) mergeChosen(top int) (m merger, blocks []*block, single map[int]*response) {
 	m = merger{top: top}
 	blocks, single = g.chooseDisjoint()
 	for _, b := range blocks {
 		m.add(b.records)
 	}
-	for _, a := range single {
-		m.add(a.body)
+	for _, resp := range single {
+		m.add(resp.body)
 	}
 	return m, blocks, single
 }
 
-// lacking lists the blocks of the answer of which records that were not sent may
-// belong to it.
+// incomplete returns the chosen blocks whose omitted records may belong to the response.
 func (g *gatheredParts) incomplete(top int) []*block {
 	m, blocks, _ := g.mergeChosen(top)
 	m.truncate()
@@ -112,8 +113,8 @@
 	g.blocks = slices.DeleteFunc(g.blocks, func(other *block) bool { return other == b })
 }
 
-// choose returns blocks with no part in common, the largest first, and the
-// single parts that no block has.
+// chooseDisjoint selects blocks with no part in common, preferring larger ones, and the
+// single parts that are in none of them.
 func (g *gatheredParts) chooseDisjoint() (blocks []*block, single map[int]*response) {
 	slices.SortStableFunc(g.blocks, func(a, b *block) int { return len(b.stamps) - len(a.stamps) })
 	chosen := map[int]string{}
@@ -130,7 +131,7 @@
 	return blocks, single
 }
 
-// overlap reports whether two sets of parts have one in common.
+// overlap reports whether two sets of parts have a part in common.
 func overlap(a, b map[int]string) bool {
 	for part := range a {
 		if _, both := b[part]; both {
@@ -140,7 +141,7 @@
 	return false
 }
 
-// merge returns the greatest records and the stamps of the parts they are from.
+// merge returns the greatest records and the stamps of the parts they come from.
 func (g *gatheredParts) merge(top int, stampHeader string) (records []byte, stamps []string) {
 	m, blocks, single := g.mergeChosen(top)
 	for _, b := range blocks {
@@ -148,8 +149,8 @@
 			stamps = append(stamps, s)
 		}
 	}
-	for _, a := range single {
-		stamps = append(stamps, a.header.Get(stampHeader))
+	for _, resp := range single {
+		stamps = append(stamps, resp.header.Get(stampHeader))
 	}
 	return m.result(), stamps
 }
--- a/tier/pass/outcome.go
+++ b/tier/pass/outcome.go
@@ -9,38 +9,38 @@
 	"loomgap/tier/policy"
 )
 
-// outcome is what became of a routed request, in logs and metrics.
+// outcome is the result of a routed request, as used in logs and metrics.
 type outcome string
 
 const (
-	// outcomeServed means that the caller has an upstream's answer, or all parts.
+	// outcomeServed means that the caller got an upstream's response, or all parts.
 	outcomeServed outcome = "Served"
-	// outcomePartial means that enough parts are in the answer, but not all.
+	// outcomePartial means that the response has enough parts, but not all.
 	outcomePartial outcome = "Partial"
-	// outcomeFailed means that the caller has an upstream's own failure.
+	// outcomeFailed means that the caller got an error response of an upstream.
 	outcomeFailed outcome = "Failed"
 	// outcomeNotRun means that no upstream ran the request.
 	outcomeNotRun outcome = "NotRun"
-	// outcomeUnknown means that upstreams may have run it, and there is no answer.
+	// outcomeUnknown means that the request may have run, but there is no response.
 	outcomeUnknown outcome = "Unknown"
-	// outcomeLate means that the deadline passed without an answer.
+	// outcomeLate means that the deadline passed without a response.
 	outcomeLate outcome = "Late"
 	// outcomeBelowCoverage means that too few parts were answered.
 	outcomeBelowCoverage outcome = "BelowCoverage"
-	// outcomeGivenUp means that the caller went away.
+	// outcomeGivenUp means that the caller closed the connection.
 	outcomeGivenUp outcome = "GivenUp"
 	// outcomeNoRoute means that no route matches the request.
 	outcomeNoRoute outcome = "NoRoute"
-	// outcomeInvalid means that the request is wrong.
+	// outcomeInvalid means that the request is invalid.
 	outcomeInvalid outcome = "Invalid"
-	// outcomeTooLarge means that the request's body is too large.
+	// outcomeTooLarge means that the body of the request is too large.
 	outcomeTooLarge outcome = "TooLarge"
 )
 
-// lackingLogged bounds the shards that one log line names.
+// maxMissingLogged bounds the shards that are listed in one log line.
 const maxMissingLogged = 8
 
-// log begins the line that says what became of the request, and counts it.
+// log counts the request under its outcome and starts its final log event.
 func (q *request) log(o outcome, status int) *zerolog.Event {
 	q.outcome = o
 	k := q.engine.kernel
@@ -54,11 +54,11 @@
 	metrics.GetOrCreateHistogram("loomgap_routed_seconds" + labels).Update(took.Seconds())
 	line := k.Decisions.Info().Str("RequestID", q.in.id).Str("Route", route).
 		Str("Outcome", string(o)).Int("Status", status).Int64("TookMillis", took.Milliseconds())
-	if q.in.subject.Fingerprint != "" {
-		line = line.Str("Fingerprint", string(q.in.subject.Fingerprint))
+	if q.in.identity.Fingerprint != "" {
+		line = line.Str("Fingerprint", string(q.in.identity.Fingerprint))
 	}
-	if q.in.subject.Caller.IsValid() {
-		line = line.Str("Caller", q.in.subject.Caller.String())
+	if q.in.identity.Caller.IsValid() {
+		line = line.Str("Caller", q.in.identity.Caller.String())
 	}
 	if q.view.Index != nil {
 		line = line.Uint64("Revision", q.view.Index.Revision).
@@ -67,9 +67,8 @@
 	return line
 }
 
-// lacking describes the shards that an answer lacks, for the log: the group, why it is
-// not in, how many calls were sent for it, and what kept a second upstream from being
-// called.
+// describeMissing describes the shards that are missing from a response, for the log: the
+// group, the reason, the number of calls sent, and why no second upstream was called.
 func (q *request) describeMissing(r *policy.Result) []string {
 	missing := r.Missing[:min(len(r.Missing), maxMissingLogged)]
 	out := make([]string, 0, len(missing))
--- a/tier/pass/overhead.go
+++ b/tier/pass/overhead.go
@@ -7,22 +7,22 @@
 	"loomgap/tier/policy"
 )
 
-// linkReserve is how long an answer may be on its way to the caller, besides what this
-// host takes to make and write it.
+// networkReserve is the time reserved for the way of the response to the caller, besides
+// the time that this host takes to produce and write it.
 const networkReserve = 8 * time.Millisecond
 
-// overhead is the time that this host observes itself to add to the calls of a request.
-// Without it, the answers of a weak host come late by that time when the objective is
-// nearly spent. It is safe for concurrent use.
+// overhead estimates the time that this host adds to the calls of a request. Without it,
+// the responses of a slow host are late when the calls use up the whole objective. It is
+// safe for concurrent use.
 type overhead struct {
-	// handOver is the time of a request beyond its coordinator's part.
+	// forwarding is the time of a forwarded request outside its coordinator.
 	forwarding policy.Margin
-	// answer is the time from the decision on an answer until it is written.
+	// response is the time from the end of the run until the response is written.
 	response policy.Margin
 }
 
-// beyondReserve is how much longer this host takes to make and write an answer than
-// the time that every route keeps back, config.ResponseReserve.
+// beyondReserve returns by how much the time to produce and write a response exceeds
+// config.ResponseReserve, which every route already keeps back.
 func (o *overhead) beyondReserve() time.Duration {
 	return max(o.response.Estimate()+networkReserve-time.Duration(config.ResponseReserve), 0)
 }
--- a/tier/pass/plan.go
+++ b/tier/pass/plan.go
@@ -11,23 +11,21 @@
 	"loomgap/tier/query"
 )
 
-// plan says which upstreams may answer each part of a request. It is made once and never
-// changed.
+// plan holds the upstreams that may serve each part of a request. It is immutable.
 type plan struct {
-	// groups has the group of each part, replicas its upstreams.
+	// groups has the group of each part; replicas has its upstreams.
 	groups   []string
 	replicas [][]*policy.Upstream
 	// reachable counts the parts that have an upstream.
 	reachable int
-	// absent says for each other part why it has none.
-	absentReasons []query.Reason
-	// hall is the hall to which calls go that cannot be made in this host's own; empty
-	// if any does.
-	remoteHall string
+	// noUpstreamReasons has the reason for each part without an upstream.
+	noUpstreamReasons []query.Reason
+	// preferredHall is the hall preferred for calls that cannot be made in this host's own
+	// hall; empty for no preference.
+	preferredHall string
 }
 
-// covers reports whether the parts that have an upstream can cover what a class asks
-// for.
+// covers reports whether the reachable parts can meet the coverage that a class requires.
 func (p *plan) covers(class *config.Class) bool {
 	return p.reachable > 0 && float64(p.reachable) >= class.Coverage*float64(len(p.groups))
 }
@@ -39,25 +37,25 @@
 	} else {
 		groups = []string{e.splitters.pickGroup(r)}
 	}
-	names, absentReasons := make([][]string, len(groups)), make([]query.Reason, len(groups))
+	names, noUpstreamReasons := make([][]string, len(groups)), make([]query.Reason, len(groups))
 	placement := e.placement(v)
 	for i, g := range groups {
-		names[i], absentReasons[i] = placement.Usable(g, r.Homes)
+		names[i], noUpstreamReasons[i] = placement.Usable(g, r.Homes)
 	}
-	p := plan{groups: groups, replicas: e.kernel.Fleet.Resolve(names), absentReasons: absentReasons}
+	p := plan{groups: groups, replicas: e.kernel.Fleet.Resolve(names), noUpstreamReasons: noUpstreamReasons}
 	for _, us := range p.replicas {
 		if len(us) > 0 {
 			p.reachable++
 		}
 	}
 	if len(groups) > 1 {
-		p.remoteHall = e.pickRemoteHall(v, names[rand.IntN(len(groups))])
+		p.preferredHall = e.pickRemoteHall(v, names[rand.IntN(len(groups))])
 	}
 	return p
 }
 
-// otherHall returns the hall of one of some upstreams that is not in this host's own,
-// drawn at random; empty if all are.
+// pickRemoteHall returns the hall of a random upstream that is outside this host's hall, or
+// "" if there is none.
 func (e *engine) pickRemoteHall(v *kernel.View, names []string) string {
 	for _, i := range rand.Perm(len(names)) {
 		if l, listed := v.Directory.Find(names[i]); listed && l.Hall != e.kernel.Settings.Hall {
@@ -67,20 +65,20 @@
 	return ""
 }
 
-// placement says where requests may go as of a view.
+// placement returns the rules of a view about where requests may go.
 func (e *engine) placement(v *kernel.View) *policy.Placement {
 	return &policy.Placement{Regions: e.kernel.Settings.Regions, Directory: v.Directory}
 }
 
-// splitters holds the splitter of each route with a split. It is safe for concurrent
-// use; the zero value is ready.
+// splitters holds the splitter of each route with a split. It is safe for concurrent use;
+// the zero value is ready to use.
 type splitters struct {
 	mu sync.Mutex
-	// byRoute holds the splitter of each route by name.
+	// byRoute holds the splitters by route name.
 	byRoute map[string]*splitter
 }
 
-// target returns the one group that a request of a route goes to.
+// pickGroup returns the group that a request of a route goes to.
 func (s *splitters) pickGroup(r *config.Route) string {
 	if len(r.Split) == 0 {
 		return r.Group
@@ -98,20 +96,19 @@
 	return sp.next()
 }
 
-// splitter divides the requests of a route between groups in proportion to their weights:
-// each turn goes to the group that lags most behind its share. Drawing at random would
-// deviate from the weights over short times.
+// splitter distributes the requests of a route over groups by smooth weighted round-robin:
+// each request goes to the group that lags furthest behind its share. Random selection
+// would deviate from the weights over short periods.
 type splitter struct {
 	split []config.Weighted
-	// lag is how far each group is behind its share, in units of weight; next leaves
-	// the total unchanged.
-	lag []float64
-	// sum is that of the weights.
+	// lag is how far each group is behind its share, in units of weight. next keeps the sum
+	// constant.
+	lag         []float64
 	totalWeight float64
 }
 
-// newSplitter makes a splitter that begins anywhere in its round, so that many
-// hosts do not all begin with the same group.
+// newSplitter returns a splitter with a random starting position, so that hosts do not all
+// start with the same group.
 func newSplitter(split []config.Weighted) *splitter {
 	s := &splitter{split: split, lag: make([]float64, len(split))}
 	for _, w := range split {
@@ -123,8 +120,8 @@
 	return s
 }
 
-// next returns the group whose turn it is. A turn belongs to its group: it is not
-// given to another one that has more room.
+// next returns the group of the next request. The choice does not depend on the load or
+// availability of the groups.
 func (s *splitter) next() string {
 	best := -1
 	for i, w := range s.split {
--- a/tier/pass/plugin.go
+++ b/tier/pass/plugin.go
@@ -11,13 +11,11 @@
 	"loomgap/tier/kernel"
 )
 
-// The server for callers is bounded more widely than any document's limits.
+// Limits of the HTTP server for callers. They are wider than the limits of any document.
 const (
-	// callerHeaderBound is how long a caller may take to send the headers of a request.
-	callerHeaderTimeout = 10 * time.Second
-	// callerIdleBound is how long a caller's connection may be idle.
-	callerIdleTimeout = 2 * time.Minute
-	// callerHeaderBytes bounds the headers of a request, in bytes.
+	// callerHeaderTimeout bounds the time to read the headers of a request.
+	callerHeaderTimeout  = 10 * time.Second
+	callerIdleTimeout    = 2 * time.Minute
 	maxCallerHeaderBytes = 64 << 10
 )
 
@@ -40,25 +38,25 @@
 	}
 	l, err := net.Listen("tcp", k.Settings.Listen.String())
 	if err != nil {
-		return nil, fmt.Errorf("listen at %s: %w: free the address or set -Listen", k.Settings.Listen, err)
+		return nil, fmt.Errorf("listen on %s: %w (free the address or set -Listen)", k.Settings.Listen, err)
 	}
 	e, closeEngine := newEngine(k, a.Headers)
 	k.OnView(func(v *kernel.View) { markReady(k, v) })
 	s := &http.Server{Handler: e, ReadHeaderTimeout: callerHeaderTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxCallerHeaderBytes}
 	go func() {
 		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			k.Log.Error().Err(err).Msg("callers are no longer served")
+			k.Log.Error().Err(err).Msg("HTTP server stopped unexpectedly")
 		}
 	}()
 	return func() {
 		ctx, cancel := context.WithTimeout(context.Background(), k.Settings.StopBound)
 		defer cancel()
 		if err := s.Shutdown(ctx); err != nil {
-			k.Log.Warn().Err(err).Int64("InFlight", k.InFlight.Load()).Msg("stop with requests in flight")
+			k.Log.Warn().Err(err).Int64("InFlight", k.InFlight.Load()).Msg("stopping with requests in flight")
 			_ = s.Close()
 		}
 		if !k.AwaitIdle(ctx) {
-			k.Log.Warn().Int64("InFlight", k.InFlight.Load()).Msg("stop with requests of other hosts in flight")
+			k.Log.Warn().Int64("InFlight", k.InFlight.Load()).Msg("stopping with requests of other hosts in flight")
 		}
 		closeEngine()
 	}, nil
--- a/tier/pass/preconnect.go
+++ b/tier/pass/preconnect.go
@@ -11,19 +11,17 @@
 )
 
 const (
-	// preconnectHosts is how many hosts of each other hall are connected to ahead: the one
-	// that most calls go through, and the next, for hedges. Without connecting ahead the
-	// worth of days was 0.001 to 0.009 less, which is within noise.
+	// preconnectHostsPerHall is how many hosts of each other hall are connected to in
+	// advance: the one that most calls go through and the next one, for hedges.
 	preconnectHostsPerHall = 2
-	// preconnectBound is how long connecting to a host ahead may take.
-	preconnectTimeout = 700 * time.Millisecond
-	// leastRoundTrip is less than a new connection takes between two machines; what takes
-	// less was connected already.
+	preconnectTimeout      = 700 * time.Millisecond
+	// minRoundTrip is less than connecting to another machine takes. A shorter time means
+	// that the host was already connected.
 	minRoundTrip = 50 * time.Microsecond
 )
 
 // preconnect connects to the hosts that calls and requests will go through, so that the
-// first of them does not wait; it runs on the control thread.
+// first of them need not wait for a connection. It runs on the control thread.
 func (e *engine) preconnect(v *kernel.View) {
 	next := map[string]bool{}
 	for _, h := range e.preconnectTargets(v) {
@@ -35,10 +33,11 @@
 	e.preconnected = next
 }
 
-// preconnectTo lists the hosts to connect to ahead. A host that carries its requests
-// out itself takes the strongest of each other hall, its relays. A host that hands them
-// over takes the coordinators of its own hall, or, where that has none, one of each
-// hall that has, which shows which of them is nearest.
+// preconnectTargets returns the hosts to connect to in advance. A host that executes its
+// requests itself connects to the hosts with the most capacity of each other hall, its
+// relays. A host that forwards them connects to the coordinators of its own hall or, if
+// there are none, to one of each hall that has coordinators, which also shows which of them
+// is nearest.
 func (e *engine) preconnectTargets(v *kernel.View) []string {
 	self := e.self()
 	best := policy.Coordinators(self, *e.coordinators.candidates.Load())
@@ -48,11 +47,11 @@
 	case best[0].Hall != self.Hall:
 		return firstPerHall(best, 1)
 	}
-	elsewhere := func(c policy.Candidate) bool { return c.Hall != self.Hall }
-	return firstPerHall(slices.DeleteFunc(best, elsewhere), preconnectHostsPerHall)
+	isRemote := func(c policy.Candidate) bool { return c.Hall != self.Hall }
+	return firstPerHall(slices.DeleteFunc(best, isRemote), preconnectHostsPerHall)
 }
 
-// firstOfHalls returns the first hosts of each hall, at most so many of one.
+// firstPerHall returns the first hosts of each hall, up to limit per hall.
 func firstPerHall(all []policy.Candidate, limit int) []string {
 	var out []string
 	taken := map[string]int{}
@@ -65,7 +64,8 @@
 	return out
 }
 
-// othersByStrength lists the live hosts of other halls, the strongest first.
+// remoteHostsByCapacity returns the live hosts of other halls, those with the most capacity
+// first.
 func remoteHostsByCapacity(v *kernel.View, hall string) []policy.Candidate {
 	out := liveHosts(v, func(other string) bool { return other != hall })
 	slices.SortFunc(out, func(a, b policy.Candidate) int {
@@ -79,7 +79,7 @@
 	defer cancel()
 	started := e.kernel.Now()
 	if err := e.kernel.Peers.Connect(ctx, host); err != nil {
-		e.kernel.Log.Info().Err(err).Str("Peer", host).Msg("not connected to a host of another hall")
+		e.kernel.Log.Info().Err(err).Str("Peer", host).Msg("preconnecting to host failed")
 		return
 	}
 	if took := e.kernel.Now() - started; took >= minRoundTrip {
--- a/tier/pass/refuse.go
+++ b/tier/pass/refuse.go
@@ -9,36 +9,35 @@
 	"loomgap/tier/policy"
 )
 
-// The times after which a refused request may be sent again, and when each applies:
+// The Retry-After times of refused requests:
 //
-//	retryNoConfig         no configuration yet
-//	what is left of it    the request is quarantined
-//	policy.Refusal        the run was not admitted
-//	retryNoUpstream       too few groups have an upstream
-//	retryUpstream         calls were made, and no upstream ran any
+//	retryAfterNoConfig         there is no configuration yet
+//	the remaining quarantine   the request is quarantined
+//	policy.Refusal             the run was not admitted
+//	retryAfterNoUpstream       too few groups have an upstream
+//	retryAfterUpstreams        calls were made, and no upstream ran any
 //
-// Whatever the reason, refuse spreads the time by retrySpread.
+// refuse adds jitter to each of them.
 const (
-	// retryNoConfig is for a host that has no configuration yet; it reads the platform at
-	// once when it starts.
+	// retryAfterNoConfig applies on a host without a configuration, which reads the
+	// platform as soon as it starts.
 	retryAfterNoConfig = 300 * time.Millisecond
-	// retryNoUpstream is for groups without an upstream: one that is gone is replaced
-	// within about a second.
+	// retryAfterNoUpstream applies to groups without an upstream. A lost upstream is
+	// replaced within about a second.
 	retryAfterNoUpstream = 200 * time.Millisecond
-	// retryLeast is the least time after calls were refused, so that a caller does not
-	// meet the same queue: an upstream that shed a call gets nothing for 5 ms at first.
-	// With times from 20 ms on in place of 200 ms, the worth was level and callers were
-	// served sooner.
+	// minRetryAfter is the minimum after calls were refused, so that a retry does not meet
+	// the same queue.
 	minRetryAfter = 20 * time.Millisecond
-	// retrySpread is the fraction by which the time is made longer at random, at most, so
-	// that callers refused together do not come back together.
+	// retryJitter is the maximum fraction by which a time is randomly extended, so that
+	// callers that were refused together do not retry together.
 	retryJitter = 0.5
 )
 
-// quarantined refuses a request that crashes upstreams, and reports whether it did.
+// refuseQuarantined refuses the request if it is quarantined for crashing upstreams, and
+// reports whether it did.
 func (q *request) refuseQuarantined(w http.ResponseWriter) bool {
 	k := q.engine.kernel
-	verdict, left := k.Fleet.Judge(k.Now(), q.in.subject)
+	verdict, left := k.Fleet.Judge(k.Now(), q.in.identity)
 	if verdict != policy.VerdictQuarantined {
 		return false
 	}
@@ -46,8 +45,8 @@
 	return true
 }
 
-// retryUpstream returns in what time upstreams are expected to take the request: when
-// enough of those that shed calls or failed may be called again, if that is known.
+// retryAfterUpstreams returns the time until enough of the upstreams that shed calls or
+// failed may be called again, or a default if that is unknown.
 func (q *request) retryAfterUpstreams() time.Duration {
 	k := q.engine.kernel
 	if left := k.Fleet.RetryIn(k.Now(), q.plan.replicas, q.class.Coverage); left > 0 {
@@ -56,8 +55,8 @@
 	return retryAfterNoUpstream
 }
 
-// refuse answers that the request did not run, and when to send it again: from the time
-// given on.
+// refuse responds that the request did not run and may be retried after the given time,
+// extended by jitter.
 func (q *request) refuse(w http.ResponseWriter, reason string, after time.Duration) {
 	after += rand.N(time.Duration(retryJitter * float64(after)))
 	q.log(outcomeNotRun, http.StatusServiceUnavailable).Str("Reason", reason).
--- a/tier/pass/relay_client.go
+++ b/tier/pass/relay_client.go
@@ -15,29 +15,30 @@
 	"loomgap/tier/wire"
 )
 
-// This file is the sender's end of the exchange with a relay: calls to upstreams of
-// another hall go there in batches, through a host of that hall.
+// This file is the sender's end of the relay protocol: calls to upstreams of another hall
+// are sent there in batches, through a host of that hall.
 
 const (
-	// hedgesDue is when the first sign is due for a batch of hedges, of which each call
-	// is reported as it ends: upstreams that pause answer within that time.
+	// hedgeBatchDue is when the first reply to a batch of hedges is due, each call of which
+	// is reported as it ends. An upstream that only pauses responds within that time.
 	hedgeBatchDue = policy.LingerFor
-	// firstReplyReserve is how much earlier than the hedges of its calls the first reply to
-	// a batch is due: when replies came just after the hedges, there were 27% extra calls.
+	// firstReplyMargin is how much earlier than the hedges of its calls the first reply to
+	// a batch is due. Without it, replies arrive just after the hedges, and the hedges are
+	// extra calls.
 	firstReplyMargin = 4 * time.Millisecond
-	// firstReplyLeast is the least time that the calls have until the first reply.
+	// minFirstReplyDelay is the minimum time that the calls have until the first reply.
 	minFirstReplyDelay = 5 * time.Millisecond
-	// progressBacklog is how many progress messages of a batch may wait to be taken in.
+	// progressBacklog bounds the progress messages of a batch that are not handled yet.
 	progressBacklog = 64
-	// progressGrace is how long progress messages that were sent before the last reply may
-	// come after it.
+	// progressGrace bounds the wait for progress messages that were sent before the last
+	// reply but arrive after it.
 	progressGrace = 20 * time.Millisecond
 )
 
-// requestRelays are the relays of one request. It is safe for concurrent use.
+// requestRelays tracks the relays of one request. It is safe for concurrent use.
 type requestRelays struct {
 	mu sync.Mutex
-	// pending counts the batches that a relay gave no sign of yet. A hedge must not
+	// pending counts the batches that each relay has not responded to yet. A hedge must not
 	// wait for the same relay as the call that it hedges.
 	pending map[string]int
 }
@@ -48,10 +49,10 @@
 	r.pending[host]--
 }
 
-// Batches implements runner.Batcher: calls to upstreams of one other hall go together
-// through a relay there. Even a single call does: the relay has connections to the
-// upstream, and making one from afar takes longer than the call. Calls to a cold
-// upstream go through its owner, whatever the hall.
+// Batches implements runner.Batcher. It groups calls to upstreams of another hall into
+// batches, each for a relay of that hall. Even a single call goes through a relay, which
+// has connections to the upstream: making one from another hall takes longer than the call.
+// Calls to a cold upstream go through its owner, in whatever hall.
 func (q *request) Batches(sends []policy.Action) (batches []runner.Batch, direct []policy.Action) {
 	if q.route.Gather == nil {
 		return nil, sends
@@ -80,8 +81,8 @@
 	return batches, direct
 }
 
-// relayTo returns the relay for calls to a destination; empty if this host is to make
-// them itself, also because no host there is responsive.
+// relayFor returns the relay for calls to a destination, or "" if this host is to make them
+// itself, for example because no host there is responsive.
 func (q *request) relayFor(d policy.Destination, now time.Duration) string {
 	s := &q.engine.kernel.Settings
 	switch {
@@ -116,8 +117,8 @@
 	s.do(ctx)
 }
 
-// newBatchRequest describes a batch for its relay. The first reply is to be here before
-// the calls that it lacks are hedged.
+// newBatchRequest builds the message for a relay. The first reply is due before the calls
+// that it does not report are hedged.
 func (q *request) newBatchRequest(ctx context.Context, batch []policy.Action, roundTrip time.Duration) *batchRequest {
 	e := q.engine
 	now := e.kernel.Now()
@@ -136,8 +137,9 @@
 	return in
 }
 
-// firstReplyIn is in what time the first reply to a batch is to leave its relay: before
-// its calls are hedged. Hedges are not hedged again: each is reported as it ends.
+// firstReplyDelay returns how long after it gets a batch the relay sends the first reply,
+// so that it arrives before the calls are hedged. It returns 0 for hedges, which are not
+// hedged again: each is reported as it ends.
 func (q *request) firstReplyDelay(batch []policy.Action, roundTrip time.Duration) time.Duration {
 	due := q.times.patienceEnd - q.engine.kernel.Now()
 	for _, a := range batch {
@@ -149,29 +151,29 @@
 	return max(due-roundTrip-firstReplyMargin, minFirstReplyDelay)
 }
 
-// sentBatch is a batch that a relay makes the calls of. It is used by one goroutine.
+// sentBatch is a batch of calls that a relay makes for this host. It is used by one
+// goroutine.
 type sentBatch struct {
 	request *request
 	calls   []policy.Action
 	in      *batchRequest
 	relay   string
-	// started is when it was sent, due when the first sign of it is due.
+	// started is when the batch was sent; due is when the first reply is due.
 	started, due time.Duration
-	// roundTrip is how long the message and its reply take: the least known for the
-	// relay, and once there was a sign what that took.
+	// roundTrip is the shortest known round trip to the relay, and after the first reply
+	// the one of this batch.
 	roundTrip time.Duration
 	reporter  *runner.Reporter[*response]
-	// progressTaken counts the progress messages taken in.
+	// progressHandled counts the progress messages handled.
 	progressHandled int
-	// heard is true once there was a sign of the relay.
+	// responded is true once the relay has sent progress or the last reply.
 	responded bool
-	// overdue is true once the calls that are not in were reported as slow.
-	overdue bool
-	// last is the last reply.
+	// overdue is true once the unreported calls were hedged.
+	overdue   bool
 	lastReply batchReply
 }
 
-// carryOut sends the batch and reports its calls until all have ended.
+// do sends the batch and reports its calls until all have ended.
 func (s *sentBatch) do(ctx context.Context) {
 	e := s.request.engine
 	e.hosts.sent(s.relay, s.due)
@@ -192,19 +194,20 @@
 	}
 }
 
-// untilDeadline bounds a message to another host by the deadline.
+// untilDeadline returns a context for a message to another host that ends at the deadline
+// of the request.
 func (q *request) untilDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, q.times.deadline-q.engine.kernel.Now())
 }
 
-// hall is where the calls of the batch are made.
+// hall returns the hall in which the calls of the batch are made.
 func (s *sentBatch) hall() string {
 	k := s.request.engine.kernel
 	return k.Fleet.DestinationOf(k.Now(), s.calls[0].Upstream).Hall
 }
 
-// takeProgress reports the calls of a progress message. Those that are not in when the
-// first reply was due are hedged.
+// handleProgress reports the calls of a progress message. Calls that are unreported when
+// the first reply is due are hedged.
 func (s *sentBatch) handleProgress(reply *batchReply) {
 	s.progressHandled++
 	s.noteFirstReply(reply)
@@ -215,7 +218,7 @@
 	}
 }
 
-// noteSign notes the first sign of the relay, and how long the message took.
+// noteFirstReply records the first reply of the relay and its round trip.
 func (s *sentBatch) noteFirstReply(reply *batchReply) {
 	if s.responded {
 		return
@@ -229,7 +232,7 @@
 	s.request.relays.answered(s.relay)
 }
 
-// finish takes the last reply in, or that there is none.
+// finish handles the last reply, or the error of the batch.
 func (s *sentBatch) finish(ctx context.Context, progress <-chan *batchReply, err error) {
 	if err != nil {
 		s.fail(ctx, err)
@@ -237,7 +240,7 @@
 	}
 	s.noteFirstReply(&s.lastReply)
 	s.reportCalls(&s.lastReply)
-	// Progress that was sent before the last reply may be handled after it.
+	// Progress that was sent before the last reply may arrive after it.
 	timer := time.NewTimer(progressGrace)
 	defer timer.Stop()
 	for s.progressHandled < s.lastReply.ProgressSent {
@@ -250,8 +253,8 @@
 	}
 }
 
-// fail reports the calls of a batch without a last reply. That is no evidence against
-// the upstreams.
+// fail reports the calls of a batch without a last reply. This does not count against the
+// upstreams.
 func (s *sentBatch) fail(ctx context.Context, err error) {
 	q := s.request
 	e := q.engine
@@ -275,17 +278,17 @@
 	}
 }
 
-// stop tells the relay that the calls are not wanted any more.
+// stop tells the relay to cancel the calls.
 func (s *sentBatch) stop() {
 	q := s.request
 	err := q.engine.notifyStop(s.relay, methodBatchStop, batchStop{ID: s.in.ID, CallerGone: q.callerGone.Load()})
 	if err != nil {
-		q.engine.kernel.Decisions.Info().Str("RequestID", q.in.id).Str("Relay", s.relay).Err(err).Msg("batch not stopped")
+		q.engine.kernel.Decisions.Info().Str("RequestID", q.in.id).Str("Relay", s.relay).Err(err).Msg("stopping batch at relay failed")
 	}
 }
 
-// report reports the calls of a reply. Their records are kept as one block that stands
-// for all of them.
+// reportCalls reports the calls of a reply. Those that succeeded share one block of
+// records.
 func (s *sentBatch) reportCalls(reply *batchReply) {
 	k := s.request.engine.kernel
 	k.Fleet.TakeConditions(k.Now(), s.hall(), reply.Conditions)
@@ -294,7 +297,7 @@
 		b.omitted = &omittedRef{relay: s.relay, key: recordsRequest{ID: s.in.ID, Cut: reply.Cut}}
 	}
 	ended := slices.DeleteFunc(reply.Ended, func(c callReport) bool { return c.Index < 0 || c.Index >= len(s.calls) })
-	// The block is whole before the first of its parts is reported.
+	// The block must be complete before its first part is reported.
 	for _, c := range ended {
 		if c.Stamp != "" {
 			b.stamps[s.calls[c.Index].Part] = c.Stamp
@@ -309,7 +312,7 @@
 	}
 }
 
-// onBatchProgress takes in what a relay reports of a batch before its last reply.
+// onBatchProgress handles progress that a relay reports before its last reply.
 func (e *engine) onBatchProgress(_ context.Context, in *batchReply) (any, error) {
 	switch known, taken := e.relay.inboxes.deliver(in.ID, in); {
 	case !known:
--- a/tier/pass/relay_messages.go
+++ b/tier/pass/relay_messages.go
@@ -6,77 +6,75 @@
 	"loomgap/tier/policy"
 )
 
-// Methods of the exchange between a host and its relay, a host of another hall that
-// makes a batch of calls for it. On the wire a batch is called a gather; these names
-// stay, since hosts of two versions talk to each other.
+// Methods of the protocol between a host and its relay, a host of another hall that makes a
+// batch of calls for it. The values are wire names and stay compatible with hosts of other
+// versions.
 const (
-	// methodBatch has the relay make calls and merge what the upstreams answer. Its
-	// reply comes when all calls have ended.
+	// methodBatch has the relay make calls and merge the responses. Its reply is sent when
+	// all calls have ended.
 	methodBatch = "Gather"
-	// methodBatchProgress is pushed to the sender of methodBatch and reports calls
-	// that ended before the others; servedBatch.await says when.
+	// methodBatchProgress is pushed to the sender of methodBatch and reports calls that
+	// ended before the others; see servedBatch.waitUntilDue.
 	methodBatchProgress = "GatherProgress"
-	// methodBatchStop cancels the calls still under way.
+	// methodBatchStop cancels the calls in flight.
 	methodBatchStop = "GatherStop"
-	// methodRecords asks for the records that a reply left out.
+	// methodRecords fetches the records that a reply omitted.
 	methodRecords = "GatherRecords"
 )
 
-// batchRequest asks a relay for calls to upstreams of its hall.
+// batchRequest asks a relay to call upstreams of its hall.
 type batchRequest struct {
-	// ID names the batch; no other batch of any host has it.
+	// ID is the unique ID of the batch.
 	ID string
-	// Route names the route whose latencies the calls belong to.
+	// Route is the name of the route, whose latencies the calls count towards.
 	Route     string
 	RequestID string
 	Method    string
-	// Head is the request line and the headers that all upstreams get alike.
+	// Head is the request line and the headers that are the same for all upstreams.
 	Head string
 	Body []byte `json:",omitempty"`
-	// Upstreams are called once each.
+	// Upstreams are the upstreams to call, once each.
 	Upstreams []string
-	// Top is how many records the answer to the caller has; at least 1.
+	// Top is the number of records in the response to the caller; at least 1.
 	Top int
-	// Of is how many parts that answer is made of. With it the relay leaves out
-	// records that are hardly needed; with 0 it sends all.
+	// Of is the number of parts of that response. If it is set, the relay omits records
+	// that are unlikely to be needed; with 0 it sends all.
 	Of int `json:",omitempty"`
-	// FirstMillis is in how many milliseconds the first reply is due; with 0 each
+	// FirstMillis is the time until the first reply is due, in milliseconds; with 0, each
 	// call is reported as it ends.
 	FirstMillis int64
-	// DeadlineMillis is in how many milliseconds the calls end.
+	// DeadlineMillis is the time until the calls are cancelled, in milliseconds.
 	DeadlineMillis int64
 	Trace          string `json:",omitempty"`
 }
 
-// batchReply reports the calls that ended and were not reported before.
+// batchReply reports the calls that ended since the previous reply.
 type batchReply struct {
-	// ID is that of the batch; set in methodBatchProgress only.
+	// ID is the ID of the batch; set in methodBatchProgress only.
 	ID    string `json:",omitempty"`
 	Ended []callReport
-	// Records are the greatest records of the calls in Ended that succeeded, the
-	// greatest first.
+	// Records are the greatest records of the successful calls in Ended, in descending
+	// order.
 	Records []byte
-	// Cut, if above 0, is the number under which methodRecords gives the records
-	// that were left out.
+	// Cut, if above 0, is the number with which methodRecords returns the omitted records.
 	Cut int `json:",omitempty"`
-	// Due is true once the first reply was due: calls not reported are slow.
+	// Due is true once the first reply was due: unreported calls are slow.
 	Due bool `json:",omitempty"`
-	// ProgressSent counts the methodBatchProgress messages sent for the batch; set
-	// in the reply to methodBatch only.
+	// ProgressSent is the number of methodBatchProgress messages sent for the batch; set in
+	// the reply to methodBatch only.
 	ProgressSent int `json:",omitempty"`
-	// Conditions are the upstreams of the relay's hall that do worse than others at
-	// the moment.
+	// Conditions are the upstreams of the relay's hall that currently perform worse than
+	// others.
 	Conditions []policy.Condition `json:",omitempty"`
-	// HeldMicros is the time from the start of the batch to this reply, in
-	// microseconds.
+	// HeldMicros is the time from the start of the batch to this reply, in microseconds.
 	HeldMicros int64
 }
 
 // callReport is the result of one call of a batch.
 type callReport struct {
-	// Index is the position of the call's upstream in batchRequest.Upstreams.
+	// Index is the index of the upstream in batchRequest.Upstreams.
 	Index int
-	// Stamp is the upstream's proof; empty unless the call succeeded.
+	// Stamp is the upstream's stamp; empty unless the call succeeded.
 	Stamp string `json:",omitempty"`
 	// Outcome is empty if the call succeeded.
 	Outcome    string `json:",omitempty"`
@@ -85,22 +83,21 @@
 
 type batchStop struct {
 	ID string
-	// CallerGone is true if the caller of the request is gone.
+	// CallerGone is true if the caller has closed the connection.
 	CallerGone bool `json:"Left,omitempty"`
 }
 
 type recordsRequest struct {
-	// ID is that of the batch, Cut the number that the reply gave.
+	// ID is the ID of the batch; Cut is batchReply.Cut.
 	ID  string
 	Cut int
 }
 
-// recordsReply has the records that a reply left out, the greatest first.
+// recordsReply has the records that a reply omitted, in descending order.
 type recordsReply struct {
 	Records []byte
 }
 
-// Errors of batches.
 var (
 	errNoBatch      = errors.New("no such batch")
 	errBatchStopped = errors.New("batch was stopped")
--- a/tier/pass/relay_records.go
+++ b/tier/pass/relay_records.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// This file is both ends of the handling of left-out records: a relay sends only those
-// records that are likely to belong to the answer, and the sender fetches the others if
-// the answer needs them.
+// This file has both ends of the handling of omitted records: a relay sends only the
+// records that are likely to belong to the response, and the sender fetches the others if
+// the response needs them.
 
 const (
-	// spareRecords is how many records are sent beyond the expected number and its
+	// extraRecords is how many records are sent beyond the expected number and its
 	// deviations.
 	extraRecords = 2
-	// spareDeviations is how many standard deviations of that number are sent besides;
-	// with three, about one answer in a thousand needs more.
+	// extraDeviations is how many standard deviations are added to the expected number;
+	// with three, about one response in a thousand needs more.
 	extraDeviations = 3
-	// leftOutGrace is how long records that were left out are kept after the deadline of
-	// their batch.
+	// omittedRetention is how long omitted records are kept after the deadline of their
+	// batch.
 	omittedRetention = time.Second
-	// allRecordsFor is how long relays send all records of a route after some were lacking:
-	// its great records are not spread evenly over the shards.
+	// fullRecordsDuration is how long relays send all records of a route after omitted ones
+	// were needed: its greatest records are not spread evenly over the shards.
 	fullRecordsDuration = time.Minute
-	// recordsBound is how long fetching the records that lack may take; the answer is
-	// complete but for them.
+	// fetchRecordsTimeout bounds fetching omitted records, the last step before the
+	// response.
 	fetchRecordsTimeout = 100 * time.Millisecond
 )
 
-// recordsFor is how many of the greatest records are sent for the parts of one reply,
-// of all parts of the answer: where the records are spread evenly, more are hardly
-// ever needed.
+// recordsToSend returns how many of the greatest records to send for the parts of one
+// reply, out of the total parts of the response. If the records are spread evenly over the
+// parts, more are rarely needed.
 func recordsToSend(top, parts, total int) int {
 	if total <= 0 || parts >= total {
 		return top
@@ -43,22 +43,22 @@
 	return min(top, int(math.Ceil(mean+extraDeviations*deviation))+extraRecords)
 }
 
-// leftOutRecords are the records that the replies of a batch left out, one item a
-// reply, in the order of the numbers from 1 that the replies gave.
+// omittedRecords are the records omitted from the replies of a batch. Number n of a reply
+// refers to item n-1.
 type omittedRecords [][]byte
 
-// cut returns so many of the records, and the number under which the others are kept;
-// 0 if there are none.
-func (l *omittedRecords) split(records []byte, count int) (sent []byte, number int) {
+// split returns the first count records, and the number under which the others are kept; 0
+// if there are none.
+func (o *omittedRecords) split(records []byte, count int) (sent []byte, number int) {
 	n := count * recordBytes
 	if len(records) <= n {
 		return records, 0
 	}
-	*l = append(*l, records[n:])
-	return records[:n], len(*l)
+	*o = append(*o, records[n:])
+	return records[:n], len(*o)
 }
 
-// onRecords gives records that a reply left out.
+// onRecords returns the records that a reply omitted.
 func (e *engine) onRecords(_ context.Context, in *recordsRequest) (any, error) {
 	b, err := e.servedBatch(in.ID)
 	if err != nil {
@@ -77,9 +77,9 @@
 	key   recordsRequest
 }
 
-// allRecords notes the routes for which relays are to send all records.
+// fullRecordRoutes holds the routes for which relays are to send all records.
 type fullRecordRoutes struct {
-	// until holds the time.Duration until which each route, by name, gets all.
+	// until maps each route name to the time.Duration until which relays send all records.
 	until sync.Map
 }
 
@@ -92,8 +92,8 @@
 	return ok && now < until.(time.Duration)
 }
 
-// complete fetches records that the answer may lack. A block whose records do not
-// come is left out of the answer.
+// fetchOmittedRecords fetches omitted records that the response may need. A block whose
+// records cannot be fetched is removed from the response.
 func (q *request) fetchOmittedRecords(ctx context.Context) {
 	e := q.engine
 	for {
@@ -118,7 +118,7 @@
 	}
 }
 
-// fetchLeftOut gets the records of a block that were left out.
+// fetchOmitted fetches the omitted records of a block.
 func (q *request) fetchOmitted(ctx context.Context, b *block) error {
 	ctx, cancel := context.WithTimeout(ctx, fetchRecordsTimeout)
 	defer cancel()
--- a/tier/pass/relay_records_test.go
+++ b/tier/pass/relay_records_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestRecordsLeftOutAreAskedFor has half of the shards in another hall. Where
-// these have the greatest records, more are needed than were sent at first.
+// TestOmittedRecordsAreFetched has half of the shards in another hall. If these have the
+// greatest records, more are needed than the relay sends at first.
 func TestOmittedRecordsAreFetched(t *testing.T) {
 	const top = 25
 	even := func(s int) string { return shardRecords(s) }
@@ -36,7 +36,7 @@
 		}
 		return strings.ReplaceAll(shardRecords(s), ".", "z")[:10*recordBytes]
 	}
-	// high puts the far shards' records before all others.
+	// high makes the records of the remote shards the greatest.
 	high := func(s int) string {
 		var b strings.Builder
 		for text := skewed(s); len(text) >= recordBytes; text = text[recordBytes:] {
@@ -51,9 +51,9 @@
 	tests := []struct {
 		name  string
 		parts func(int) string
-		// asked reports whether records were asked for a second time.
+		// asked reports whether omitted records are fetched.
 		asked bool
-		// cut has the other hall's host unreachable by then.
+		// cut makes fetching the omitted records fail.
 		cut    bool
 		shards int
 	}{
@@ -100,7 +100,7 @@
 			if !tt.asked || tt.cut {
 				return
 			}
-			// From now on all records are sent at once.
+			// From now on, all records are sent at once.
 			before := w.callCount(methodRecords)
 			assert.Equal(t, h.send(http.MethodGet, "/find/x", "two", 1500, "").body, r.body)
 			assert.Equal(t, w.callCount(methodRecords), before)
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestBatchKeepsWhatItLeftOut asks a batch for records that it has, and for such
-// that it has not.
+// TestBatchKeepsOmittedRecords fetches records that a batch has omitted, and sends invalid
+// requests for records.
 func TestBatchKeepsOmittedRecords(t *testing.T) {
 	b := newBatch(t, 1, 0, time.Second)
 	b.in.Top, b.in.Of, b.unreported.merger.top = 25, 50, 25
--- a/tier/pass/relay_report.go
+++ b/tier/pass/relay_report.go
@@ -3,31 +3,31 @@
 import "time"
 
 const (
-	// failureDelay is how long a reply waits after a failed call for other calls to end:
-	// one message costs as much as several calls of one.
+	// failureReplyDelay is how long a reply waits for other calls to end after a call has
+	// failed, since each message has a cost of its own.
 	failureReplyDelay = 2 * time.Millisecond
-	// progressDelay is the same after any call once the first reply was due.
+	// progressReplyDelay is the same after any call, once the first reply was due.
 	progressReplyDelay = 8 * time.Millisecond
 )
 
 // unreported collects the calls of a batch that ended since the last reply.
 type unreported struct {
 	calls []callReport
-	// merger has the records of the calls that succeeded.
+	// merger holds the records of the calls that succeeded.
 	merger merger
 	// failed is true if any of the calls failed.
 	failed bool
 }
 
-// add notes a call that ended, with its records if it succeeded.
+// add adds a call that ended, with its records if it succeeded.
 func (u *unreported) add(c callReport, records []byte) {
 	u.merger.add(records)
 	u.calls = append(u.calls, c)
 	u.failed = u.failed || c.Stamp == ""
 }
 
-// take returns the calls, the greatest records of all and how many calls succeeded,
-// and begins anew.
+// take returns the calls, their greatest records and the number of calls that succeeded,
+// and resets u.
 func (u *unreported) take() (calls []callReport, records []byte, succeeded int) {
 	calls, records = u.calls, u.merger.result()
 	for _, c := range calls {
@@ -39,8 +39,8 @@
 	return calls, records, succeeded
 }
 
-// replyDelay returns how long a reply waits for further calls to end; due is false if
-// the calls need no reply of their own.
+// replyDelay returns how long a reply waits for further calls to end. due is false if the
+// calls do not require a reply yet.
 func (u *unreported) replyDelay(firstDuePassed bool) (delay time.Duration, due bool) {
 	switch {
 	case len(u.calls) == 0:
--- a/tier/pass/relay_report_test.go
+++ b/tier/pass/relay_report_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestReplyDelay looks at how long a reply waits for further calls to end.
+// TestReplyDelay checks how long a reply waits for further calls to end.
 func TestReplyDelay(t *testing.T) {
 	good, failed := callReport{Stamp: "S"}, callReport{Outcome: "Failed"}
 	tests := []struct {
@@ -35,7 +35,7 @@
 			calls, _, _ := u.take()
 			assert.Equal(t, len(calls), len(tt.ended))
 			_, due = u.replyDelay(true)
-			assert.Assert(t, !due, "what was taken needs no reply")
+			assert.Assert(t, !due, "reported calls need no further reply")
 		})
 	}
 }
--- a/tier/pass/relay_server.go
+++ b/tier/pass/relay_server.go
@@ -16,53 +16,53 @@
 	"loomgap/tier/wire"
 )
 
-// This file is the relay's end of the exchange: it makes the calls of a batch for a
-// host of another hall. The relay of package entry is another one: there the host that
-// owns an upstream's slots makes a single call for a host of the same hall.
+// This file is the relay's end of the protocol: it makes the calls of a batch for a host of
+// another hall. The relay of package entry is a different one: there, the host that owns an
+// upstream's slots makes a single call for a host of the same hall.
 
 const (
-	// maxBatchCalls bounds the calls of one message.
 	maxBatchCalls = 4096
-	// maxBatchTime bounds how long another host may keep calls going.
+	// maxBatchDuration bounds the deadline that another host may set.
 	maxBatchDuration = 10 * time.Minute
 )
 
-// servedBatch is a batch of calls that this host makes for another host. It is safe
-// for concurrent use.
+// servedBatch is a batch of calls that this host makes for another one. It is safe for
+// concurrent use.
 type servedBatch struct {
 	engine *engine
 	in     *batchRequest
-	// subject identifies the request if it crashes upstreams. Its caller is unknown
-	// here, and its fingerprint is made from the head: to send both would add a tenth
-	// to the bytes between regions.
-	subject policy.Subject
-	// begun is when the calls began, firstDue when the first reply is due, deadline
-	// when the calls end.
-	begun, firstDue, deadline time.Duration
-	// cancel ends all calls.
+	// identity serves to detect requests that crash upstreams. Its caller is unknown here,
+	// and its fingerprint is computed from the head, so that the messages between regions
+	// need not contain them.
+	identity policy.Subject
+	// started is when the calls began, firstDue when the first reply is due, and deadline
+	// when the calls are cancelled.
+	started, firstDue, deadline time.Duration
+	// cancel cancels all calls.
 	cancel context.CancelFunc
 
 	mu         sync.Mutex
 	unreported unreported
 	omitted    omittedRecords
-	// open counts the calls that have not ended.
+	// openCalls counts the calls that have not ended.
 	openCalls int
-	// calls are those that may still be cancelled, by index.
+	// calls holds the calls that may still be cancelled, by index.
 	calls map[int]*servedCall
-	// finished is closed when open is 0.
+	// finished is closed when openCalls is 0.
 	finished chan struct{}
-	// stopped is true once nobody wants the results any more.
+	// stopped is true once the sender no longer wants the results.
 	stopped bool
-	// changed holds one item while a call has ended that await has not seen.
+	// changed has capacity 1 and holds an item if a call has ended that waitUntilDue has
+	// not seen.
 	changed chan struct{}
 }
 
-// servedCall is one call of a batch under way.
+// servedCall is a call of a batch in flight.
 type servedCall struct {
 	cancel context.CancelFunc
-	// upstream is nil until its slot is held.
+	// upstream is nil until a slot is acquired.
 	upstream *policy.Upstream
-	// lingering is true once the call goes on though its answer is not wanted.
+	// lingering is true once the call continues although its result is no longer wanted.
 	lingering bool
 }
 
@@ -73,7 +73,7 @@
 	return nil, fmt.Errorf("%w: %q ended or was never begun", errNoBatch, id)
 }
 
-// handleRelay registers the methods of both ends of the exchange.
+// handleRelay registers the handlers of both ends of the protocol.
 func (e *engine) handleRelay() {
 	kernel.HandleMessage(e.kernel, methodBatch, "gather", e.onBatch)
 	kernel.HandleMessage(e.kernel, methodBatchProgress, "progress", e.onBatchProgress)
@@ -81,7 +81,8 @@
 	kernel.HandleMessage(e.kernel, methodRecords, "request for records", e.onRecords)
 }
 
-// onBatch makes the calls, reports those that ended, and returns when all have.
+// onBatch makes the calls of a batch, pushes progress, and returns the last reply when all
+// calls have ended.
 func (e *engine) onBatch(ctx context.Context, in *batchRequest) (any, error) {
 	if len(in.Upstreams) == 0 || len(in.Upstreams) > maxBatchCalls || in.Top < 1 {
 		return nil, fmt.Errorf("bad gather: %d upstreams, top %d: send 1 to %d, and a top of 1 or more", len(in.Upstreams), in.Top, maxBatchCalls)
@@ -94,7 +95,8 @@
 		out, last := b.nextReply()
 		switch {
 		case out == nil:
-			// The sender does not wait for it; calls that linger end by themselves.
+			// The sender no longer waits for a reply, and lingering calls end by
+			// themselves.
 			return nil, errBatchStopped
 		case last:
 			out.ProgressSent = sent
@@ -114,7 +116,7 @@
 		return nil, err
 	}
 	linger := policy.LingerFor
-	verdict, _ := e.kernel.Fleet.Judge(e.kernel.Now(), b.subject)
+	verdict, _ := e.kernel.Fleet.Judge(e.kernel.Now(), b.identity)
 	if in.CallerGone || verdict != policy.VerdictSound {
 		linger = 0
 	}
@@ -127,13 +129,13 @@
 	ctx, cancel := context.WithTimeout(wire.TraceInto(context.Background(), in.Trace), left)
 	now := e.kernel.Now()
 	b := &servedBatch{
-		engine: e, in: in, subject: e.subjectOf(in), cancel: cancel,
-		begun: now, firstDue: now + min(time.Duration(in.FirstMillis)*time.Millisecond, left), deadline: now + left,
+		engine: e, in: in, identity: e.identityOf(in), cancel: cancel,
+		started: now, firstDue: now + min(time.Duration(in.FirstMillis)*time.Millisecond, left), deadline: now + left,
 		unreported: unreported{merger: merger{top: in.Top}}, openCalls: len(in.Upstreams), calls: map[int]*servedCall{},
 		finished: make(chan struct{}), changed: make(chan struct{}, 1),
 	}
 	e.relay.served.add(in.ID, b)
-	// The sender may never ask for the records that were left out.
+	// The sender may never fetch the omitted records.
 	time.AfterFunc(left+omittedRetention, func() { e.relay.served.drop(in.ID) })
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -146,9 +148,9 @@
 	return b
 }
 
-// subjectOf identifies the request of a batch; the zero value while no request is
-// suspected of anything.
-func (e *engine) subjectOf(in *batchRequest) policy.Subject {
+// identityOf identifies the request of a batch; the zero value while no request is
+// suspected of crashing upstreams.
+func (e *engine) identityOf(in *batchRequest) policy.Subject {
 	if !e.kernel.Fleet.HasSuspects() {
 		return policy.Subject{}
 	}
@@ -156,15 +158,15 @@
 	return policy.Subject{Fingerprint: content.Fingerprint()}
 }
 
-// call makes one call within this host's slots.
+// call makes one call, within this host's slots.
 func (b *servedBatch) call(ctx context.Context, i int, name string, c *servedCall) {
 	defer c.cancel()
 	k := b.engine.kernel
 	started := k.Now()
 	reply := runner.Reply[*response]{Outcome: policy.CallUnreachable}
-	u, l := k.Fleet.Find(name), b.engine.connPool(name)
+	u, pool := k.Fleet.Find(name), b.engine.connPool(name)
 	switch {
-	case u == nil || l == nil:
+	case u == nil || pool == nil:
 	case k.Fleet.Stalled(started, u):
 		reply.Outcome = policy.CallStalled
 	case !k.Fleet.Acquire(ctx, u, b.deadline, k.Now):
@@ -175,7 +177,7 @@
 		c.upstream = u
 		b.mu.Unlock()
 		k.Fleet.Sent(started, u)
-		reply = b.sendCall(ctx, l, u)
+		reply = b.sendCall(ctx, pool, u)
 		b.releaseSlot(i, c, &reply, started)
 	}
 	out := callReport{Index: i, TookMicros: (k.Now() - started).Microseconds()}
@@ -188,20 +190,20 @@
 	b.endCall(out, reply.Part.body)
 }
 
-// exchange sends a call whose slot is held and returns what became of it.
-func (b *servedBatch) sendCall(ctx context.Context, l *connPool, u *policy.Upstream) runner.Reply[*response] {
+// sendCall sends a call that has acquired a slot and returns its result.
+func (b *servedBatch) sendCall(ctx context.Context, pool *connPool, u *policy.Upstream) runner.Reply[*response] {
 	k := b.engine.kernel
 	timeLeft := b.deadline - k.Now()
 	if timeLeft <= 0 || !k.Awake() || ctx.Err() != nil {
 		return runner.Reply[*response]{Outcome: policy.CallNotSent}
 	}
-	return b.engine.callUpstream(ctx, l, u, &call{
-		route: b.in.Route, id: b.in.RequestID, subject: b.subject,
+	return b.engine.callUpstream(ctx, pool, u, &call{
+		route: b.in.Route, id: b.in.RequestID, identity: b.identity,
 		method: b.in.Method, head: []byte(b.in.Head), body: b.in.Body, timeLeft: timeLeft, fromGather: true, fromBatch: true,
 	})
 }
 
-// freeSlot gives the slot of a call back that ended.
+// releaseSlot releases the slot of a call that has ended.
 func (b *servedBatch) releaseSlot(i int, c *servedCall, r *runner.Reply[*response], started time.Duration) {
 	k := b.engine.kernel
 	now := k.Now()
@@ -216,7 +218,7 @@
 	}))
 }
 
-// end notes a call that ended, with its records if it succeeded.
+// endCall records a call that has ended, with its records if it succeeded.
 func (b *servedBatch) endCall(c callReport, records []byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -229,12 +231,12 @@
 	}
 	select {
 	case b.changed <- struct{}{}:
-	default: // await has not seen the change before this one either
+	default: // waitUntilDue has not seen the previous change either
 	}
 }
 
-// stop ends the calls that nobody wants any more. Those that may linger go on for a
-// while, since their answers show when an upstream answers again.
+// stop cancels the calls, which are no longer wanted. Those that may linger continue for a
+// while, since their results show whether an upstream responds again.
 func (b *servedBatch) stop(linger time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -250,16 +252,16 @@
 	}
 }
 
-// forget drops a batch that nobody asks for any more; mu is held. One with records
-// that were left out is dropped some time after the deadline.
+// unregister removes a batch that needs no further messages. One with omitted records is
+// removed some time after the deadline. mu must be held.
 func (b *servedBatch) unregister() {
 	if len(b.omitted) == 0 {
 		b.engine.relay.served.drop(b.in.ID)
 	}
 }
 
-// wait returns a reply as soon as one is due, nil if the batch was stopped; last is true if
-// none follows. What a reply reports is not reported again.
+// nextReply waits until a reply is due and returns it, or nil if the batch was stopped.
+// last is true if no further reply follows. Each call is reported once.
 func (b *servedBatch) nextReply() (out *batchReply, last bool) {
 	b.waitUntilDue(b.engine.kernel.Now())
 	b.mu.Lock()
@@ -268,7 +270,7 @@
 		return nil, true
 	}
 	now := b.engine.kernel.Now()
-	out = &batchReply{Due: now >= b.firstDue, Conditions: b.engine.kernel.Fleet.Conditions(now), HeldMicros: (now - b.begun).Microseconds()}
+	out = &batchReply{Due: now >= b.firstDue, Conditions: b.engine.kernel.Fleet.Conditions(now), HeldMicros: (now - b.started).Microseconds()}
 	ended, records, succeeded := b.unreported.take()
 	out.Ended = ended
 	out.Records, out.Cut = b.omitted.split(records, recordsToSend(b.in.Top, succeeded, b.in.Of))
@@ -279,10 +281,10 @@
 	return out, last
 }
 
-// await returns when a reply is due: when all calls have ended, when the first reply
-// is due, soon after a call has failed, so that another upstream can be asked, and, once
-// the first reply was due, soon after any call has ended, so that one call that hangs
-// does not hold back the others.
+// waitUntilDue waits until a reply is due: when all calls have ended; when the first reply
+// is due; soon after a call has failed, so that another upstream can be called; and, once
+// the first reply was due, soon after any call has ended, so that one call that hangs does
+// not delay the others.
 func (b *servedBatch) waitUntilDue(now time.Duration) {
 	firstDuePassed := now >= b.firstDue
 	until := b.firstDue
@@ -310,6 +312,6 @@
 	}
 }
 
-// neverArrived reports whether an error proves that a message did not reach its host,
-// so that nothing was begun there.
+// notDelivered reports whether an error proves that a message did not reach its host and so
+// had no effect there.
 func notDelivered(err error) bool { return errors.Is(err, peers.ErrNoPeer) }
--- a/tier/pass/relay_server_test.go
+++ b/tier/pass/relay_server_test.go
@@ -14,7 +14,7 @@
 	"loomgap/tier/policy"
 )
 
-// newBatch makes a batch of calls whose ends the test tells of.
+// newBatch returns a batch of calls that the test ends itself.
 func newBatch(t *testing.T, calls int, due, deadline time.Duration) *servedBatch {
 	k, closeKernel := kernel.New(kernel.Config{
 		Log: zerolog.Nop(), Tracer: noop.NewTracerProvider().Tracer(""), Started: time.Now(),
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestBatchTellsWhatEnded has the calls of a batch end at certain times, and
-// looks at when the answers come and what they tell of.
+// TestBatchReplyTimes ends the calls of a batch at certain times, and checks when replies
+// are due and how many calls they report.
 func TestBatchReplyTimes(t *testing.T) {
 	const ms = time.Millisecond
 	type endCall struct {
@@ -80,7 +80,7 @@
 					got = append(got, told{b.engine.kernel.Now(), len(r.Ended)})
 				}
 				assert.Assert(t, slices.Equal(got, tt.want), "%v", got)
-				time.Sleep(2 * time.Second) // the calls that are still under way
+				time.Sleep(2 * time.Second) // wait for the calls still in flight
 			})
 		})
 	}
--- a/tier/pass/run.go
+++ b/tier/pass/run.go
@@ -9,9 +9,9 @@
 	"loomgap/tier/runner"
 )
 
-// run makes the calls that policy decides on, until the run of the request ends. The
-// runner calls back: Batches and CallBatch for calls through relays, Call for others,
-// Take and Ended with what became of them.
+// run makes the calls that policy decides on until the run of the request ends. The runner
+// calls back: Batches and CallBatch for calls through relays, Call for other calls, Take
+// and CallEnded with their results.
 func (q *request) run(ctx context.Context) (policy.Result, error) {
 	k := q.engine.kernel
 	near, far := k.Fleet.RoutedPools(q.route.Name)
@@ -22,11 +22,11 @@
 		Kernel: k, Caller: q,
 		Run: policy.RunConfig{
 			Fleet: k.Fleet, Pool: near, Class: q.remainingClass(spent), Deadline: q.times.deadline,
-			Replicas: q.plan.replicas, Repeatable: q.route.Repeatable, Subject: q.in.subject,
+			Replicas: q.plan.replicas, Repeatable: q.route.Repeatable, Subject: q.in.identity,
 			Routed: &policy.Routed{
 				Groups: q.plan.groups, FarPool: far, MaxAttempts: q.route.MaxAttempts,
-				Objective: max(time.Duration(q.route.Objective)-spent, 0), Hall: q.plan.remoteHall,
-				Relayed: q.route.Gather != nil, Absent: q.plan.absentReasons,
+				Objective: max(time.Duration(q.route.Objective)-spent, 0), Hall: q.plan.preferredHall,
+				Relayed: q.route.Gather != nil, Absent: q.plan.noUpstreamReasons,
 			},
 		},
 	}, ctx.Done())
@@ -34,9 +34,9 @@
 	return result, err
 }
 
-// remainingClass returns the route's class with the patience that is left: of it the
-// request has spent some, perhaps at another host, and this host needs some to make and
-// write the answer.
+// remainingClass returns the route's class with the remaining patience: the request has
+// already spent some, perhaps at another host, and this host needs some to produce and
+// write the response.
 func (q *request) remainingClass(spent time.Duration) *config.Class {
 	q.times.patienceEnd = q.times.startedAt + time.Duration(q.class.Patience) - q.engine.overhead.beyondReserve()
 	c := *q.class
@@ -46,26 +46,26 @@
 
 func (q *request) Call(ctx context.Context, a policy.Action) runner.Reply[*response] {
 	e := q.engine
-	l := e.connPool(a.Upstream.Name)
-	if l == nil {
+	pool := e.connPool(a.Upstream.Name)
+	if pool == nil {
 		return runner.Reply[*response]{Outcome: policy.CallUnreachable}
 	}
-	return e.callUpstream(ctx, l, a.Upstream, &call{
-		route: q.route.Name, id: q.in.id, subject: q.in.subject,
+	return e.callUpstream(ctx, pool, a.Upstream, &call{
+		route: q.route.Name, id: q.in.id, identity: q.in.identity,
 		method: q.in.method, head: q.in.head, body: q.in.body, timeLeft: q.times.deadline - e.kernel.Now(),
 		nonRepeatable: !q.route.Repeatable, fromGather: q.route.Gather != nil,
 	})
 }
 
-func (q *request) Take(part int, a *response) {
+func (q *request) Take(part int, resp *response) {
 	if q.route.Gather == nil {
-		q.responses.single = a
+		q.responses.single = resp
 		return
 	}
-	q.responses.parts.collect(part, a)
+	q.responses.parts.collect(part, resp)
 }
 
-// Ended implements runner.Observer: it keeps an upstream's own failure, and logs the
+// CallEnded implements runner.Observer. It keeps an upstream's error response and logs
 // calls that did not succeed.
 func (q *request) Ended(a policy.Action, r runner.Reply[*response], took time.Duration, over bool) {
 	q.callCounts[a.Part]++
--- a/tier/pass/serve.go
+++ b/tier/pass/serve.go
@@ -16,10 +16,10 @@
 	"loomgap/tier/wire"
 )
 
-// request is one routed request on its way; ServeHTTP has the stages that it passes.
+// request is a routed request. ServeHTTP lists its stages.
 type request struct {
 	engine *engine
-	// view is taken once; the request goes by it to its end.
+	// view is used for the whole request.
 	view *kernel.View
 	// route and class are nil until the route is found.
 	route *config.Route
@@ -27,14 +27,14 @@
 	in    inboundRequest
 	times requestTimes
 	plan  plan
-	// relays make calls of this request.
+	// relays tracks the relays that make calls of this request.
 	relays    requestRelays
 	responses responses
-	// sends counts the calls sent for each part.
+	// callCounts has the number of calls sent for each part.
 	callCounts []int
-	// outcome is the last that was logged.
+	// outcome is the last outcome that was logged.
 	outcome outcome
-	// callerGone is true once the caller is gone.
+	// callerGone is true once the caller has closed the connection.
 	callerGone atomic.Bool
 }
 
@@ -45,37 +45,39 @@
 	_ http.Handler               = (*engine)(nil)
 )
 
-// requestTimes are the times of a request, as time since the process started.
+// requestTimes are times of a request, each as the time since the process started.
 type requestTimes struct {
-	// begun is when the request was read, by this host or before at another one.
+	// startedAt is when the request was received, by this host or by the one that forwarded
+	// it.
 	startedAt time.Duration
-	// deadline is when the answer is due; 0 until the request is read.
+	// deadline is when the response is due; 0 until the request is read.
 	deadline time.Duration
-	// patience is when an answer that covers enough is given; 0 until calls are made.
+	// patienceEnd is when a response that meets the coverage is returned without waiting
+	// for further parts; 0 until calls are made.
 	patienceEnd time.Duration
-	// decidedAt is when the run of the request ended; 0 before.
+	// decidedAt is when the run of the request ended; 0 before that.
 	decidedAt time.Duration
 }
 
 type responses struct {
-	// single is the answer that was taken, for a request to one group.
+	// single is the accepted response to a request to one group.
 	single *response
-	// failure is the last failure that an upstream answered with.
+	// failure is the last error response of an upstream.
 	failure *response
-	// parts are what was taken for a gather.
+	// parts are the parts of a gather.
 	parts gatheredParts
 }
 
-// ServeHTTP implements http.Handler. Each stage that a request passes has a file of its
-// own, in the order of the package comment; findRoute, read, quarantined and handOver end
-// the way of a request that they answer.
+// ServeHTTP implements http.Handler. The stages of a request are in separate files, in the
+// order listed in the package comment. If findRoute, read, refuseQuarantined or forward
+// responds to the request, the later stages are skipped.
 func (e *engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.kernel.InFlight.Add(1)
 	defer e.kernel.InFlight.Add(-1)
 	e.kernel.Wake()
 	q := &request{
 		engine: e, times: requestTimes{startedAt: e.kernel.Now()},
-		in: inboundRequest{id: r.Header.Get(e.headers.RequestID), method: r.Method, subject: policy.Subject{Caller: callerAddr(r)}},
+		in: inboundRequest{id: r.Header.Get(e.headers.RequestID), method: r.Method, identity: policy.Subject{Caller: callerAddr(r)}},
 	}
 	configured := e.start.await(r.Context(), startupWait-e.kernel.Now())
 	q.view = e.kernel.View()
@@ -101,11 +103,10 @@
 	}
 }
 
-// serve plans the request, runs it and answers it. A caller that is gone gets no
-// answer.
+// serve plans the request, runs it and responds to it, unless the caller is gone.
 func (q *request) serve(ctx context.Context, w http.ResponseWriter) {
 	if ctx.Err() != nil {
-		q.log(outcomeGivenUp, 0).Msg("request given up by its caller")
+		q.log(outcomeGivenUp, 0).Msg("request cancelled by caller")
 		return
 	}
 	q.plan = q.engine.plan(q.view, q.route)
@@ -126,10 +127,10 @@
 	case errors.As(err, &refusal):
 		q.refuse(w, refusal.Reason, refusal.RetryAfter)
 	case err != nil:
-		q.engine.kernel.Log.Error().Err(err).Str("RequestID", q.in.id).Msg("request not carried out")
+		q.engine.kernel.Log.Error().Err(err).Str("RequestID", q.in.id).Msg("running request failed")
 		q.refuse(w, "internal error", retryAfterNoUpstream)
 	case caller.Err() != nil:
-		q.log(outcomeGivenUp, 0).Int("Ran", result.Ran).Msg("request given up by its caller")
+		q.log(outcomeGivenUp, 0).Int("Ran", result.Ran).Msg("request cancelled by caller")
 	case q.route.Gather != nil:
 		q.respondGathered(ctx, w, &result)
 	default:
