--- a/tier/pass/shares.go
+++ b/tier/pass/shares.go
@@ -7,30 +7,31 @@
 )
 
 const (
-	// leastHosts is the number of hosts that shares are made for while fewer are known: a
-	// host that has just started knows of none.
+	// minHosts is the minimum number of hosts that shares are computed for: a host that has
+	// just started knows no others.
 	minHosts = 8
-	// leastInHall is the same for the hosts of this host's hall.
+	// minHostsInHall is the same for the hosts of this host's hall.
 	minHostsInHall = 4
-	// hostsTolerance is the change in the number of hosts, as a fraction, that leaves
-	// shares as they are. Where hundreds of hosts start, each hears of a few others with
-	// every heartbeat, and would work out the shares of all upstreams each time.
+	// hostCountTolerance is the relative change in the number of hosts up to which shares
+	// are not recomputed. While hundreds of hosts start, each heartbeat adds a few, and
+	// recomputing the shares of all upstreams each time would be expensive.
 	hostCountTolerance = 0.1
-	// nearConnections is the part of an upstream's connections that the hosts of its own
-	// hall share. What it and farConnections leave is for hosts that are being replaced.
+	// localConnectionShare is the fraction of an upstream's connections that the hosts of
+	// its own hall share. What it and remoteConnectionShare leave is reserved for hosts
+	// that are being replaced.
 	localConnectionShare = 0.65
-	// farConnections is the part that the hosts of all other halls share. Calls from there
-	// go through relays, so that few of these hosts connect to the upstream.
+	// remoteConnectionShare is the fraction that the hosts of all other halls share. Their
+	// calls go through relays, so few of them connect to the upstream.
 	remoteConnectionShare = 0.25
-	// burstShare is how many times its even part of the connections a host may use: hosts
-	// are not all busy with one upstream at the same moment.
+	// burstFactor is how many times its equal share of the connections a host may use,
+	// since hosts are not all busy with one upstream at the same time.
 	burstFactor = 2
-	// slackShare is the part of the slack of retries that hosts divide; a host may not know
-	// of all others.
+	// retrySlackShare is the fraction of the retry slack that is divided among the hosts,
+	// since a host may not know all others.
 	retrySlackShare = 0.9
 )
 
-// shareBasis is what this host's shares of upstreams and retry budgets depend on.
+// shareInputs is what the shares of upstreams and the retry budgets depend on.
 type shareInputs struct {
 	index       *config.Index
 	directory   *config.Directory
@@ -38,49 +39,50 @@
 	hostCounts
 }
 
-// hostCounts count the hosts, this one included, that this one shares with.
+// hostCounts counts the hosts that shares are divided among, including this one.
 type hostCounts struct {
-	// hosts counts the hosts that are not leaving, hall those of this host's hall,
-	// both in hosts as strong as this one.
+	// hosts counts the hosts that are not leaving; inHall counts those of this host's hall.
+	// Both are in multiples of this host's capacity.
 	hosts, inHall float64
-	// known counts all hosts that were heard of lately, which divide the slack of
-	// retries of requests to one group: a host that is cut off still retries.
+	// known counts all hosts that were heard of lately. They divide the retry slack of
+	// requests to one group, since a host that is cut off still retries.
 	known float64
-	// coordinating counts the hosts that divide the slack of shards.
+	// coordinating counts the hosts that divide the retry slack of shards.
 	coordinating float64
 }
 
 func countHosts(v *kernel.View, s *kernel.Settings) hostCounts {
 	own := s.Capacity()
-	staying, inHall := own, own
+	active, inHall := own, own
 	capacities := make([]int, 0, len(v.Members))
 	for _, m := range v.Members {
 		capacities = append(capacities, m.Capacity)
 		if !m.Staying() {
 			continue
 		}
-		staying += m.Capacity
+		active += m.Capacity
 		if m.Hall == s.Hall {
 			inHall += m.Capacity
 		}
 	}
 	return hostCounts{
-		hosts: max(float64(staying)/float64(own), minHosts), inHall: max(float64(inHall)/float64(own), minHostsInHall),
+		hosts: max(float64(active)/float64(own), minHosts), inHall: max(float64(inHall)/float64(own), minHostsInHall),
 		known:        max(float64(len(capacities)+1), minHosts),
 		coordinating: max(policy.RetryShares(own, capacities), minHosts),
 	}
 }
 
-// like reports whether shares that one directory has from either differ by little.
+// similarTo reports whether the shares computed from b and o for the same directory differ
+// only slightly.
 func (b *shareInputs) similarTo(o *shareInputs) bool {
 	return b.index == o.index && b.retryBudget == o.retryBudget &&
 		similar(b.hosts, o.hosts) && similar(b.inHall, o.inHall) && similar(b.known, o.known) && similar(b.coordinating, o.coordinating)
 }
 
-// similar reports whether two numbers of hosts differ by little.
+// similar reports whether two host counts are within hostCountTolerance.
 func similar(a, b float64) bool { return max(a, b) <= (1+hostCountTolerance)*min(a, b) }
 
-// retryBudgets divides the retries that groups allow among the hosts.
+// retryBudgets divides the retry budgets of the groups among the hosts.
 func (b *shareInputs) retryBudgets() policy.RetryBudgets {
 	ratio, slack, window := b.retryBudget.Ratio, b.retryBudget.Slack*retrySlackShare, b.retryBudget.Window
 	return policy.RetryBudgets{
@@ -90,8 +92,8 @@
 	}
 }
 
-// share is this host's part of an upstream: as many calls as it may have connections
-// there.
+// share returns this host's share of an upstream, which limits its concurrent calls to its
+// share of the connections.
 func (e *engine) share(l *config.Listing, b *shareInputs) policy.Share {
 	near := l.Hall == e.kernel.Settings.Hall
 	connections := l.Slots
--- a/tier/pass/single_test.go
+++ b/tier/pass/single_test.go
@@ -24,8 +24,7 @@
 
 const millisecond = config.Duration(time.Millisecond)
 
-// singles is a document with a repeatable and a not repeatable route to one
-// group.
+// singleDoc returns a document with a repeatable and a non-repeatable route to one group.
 func singleDoc() config.Document {
 	return config.Document{
 		Groups: []config.Group{{Name: "Orders", Connections: 100}, {Name: "Other", Connections: 100}},
@@ -78,11 +77,11 @@
 	} {
 		r.Header.Set(name, value)
 	}
-	answer, err := h.server.Client().Do(r)
+	resp, err := h.server.Client().Do(r)
 	assert.NilError(t, err)
-	assert.NilError(t, answer.Body.Close())
+	assert.NilError(t, resp.Body.Close())
 	seen := us[0].requests["one"]
-	assert.Assert(t, seen != nil, "the ID is passed on")
+	assert.Assert(t, seen != nil, "the request has no ID")
 	assert.DeepEqual(t, seen.Header.Values(names.Upstream), []string{"U1"})
 	assert.Equal(t, seen.Header.Get("X-Mine")+seen.Header.Get("Te")+seen.Header.Get("Connection"), "")
 	assert.Equal(t, seen.Header.Get("X-Other"), "kept")
@@ -107,7 +106,7 @@
 			assert.NilError(t, r.err)
 			assert.Equal(t, r.status, tt.status)
 			if tt.status == http.StatusServiceUnavailable {
-				assert.Assert(t, r.header.Get("Retry-After") != "", "a refusal says when to ask again")
+				assert.Assert(t, r.header.Get("Retry-After") != "", "a refusal has Retry-After")
 			}
 		})
 	}
@@ -121,8 +120,8 @@
 	assert.Equal(t, r.status, http.StatusServiceUnavailable)
 }
 
-// TestRefusalsAreSpread refuses callers together: they must not be told to come
-// back together.
+// TestRefusalsAreSpread checks that callers that are refused together are not told to retry
+// together.
 func TestRefusalsAreSpread(t *testing.T) {
 	h := newHost(t, hostConfig{name: "H1", hall: "A"})
 	h.applyDocument(singleDoc())
@@ -136,30 +135,30 @@
 		assert.Assert(t, after >= retryAfterNoUpstream.Seconds() && after <= (1+retryJitter)*retryAfterNoUpstream.Seconds(), "%v s", after)
 		times[r.header.Get("Retry-After")] = true
 	}
-	assert.Assert(t, len(times) > 1, "all come back together: %v", times)
+	assert.Assert(t, len(times) > 1, "same Retry-After for all: %v", times)
 }
 
-// TestRequestWaitsForTheFirstDocument has a request arrive at a host that is just
-// starting: it is served as soon as there is a document.
+// TestRequestWaitsForFirstDocument checks that a request to a host that is just starting is
+// served once there is a document.
 func TestRequestWaitsForFirstDocument(t *testing.T) {
 	h := newHost(t, hostConfig{name: "H1", hall: "A", age: -testBound})
 	u := newFakeUpstream(t, "U1", good("x"))
-	answers := make(chan result, 1)
-	go func() { answers <- h.send(http.MethodGet, "/read/", "one", 5000, "") }()
+	results := make(chan result, 1)
+	go func() { results <- h.send(http.MethodGet, "/read/", "one", 5000, "") }()
 	eventually(t, "the request arrives", func() bool { return h.kernel.InFlight.Load() == 1 })
 	h.listUpstream("Orders", "A", u, false)
 	h.applyDocument(singleDoc())
-	r := <-answers
+	r := <-results
 	assert.NilError(t, r.err)
 	assert.Equal(t, r.status, http.StatusOK)
 }
 
-// TestFailures has two upstreams that fail alike, and tells what a caller gets
-// and how often the request arrives in all.
+// TestFailures has two upstreams fail in the same way, and checks the response and how
+// often the request reaches an upstream.
 func TestFailures(t *testing.T) {
 	tests := []struct {
 		name string
-		// reply is what both upstreams do.
+		// reply is the reply of both upstreams.
 		reply      replyFunc
 		unsafeGets int
 		unsafeRuns int
@@ -186,7 +185,7 @@
 		}, http.StatusBadGateway, 1, http.StatusBadGateway, 2},
 		{"answer without length, reset", func(u *fakeUpstream, c net.Conn, r *http.Request) bool {
 			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: s\r\n%s: %s\r\n\r\nhalf", names.Stamp, names.RequestID, r.Header.Get(names.RequestID))
-			time.Sleep(20 * time.Millisecond) // a reset overtakes what is not read yet
+			time.Sleep(20 * time.Millisecond) // a reset discards bytes that were not read yet
 			return reset(u, c, r)
 		}, http.StatusBadGateway, 1, http.StatusBadGateway, 2},
 	}
@@ -219,7 +218,7 @@
 				assert.Equal(t, us[1].seen(fmt.Sprint("n", i)), 1)
 			}
 			if status == http.StatusMisdirectedRequest {
-				assert.Assert(t, us[0].total() <= 1, "an upstream that is another one is not asked again")
+				assert.Assert(t, us[0].total() <= 1, "a misdirected upstream is not called again")
 			}
 		})
 	}
@@ -233,8 +232,8 @@
 	assert.Assert(t, r.header.Get("Retry-After") != "")
 }
 
-// TestNoHiddenRepeat has an upstream reset the second request of a connection:
-// neither the transport nor the engine may send it twice.
+// TestNoHiddenRetry resets the connection on its second request: neither the transport nor
+// the engine may send the request twice.
 func TestNoHiddenRetry(t *testing.T) {
 	h, us := newSingleSetup(t, good("x"))
 	assert.Equal(t, h.send(http.MethodPost, "/place/", "first", 2000, "b").status, http.StatusOK)
@@ -249,18 +248,18 @@
 	assert.Equal(t, us[0].accepted, 2, "and one was made to see whether the upstream has ended")
 }
 
-// TestUpstreamThatGoesDownAndUp has one of two upstreams reset what it gets, by
-// turns: repeatable requests are all served, others never run twice, and the
-// upstream is used again once it is back.
+// TestUpstreamGoesDownAndUp has one of two upstreams reset its connections from time to
+// time: repeatable requests are all served, others never run twice, and the upstream is
+// used again once it has recovered.
 func TestUpstreamGoesDownAndUp(t *testing.T) {
 	h, us := newSingleSetup(t, good("x"), good("x"))
-	turn := func(r replyFunc) {
+	setReply := func(r replyFunc) {
 		us[0].mu.Lock()
 		defer us[0].mu.Unlock()
 		us[0].reply = r
 	}
 	for round := range 4 {
-		turn(reset)
+		setReply(reset)
 		for i := range 15 {
 			id := fmt.Sprint("read", round, "-", i)
 			assert.Equal(t, h.send(http.MethodGet, "/read/", id, 2000, "").status, http.StatusOK)
@@ -269,17 +268,17 @@
 			ran := us[0].seen(id) + us[1].seen(id)
 			assert.Assert(t, ran <= 1 && (status == http.StatusOK || status == http.StatusBadGateway), "%d, ran %d times", status, ran)
 		}
-		turn(good("x"))
+		setReply(good("x"))
 		before := us[0].total()
 		for i := 0; us[0].total() == before; i++ {
 			assert.Equal(t, h.send(http.MethodGet, "/read/", fmt.Sprint("back", round, "-", i), 2000, "").status, http.StatusOK)
-			assert.Assert(t, i < 20_000, "never used again")
+			assert.Assert(t, i < 20_000, "the recovered upstream is never used again")
 		}
 	}
 }
 
-// TestForgottenConnections has an upstream forget the connections that rest: what
-// is sent on one is reset. Repeatable requests are served all the same.
+// TestResetIdleConnections has an upstream reset its idle connections. Repeatable requests
+// must still be served.
 func TestResetIdleConnections(t *testing.T) {
 	h, us := newSingleSetup(t, good("x"))
 	for i := range 10 {
@@ -289,8 +288,8 @@
 	}
 }
 
-// TestSurplusAnswers has each answer followed by a second one, at once or just
-// when the next request is there.
+// TestSurplusResponses sends a second response after each one, at once or when the next
+// request arrives.
 func TestSurplusResponses(t *testing.T) {
 	twice := func(u *fakeUpstream, c net.Conn, r *http.Request) bool {
 		id := r.Header.Get(names.RequestID)
@@ -320,8 +319,8 @@
 	}
 }
 
-// TestEarlyAnswer has an upstream answer before it has read a long body, and
-// read on: what follows on that connection must be the rest of the body.
+// TestEarlyResponse has an upstream respond before it has read a long body, and read on:
+// what follows on the connection must be the rest of the body.
 func TestEarlyResponse(t *testing.T) {
 	h := newHost(t, hostConfig{name: "H1", hall: "A"})
 	d := singleDoc()
@@ -355,8 +354,8 @@
 	assert.Equal(t, strings.Trim(body, "x"), "", "nothing but the body follows")
 }
 
-// TestCallerThatLeaves looks at the connection of the upstream: it ends soon
-// after the caller's.
+// TestCallerLeaves checks that the connection to the upstream is closed soon after the
+// caller's.
 func TestCallerLeaves(t *testing.T) {
 	left := make(chan struct{})
 	h, us := newSingleSetup(t, func(_ *fakeUpstream, c net.Conn, _ *http.Request) bool {
@@ -374,24 +373,24 @@
 	select {
 	case <-left:
 	case <-time.After(testBound):
-		t.Fatal("the upstream still works for nobody")
+		t.Fatal("the call to the upstream was not cancelled")
 	}
 }
 
-// TestCancelledConnectSaysNothing cancels a call before its connection is made,
-// and has another upstream refuse connections.
+// TestCancelledConnectIsNoEvidence cancels a call before its connection is made: unlike a
+// refused connection, this does not count against the upstream.
 func TestCancelledConnectIsNoEvidence(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	at := netip.MustParseAddrPort(l.Addr().String())
+	addr := netip.MustParseAddrPort(l.Addr().String())
 	assert.NilError(t, l.Close())
 	started := time.Now()
-	k := &connPool{address: at, now: func() time.Duration { return time.Since(started) }}
+	p := &connPool{address: addr, now: func() time.Duration { return time.Since(started) }}
 	ctx, cancel := context.WithCancel(t.Context())
 	c := &call{headers: &names, method: http.MethodGet, id: "one", upstream: "U1", timeLeft: time.Second, fromGather: true}
-	assert.Equal(t, k.call(ctx, c).Outcome, policy.CallUnreachable)
+	assert.Equal(t, p.call(ctx, c).Outcome, policy.CallUnreachable)
 	cancel()
-	assert.Equal(t, k.call(ctx, c).Outcome, policy.CallNotSent)
+	assert.Equal(t, p.call(ctx, c).Outcome, policy.CallNotSent)
 }
 
 func TestSilentUpstream(t *testing.T) {
@@ -449,8 +448,8 @@
 	assert.Equal(t, us[0].total(), 30)
 }
 
-// TestSplitMovesNothing has one group of a split without an upstream: its turns
-// are refused, and the other group gets no more than its part.
+// TestSplitDoesNotMoveTurns has one group of a split without an upstream: its requests are
+// refused, and the other group gets no more than its share.
 func TestSplitDoesNotMoveTurns(t *testing.T) {
 	h := newHost(t, hostConfig{name: "H1", hall: "A"})
 	d := singleDoc()
@@ -470,23 +469,23 @@
 	assert.Equal(t, refused, 30)
 }
 
-// TestRepeatsStayWithinTheirBudget has one of two upstreams fail all requests.
+// TestRetriesStayWithinBudget has both upstreams fail all requests.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	h := newHost(t, hostConfig{name: "H1", hall: "A", retryBudget: kernel.RetryBudget{Ratio: 0.1, Slack: 16}})
 	h.applyDocument(singleDoc())
-	bad := newFakeUpstream(t, "U1", fail(500, false))
-	worse := newFakeUpstream(t, "U2", fail(500, false))
-	h.listUpstream("Orders", "A", bad, false)
-	h.listUpstream("Orders", "A", worse, false)
+	bad1 := newFakeUpstream(t, "U1", fail(500, false))
+	bad2 := newFakeUpstream(t, "U2", fail(500, false))
+	h.listUpstream("Orders", "A", bad1, false)
+	h.listUpstream("Orders", "A", bad2, false)
 	const asked = 200
 	for i := range asked {
 		h.send(http.MethodGet, "/read/", fmt.Sprint(i), 2000, "")
 	}
-	extra := bad.total() + worse.total() - asked
-	assert.Assert(t, extra > 0 && extra <= asked/10+16/minHosts, "%d repeats", extra)
+	extra := bad1.total() + bad2.total() - asked
+	assert.Assert(t, extra > 0 && extra <= asked/10+16/minHosts, "%d retries", extra)
 }
 
-// TestEachDecisionIsLogged looks for the lines of one request by its ID.
+// TestEachDecisionIsLogged looks up the log lines of a request by its ID.
 func TestEachDecisionIsLogged(t *testing.T) {
 	var log lockedBuffer
 	h := newHost(t, hostConfig{name: "H1", hall: "A", log: &log})
@@ -527,21 +526,20 @@
 	return l.b.String()
 }
 
-// TestSilentConnectionsAreDistrusted has all kept connections to an upstream go
-// silent without a reset, while new ones work: one call may be lost by it, the
-// next must not be.
+// TestSilentConnectionsAreClosed has all idle connections to an upstream become silent
+// without a reset, while new ones work: only one call may be lost.
 func TestSilentConnectionsAreClosed(t *testing.T) {
 	u := newFakeUpstream(t, "U1", good("x"))
-	l := &connPool{address: netip.MustParseAddrPort(u.listener.Addr().String()), now: sinceStart(time.Now())}
-	t.Cleanup(l.close)
+	p := &connPool{address: netip.MustParseAddrPort(u.listener.Addr().String()), now: sinceStart(time.Now())}
+	t.Cleanup(p.close)
 	var kept []*conn
 	for range 3 {
-		c, err := l.dial(t.Context())
+		c, err := p.dial(t.Context())
 		assert.NilError(t, err)
 		kept = append(kept, c)
 	}
 	for _, c := range kept {
-		l.put(c)
+		p.put(c)
 	}
 	eventually(t, "connections are accepted", func() bool { return u.connections() == 3 })
 	u.silenceConns()
@@ -549,7 +547,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), bound)
 		defer cancel()
 		head := "GET / HTTP/1.1\r\nHost: x\r\n" + names.RequestID + ": " + id + "\r\n"
-		return l.call(ctx, &call{headers: &names, method: http.MethodGet, head: []byte(head), id: id, upstream: "U1", timeLeft: testBound, fromGather: true}).Outcome
+		return p.call(ctx, &call{headers: &names, method: http.MethodGet, head: []byte(head), id: id, upstream: "U1", timeLeft: testBound, fromGather: true}).Outcome
 	}
 	assert.Equal(t, call("one", silentCallTimeout+silentCallTimeout/4), policy.CallBroken)
 	assert.Equal(t, call("two", testBound), policy.CallOK)
--- a/tier/pass/start.go
+++ b/tier/pass/start.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// startBound is the age of the process up to which a request waits for the first
-	// configuration: twice what that takes if the platform answers. Without it, requests
-	// are refused because the configuration arrives a few milliseconds later.
+	// startupWait is the age of the process up to which requests wait for the first
+	// configuration. Without it, requests are refused although the configuration arrives a
+	// few milliseconds later.
 	startupWait = 150 * time.Millisecond
-	// confirmBound is the age of the process from which it serves on a document that nobody
-	// has confirmed to be the newest.
+	// confirmTimeout is the age of the process from which it serves requests with a
+	// document that is not confirmed to be the newest.
 	confirmTimeout = 5 * time.Second
 )
 
-// startGate holds back what may not start yet; it opens once, for good. It is safe for
+// startGate blocks waiters until it is opened, once and permanently. It is safe for
 // concurrent use.
 type startGate struct {
 	opened chan struct{}
@@ -27,11 +27,11 @@
 
 func newStartGate() startGate { return startGate{opened: make(chan struct{})} }
 
-// open lets all pass that wait; it may be called again.
+// open releases all waiters. It may be called again.
 func (g *startGate) open() { g.once.Do(func() { close(g.opened) }) }
 
-// await waits until the gate is open, at most for some time, and reports whether it is. An
-// open gate lets pass whatever the time and the context.
+// await waits until the gate opens, the timeout passes or the context ends, and reports
+// whether the gate is open. It always returns true if the gate is already open.
 func (g *startGate) await(ctx context.Context, timeout time.Duration) bool {
 	select {
 	case <-g.opened:
@@ -48,8 +48,8 @@
 	}
 }
 
-// markReady makes the host ready once it knows documents and upstreams, and that they
-// are no older than what the platform or another host has; it runs on the control
+// markReady makes a starting host ready once it has a document and a directory that are
+// confirmed to be the newest, or that were not confirmed in time. It runs on the control
 // thread.
 func markReady(k *kernel.Kernel, v *kernel.View) {
 	if v.Index == nil || v.Directory == nil || k.Phase() != kernel.PhaseStarting {
--- a/tier/pass/start_test.go
+++ b/tier/pass/start_test.go
@@ -10,7 +10,7 @@
 	"loomgap/tier/kernel"
 )
 
-// TestMarkReady looks at which views make a host ready that starts.
+// TestMarkReady checks which views make a starting host ready.
 func TestMarkReady(t *testing.T) {
 	index, directory := &config.Index{}, &config.Directory{}
 	tests := []struct {
--- a/tier/pass/warmup.go
+++ b/tier/pass/warmup.go
@@ -8,7 +8,7 @@
 	"loomgap/tier/policy"
 )
 
-// coldOf describes an upstream that may not have warmed up.
+// coldState returns what policy needs to know about the warm-up of an upstream.
 func (e *engine) coldState(l *config.Listing, b *shareInputs) policy.Cold {
 	out := policy.Cold{Remaining: time.Duration(l.Warmup), Revision: l.Revision, Sequence: l.Sequence, Evacuated: b.directory.Evacuated(l.Hall)}
 	if g := b.index.Group(l.Group); g != nil {
@@ -18,8 +18,8 @@
 	return out
 }
 
-// assignCold assigns each cold upstream that can handle a bounded number of calls to
-// one host of its hall; it runs on the control thread.
+// assignColdOwners assigns each throttled cold upstream to one host of its hall. It runs on
+// the control thread.
 func (e *engine) assignColdOwners(v *kernel.View) {
 	cold := e.kernel.Fleet.ThrottledCold(e.kernel.Now())
 	if len(cold) == 0 {
@@ -35,7 +35,7 @@
 	e.kernel.Fleet.SetColdOwners(e.kernel.Settings.Host, owners)
 }
 
-// hostsOf describes the live hosts of a hall that are not leaving, this one included.
+// hostsInHall returns the live hosts of a hall that are not leaving, including this one.
 func (e *engine) hostsInHall(v *kernel.View, hall string) []policy.Candidate {
 	out := liveHosts(v, func(other string) bool { return other == hall })
 	if hall == e.kernel.Settings.Hall {
