--- a/loomfake/soakrestore.go
+++ b/loomfake/soakrestore.go
@@ -27,7 +27,7 @@
 // restoreStore backs the store up and returns a function that restores the backup. After
 // the restore, the operator and the upstreams write their state again.
 func restoreStore(ctx context.Context, s *soak) func() {
-	old := s.store.Backup()
+	backup := s.store.Backup()
 	for range lostChanges {
 		s.must(s.publish())
 	}
@@ -35,7 +35,7 @@
 		s.recordStoreFault()
 		s.store.Fail(http.StatusServiceUnavailable)
 		time.Sleep(restoreOutage)
-		s.store.Restore(old)
+		s.store.Restore(backup)
 		s.store.Fail(0)
 		s.recordStoreFault()
 		s.rewriteState()
--- a/tier/kernel/adapter.go
+++ b/tier/kernel/adapter.go
@@ -41,9 +41,9 @@
 
 // Source reads what a platform publishes. It is used by one goroutine.
 type Source interface {
-	// Read returns everything that is published, all of one era. Unless exact is set,
+	// Read returns everything that is published, all of one era. Unless consistent is set,
 	// the result may be a few seconds old.
-	Read(ctx context.Context, exact bool) (*Published, error)
+	Read(ctx context.Context, consistent bool) (*Published, error)
 	// Watch returns the changes after a position, and waits for one if there is none.
 	// The result is of the same era as the position and not older than it. The error
 	// wraps ErrHistoryGone if only Read can return the content, for example because
--- a/tier/kernel/control.go
+++ b/tier/kernel/control.go
@@ -117,7 +117,7 @@
 	s.changed = false
 	v := s.view()
 	k.view.Store(v)
-	for _, f := range k.watchers {
+	for _, f := range k.viewCallbacks {
 		f(v)
 	}
 }
--- a/tier/kernel/kernel.go
+++ b/tier/kernel/kernel.go
@@ -23,8 +23,8 @@
 
 	lifecycle
 	suspensions suspendMeter
-	// live holds the settings that may change while the process runs.
-	live atomic.Pointer[ReloadableSettings]
+	// reloadable holds the settings that may change while the process runs.
+	reloadable atomic.Pointer[ReloadableSettings]
 	// jobs are run by the control thread, in order.
 	jobs chan func(*State)
 	// view is the last published state.
@@ -34,8 +34,8 @@
 	lastTick atomic.Int64
 	// handlers maps each method to its Handler.
 	handlers sync.Map
-	// watchers are called for every new view. Used on the control thread only.
-	watchers []func(*View)
+	// viewCallbacks are called for every new view. Used on the control thread only.
+	viewCallbacks []func(*View)
 }
 
 // Config configures a kernel. It does not change after construction.
@@ -66,7 +66,7 @@
 	if err := k.suspensions.start(c.BootTime, k.monotonic); err != nil {
 		k.Log.Warn().Err(err).Msg("suspensions of the machine are not noticed")
 	}
-	k.live.Store(&ReloadableSettings{Seeds: c.Settings.Seeds, RetryBudget: c.Settings.RetryBudget})
+	k.reloadable.Store(&ReloadableSettings{Seeds: c.Settings.Seeds, RetryBudget: c.Settings.RetryBudget})
 	k.phase.Store(PhaseStarting)
 	state := newState()
 	k.view.Store(state.view())
@@ -84,11 +84,11 @@
 func (k *Kernel) monotonic() time.Duration { return time.Since(k.Started) }
 
 // Reloadable returns the settings that may change while the process runs.
-func (k *Kernel) Reloadable() ReloadableSettings { return *k.live.Load() }
+func (k *Kernel) Reloadable() ReloadableSettings { return *k.reloadable.Load() }
 
 // Reload applies changed settings and has the control thread publish a view.
 func (k *Kernel) Reload(l ReloadableSettings) {
-	k.live.Store(&l)
+	k.reloadable.Store(&l)
 	k.Do(func(s *State) { s.changed = true })
 }
 
@@ -140,7 +140,7 @@
 // every later one.
 func (k *Kernel) OnView(f func(*View)) {
 	k.Do(func(*State) {
-		k.watchers = append(k.watchers, f)
+		k.viewCallbacks = append(k.viewCallbacks, f)
 		f(k.view.Load())
 	})
 }
--- a/tier/kernel/kernel_test.go
+++ b/tier/kernel/kernel_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestLeavingHoldsUntilTheUpstreamIsBack(t *testing.T) {
+func TestUpstreamStaysLeavingUntilItReturns(t *testing.T) {
 	s := newState()
 	s.MarkLeaving("U1", 5)
 	s.MarkLeaving("U1", 3)
@@ -81,12 +81,12 @@
 	assert.Equal(t, k.Phase(), PhaseDraining)
 }
 
-func TestPipelineNamesWhatIsMissing(t *testing.T) {
+func TestPipelineErrorNamesMissingPlugin(t *testing.T) {
 	_, err := Pipeline([]string{"Nobody"})
 	assert.ErrorIs(t, err, ErrNoPlugin)
 }
 
-func TestViewsAreInOrderAndDoNotChange(t *testing.T) {
+func TestViewsAreOrderedAndImmutable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k, stop := start(t)
 		defer stop()
--- a/tier/kernel/state.go
+++ b/tier/kernel/state.go
@@ -153,10 +153,10 @@
 }
 
 // Next returns the report updated by another announcement of the same host.
-func (r AnnouncerReport) Next(now time.Duration, lost bool) AnnouncerReport {
-	if r.At == 0 || r.PlatformDown != lost {
+func (r AnnouncerReport) Next(now time.Duration, platformDown bool) AnnouncerReport {
+	if r.At == 0 || r.PlatformDown != platformDown {
 		r.Since = now
 	}
-	r.At, r.PlatformDown = now, lost
+	r.At, r.PlatformDown = now, platformDown
 	return r
 }
--- a/tier/kernel/status_test.go
+++ b/tier/kernel/status_test.go
@@ -21,9 +21,9 @@
 	"loomgap/tier/policy"
 )
 
-// TestStatusKeepsItsForm compares the status that operators get from a starting host and
+// TestStatusFormatIsStable compares the status that operators get from a starting host and
 // from one with state to golden files.
-func TestStatusKeepsItsForm(t *testing.T) {
+func TestStatusFormatIsStable(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	at := netip.MustParseAddrPort(l.Addr().String())
--- a/tier/peers/announcement.go
+++ b/tier/peers/announcement.go
@@ -259,12 +259,12 @@
 // recordAnnouncer records that a host announces, and whether the platform answers it.
 func recordAnnouncer(k *kernel.Kernel, s *kernel.State, m *announcement) {
 	now := k.Now()
-	lost := m.Lost || m.Age > maxReadAge(&k.Settings)
+	platformDown := m.Lost || m.Age > maxReadAge(&k.Settings)
 	readAt := now - max(m.Age, 0)
 	if m.Hall == k.Settings.Hall {
-		s.HallAnnouncers[m.Host] = s.HallAnnouncers[m.Host].Next(now, lost)
+		s.HallAnnouncers[m.Host] = s.HallAnnouncers[m.Host].Next(now, platformDown)
 	} else {
-		s.OtherReaders[m.Host] = s.OtherReaders[m.Host].Next(now, lost)
+		s.OtherReaders[m.Host] = s.OtherReaders[m.Host].Next(now, platformDown)
 		s.AnnouncedReadAt = max(s.AnnouncedReadAt, readAt)
 	}
 	s.PlatformReadAt = max(s.PlatformReadAt, readAt)
--- a/tier/peers/announcement_test.go
+++ b/tier/peers/announcement_test.go
@@ -158,9 +158,9 @@
 	})
 }
 
-// newAnnouncerWithMate returns the state of a host that announces to one other host of its
+// newAnnouncerWithPeer returns the state of a host that announces to one other host of its
 // hall, and a function that makes it announce and returns what the other received last.
-func newAnnouncerWithMate(k *kernel.Kernel) (*kernel.State, func() announcement) {
+func newAnnouncerWithPeer(k *kernel.Kernel) (*kernel.State, func() announcement) {
 	sent := &announcementRecorder{last: map[string]announcement{}}
 	k.Peers = sent
 	a := &announcer{kernel: k}
@@ -183,7 +183,7 @@
 func TestHostThatTakesOverAnnouncesChangesOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := newTestKernel(t, "Self")
-		s, announceToMate := newAnnouncerWithMate(k)
+		s, announceToMate := newAnnouncerWithPeer(k)
 		revision := uint64(0)
 		list := func(upstreams int) {
 			change := config.DirectoryChange{Revision: revision + uint64(upstreams)}
@@ -246,7 +246,7 @@
 func TestEvacuationIsAnnounced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := newTestKernel(t, "Self")
-		s, announceToMate := newAnnouncerWithMate(k)
+		s, announceToMate := newAnnouncerWithPeer(k)
 		s.ApplyDirectoryChange(&config.DirectoryChange{Revision: 1, Whole: true})
 		mate := &kernel.State{ReadingState: kernel.ReadingState{
 			HallAnnouncers: map[string]kernel.AnnouncerReport{}, OtherReaders: map[string]kernel.AnnouncerReport{},
--- a/tier/peers/crash_reports_test.go
+++ b/tier/peers/crash_reports_test.go
@@ -144,9 +144,9 @@
 	}}}})
 }
 
-// TestStrikesReachAllHosts checks that a crash report reaches nearly all hosts within 100 ms and
+// TestCrashReportsReachAllHosts checks that a crash report reaches nearly all hosts within 100 ms and
 // all within seconds, with a bounded number of messages per host.
-func TestStrikesReachAllHosts(t *testing.T) {
+func TestCrashReportsReachAllHosts(t *testing.T) {
 	for _, hosts := range slices.Compact([]int{2, 7, 60, maxFleetHosts}) {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -166,9 +166,9 @@
 	}
 }
 
-// TestManyStrikesCostBoundedBytes checks that each host sends less than 100 KB a second while
+// TestManyCrashReportsUseBoundedTraffic checks that each host sends less than 100 KB a second while
 // all upstreams crash.
-func TestManyStrikesCostBoundedBytes(t *testing.T) {
+func TestManyCrashReportsUseBoundedTraffic(t *testing.T) {
 	const hosts = maxFleetHosts
 	synctest.Test(t, func(t *testing.T) {
 		n := newCrashReportNetwork(t, hosts)
@@ -189,9 +189,9 @@
 	})
 }
 
-// TestHostThatWasAwayLearnsOfStrikes checks that a host that was disconnected and one that has
+// TestDisconnectedHostLearnsOfCrashReports checks that a host that was disconnected and one that has
 // just started learn of earlier crashes within three seconds.
-func TestHostThatWasAwayLearnsOfStrikes(t *testing.T) {
+func TestDisconnectedHostLearnsOfCrashReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newCrashReportNetwork(t, 7)
 		n.disconnect("H3", true)
@@ -208,8 +208,8 @@
 	})
 }
 
-// TestBadStrikesAreRefused checks that a message that is not valid is refused as a whole.
-func TestBadStrikesAreRefused(t *testing.T) {
+// TestInvalidCrashReportsAreRejected checks that a message that is not valid is refused as a whole.
+func TestInvalidCrashReportsAreRejected(t *testing.T) {
 	report := `{"Fingerprint":"F","Strikes":[{"ID":1,"Attempt":1,"Upstream":"U","Left":1000000000}]}`
 	many := func(n int, item string) string {
 		return strings.TrimSuffix(strings.Repeat(item+",", n), ",")
--- a/tier/peers/detection_test.go
+++ b/tier/peers/detection_test.go
@@ -115,8 +115,8 @@
 func (m *fleetModel) sendHeartbeats(h *fleetModelHost) {
 	h.heartbeats++
 	h.table.tick(m.now, 1)
-	hall, unresponsive, other := m.sort(h)
-	partners := m.partnersAmong(h, hall)
+	hall, unresponsive, other := m.classifyHosts(h)
+	partners := m.sampleHallPartners(h, hall)
 	announces := m.announcer(h.hall) == h
 	every := otherHallEvery * nonAnnouncerFactor
 	if announces {
@@ -145,14 +145,14 @@
 		return
 	}
 	h.urgentAt = 0
-	hall, _, _ := m.sort(h)
-	for _, to := range m.partnersAmong(h, hall) {
+	hall, _, _ := m.classifyHosts(h)
+	for _, to := range m.sampleHallPartners(h, hall) {
 		m.exchange(h, to, m.now, false)
 	}
 }
 
-// sort divides the hosts that a host knows as gossip.sortHosts does with an adapter.
-func (m *fleetModel) sort(h *fleetModelHost) (hall, unresponsive, other []*fleetModelHost) {
+// classifyHosts divides the hosts that a host knows as gossip.sortHosts does with an adapter.
+func (m *fleetModel) classifyHosts(h *fleetModelHost) (hall, unresponsive, other []*fleetModelHost) {
 	for _, r := range h.table.order {
 		to := m.hosts[numberOf(r.Host)]
 		switch {
@@ -167,7 +167,7 @@
 	return hall, unresponsive, other
 }
 
-func (m *fleetModel) partnersAmong(h *fleetModelHost, hall []*fleetModelHost) []*fleetModelHost {
+func (m *fleetModel) sampleHallPartners(h *fleetModelHost, hall []*fleetModelHost) []*fleetModelHost {
 	var suspects []*fleetModelHost
 	for _, n := range h.table.suspected(h.table.Self.Hall) {
 		suspects = append(suspects, m.hosts[numberOf(n)])
@@ -245,9 +245,9 @@
 	return slices.DeleteFunc([]int{60, 300, 584}, func(n int) bool { return n > maxModelHosts })
 }
 
-// TestDeadHostsAreFoundAtAnySize checks that when a sixth of the hosts fail at once, the hosts
+// TestFailedHostsAreDetectedAtAnySize checks that when a sixth of the hosts fail at once, the hosts
 // of their halls detect 99% of the failures within 5 s, and those of other halls within 8 s.
-func TestDeadHostsAreFoundAtAnySize(t *testing.T) {
+func TestFailedHostsAreDetectedAtAnySize(t *testing.T) {
 	for _, hosts := range modelSizes() {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
 			m := newFleetModel(hosts, true)
@@ -307,9 +307,9 @@
 	}
 }
 
-// TestHostsMeetAtAnySize checks that hosts that start together with the same few seeds know 99%
+// TestHostsDiscoverEachOtherAtAnySize checks that hosts that start together with the same few seeds know 99%
 // of their hall after five intervals, and 99% of all hosts after 15.
-func TestHostsMeetAtAnySize(t *testing.T) {
+func TestHostsDiscoverEachOtherAtAnySize(t *testing.T) {
 	for _, hosts := range modelSizes() {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
 			m := newFleetModel(hosts, false)
--- a/tier/peers/feed.go
+++ b/tier/peers/feed.go
@@ -116,7 +116,7 @@
 		// The first read may have been a stale one.
 		return f.source.Watch(ctx, f.position, 0)
 	}
-	if f.eraTracker.begin(now) {
+	if f.eraTracker.startSettling(now) {
 		return f.source.Read(ctx, true)
 	}
 	return f.source.Watch(ctx, f.position, f.eraTracker.wait(now, f.removalHold.wait(now, f.kernel.Settings.WatchWait)))
@@ -169,7 +169,7 @@
 	f.position = p.Position
 	f.kernel.DoAndWait(func(s *kernel.State) {
 		if f.eraTracker.observe(f.kernel, s, p, now) {
-			f.removalHold.historyReturned(now)
+			f.removalHold.platformRestored(now)
 		}
 		f.install(s, p, now, wasUnavailable)
 		if f.caughtUp {
--- a/tier/peers/feed_test.go
+++ b/tier/peers/feed_test.go
@@ -107,15 +107,15 @@
 }
 
 // Read implements kernel.Source.
-func (p *fakePlatform) Read(_ context.Context, exact bool) (*kernel.Published, error) {
+func (p *fakePlatform) Read(_ context.Context, consistent bool) (*kernel.Published, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.unavailable {
 		return nil, errUnavailable
 	}
-	p.reads = append(p.reads, exact)
+	p.reads = append(p.reads, consistent)
 	upTo := p.revision
-	if !exact {
+	if !consistent {
 		upTo -= min(p.stale, p.revision-1)
 	}
 	var d *config.Directory
--- a/tier/peers/members_test.go
+++ b/tier/peers/members_test.go
@@ -70,9 +70,9 @@
 	})
 }
 
-// TestGossipReachesAHall checks that all hosts of a large hall learn of each other and stay
+// TestGossipReachesAllHostsOfAHall checks that all hosts of a large hall learn of each other and stay
 // live, and that all find a dead one unresponsive.
-func TestGossipReachesAHall(t *testing.T) {
+func TestGossipReachesAllHostsOfAHall(t *testing.T) {
 	const hosts = 117
 	random := rand.New(rand.NewPCG(7, 0))
 	var all []*memberTable
--- a/tier/peers/outage.go
+++ b/tier/peers/outage.go
@@ -38,8 +38,8 @@
 
 // isUnavailable reports whether the platform counts as unavailable: reads have failed for
 // unavailableAfter, or the last successful one is older than stale.
-func (o *outage) isUnavailable(now, stale time.Duration) bool {
-	return o.failingSince > 0 && (now-o.failingSince >= unavailableAfter || now-o.succeededAt > stale)
+func (o *outage) isUnavailable(now, maxAge time.Duration) bool {
+	return o.failingSince > 0 && (now-o.failingSince >= unavailableAfter || now-o.succeededAt > maxAge)
 }
 
 // nextDelay returns the delay before the next read, drawn at random from the upper half of
--- a/tier/peers/partners.go
+++ b/tier/peers/partners.go
@@ -42,8 +42,8 @@
 // the size of the fleet. They are chosen from the members, the document's hosts and the
 // seeds, depending on how many heartbeats were sent.
 func (g *gossip) partners(s *kernel.State) []netip.AddrPort {
-	hall, unresponsive, other := g.sortHosts(s)
-	out := g.partnersAmong(s, hall)
+	hall, unresponsive, other := g.classifyHosts(s)
+	out := g.sampleHallPartners(s, hall)
 	if len(hall) == 0 {
 		// No live host is left to report that an unresponsive one is back.
 		out = g.sample(unresponsive, hallPartners)
@@ -74,11 +74,11 @@
 
 // hallPartners returns the hosts of this hall that a heartbeat goes to.
 func (g *gossip) hallPartners(s *kernel.State) []netip.AddrPort {
-	hall, _, _ := g.sortHosts(s)
-	return g.partnersAmong(s, hall)
+	hall, _, _ := g.classifyHosts(s)
+	return g.sampleHallPartners(s, hall)
 }
 
-func (g *gossip) partnersAmong(s *kernel.State, hall []netip.AddrPort) []netip.AddrPort {
+func (g *gossip) sampleHallPartners(s *kernel.State, hall []netip.AddrPort) []netip.AddrPort {
 	return append(g.sample(g.suspects(s), suspectPartners), g.sample(hall, hallPartners)...)
 }
 
@@ -104,10 +104,10 @@
 	return out
 }
 
-// sortHosts divides the other hosts into responsive ones of this hall, unresponsive ones, and
+// classifyHosts divides the other hosts into responsive ones of this hall, unresponsive ones, and
 // hosts of other halls. The unresponsive ones are of any hall with an adapter, else of this
 // hall only.
-func (g *gossip) sortHosts(s *kernel.State) (hall, unresponsive, other []netip.AddrPort) {
+func (g *gossip) classifyHosts(s *kernel.State) (hall, unresponsive, other []netip.AddrPort) {
 	for _, h := range g.hosts(s) {
 		m, known := s.Members[h.Name]
 		isUnresponsive := known && !m.Live
--- a/tier/peers/reader.go
+++ b/tier/peers/reader.go
@@ -109,14 +109,14 @@
 type readerRanking struct {
 	settings *kernel.Settings
 	members  map[string]kernel.Member
-	// strongest is the largest capacity of all hosts.
-	strongest int
+	// maxCapacity is the largest capacity of all hosts.
+	maxCapacity int
 }
 
 func newReaderRanking(s *kernel.State, settings *kernel.Settings) *readerRanking {
-	r := &readerRanking{settings: settings, members: s.Members, strongest: settings.Capacity()}
+	r := &readerRanking{settings: settings, members: s.Members, maxCapacity: settings.Capacity()}
 	for _, m := range s.Members {
-		r.strongest = max(r.strongest, m.Capacity)
+		r.maxCapacity = max(r.maxCapacity, m.Capacity)
 	}
 	return r
 }
@@ -134,7 +134,7 @@
 // as strong as this one.
 func (r *readerRanking) capacityClass(host string) int {
 	capacity := cmp.Or(r.members[host].Capacity, r.settings.Capacity())
-	if policy.IsCoordinator(capacity, r.strongest) {
+	if policy.IsCoordinator(capacity, r.maxCapacity) {
 		return 0
 	}
 	return 1
--- a/tier/peers/reader_test.go
+++ b/tier/peers/reader_test.go
@@ -138,9 +138,9 @@
 	return n
 }
 
-// TestFewTakeOverFromALostReader checks that few hosts take over when the announcer loses the
+// TestFewHostsTakeOverFromFailedReader checks that few hosts take over when the announcer loses the
 // platform or fails, regardless of the size of the hall and the delay of messages.
-func TestFewTakeOverFromALostReader(t *testing.T) {
+func TestFewHostsTakeOverFromFailedReader(t *testing.T) {
 	const now = time.Minute
 	for _, hosts := range []int{3, 8, 50, 117} {
 		for _, delay := range []time.Duration{0, 20 * time.Millisecond, 40 * time.Millisecond} {
--- a/tier/peers/refused_test.go
+++ b/tier/peers/refused_test.go
@@ -72,11 +72,11 @@
 }
 
 // Read implements kernel.Source.
-func (s *hostSource) Read(ctx context.Context, exact bool) (*kernel.Published, error) {
+func (s *hostSource) Read(ctx context.Context, consistent bool) (*kernel.Published, error) {
 	if err := s.err(); err != nil {
 		return nil, err
 	}
-	return s.fleet.platform.Read(ctx, exact)
+	return s.fleet.platform.Read(ctx, consistent)
 }
 
 // Watch implements kernel.Source. A watch in progress fails when the platform refuses the host.
--- a/tier/peers/removal_hold.go
+++ b/tier/peers/removal_hold.go
@@ -28,9 +28,9 @@
 
 func (h *removalHold) platformReturned(now time.Duration) { h.holdUntil = now + lateRemovalWindow }
 
-// historyReturned is platformReturned for a platform that came back with another history.
+// platformRestored is platformReturned for a platform that came back with another history.
 // It drops the removals held so far: the new history decides on them.
-func (h *removalHold) historyReturned(now time.Duration) {
+func (h *removalHold) platformRestored(now time.Duration) {
 	*h = removalHold{holdUntil: now + lateRemovalWindow}
 }
 
--- a/tier/peers/restore.go
+++ b/tier/peers/restore.go
@@ -34,8 +34,8 @@
 	settling bool
 }
 
-// begin reports whether it is time for the read that settles the era.
-func (e *eraTracker) begin(now time.Duration) bool {
+// startSettling reports whether it is time for the read that settles the era.
+func (e *eraTracker) startSettling(now time.Duration) bool {
 	e.settling = e.settleAt > 0 && now >= e.settleAt
 	return e.settling
 }
--- a/tier/peers/start_test.go
+++ b/tier/peers/start_test.go
@@ -79,9 +79,9 @@
 	}
 }
 
-// TestChangeDoesNotReplaceDirectory checks that a host that has received only a change does not
+// TestIncrementalChangeIsNotServedAsDirectory checks that a host that has received only a change does not
 // offer it to others as a directory.
-func TestChangeDoesNotReplaceDirectory(t *testing.T) {
+func TestIncrementalChangeIsNotServedAsDirectory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		listing := func(name string, revision uint64) config.Listing {
 			return config.Listing{Name: name, Group: "G", Hall: "A", Slots: 1, Revision: revision}
--- a/tier/prog/prog.go
+++ b/tier/prog/prog.go
@@ -27,7 +27,7 @@
 // adds, and exits with the command's status. It must be called once, from main.
 func Main(commands ...Command) {
 	for _, c := range commands {
-		subcommands.Register(registered{c}, "")
+		subcommands.Register(subcommandAdapter{c}, "")
 	}
 	subcommands.Register(subcommands.HelpCommand(), "")
 	subcommands.Register(subcommands.FlagsCommand(), "")
@@ -46,23 +46,23 @@
 	}
 }
 
-// registered adapts a Command to package subcommands.
-type registered struct {
+// subcommandAdapter adapts a Command to package subcommands.
+type subcommandAdapter struct {
 	command Command
 }
 
-var _ subcommands.Command = registered{}
+var _ subcommands.Command = subcommandAdapter{}
 
-func (r registered) Name() string     { return r.command.Name }
-func (r registered) Synopsis() string { return r.command.Synopsis }
-func (r registered) Usage() string    { return r.command.Usage }
+func (r subcommandAdapter) Name() string     { return r.command.Name }
+func (r subcommandAdapter) Synopsis() string { return r.command.Synopsis }
+func (r subcommandAdapter) Usage() string    { return r.command.Usage }
 
-func (r registered) SetFlags(f *flag.FlagSet) {
+func (r subcommandAdapter) SetFlags(f *flag.FlagSet) {
 	if r.command.Flags != nil {
 		r.command.Flags(f)
 	}
 }
 
-func (r registered) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+func (r subcommandAdapter) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	return r.command.Run(ctx, f)
 }
