--- a/tier/kernel/adapter.go
+++ b/tier/kernel/adapter.go
@@ -15,9 +15,9 @@
 	// ErrHistoryGone is wrapped when a source no longer has the changes after a
 	// position. The caller must read everything again.
 	ErrHistoryGone = errors.New("history of changes is gone")
-	// ErrStaleEra is wrapped when a source answered from an era before the one asked
-	// for, that is, from before it was restored from a copy. The caller drops the
-	// answer and asks again.
+	// ErrStaleEra is wrapped when a source answered from an earlier era than the requested
+	// one, that is, from before it was restored from a backup. The caller must drop the
+	// answer and retry.
 	ErrStaleEra = errors.New("answer from an earlier era")
 	// ErrNoAdapter is wrapped when no adapter is registered under a name.
 	ErrNoAdapter = errors.New("no such adapter")
@@ -25,12 +25,12 @@
 
 // Published is the content that a platform publishes, or a change of it.
 type Published struct {
-	// Position is the platform's position up to which the content is complete. It can
-	// be compared only with positions of the same era.
+	// Position is the platform's position up to which the content is complete. Its revision
+	// can be compared only with revisions of the same era.
 	Position config.Position
 	// Document is the newest document; nil if it did not change or does not exist yet.
 	Document *config.Document
-	// Edition orders Document among the published documents.
+	// Edition is the edition of Document.
 	Edition config.Edition
 	// Directory is the change of the directory.
 	Directory config.DirectoryChange
@@ -42,12 +42,12 @@
 // Source reads what a platform publishes. It is used by one goroutine.
 type Source interface {
 	// Read returns everything that is published, all of one era. Unless consistent is set,
-	// the result may be a few seconds old.
+	// the result may be stale by a few seconds.
 	Read(ctx context.Context, consistent bool) (*Published, error)
 	// Watch returns the changes after a position, and waits for one if there is none.
 	// The result is of the same era as the position and not older than it. The error
 	// wraps ErrHistoryGone if only Read can return the content, for example because
-	// the platform was restored from a copy and no longer knows the position.
+	// the platform was restored from a backup and no longer knows the position.
 	Watch(ctx context.Context, after config.Position, wait time.Duration) (*Published, error)
 }
 
@@ -55,7 +55,7 @@
 type Headers struct {
 	// RequestID identifies a request; upstreams echo it.
 	RequestID string
-	// DeadlineMillis is the time that the sender still waits, in milliseconds.
+	// DeadlineMillis is the time for which the sender still waits, in milliseconds.
 	DeadlineMillis string
 	// Upstream names the only upstream that may run the request.
 	Upstream string
--- a/tier/kernel/control.go
+++ b/tier/kernel/control.go
@@ -12,20 +12,19 @@
 	// tickInterval is the time between two ticks of an idle control thread. It must be
 	// well below maxTickGap.
 	tickInterval = 100 * time.Millisecond
-	// maxTickGap is the longest time between two ticks that does not count as a pause
-	// of the process.
+	// maxTickGap is the time between two ticks above which the process counts as paused.
 	maxTickGap = time.Second
 )
 
-// Responsive reports whether the process has run without a long pause up to now. A
-// process that was paused must not act on its earlier state.
+// Responsive reports whether the control thread has ticked within maxTickGap. Otherwise the
+// process was paused, and must not act on its state from before the pause.
 func (k *Kernel) Responsive() bool {
 	k.recordSuspension()
 	return k.Now()-time.Duration(k.lastTick.Load()) < maxTickGap
 }
 
-// AwaitPauseCheck waits, if the process was paused, until the control thread has recorded
-// the pause, so that the caller does not act on state from before it.
+// AwaitPauseCheck returns once the control thread has recorded a pause of the process, if there
+// was one, so that the caller does not act on state from before it.
 func (k *Kernel) AwaitPauseCheck() {
 	if !k.Responsive() {
 		k.DoAndWait(func(*State) {})
@@ -54,6 +53,7 @@
 	}
 }
 
+// control is the control thread: it runs the queued jobs until the context is done.
 func (k *Kernel) control(ctx context.Context, s *State) {
 	defer k.reportPanic(s)
 	ticker := time.NewTicker(tickInterval)
@@ -72,8 +72,8 @@
 	}
 }
 
-// reportPanic logs a summary of the control state when the control thread panics, and
-// then lets the process end. A stack trace alone does not show the state that led to it.
+// reportPanic logs a summary of the control state when the control thread panics, since a
+// stack trace alone does not show the state that led to the panic. It then panics again.
 func (k *Kernel) reportPanic(s *State) {
 	cause := recover()
 	if cause == nil {
@@ -89,7 +89,7 @@
 }
 
 // tick records that the process is running. After a pause it increments Pauses, so that
-// missing heartbeats during the pause are not held against members.
+// members are not considered unresponsive because of heartbeats missed during the pause.
 func (k *Kernel) tick(s *State) {
 	k.recordSuspension()
 	now := k.Now()
@@ -103,13 +103,14 @@
 	k.lastTick.Store(int64(now))
 }
 
-// recordSuspension adds the time for which the machine was suspended, if any, to Now.
+// recordSuspension adds the time for which the machine was suspended, if it was, to Now.
 func (k *Kernel) recordSuspension() {
 	if suspended := k.suspensions.update(k.monotonic); suspended > 0 {
 		k.Log.Warn().Dur("Asleep", suspended).Msg("machine was suspended")
 	}
 }
 
+// publish publishes a view if the state has changed.
 func (k *Kernel) publish(s *State) {
 	if !s.changed {
 		return
--- a/tier/kernel/doc.go
+++ b/tier/kernel/doc.go
@@ -2,7 +2,7 @@
 // plug-ins.
 //
 // The control State consists of the active document, the directory of upstreams, the
-// members, and who reads the platform. The package decides which published document
+// members, and which hosts read the platform. The package decides which published document
 // becomes active (document.go), whether the process was paused (control.go), whether the
 // host is ready, and when a stopping host may exit (lifecycle.go). Plug-ins make all
 // other decisions.
@@ -21,8 +21,8 @@
 // use.
 //
 // Start reading with State in state.go, then Kernel in kernel.go and control in
-// control.go. A program that embeds the tier creates a Kernel with New, finds plug-ins
+// control.go. A program that embeds the tier creates a Kernel with New, looks up plug-ins
 // with Pipeline and runs them. Plugin, Source and PeerCaller are the interfaces to
-// implement. The parts of State are exported so that tests of other packages can build
-// one.
+// implement. The structs embedded in State are exported so that tests of other packages can
+// create a State.
 package kernel
--- a/tier/kernel/document.go
+++ b/tier/kernel/document.go
@@ -18,12 +18,12 @@
 	Refused string
 	// Published is the latest position of a document that this host has seen or a peer
 	// has reported. It does not decide whether a document is accepted: after the
-	// platform was restored from a copy, the active document may be newer than the one
+	// platform was restored from a backup, the active document may be newer than the one
 	// at this position.
 	Published config.Position
-	// Confirmed is true once this host, or a host that reported to it, has learnt from
-	// the platform that the active document is the newest. Without it, a stale platform
-	// could make a restarted host serve an older document than it served before.
+	// Confirmed is true once the platform has confirmed, to this host or to a peer, that
+	// the active document is the newest. A host that serves before that could, after a
+	// restart, serve an older document than it served before.
 	Confirmed bool
 	// ConfirmedAt is the time of the last confirmation, as time since the process
 	// started.
@@ -56,17 +56,17 @@
 	}
 }
 
-// Accept activates a published document if it is valid and newer than any seen before. It
-// runs on the control thread.
+// Accept activates a published document if it is valid and newer than all documents seen
+// before. It runs on the control thread.
 func (k *Kernel) Accept(s *State, text string, e config.Edition) {
 	if k.isNewer(s, e) {
 		k.accept(s, text, e)
 	}
 }
 
-// AcceptDocument does the same as Accept for a document that an adapter has translated.
-// Such documents are ordered by their edition alone, so each is treated as based on the
-// previous revision. It runs on the control thread.
+// AcceptDocument is Accept for a document that an adapter has translated. Such a document does
+// not state the revision that it is based on, so it is accepted as based on the previous one.
+// It runs on the control thread.
 func (k *Kernel) AcceptDocument(s *State, d *config.Document, e config.Edition) {
 	if !k.isNewer(s, e) {
 		return
--- a/tier/kernel/handler.go
+++ b/tier/kernel/handler.go
@@ -23,8 +23,8 @@
 // Handle registers the handler of a method that other entry hosts call.
 func (k *Kernel) Handle(method string, h Handler) { k.handlers.Store(method, h) }
 
-// HandleMessage registers a typed handler. The error for a message that cannot be decoded
-// calls the message what.
+// HandleMessage registers a typed handler. what names the kind of message in the error for one
+// that cannot be decoded.
 func HandleMessage[T any](k *Kernel, method, what string, serve func(ctx context.Context, in *T) (any, error)) {
 	k.Handle(method, func(ctx context.Context, params json.RawMessage) (any, error) {
 		var in T
@@ -50,14 +50,14 @@
 // pushKey is the context key of the function set by WithPush.
 type pushKey struct{}
 
-// WithPush returns a context for the handler of a call, in which Push uses the given
-// function to send messages to the caller.
+// WithPush returns a context for the handler of a call. In it, Push sends messages to the
+// caller with the given function.
 func WithPush(ctx context.Context, push func(method string, params any) error) context.Context {
 	return context.WithValue(ctx, pushKey{}, push)
 }
 
-// Push sends a message to the caller of the method being served. The caller's handler of
-// the given method receives it, possibly after the answer.
+// Push sends a message to the caller of the method that is being served. The caller's handler
+// of the given method receives it, possibly after the answer.
 func Push(ctx context.Context, method string, params any) error {
 	push, ok := ctx.Value(pushKey{}).(func(method string, params any) error)
 	if !ok {
--- a/tier/kernel/kernel.go
+++ b/tier/kernel/kernel.go
@@ -15,7 +15,7 @@
 // Kernel owns the control state of one entry host.
 type Kernel struct {
 	Config
-	// RequestLog logs single requests. Lines over the configured rate are dropped and
+	// RequestLog logs individual requests. Lines over the configured rate are dropped and
 	// counted, so that load cannot flood the log.
 	RequestLog zerolog.Logger
 	// Peers is set by the plug-in that serves the peer protocol.
@@ -34,7 +34,7 @@
 	lastTick atomic.Int64
 	// handlers maps each method to its Handler.
 	handlers sync.Map
-	// viewCallbacks are called for every new view. Used on the control thread only.
+	// viewCallbacks are called with every new view. They are used on the control thread only.
 	viewCallbacks []func(*View)
 }
 
@@ -86,7 +86,7 @@
 // Reloadable returns the settings that may change while the process runs.
 func (k *Kernel) Reloadable() ReloadableSettings { return *k.reloadable.Load() }
 
-// Reload applies changed settings and has the control thread publish a view.
+// Reload applies changed settings and makes the control thread publish a view.
 func (k *Kernel) Reload(l ReloadableSettings) {
 	k.reloadable.Store(&l)
 	k.Do(func(s *State) { s.changed = true })
@@ -136,8 +136,8 @@
 	}
 }
 
-// OnView registers a function that the control thread calls with the current view and with
-// every later one.
+// OnView registers a function that the control thread calls with the current view and every
+// later one.
 func (k *Kernel) OnView(f func(*View)) {
 	k.Do(func(*State) {
 		k.viewCallbacks = append(k.viewCallbacks, f)
--- a/tier/kernel/kernel_test.go
+++ b/tier/kernel/kernel_test.go
@@ -68,7 +68,7 @@
 	assert.Equal(t, s.Leaving["U1"], time.Duration(5))
 	s.MarkReturned("U1", 9)
 	s.MarkLeaving("U1", 8)
-	assert.Assert(t, !s.view().Leaving["U1"], "a sign from before the return does not count")
+	assert.Assert(t, !s.view().Leaving["U1"], "a leave notice from before the return must be ignored")
 	s.MarkLeaving("U1", 10)
 	assert.Assert(t, s.view().Leaving["U1"])
 }
@@ -110,8 +110,8 @@
 	})
 }
 
-// TestPauseIsDetected blocks the control thread for longer than maxTickGap, as a pause of
-// the process does.
+// TestPauseIsDetected checks that a pause of the process is recorded. Blocking the control
+// thread for longer than maxTickGap stands for the pause.
 func TestPauseIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k, stop := start(t)
@@ -126,8 +126,8 @@
 	})
 }
 
-// TestSuspensionCountsAsPause advances the boot clock alone, as a suspension does: the
-// state must age, and the pause must be noticed before the next request.
+// TestSuspensionCountsAsPause checks that after a suspension, which only the boot clock shows,
+// Now has advanced and the pause is recorded before the next request.
 func TestSuspensionCountsAsPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		started := time.Now()
@@ -150,7 +150,8 @@
 	})
 }
 
-// TestShortDelaysAreNoSuspension lets the two clocks differ by less than minSuspension.
+// TestShortDelaysAreNoSuspension checks that a difference of the two clocks below minSuspension
+// does not count as a suspension.
 func TestShortDelaysAreNoSuspension(t *testing.T) {
 	var m suspendMeter
 	assert.NilError(t, m.start(func() (time.Duration, error) { return time.Hour, nil }, func() time.Duration { return 0 }))
@@ -165,8 +166,8 @@
 	return pauses
 }
 
-// TestAwaitPauseCheckWaitsForTheControlThread blocks the control thread, as a pause of the
-// process does: the caller must wait until the pause is recorded and published.
+// TestAwaitPauseCheckWaitsForTheControlThread checks that after a pause of the process, the
+// caller waits until the control thread has recorded and published it.
 func TestAwaitPauseCheckWaitsForTheControlThread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k, stop := New(Config{Log: zerolog.Nop(), Started: time.Now()})
@@ -182,8 +183,8 @@
 		k.AwaitPauseCheck()
 		assert.Equal(t, k.Now()-begun, time.Second)
 		assert.Assert(t, k.Responsive())
-		assert.Equal(t, published, 2, "a view tells of the pause before any job runs")
-		assert.Equal(t, pausesOf(k), 1, "the state tells of the pause")
+		assert.Equal(t, published, 2, "a view must be published after the pause before any job runs")
+		assert.Equal(t, pausesOf(k), 1, "the state must record the pause")
 	})
 }
 
@@ -220,8 +221,8 @@
 	}
 }
 
-// TestPanicOfControlThreadIsLogged expects a panic to log the control state and to flush
-// the log before the process ends.
+// TestPanicOfControlThreadIsLogged checks that a panic logs the control state and flushes the
+// log before the process ends.
 func TestPanicOfControlThreadIsLogged(t *testing.T) {
 	var line strings.Builder
 	flushed := false
@@ -239,8 +240,8 @@
 	}
 }
 
-// TestStopWaitsForRequestsOfOtherHosts stops a host while it runs a request for another
-// host, which ends in time or not.
+// TestStopWaitsForRequestsOfOtherHosts checks that a stopping host waits for requests that it
+// runs for other hosts, up to its deadline.
 func TestStopWaitsForRequestsOfOtherHosts(t *testing.T) {
 	tests := []struct {
 		name   string
--- a/tier/kernel/lifecycle.go
+++ b/tier/kernel/lifecycle.go
@@ -34,7 +34,7 @@
 	// stopping is closed once, when a graceful shutdown is requested.
 	stopping chan struct{}
 	stopOnce sync.Once
-	// notReadyAnswers counts the readiness checks answered negatively while draining.
+	// notReadyAnswers counts the readiness checks answered while draining.
 	notReadyAnswers atomic.Int64
 }
 
@@ -63,9 +63,9 @@
 	return k.Phase() == PhaseReady && k.Responsive()
 }
 
-// Settle waits until the load balancer has had time to see that this host is stopping: for
-// the setting Settle, and then until SettleAsks readiness checks have been answered, but at
-// most for SettleMost.
+// Settle waits until the load balancer has had time to see that this host is not ready: at
+// least for the setting Settle, and until SettleAsks readiness checks have been answered, but
+// at most for SettleMost.
 func (k *Kernel) Settle() {
 	started := k.Now()
 	time.Sleep(k.Settings.Settle)
--- a/tier/kernel/member.go
+++ b/tier/kernel/member.go
@@ -14,7 +14,8 @@
 	Hall string
 	// Peer is the address for connections from other entry hosts.
 	Peer netip.AddrPort
-	// Live is true while its heartbeats arrive, directly or through other hosts.
+	// Live is true while it is considered live, from heartbeats that arrive directly or
+	// through other hosts.
 	Live bool
 	// Leaving is true once it has reported that it is stopping.
 	Leaving bool
@@ -30,8 +31,8 @@
 // Callable reports whether requests and calls may be sent to the host.
 func (m *Member) Callable() bool { return m.Active() && m.Peer.IsValid() }
 
-// SetMember updates a member. A change that decisions depend on is published after the
-// current job, any other change together with the next view.
+// SetMember updates a member. A change is published after the current job, except that a
+// change of only Member.Revision waits for the next view.
 func (s *State) SetMember(m Member) {
 	old, known := s.Members[m.Host]
 	if known && old == m {
@@ -56,8 +57,7 @@
 	s.changed = true
 }
 
-// PublishMembers has a view published after the current job if members have unpublished
-// changes.
+// PublishMembers requests a view after the current job if members have unpublished changes.
 func (s *State) PublishMembers() { s.changed = s.changed || s.publishedCopy == nil }
 
 func (s *State) membersChanged() {
--- a/tier/kernel/plugin.go
+++ b/tier/kernel/plugin.go
@@ -9,7 +9,7 @@
 // ErrNoPlugin is wrapped when no plug-in is registered under a name.
 var ErrNoPlugin = errors.New("no such plug-in")
 
-// Plugin is one stage of the daemon.
+// Plugin is one stage of the daemon's pipeline.
 type Plugin interface {
 	// Name returns the name of the stage for pipelines, logs and errors.
 	Name() string
--- a/tier/kernel/sample.go
+++ b/tier/kernel/sample.go
@@ -15,10 +15,10 @@
 type rateSampler struct {
 	// rate is the limit in lines per second.
 	rate int64
-	// started is the origin of second. It is read on the monotonic clock, since the
-	// wall clock may jump.
+	// started is when second 0 began. It has a monotonic reading, since the wall clock may
+	// jump.
 	started time.Time
-	// second is the current second since started.
+	// second is the number of the current second since started.
 	second atomic.Int64
 	// lines counts the lines of the current second.
 	lines   atomic.Int64
--- a/tier/kernel/settings.go
+++ b/tier/kernel/settings.go
@@ -14,8 +14,8 @@
 	Host string
 	// Hall is the data hall of this host.
 	Hall string
-	// Incarnation identifies this process. It is larger than those of earlier
-	// processes of the host.
+	// Incarnation identifies this process. It is larger than that of each earlier
+	// process of the host.
 	Incarnation string
 	// Listen is the address for callers.
 	Listen netip.AddrPort
@@ -58,8 +58,8 @@
 	RetryBudget RetryBudget
 	// LogRate limits the log lines about single requests, in lines per second.
 	LogRate int
-	// Cores is the number of processors that this host may use; above 0, and may be a
-	// fraction.
+	// Cores is the number of processors that this host may use, which may be a fraction;
+	// if not above 0, defaultCores applies.
 	Cores float64
 	// LinkMbits is the bandwidth of the host's link in Mbit/s; 0 for no limit.
 	LinkMbits float64
--- a/tier/kernel/state.go
+++ b/tier/kernel/state.go
@@ -16,9 +16,9 @@
 	Directory *config.Directory
 	// Members holds the other entry hosts by name.
 	Members map[string]Member
-	// MemberChanges is incremented with each change of a member that decisions depend
-	// on, which excludes changes of Member.Revision. While it is unchanged, results
-	// computed from the members alone remain valid.
+	// MemberChanges is incremented with each change of a member other than of
+	// Member.Revision. While it is unchanged, cached results computed from the members
+	// remain valid.
 	MemberChanges uint64
 	// Pauses counts the pauses of this process.
 	Pauses int
@@ -50,7 +50,7 @@
 	s.changed = s.changed || changed
 }
 
-// View is an immutable copy of the control state. Its fields are those of State.
+// View is an immutable copy of parts of the control state. Its fields are described in State.
 type View struct {
 	DocumentState
 	Directory     *config.Directory
@@ -90,12 +90,12 @@
 type LeavingState struct {
 	// Leaving maps each leaving upstream to the time of its last leave notice.
 	Leaving map[string]time.Duration
-	// Returned maps each upstream to the time when it was last reported back. Earlier
+	// Returned maps each upstream to the time when it was last reported to be back. Earlier
 	// leave notices are ignored.
 	Returned map[string]time.Duration
 }
 
-// MarkLeaving records a leave notice of an upstream, given at a time.
+// MarkLeaving records a leave notice of an upstream, given at the time at.
 func (s *State) MarkLeaving(upstream string, at time.Duration) {
 	if returned := s.Returned[upstream]; returned > 0 && at <= returned {
 		return
@@ -125,7 +125,7 @@
 	// Announcing is true while this host announces published content to its hall:
 	// what it reads itself, or what a reader in another hall announces to it.
 	Announcing bool
-	// PlatformDown is true while this host should read the platform but cannot, and
+	// PlatformDown is true while this host should read the platform but cannot, so that it
 	// has to get published content from peers.
 	PlatformDown bool
 	// PlatformReadAt is the time of the last known read of the platform: by this host,
--- a/tier/kernel/status_test.go
+++ b/tier/kernel/status_test.go
@@ -34,11 +34,11 @@
 		Fleet: policy.NewFleet(policy.FleetConfig{Random: rand.New(rand.NewPCG(1, 0))}),
 	})
 	defer stop()
-	stages, err := kernel.Pipeline([]string{"Operators"})
+	plugins, err := kernel.Pipeline([]string{"Operators"})
 	assert.NilError(t, err)
-	closeStage, err := stages[0].Run(t.Context(), k)
+	closePlugin, err := plugins[0].Run(t.Context(), k)
 	assert.NilError(t, err)
-	defer closeStage()
+	defer closePlugin()
 
 	golden.Assert(t, status(t, at), "status-start.json")
 	text, err := os.ReadFile("../config/testdata/good.json")
@@ -73,8 +73,8 @@
 	assert.NilError(t, err)
 	var fields map[string]any
 	assert.NilError(t, json.Unmarshal(text, &fields))
-	silent, told := fields["PlatformSilentMillis"].(float64)
-	assert.Assert(t, told && silent >= 0)
+	silent, found := fields["PlatformSilentMillis"].(float64)
+	assert.Assert(t, found && silent >= 0)
 	fields["PlatformSilentMillis"] = 0
 	text, err = json.MarshalIndent(fields, "", "\t")
 	assert.NilError(t, err)
--- a/tier/kernel/suspend.go
+++ b/tier/kernel/suspend.go
@@ -22,9 +22,9 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// suspendMeter measures how long the machine has been suspended while the process ran, so
-// that the process's state ages during suspensions. It is safe for concurrent use after
-// start. The zero value detects nothing.
+// suspendMeter measures how long the machine has been suspended since the process started, so
+// that the control state ages during suspensions. It is safe for concurrent use after start.
+// The zero value detects nothing.
 type suspendMeter struct {
 	// bootTime reads the boot clock; nil to ignore suspensions.
 	bootTime func() (time.Duration, error)
@@ -34,7 +34,7 @@
 	total atomic.Int64
 }
 
-// start starts the measurement.
+// start starts the measurement. It does nothing if bootTime is nil.
 func (m *suspendMeter) start(bootTime func() (time.Duration, error), monotonic func() time.Duration) error {
 	if bootTime == nil {
 		return nil
@@ -48,7 +48,7 @@
 }
 
 // update adds the suspensions since the last update to the total and returns their length.
-// The boot clock is read first, so that a delay between the two readings is not taken for a
+// It reads the boot clock first, so that a delay between the two readings does not count as a
 // suspension.
 func (m *suspendMeter) update(monotonic func() time.Duration) time.Duration {
 	if m.bootTime == nil {
--- a/tier/peers/announcement.go
+++ b/tier/peers/announcement.go
@@ -19,36 +19,37 @@
 const (
 	// announceInterval is the time between announcements if nothing changes.
 	announceInterval = 400 * time.Millisecond
-	// minAnnounceInterval is the shortest time between two announcements without a change:
-	// the periodic one is skipped right after one that reported a change.
+	// minAnnounceInterval is the shortest time between two announcements without a change. It
+	// skips the periodic one right after one that reported a change.
 	minAnnounceInterval = announceInterval / 2
-	// freshReadThreshold is by how much a read must be newer than the last announced one to
-	// be announced at once. A read can wait for a second after a change. If it were announced
-	// an interval later, and forwarded later still by another host, the reader would look as
-	// if it had lost the platform, and hosts of all halls would take over from it.
+	// freshReadThreshold is how much newer a read must be than the last announced one to be
+	// announced at once. A read may wait for a change for WatchWait. If its announcement and
+	// then its forwarding by another host were delayed by an interval each, the last known
+	// read would become so old that the reader seems to have lost the platform, and hosts of
+	// all halls would take over from it.
 	freshReadThreshold = 500 * time.Millisecond
 	// announceTimeout limits a call that announces.
 	announceTimeout = time.Second
 )
 
-// errStaleRead is logged when the platform counts as lost although no read has failed.
+// errStaleRead is logged when the platform is considered lost although no read has failed.
 var errStaleRead = errors.New("last successful read of the platform is too old")
 
-// announcement reports what the platform publishes. A host that announces sends it to its
-// own hall. If the host reads the platform itself, it also sends it to one host of each
-// other hall, which announces it there.
+// announcement reports what the platform publishes. An announcing host sends it to the hosts
+// of its hall. If it reads the platform itself, it also sends it to one host of each other
+// hall, which announces it there.
 type announcement struct {
 	Host string
 	Peer netip.AddrPort
 	Hall string
-	// Age is the time since the platform was read, Lost is true if that is too long ago to
-	// rely on.
+	// Age is the time since the platform was read; Lost is true if that is too long ago, so
+	// that the platform is considered lost.
 	Age  time.Duration
 	Lost bool `json:",omitempty"`
 	// Confirmed is true if the sender knows that its document was the newest at that time.
 	Confirmed bool `json:",omitempty"`
-	// Version, Era and Revision identify the sender's document in force, Directory is the
-	// digest of its listed upstreams.
+	// Version, Era and Revision identify the sender's active document; Directory is the digest
+	// of its directory.
 	Version   uint64 `json:",omitempty"`
 	Era       uint64 `json:",omitempty"`
 	Revision  uint64
@@ -65,12 +66,12 @@
 
 // announceReply answers an announcement.
 type announceReply struct {
-	// Announcement is the receiver's own, set if it announces to the same hall: the sender
-	// may not know of it.
+	// Announcement is the receiver's own one, set if the receiver announces to the same hall:
+	// the sender may not know of it.
 	Announcement *announcement `json:",omitempty"`
 }
 
-// edition returns the edition of the sender's document in force.
+// edition returns the edition of the sender's active document.
 func (m *announcement) edition() config.Edition {
 	return config.Edition{Version: m.Version, Position: config.Position{Era: m.Era, Revision: m.Revision}}
 }
@@ -79,13 +80,13 @@
 // halls. Its fields are used on the control thread only.
 type announcer struct {
 	kernel *kernel.Kernel
-	// directory and edition (of the document) are what was last announced, at sentAt.
+	// directory and edition (that of the document) were announced last, at sentAt.
 	directory *config.Directory
 	edition   config.Edition
 	sentAt    time.Duration
 	// sentReadAt is when the data last announced was read from the platform.
 	sentReadAt time.Duration
-	// viewDirectory and viewIndex are those of the last view.
+	// viewDirectory and viewIndex are the directory and the document of the last view.
 	viewDirectory *config.Directory
 	viewIndex     *config.Index
 }
@@ -113,15 +114,15 @@
 	now := a.kernel.Now()
 	m := newAnnouncement(a.kernel, s, now)
 	if m.Lost && s.Reading {
-		// A pending read may take even longer to fail.
+		// Do not wait for the pending read to fail, which may take longer.
 		markPlatformDown(a.kernel, s, errStaleRead)
 	}
 	if !a.isDue(&m, now) {
 		return
 	}
-	// Include the change only if the last announcement is recent. Otherwise the receivers
-	// know the directory from other hosts and fetch what they lack. Without this check, a host
-	// that takes over would send the whole directory to each host of its hall.
+	// Include the change only if the last announcement is recent: otherwise a host that takes
+	// over would send the whole directory to each host of its hall. Without the change, the
+	// receivers fetch what they have not learned from other hosts.
 	if m.Directory != a.directory.Digest() && a.directory != nil && now-a.sentAt <= announcerTimeout {
 		change := s.Directory.Since(a.directory)
 		m.Change = &change
@@ -131,8 +132,8 @@
 	for _, host := range hall {
 		go a.send(host, m)
 	}
-	// Other halls rely on this host only for what it reads itself. Otherwise a host that the
-	// platform refuses would be taken for the reader again whenever it hears of others' reads.
+	// Report only this host's own reads to other halls. Otherwise a host that the platform
+	// refuses would be considered a reader again whenever it learns of reads by others.
 	m.Age = now - s.OwnReadAt
 	m.Lost = s.OwnReadAt == 0 || m.Age > maxReadAge(&a.kernel.Settings)
 	for _, host := range otherHalls {
@@ -159,17 +160,16 @@
 	}
 }
 
-// isDue reports whether to send an announcement now: at once if something changed and the
-// read is recent, or if the read is much newer than the last announced one, otherwise
-// periodically.
+// isDue reports whether to send an announcement now: at once after a change or a read that is
+// much newer than the last announced one, unless the platform is lost, otherwise periodically.
 func (a *announcer) isDue(m *announcement, now time.Duration) bool {
 	changed := m.Directory != a.directory.Digest() || m.edition() != a.edition
 	fresher := now-m.Age-a.sentReadAt >= freshReadThreshold
 	return (changed || fresher) && !m.Lost || now-a.sentAt >= minAnnounceInterval
 }
 
-// recipients returns who gets an announcement: the active hosts of this hall, and if this
-// host reads the platform, the highest ranked active host of each other hall.
+// recipients returns the receivers of an announcement: the active hosts of this hall and, if
+// this host reads the platform, the highest ranked active host of each other hall.
 func (a *announcer) recipients(s *kernel.State) (hall, otherHalls []string) {
 	hall, others := byHall(s.Members, a.kernel.Settings.Hall, (*kernel.Member).Active)
 	if !s.Reading {
@@ -195,6 +195,7 @@
 	}
 }
 
+// announcementServer receives the announcements of other hosts.
 type announcementServer struct {
 	kernel  *kernel.Kernel
 	fetcher *fetcher
@@ -224,14 +225,14 @@
 func (a *announcementServer) apply(s *kernel.State, m *announcement) {
 	now := a.kernel.Now()
 	recordAnnouncer(a.kernel, s, m)
-	// Without a directory, an incremental change would leave this host with a few upstreams
-	// at a high revision, and hosts that fetch its directory would take all others for
-	// removed.
+	// Ignore an incremental change without a directory to apply it to. Otherwise this host
+	// would have only a few upstreams at a high revision, and hosts that fetch its directory
+	// would remove all others.
 	if m.Change != nil && (s.Directory != nil || m.Change.Whole) {
 		s.ApplyDirectoryChange(m.Change)
 	}
-	// The change may have been applied to an incomplete directory, so compare the result.
-	// The sender's directory is complete up to its revision.
+	// The change may have been applied to an incomplete directory, so compare the result with
+	// the sender's directory, which is complete up to its revision.
 	a.compareDirectory(s, m, now)
 	if m.edition().Newer(s.Edition()) {
 		a.fetcher.fetchDocument(m.Peer)
@@ -240,8 +241,8 @@
 	}
 }
 
-// compareDirectory fetches the sender's directory if it differs and is not older, and adopts
-// the era of its history if it is the same.
+// compareDirectory fetches the sender's directory if it differs and is not older. If it is the
+// same, it adopts the sender's era.
 func (a *announcementServer) compareDirectory(s *kernel.State, m *announcement, now time.Duration) {
 	at, known := config.Position{Era: m.DirectoryEra, Revision: m.DirectoryRevision}, s.Directory.Position()
 	switch {
@@ -256,7 +257,8 @@
 	}
 }
 
-// recordAnnouncer records that a host announces, and whether the platform answers it.
+// recordAnnouncer records that a host announces, whether the platform answers it, and when it
+// was last read.
 func recordAnnouncer(k *kernel.Kernel, s *kernel.State, m *announcement) {
 	now := k.Now()
 	platformDown := m.Lost || m.Age > maxReadAge(&k.Settings)
--- a/tier/peers/announcement_test.go
+++ b/tier/peers/announcement_test.go
@@ -86,8 +86,8 @@
 	})
 }
 
-// TestMissingDirectoryEntriesAreFetched checks that a host fetches the directory if it still
-// differs from the sender's after a change.
+// TestMissingDirectoryEntriesAreFetched checks that a host fetches the directory if its own
+// still differs from the sender's after it has applied the announced change.
 func TestMissingDirectoryEntriesAreFetched(t *testing.T) {
 	listings := func(names ...string) *config.DirectoryChange {
 		c := &config.DirectoryChange{Revision: 3}
@@ -158,8 +158,8 @@
 	})
 }
 
-// newAnnouncerWithPeer returns the state of a host that announces to one other host of its
-// hall, and a function that makes it announce and returns what the other received last.
+// newAnnouncerWithPeer returns the state of a host that announces to one peer in its hall, and
+// a function that makes it announce and returns the last announcement that the peer received.
 func newAnnouncerWithPeer(k *kernel.Kernel) (*kernel.State, func() announcement) {
 	sent := &announcementRecorder{last: map[string]announcement{}}
 	k.Peers = sent
@@ -183,7 +183,7 @@
 func TestHostThatTakesOverAnnouncesChangesOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := newTestKernel(t, "Self")
-		s, announceToMate := newAnnouncerWithPeer(k)
+		s, announceToPeer := newAnnouncerWithPeer(k)
 		revision := uint64(0)
 		list := func(upstreams int) {
 			change := config.DirectoryChange{Revision: revision + uint64(upstreams)}
@@ -195,17 +195,17 @@
 		}
 		time.Sleep(time.Second)
 		list(500)
-		first := announceToMate()
+		first := announceToPeer()
 		assert.Assert(t, first.Change == nil && first.Directory == s.Directory.Digest(), "the first announcement must contain no change")
 		time.Sleep(announceInterval)
 		list(2)
-		assert.Equal(t, len(announceToMate().Change.Listed), 2)
+		assert.Equal(t, len(announceToPeer().Change.Listed), 2)
 		time.Sleep(2 * announcerTimeout)
 		list(3)
-		assert.Assert(t, announceToMate().Change == nil)
+		assert.Assert(t, announceToPeer().Change == nil)
 		time.Sleep(announceInterval)
 		list(1)
-		assert.Equal(t, len(announceToMate().Change.Listed), 1)
+		assert.Equal(t, len(announceToPeer().Change.Listed), 1)
 	})
 }
 
@@ -246,21 +246,21 @@
 func TestEvacuationIsAnnounced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := newTestKernel(t, "Self")
-		s, announceToMate := newAnnouncerWithPeer(k)
+		s, announceToPeer := newAnnouncerWithPeer(k)
 		s.ApplyDirectoryChange(&config.DirectoryChange{Revision: 1, Whole: true})
-		mate := &kernel.State{ReadingState: kernel.ReadingState{
+		peer := &kernel.State{ReadingState: kernel.ReadingState{
 			HallAnnouncers: map[string]kernel.AnnouncerReport{}, OtherReaders: map[string]kernel.AnnouncerReport{},
 		}}
 		server := newServerWithoutFetches(k)
 		announce := func(c *config.DirectoryChange) *config.Directory {
 			time.Sleep(10 * time.Millisecond)
 			s.ApplyDirectoryChange(c)
-			n := announceToMate()
-			server.apply(mate, &n)
-			return mate.Directory
+			n := announceToPeer()
+			server.apply(peer, &n)
+			return peer.Directory
 		}
-		// Each host has read the platform at its start.
-		mate.ApplyDirectoryChange(&config.DirectoryChange{Revision: 1, Whole: true})
+		// Both hosts have read the platform at their start.
+		peer.ApplyDirectoryChange(&config.DirectoryChange{Revision: 1, Whole: true})
 		announce(&config.DirectoryChange{Revision: 1, Whole: true})
 		d := announce(&config.DirectoryChange{Revision: 2, Evacuated: []config.Evacuation{{Hall: "A", Revision: 2}}})
 		assert.Assert(t, d.Evacuated("A"))
@@ -268,7 +268,7 @@
 		assert.Assert(t, !d.Evacuated("A"))
 		s.ApplyDirectoryChange(&config.DirectoryChange{Revision: 4, Evacuated: []config.Evacuation{{Hall: "B", Revision: 4}}})
 		whole := s.Directory.Whole()
-		mate.ApplyDirectoryChange(&whole)
-		assert.DeepEqual(t, mate.Directory.EvacuatedHalls(), []string{"B"})
+		peer.ApplyDirectoryChange(&whole)
+		assert.DeepEqual(t, peer.Directory.EvacuatedHalls(), []string{"B"})
 	})
 }
--- a/tier/peers/codec.go
+++ b/tier/peers/codec.go
@@ -15,9 +15,9 @@
 	"loomgap/tier/wire"
 )
 
-// frameCodec writes each JSON-RPC object as a compressed frame after its length in 4
-// bytes, most significant byte first. A frame over wire.MaxReply ends the connection, so
-// that an invalid length cannot exhaust the memory.
+// frameCodec encodes each JSON-RPC object as a compressed frame, preceded by its length in
+// lengthBytes bytes, most significant byte first. A frame over wire.MaxReplyBytes ends the
+// connection, so that an invalid length cannot exhaust the memory.
 type frameCodec struct{}
 
 var _ jsonrpc2.ObjectCodec = frameCodec{}
@@ -25,8 +25,8 @@
 // lengthBytes is the size of the length prefix of a frame.
 const lengthBytes = 4
 
-// dictionary is the preset compression dictionary, made of text that messages have in
-// common. Both ends must use the same one, so changing it changes the protocol.
+// dictionary is the preset compression dictionary: text that occurs in many messages. Both
+// ends must use the same one, so changing it changes the protocol.
 var dictionary = []byte(`"Host":"","Incarnation":"","Counter":,"Revision":,"Hall":"","Peer":"0.0.0.0:0","Digest":"","Published":,` +
 	`"PlatformAge":,"Directory":,"DirectoryRevision":,"Leaving":true,{"Members":[{"Host":"front-hall-","Incarnation":"18` +
 	`HTTP/1.1\r\nHost: .example\r\nUser-Agent: \r\nAccept: */*\r\nAccept-Encoding: \r\nContent-Length: \r\n` +
--- a/tier/peers/compare.go
+++ b/tier/peers/compare.go
@@ -10,8 +10,8 @@
 )
 
 // compareDirectory fetches a peer's directory if it differs and this host cannot read the
-// platform itself. It also does so if the two know different eras of the platform's
-// history and the peer's is later, or this host's era is not settled yet.
+// platform itself, or if the two know different eras of the platform's history and the
+// peer's is later or this host's era is not settled yet.
 func (g *gossip) compareDirectory(s *kernel.State, now time.Duration, from netip.AddrPort, h *heartbeat) {
 	if h.Directory == s.Directory.Digest() {
 		return
@@ -26,6 +26,8 @@
 	}
 }
 
+// compareEdition logs a peer's different document of the same edition, and confirms the
+// active document if the heartbeat shows that it is the newest.
 func (g *gossip) compareEdition(s *kernel.State, now time.Duration, h *heartbeat) {
 	if s.Index == nil {
 		return
@@ -39,11 +41,11 @@
 	}
 }
 
-// confirms reports whether a heartbeat shows that the document in force is the newest. With
-// an adapter, a read of the platform may be stale, so the sender must have the same
-// document and know from the platform that it is the newest: otherwise two starting hosts
-// would confirm each other's stale read. Without an adapter there is no such knowledge, and
-// a peer without a newer document suffices.
+// confirms reports whether a heartbeat shows that the active document is the newest. With an
+// adapter, a read of the platform may be stale, so the sender must have the same document
+// and know from the platform that it is the newest: otherwise two starting hosts would
+// confirm each other's stale read. Without an adapter no host has such a confirmation, and
+// it suffices that the peer has no newer document.
 func (g *gossip) confirms(s *kernel.State, h *heartbeat) bool {
 	if g.kernel.Settings.Adapter == "" {
 		return !h.edition().Newer(s.Edition())
--- a/tier/peers/confirm_test.go
+++ b/tier/peers/confirm_test.go
@@ -12,14 +12,14 @@
 	"loomgap/tier/kernel"
 )
 
-// newTestIndex returns the index of a document of a version.
+// newTestIndex returns the index of an empty document with the given version.
 func newTestIndex(version uint64) *config.Index {
 	return &config.Index{Edition: config.Edition{Version: version, Position: config.Position{Revision: version}}, Document: &config.Document{}}
 }
 
-// TestOnlyThePlatformConfirmsADocument checks that, with an adapter, only a recent confirmation
-// from the platform of the same document confirms it: two hosts that start on the same stale
-// read must not confirm it to each other.
+// TestOnlyThePlatformConfirmsADocument checks that, with an adapter, a peer confirms a document
+// only if the platform has recently confirmed it to that peer: two hosts that start with the
+// same stale read must not confirm it to each other.
 func TestOnlyThePlatformConfirmsADocument(t *testing.T) {
 	tests := []struct {
 		name      string
--- a/tier/peers/conn.go
+++ b/tier/peers/conn.go
@@ -23,10 +23,10 @@
 	// writeTimeout limits one write to a peer. Without it, a peer that stops reading would
 	// block all callers of its connection, since writes are serialized.
 	writeTimeout = 2 * time.Second
-	// unresponsiveTimeout is how long calls may stay unanswered until the connection is
-	// replaced; it is longer than an answer takes on a busy host. Without it, a connection
-	// that stalls without a reset would keep the host unreachable, although a new connection
-	// to it may work.
+	// unresponsiveTimeout is how long calls may stay unanswered before the connection is
+	// replaced; it is longer than a busy host takes to answer. Without it, a connection that
+	// stalls without a reset would keep the host unreachable, although a new connection to it
+	// may work.
 	unresponsiveTimeout = 300 * time.Millisecond
 )
 
@@ -36,7 +36,7 @@
 	net.Conn
 	now func() time.Duration
 
-	// unansweredSince is when the first call was sent since bytes last arrived, in
+	// unansweredSince is when the first call after the last received bytes was sent, in
 	// nanoseconds of now; 0 if no call is unanswered.
 	unansweredSince atomic.Int64
 }
--- a/tier/peers/conn_test.go
+++ b/tier/peers/conn_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestUnresponsiveConnectionIsReplaced checks that calls reach a peer again on a new connection
-// when the first one stalls without a reset.
+// TestUnresponsiveConnectionIsReplaced checks that calls use a new connection to a peer when the
+// first one stalls without a reset.
 func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	_, n, _ := newTestNode(t)
 	k, _, at := newTestNode(t)
--- a/tier/peers/crash_reports.go
+++ b/tier/peers/crash_reports.go
@@ -29,35 +29,37 @@
 const (
 	// crashReportInterval is the shortest time between two messages of new crash reports. It
 	// limits the traffic if many upstreams crash. The first message is sent at once, since
-	// callers retry a request within milliseconds, and so is one by which a request is
-	// refused.
+	// callers retry a request within milliseconds. So is one that makes hosts refuse a request.
 	crashReportInterval = 250 * time.Millisecond
-	// hallReportTargets is how many hosts of this hall new crash reports are sent to. Each
-	// receiver forwards them to as many others. With 8, the expected share of hosts that a
-	// report misses is e^-8, or one in 3,000; these learn of it by an exchange.
+	// hallReportTargets is the number of hosts of this hall that new crash reports are sent
+	// to. Each receiver forwards them to as many others, so that a report misses few hosts
+	// (a fraction of e^-hallReportTargets); these learn of it by an exchange.
 	hallReportTargets = 8
-	// otherHallReportTargets is how many hosts of each other hall new crash reports are sent to.
+	// otherHallReportTargets is the number of hosts of each other hall that new crash reports
+	// are sent to.
 	otherHallReportTargets = 2
 	// maxReportTargets limits the hosts that one message is sent to, in all halls together.
 	maxReportTargets = 16
 	// exchangeInterval is how often a host with crash reports exchanges them with another, so
 	// that a host that was partitioned or has started learns of them within seconds.
 	exchangeInterval = time.Second
-	// otherHallExchangeEvery is the interval, in exchanges, of those with another hall.
+	// otherHallExchangeEvery makes every n-th exchange one with another hall.
 	otherHallExchangeEvery = 3
-	// exchangePartners is how many hosts an exchange is made with.
+	// exchangePartners is the number of hosts of one exchange.
 	exchangePartners = 1
-	// startExchanges is how many hosts a starting host exchanges crash reports with.
+	// startExchanges is the number of hosts that a starting host exchanges crash reports with.
 	startExchanges = 2
 	// maxFingerprintBytes limits a fingerprint in a message.
 	maxFingerprintBytes = 64
-	// maxCrashesPerRequest limits the crashes of one request in a message. A host keeps fewer.
+	// maxCrashesPerRequest limits the crashes of one request in a message; it is more than a
+	// host keeps.
 	maxCrashesPerRequest = 64
 )
 
-// errInvalidCrashReports is wrapped when a message of another host is not valid.
+// errInvalidCrashReports is wrapped when a message of another host is invalid.
 var errInvalidCrashReports = errors.New("bad strikes")
 
+// crashReportsMessage holds the crash reports of requests that are suspected.
 type crashReportsMessage struct {
 	Reports []policy.SuspectReport
 }
@@ -76,12 +78,12 @@
 	return nil
 }
 
-// crashReporter sends crash reports to other hosts and receives theirs. It takes no decisions
-// about requests: these are up to policy.Fleet, which keeps the reports.
+// crashReporter sends crash reports to other hosts and receives theirs. policy.Fleet keeps the
+// reports and decides which requests to refuse.
 type crashReporter struct {
 	kernel *kernel.Kernel
-	// pending holds one item while there are new crash reports to send, urgent holds one while
-	// they must be sent at once.
+	// pending holds an item while there are new crash reports to send, urgent while they must
+	// be sent at once.
 	pending, urgent chan struct{}
 }
 
@@ -99,7 +101,7 @@
 	}
 }
 
-// notify has new crash reports sent. It does not block.
+// notify wakes the loop to send new crash reports. It does not block.
 func (c *crashReporter) notify(urgent bool) {
 	to := c.pending
 	if urgent {
@@ -138,7 +140,8 @@
 	}
 }
 
-// waitInterval waits for crashReportInterval, or until an urgent report is sent.
+// waitInterval waits for crashReportInterval. If an urgent report comes in, it sends the new
+// reports and returns.
 func (c *crashReporter) waitInterval(ctx context.Context) {
 	select {
 	case <-ctx.Done():
--- a/tier/peers/crash_reports_test.go
+++ b/tier/peers/crash_reports_test.go
@@ -144,8 +144,8 @@
 	}}}})
 }
 
-// TestCrashReportsReachAllHosts checks that a crash report reaches nearly all hosts within 100 ms and
-// all within seconds, with a bounded number of messages per host.
+// TestCrashReportsReachAllHosts checks that a crash report reaches nearly all hosts within
+// 100 ms and all within seconds, with a bounded number of messages per host.
 func TestCrashReportsReachAllHosts(t *testing.T) {
 	for _, hosts := range slices.Compact([]int{2, 7, 60, maxFleetHosts}) {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
@@ -166,8 +166,8 @@
 	}
 }
 
-// TestManyCrashReportsUseBoundedTraffic checks that each host sends less than 100 KB a second while
-// all upstreams crash.
+// TestManyCrashReportsUseBoundedTraffic checks that each host sends less than 100 KiB per second
+// while many upstreams crash.
 func TestManyCrashReportsUseBoundedTraffic(t *testing.T) {
 	const hosts = maxFleetHosts
 	synctest.Test(t, func(t *testing.T) {
@@ -189,8 +189,8 @@
 	})
 }
 
-// TestDisconnectedHostLearnsOfCrashReports checks that a host that was disconnected and one that has
-// just started learn of earlier crashes within three seconds.
+// TestDisconnectedHostLearnsOfCrashReports checks that a host that was disconnected and one that
+// has just started learn of earlier crashes within three seconds.
 func TestDisconnectedHostLearnsOfCrashReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newCrashReportNetwork(t, 7)
@@ -208,7 +208,7 @@
 	})
 }
 
-// TestInvalidCrashReportsAreRejected checks that a message that is not valid is refused as a whole.
+// TestInvalidCrashReportsAreRejected checks that an invalid message is rejected as a whole.
 func TestInvalidCrashReportsAreRejected(t *testing.T) {
 	report := `{"Fingerprint":"F","Strikes":[{"ID":1,"Attempt":1,"Upstream":"U","Left":1000000000}]}`
 	many := func(n int, item string) string {
--- a/tier/peers/detection_test.go
+++ b/tier/peers/detection_test.go
@@ -18,14 +18,14 @@
 	modelStep = 50 * time.Millisecond
 )
 
-// fleetModel simulates hosts in six halls in virtual time. Each has its member table and sends
-// heartbeats as gossip does if another host of its hall reads the platform.
+// fleetModel simulates hosts of modelHalls halls in virtual time. Each has a member table and
+// sends heartbeats in the same way as gossip with an adapter.
 type fleetModel struct {
 	random *rand.Rand
 	now    time.Duration
 	hosts  []*fleetModelHost
-	// failing are the heartbeats in flight that will get no answer.
-	failing []failing
+	// unanswered are the heartbeats in flight that will get no answer.
+	unanswered []unansweredHeartbeat
 }
 
 type fleetModelHost struct {
@@ -42,14 +42,15 @@
 	pausedUntil time.Duration
 }
 
-type failing struct {
+type unansweredHeartbeat struct {
 	by, to *fleetModelHost
 	// sentAt is when the first attempt was sent, dueAt when the last one times out.
 	sentAt, dueAt time.Duration
 	retried       bool
 }
 
-// newFleetModel makes hosts that know all others, or only the first three of each hall.
+// newFleetModel returns a model of hosts that know all others, or only the first three of each
+// hall.
 func newFleetModel(hosts int, allKnown bool) *fleetModel {
 	m := &fleetModel{random: rand.New(rand.NewPCG(7, 0)), now: time.Hour}
 	var all []memberEntry
@@ -90,20 +91,20 @@
 			}
 			m.sendUrgent(h)
 		}
-		due := m.failing
-		m.failing = nil
+		due := m.unanswered
+		m.unanswered = nil
 		for _, f := range due {
-			m.handleFailure(f)
+			m.handleTimeout(f)
 		}
 		each()
 	}
 }
 
-// handleFailure retries a heartbeat that has timed out, or raises a suspicion.
-func (m *fleetModel) handleFailure(f failing) {
+// handleTimeout retries an unanswered heartbeat, or raises a suspicion if it was the retry.
+func (m *fleetModel) handleTimeout(f unansweredHeartbeat) {
 	switch {
 	case m.now < f.dueAt:
-		m.failing = append(m.failing, f)
+		m.unanswered = append(m.unanswered, f)
 	case f.by.dead || m.paused(f.by):
 	case f.retried:
 		f.by.table.recordUnanswered(m.now, f.to.name, f.sentAt)
@@ -154,7 +155,7 @@
 // classifyHosts divides the hosts that a host knows as gossip.sortHosts does with an adapter.
 func (m *fleetModel) classifyHosts(h *fleetModelHost) (hall, unresponsive, other []*fleetModelHost) {
 	for _, r := range h.table.order {
-		to := m.hosts[numberOf(r.Host)]
+		to := m.hosts[hostIndex(r.Host)]
 		switch {
 		case !r.live:
 			unresponsive = append(unresponsive, to)
@@ -170,7 +171,7 @@
 func (m *fleetModel) sampleHallPartners(h *fleetModelHost, hall []*fleetModelHost) []*fleetModelHost {
 	var suspects []*fleetModelHost
 	for _, n := range h.table.suspected(h.table.Self.Hall) {
-		suspects = append(suspects, m.hosts[numberOf(n)])
+		suspects = append(suspects, m.hosts[hostIndex(n)])
 	}
 	return append(sample(m.random.Perm, suspects, suspectPartners), sample(m.random.Perm, hall, hallPartners)...)
 }
@@ -194,7 +195,7 @@
 	// A paused host answers when its pause ends.
 	if to.dead || to.pausedUntil > m.now+heartbeatTimeout || m.random.Float64() < modelLossRate {
 		if to.hall == from.hall {
-			m.failing = append(m.failing, failing{by: from, to: to, sentAt: sentAt, dueAt: m.now + heartbeatTimeout, retried: retried})
+			m.unanswered = append(m.unanswered, unansweredHeartbeat{by: from, to: to, sentAt: sentAt, dueAt: m.now + heartbeatTimeout, retried: retried})
 		}
 		return
 	}
@@ -212,7 +213,7 @@
 	to.table.mergeSuspicions(m.now, suspicions)
 }
 
-func numberOf(host string) int {
+func hostIndex(host string) int {
 	var n int
 	if _, err := fmt.Sscanf(host, "host-%d", &n); err != nil {
 		panic(err)
@@ -245,8 +246,8 @@
 	return slices.DeleteFunc([]int{60, 300, 584}, func(n int) bool { return n > maxModelHosts })
 }
 
-// TestFailedHostsAreDetectedAtAnySize checks that when a sixth of the hosts fail at once, the hosts
-// of their halls detect 99% of the failures within 5 s, and those of other halls within 8 s.
+// TestFailedHostsAreDetectedAtAnySize checks that when a sixth of the hosts fail at once, the
+// hosts of their halls know 99% of the failures within 5 s, and those of other halls within 8 s.
 func TestFailedHostsAreDetectedAtAnySize(t *testing.T) {
 	for _, hosts := range modelSizes() {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
@@ -265,7 +266,7 @@
 					anywhere = m.now - failedAt
 				}
 			})
-			t.Logf("99 of 100 known after %v in the hall, %v anywhere", inHall, anywhere)
+			t.Logf("99%% of the failures known after %v in the hall, %v anywhere", inHall, anywhere)
 			assert.Assert(t, inHall > 0 && inHall <= 5*time.Second, "in the hall after %v", inHall)
 			assert.Assert(t, anywhere > 0 && anywhere <= 8*time.Second, "anywhere after %v", anywhere)
 		})
@@ -301,14 +302,14 @@
 					}
 				}
 			})
-			t.Logf("a live host was silent for somebody for %v, in its hall for %v", longest, inHall)
+			t.Logf("a live host was considered unresponsive for up to %v, in its hall for up to %v", longest, inHall)
 			assert.Assert(t, longest <= time.Second)
 		})
 	}
 }
 
-// TestHostsDiscoverEachOtherAtAnySize checks that hosts that start together with the same few seeds know 99%
-// of their hall after five intervals, and 99% of all hosts after 15.
+// TestHostsDiscoverEachOtherAtAnySize checks that hosts that start together with the same few
+// seeds know 99% of their hall after 5 intervals, and 99% of all hosts after 15.
 func TestHostsDiscoverEachOtherAtAnySize(t *testing.T) {
 	for _, hosts := range modelSizes() {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
--- a/tier/peers/discovery.go
+++ b/tier/peers/discovery.go
@@ -14,17 +14,16 @@
 // A host that receives no announcement asks for one: it sends a heartbeat to one of the
 // highest ranked hosts of its hall. If that host announces, its reply contains the
 // announcement, and it learns of the sender. Without this, a host that the announcer does not
-// know yet, such as one that has just started in a large hall, would conclude that nobody
-// announces: it would take over from stronger hosts, announce to the whole hall, and be
-// overloaded by that.
+// know yet, such as one that has just started in a large hall, would take over from hosts of
+// larger capacity and be overloaded by announcing to the whole hall.
 
 const (
 	// discoveryInterval is how often a host checks whether it receives announcements.
 	discoveryInterval = 400 * time.Millisecond
-	// discoveryTimeout is how long a host receives none before it asks. It leaves enough of
-	// announcerTimeout for an answer to arrive before the host takes over.
+	// discoveryTimeout is the time without an announcement after which a host asks for one. It
+	// leaves time for an answer before the host takes over after announcerTimeout.
 	discoveryTimeout = announcerTimeout / 2
-	// discoveryCandidates is how many of the highest ranked hosts are asked in turn.
+	// discoveryCandidates is the number of highest ranked hosts that are asked in turn.
 	discoveryCandidates = 3
 )
 
@@ -43,10 +42,10 @@
 	}
 }
 
-// discoveryTarget returns the host to ask for an announcement. There is none if this host has
-// received an announcement recently, announces itself, or if no live host of its hall ranks
-// before it. Hosts begin at different candidates, so that a starting hall does not ask only
-// one host.
+// discoveryTarget returns the host to ask for an announcement after the given number of
+// requests. There is none if this host has received an announcement recently or announces
+// itself, or if no live host of its hall ranks before it. Hosts begin at different candidates,
+// so that the hosts of a starting hall do not all ask the same one.
 func discoveryTarget(s *kernel.State, settings *kernel.Settings, now time.Duration, asked int) netip.AddrPort {
 	for _, a := range s.HallAnnouncers {
 		if now-a.At < discoveryTimeout {
--- a/tier/peers/doc.go
+++ b/tier/peers/doc.go
@@ -3,16 +3,17 @@
 // It owns the connections between hosts (node.go, conn.go) and the protocols on them, each
 // with its messages and both its ends in one file:
 //
-//   - heartbeat.go: membership and revisions, by the method Beat. partners.go chooses the
-//     receivers of a heartbeat. members.go and suspicion.go decide who is live, unresponsive
-//     or forgotten, and what a heartbeat lists. roster.go writes that to the control state.
-//     compare.go handles differences between what sender and receiver know.
-//   - fetch.go: a host that lacks a document or the directory fetches it from another
-//   - announcement.go: a host that knows what is published announces it to its hall. In
-//     discovery.go, a host that receives no announcement asks for one.
+//   - heartbeat.go: heartbeats (method Beat), which spread membership and the revision of
+//     the active document. partners.go chooses the receivers of a heartbeat. members.go and
+//     suspicion.go decide which members are live, unresponsive or forgotten, and which ones
+//     a heartbeat lists. roster.go writes the members to the control state. compare.go
+//     handles differences between what sender and receiver know.
+//   - fetch.go: fetches of a document or the directory by a host that lacks it
+//   - announcement.go: announcements of what the platform publishes, to the hosts of a hall.
+//     In discovery.go, a host that receives no announcement asks for one.
 //   - crash_reports.go: reports of requests that are suspected of crashing upstreams
 //
-// It also reads the platform and decides which host does: feed.go and reader.go if an adapter
+// It also reads the platform and decides which hosts do: feed.go and reader.go if an adapter
 // is set, watch.go for loomgap's own platform protocol. shares.go divides the slots of
 // upstreams among the hosts of a hall.
 //
--- a/tier/peers/feed.go
+++ b/tier/peers/feed.go
@@ -12,12 +12,13 @@
 )
 
 const (
-	// changeDebounce is the pause after a change, so that a burst of changes costs one read.
+	// changeDebounce is the pause after a change, so that one read covers a burst of changes.
 	changeDebounce = 300 * time.Millisecond
 	// roleCheckInterval is how often a host that does not read checks whether it should.
 	roleCheckInterval = 200 * time.Millisecond
 )
 
+// feedPlugin reads the platform through the adapter.
 type feedPlugin struct{}
 
 var _ kernel.Plugin = feedPlugin{}
@@ -57,11 +58,11 @@
 	// position is where the next watch continues: everything of its era up to there was
 	// read. It is zero before the first read.
 	position config.Position
-	// consistentRead is true if the next full read must not be a stale one.
+	// consistentRead is true if the next full read must not be stale.
 	consistentRead bool
 	// caughtUp is true once a watch has shown that the last full read missed nothing.
 	caughtUp bool
-	// historyGoneAt is when the platform last no longer had the history after position.
+	// historyGoneAt is when a read last failed with kernel.ErrHistoryGone; 0 for never.
 	historyGoneAt time.Duration
 	outage        outage
 	removalHold   removalHold
@@ -86,7 +87,7 @@
 		confirms := !f.caughtUp
 		f.apply(published)
 		if confirms || published.Directory.Whole {
-			continue // the host is not ready before a watch has confirmed the read
+			continue // without a pause: the host becomes ready once a watch confirms the read
 		}
 		if len(published.Directory.Listed)+len(published.Directory.Removed) > 0 || published.Document != nil {
 			kernel.Sleep(ctx, changeDebounce)
@@ -99,7 +100,7 @@
 func (f *feed) isReader() (reading bool) {
 	f.kernel.DoAndWait(func(s *kernel.State) {
 		if updateRole(f.kernel, s) {
-			// Prevent hosts that rank lower from taking over as well.
+			// Announce at once, so that lower ranked hosts do not take over as well.
 			f.announcer.announce(s)
 		}
 		reading = s.Reading
@@ -113,7 +114,7 @@
 		return f.source.Read(ctx, f.consistentRead)
 	}
 	if !f.caughtUp {
-		// The first read may have been a stale one.
+		// The last read may have been stale.
 		return f.source.Watch(ctx, f.position, 0)
 	}
 	if f.eraTracker.startSettling(now) {
@@ -144,8 +145,8 @@
 	kernel.Sleep(ctx, f.outage.nextDelay())
 }
 
-// markPlatformDown records that this host has to learn from peers what is published. It
-// runs on the control thread.
+// markPlatformDown records that the platform does not answer this host, which has to learn
+// from peers what is published. It runs on the control thread.
 func markPlatformDown(k *kernel.Kernel, s *kernel.State, err error) {
 	if s.PlatformDown {
 		return
@@ -154,7 +155,7 @@
 	k.Log.Warn().Err(err).Int64("PlatformAgeMillis", (k.Now() - s.PlatformReadAt).Milliseconds()).Msg("platform lost")
 }
 
-// apply puts what was read in force on the control thread and waits for that.
+// apply applies what was read, on the control thread, and waits until that is done.
 func (f *feed) apply(p *kernel.Published) {
 	now := f.kernel.Now()
 	for _, err := range p.Problems {
@@ -164,7 +165,7 @@
 	wasUnavailable := f.outage.isUnavailable(now, maxReadAge(&f.kernel.Settings))
 	f.outage.succeeded(now)
 	f.consistentRead = false
-	// A full read may be stale, which the next watch shows.
+	// A full read may be stale, which only the next watch shows.
 	f.caughtUp = !p.Directory.Whole
 	f.position = p.Position
 	f.kernel.DoAndWait(func(s *kernel.State) {
@@ -178,9 +179,10 @@
 	})
 }
 
-// install puts what was read in force. It runs on the control thread while the feed waits.
+// install applies what was read to the control state. It runs on the control thread while the
+// feed waits.
 func (f *feed) install(s *kernel.State, p *kernel.Published, now time.Duration, wasUnavailable bool) {
-	// If other hosts read the platform in the meantime, no entries expired.
+	// If other hosts could read the platform in the meantime, no entries have expired.
 	if wasUnavailable && now-s.PlatformReadAt > maxReadAge(&f.kernel.Settings) {
 		f.removalHold.platformReturned(now)
 	}
--- a/tier/peers/feed_test.go
+++ b/tier/peers/feed_test.go
@@ -22,23 +22,22 @@
 
 var errUnavailable = errors.New("platform is away")
 
-// fakePlatform is a platform in memory: a list of changes, each with its revision.
+// fakePlatform is an in-memory platform: a list of changes, each with its revision.
 type fakePlatform struct {
 	mu sync.Mutex
-	// era is that of all reads; 0 for none.
+	// era is the era of all reads; 0 for a platform without eras.
 	era      uint64
 	revision uint64
-	// from is the oldest revision from which the history can be read.
+	// from is the lowest revision after which the history can be read.
 	from    uint64
 	changes []config.DirectoryChange
-	// counts holds the sequence number of each upstream's reports, which a restore does not
-	// reset.
+	// counts holds the number of reports of each upstream, which a restore does not reset.
 	counts      map[string]uint64
 	unavailable bool
-	// stale is by how many revisions a stale read is behind.
+	// stale is the number of revisions that a stale read lags behind.
 	stale uint64
-	reads []bool
-	// watches counts the watches.
+	// reads holds, for each read, whether it had to be consistent.
+	reads   []bool
 	watches int
 	updated chan struct{}
 }
@@ -138,7 +137,7 @@
 // Watch implements kernel.Source.
 func (p *fakePlatform) Watch(ctx context.Context, after config.Position, wait time.Duration) (*kernel.Published, error) {
 	p.set(func() { p.watches++ })
-	out, moved, err := p.since(after)
+	out, updated, err := p.since(after)
 	if err != nil || out.Position.Revision > after.Revision || wait == 0 {
 		return out, err
 	}
@@ -146,7 +145,7 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-time.After(wait):
-	case <-moved:
+	case <-updated:
 	}
 	out, _, err = p.since(after)
 	return out, err
@@ -261,8 +260,8 @@
 	})
 }
 
-// TestFeedAppliesRemovalsThatOtherHostsRead checks that removals are not held if only this host
-// had lost the platform.
+// TestFeedAppliesRemovalsThatOtherHostsRead checks that removals are not held if the platform was
+// unavailable only to this host.
 func TestFeedAppliesRemovalsThatOtherHostsRead(t *testing.T) {
 	runFeed(t, func(p *fakePlatform, k *kernel.Kernel) {
 		p.set(func() { p.unavailable = true })
@@ -277,8 +276,8 @@
 	})
 }
 
-// TestFeedKeepsUpstreamsRemovedJustAfterOutage checks that removals shortly after the platform's
-// return are held as well.
+// TestFeedKeepsUpstreamsRemovedJustAfterOutage checks that removals shortly after an outage are
+// held as well.
 func TestFeedKeepsUpstreamsRemovedJustAfterOutage(t *testing.T) {
 	runFeed(t, func(p *fakePlatform, k *kernel.Kernel) {
 		p.set(func() { p.unavailable = true })
@@ -313,8 +312,8 @@
 	})
 }
 
-// TestReaderWithoutAnswersMarksPlatformDown checks that a host whose read hangs stops to
-// announce and learns from peers long before the read fails.
+// TestReaderWithoutAnswersMarksPlatformDown checks that a host whose read hangs no longer
+// announces reads and marks the platform as down, without waiting for the read to fail.
 func TestReaderWithoutAnswersMarksPlatformDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k, stop := kernel.New(kernel.Config{
@@ -362,7 +361,7 @@
 func (p *announcementCounter) Call(_ context.Context, host, _ string, params, _ any) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if news, ok := params.(announcement); ok && news.Lost {
+	if m, ok := params.(announcement); ok && m.Lost {
 		return nil
 	}
 	p.calls++
@@ -382,21 +381,21 @@
 func (p *announcementCounter) Notify(context.Context, string, string, any) error { return nil }
 
 // TestFeedFollowsEvacuations checks that a host learns of the beginning and the end of an
-// evacuation, also if the platform loses its history or is unavailable.
+// evacuation, even if the platform loses its history or is unavailable in between.
 func TestFeedFollowsEvacuations(t *testing.T) {
-	forget := func(p *fakePlatform) { p.set(func() { p.from = p.revision }) }
+	dropHistory := func(p *fakePlatform) { p.set(func() { p.from = p.revision }) }
 	tests := []struct {
 		name   string
 		before func(p *fakePlatform)
 		after  func(p *fakePlatform)
 	}{
 		{"told at once", func(*fakePlatform) {}, func(*fakePlatform) {}},
-		{"history forgotten", func(*fakePlatform) {}, forget},
+		{"history forgotten", func(*fakePlatform) {}, dropHistory},
 		{"platform away", func(p *fakePlatform) { p.set(func() { p.unavailable = true }); advance(5 * time.Second) }, func(p *fakePlatform) { p.set(func() { p.unavailable = false }) }},
 		{
 			"platform away, and history forgotten",
 			func(p *fakePlatform) { p.set(func() { p.unavailable = true }); advance(5 * time.Second) },
-			func(p *fakePlatform) { forget(p); p.set(func() { p.unavailable = false }) },
+			func(p *fakePlatform) { dropHistory(p); p.set(func() { p.unavailable = false }) },
 		},
 	}
 	for _, tt := range tests {
--- a/tier/peers/fetch.go
+++ b/tier/peers/fetch.go
@@ -15,7 +15,7 @@
 )
 
 // Methods by which a host fetches what it lacks from another. They have no parameters and
-// return a wire.PackedDocument: the document in force, or the directory as a
+// return a wire.PackedDocument with the active document, or with the directory as a
 // config.DirectoryChange.
 const (
 	methodDocument  = "Document"
@@ -28,12 +28,12 @@
 	// directoryFetchInterval is the shortest time between two throttled fetches of the
 	// directory.
 	directoryFetchInterval = 500 * time.Millisecond
-	// firstFetchTimeout limits the first attempt of a fetch. A change must be in force within
-	// seconds, also at a host all of whose connections have stalled.
+	// firstFetchTimeout limits the first attempt of a fetch. A change must take effect within
+	// seconds, even at a host all of whose connections have stalled.
 	firstFetchTimeout = 500 * time.Millisecond
 )
 
-// errEmptyDirectory reports a peer that has no directory itself.
+// errEmptyDirectory is returned if the peer has no directory itself.
 var errEmptyDirectory = errors.New("peer has no directory")
 
 // fetcher fetches documents and directories from other hosts, one of each at a time, and
@@ -46,11 +46,11 @@
 	// never. They are used on the control thread.
 	fetchingDocument, fetchingDirectory bool
 	directoryFetchedAt                  time.Duration
-	// onNewDocument is called on the control thread once a fetched document is in force.
+	// onNewDocument is called on the control thread once a fetched document is active.
 	onNewDocument func(*kernel.State)
 
-	// documentCache and directoryCache hold what was last packed for a peer: when many hosts
-	// start, each asks for the same.
+	// documentCache and directoryCache hold the last packed document and directory, since many
+	// hosts that start together fetch the same ones.
 	documentCache  packCache[*config.Index]
 	directoryCache packCache[*config.Directory]
 }
@@ -62,7 +62,7 @@
 	packed wire.PackedDocument
 }
 
-// pack returns the packed form of a value, and makes it only if the value has changed.
+// pack returns the packed form of a value. It calls build only if the value has changed.
 func (p *packCache[T]) pack(from T, build func(T) (wire.PackedDocument, error)) (wire.PackedDocument, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,8 +84,8 @@
 	return f
 }
 
-// fetchDocument starts to fetch the document in force at a peer, unless a fetch is in
-// progress. It runs on the control thread and does not wait.
+// fetchDocument starts to fetch the active document of a peer, unless a fetch is in progress.
+// It runs on the control thread and does not wait.
 func (f *fetcher) fetchDocument(from netip.AddrPort) {
 	if f.fetchingDocument {
 		return
--- a/tier/peers/heartbeat.go
+++ b/tier/peers/heartbeat.go
@@ -17,22 +17,22 @@
 const methodHeartbeat = "Beat"
 
 const (
-	// fullSyncThreshold is the fraction of this host's live members below which a sender's
-	// member count is answered by a full sync.
+	// fullSyncThreshold is the fraction of this host's live members that a sender must know;
+	// a sender that knows fewer gets a full sync.
 	fullSyncThreshold = 0.98
 	// startInterval is the time between the first heartbeats of a starting host, which knows
 	// nobody: all hosts may have been started at once.
 	startInterval = 200 * time.Millisecond
-	// startHeartbeats is how many heartbeats a host sends at that interval.
+	// startHeartbeats is the number of heartbeats that a host sends at startInterval.
 	startHeartbeats = 8
-	// maxConfirmedAge is how long ago the sender's document may have been confirmed for a
-	// heartbeat to confirm it here.
+	// maxConfirmedAge is the age up to which the sender's confirmation of its document also
+	// confirms it here.
 	maxConfirmedAge = 2 * announcerTimeout
 	// heartbeatTimeout limits one attempt of a heartbeat. A host of the same hall that does
 	// not answer two attempts is suspected.
 	heartbeatTimeout = 500 * time.Millisecond
-	// maxMembers limits the members that are known without a document, so that made-up
-	// entries cannot exhaust the memory.
+	// maxMembers limits the members that no document lists, so that forged entries cannot
+	// exhaust the memory.
 	maxMembers = 16_384
 )
 
@@ -40,13 +40,13 @@
 type heartbeat struct {
 	// Members begins with the sender.
 	Members []memberEntry
-	// Version, Era, Revision and Digest identify the sender's document in force.
+	// Version, Era, Revision and Digest identify the sender's active document.
 	Version  uint64 `json:",omitempty"`
 	Era      uint64 `json:",omitempty"`
 	Revision uint64
 	Digest   string
-	// Published, of PublishedEra, is the latest revision known to the sender; Refused is why
-	// the newest refused document was refused.
+	// PublishedEra and Published are the era and revision of the latest document known to the
+	// sender; Refused is why the newest refused document was refused.
 	PublishedEra uint64 `json:",omitempty"`
 	Published    uint64
 	Refused      string `json:",omitempty"`
@@ -54,17 +54,17 @@
 	PlatformAge time.Duration
 	// Hall is the data hall of the sender.
 	Hall string
-	// Directory is the digest of the listed upstreams, DirectoryEra and DirectoryRevision are
-	// the platform's position up to which the list is complete.
+	// Directory is the digest of the sender's directory; DirectoryEra and DirectoryRevision
+	// are the platform's position up to which it is complete.
 	Directory         uint64 `json:",omitempty"`
 	DirectoryEra      uint64 `json:",omitempty"`
 	DirectoryRevision uint64 `json:",omitempty"`
-	// Leaving are upstreams of the hall that are known to leave.
+	// Leaving are the upstreams that the sender knows to be leaving.
 	Leaving []leavingReport `json:",omitempty"`
 	// Suspicions are members that did not answer heartbeats.
 	Suspicions []suspicion `json:",omitempty"`
-	// Known is how many members the sender knows, including unresponsive ones: a host that
-	// finds many of them unresponsive needs no full sync.
+	// Known is the number of members that the sender knows. It includes unresponsive ones, so
+	// that a host that considers many members unresponsive gets no full sync.
 	Known int `json:",omitempty"`
 	// Confirmed is true if the sender knows that its document was the newest one
 	// ConfirmedAge ago.
@@ -75,7 +75,7 @@
 	Announcement *announcement `json:",omitempty"`
 }
 
-// edition returns the edition of the sender's document in force.
+// edition returns the edition of the sender's active document.
 func (h *heartbeat) edition() config.Edition {
 	return config.Edition{Version: h.Version, Position: config.Position{Era: h.Era, Revision: h.Revision}}
 }
@@ -103,11 +103,13 @@
 	urgentScheduled bool
 	// seenPauses is the value of State.Pauses that was last handled.
 	seenPauses int
-	// memberIndex is the document that the members in the control state were last built with.
+	// memberIndex is the document from which the halls and addresses of the members in the
+	// control state were taken.
 	memberIndex *config.Index
 }
 
-// newGossip returns a gossip without a fetcher, which the caller must set.
+// newGossip returns a gossip without a fetcher. The caller must set the fetcher, and
+// announcements if needed.
 func newGossip(k *kernel.Kernel, n *node, random *rand.Rand) *gossip {
 	self := memberEntry{Host: k.Settings.Host, Incarnation: k.Settings.Incarnation}
 	if k.Settings.Adapter != "" {
@@ -210,8 +212,8 @@
 	g.kernel.Do(func(s *kernel.State) { g.apply(s, to, &reply) })
 }
 
-// recordUnanswered records that a host did not answer a heartbeat. A host of another hall
-// is not suspected: the link to its hall may be down.
+// recordUnanswered records that a host did not answer a heartbeat. It does not suspect a host
+// of another hall, since the link to that hall may be down.
 func (g *gossip) recordUnanswered(s *kernel.State, to netip.AddrPort, sentAt time.Duration) {
 	for n, m := range s.Members {
 		if m.Peer == to && m.Hall == g.kernel.Settings.Hall {
@@ -284,7 +286,7 @@
 	}
 }
 
-// filterEntries drops entries of hosts that are not in the document, so that made-up entries
+// filterEntries drops entries of hosts that are not in the document, so that forged entries
 // cannot exhaust the memory. Without a document it keeps all entries. With an adapter, whose
 // platform lists no hosts, it keeps entries with an address, up to maxMembers.
 func (g *gossip) filterEntries(s *kernel.State, entries []memberEntry) []memberEntry {
--- a/tier/peers/members.go
+++ b/tier/peers/members.go
@@ -20,9 +20,8 @@
 	// fullSyncEntries is the most members that one full sync lists.
 	fullSyncEntries = 1024
 	// unresponsiveIntervals is the number of heartbeat intervals without a newer entry after
-	// which a member is unresponsive. It applies once more for each heartbeatEntries of
-	// members, since a member is listed less often in a larger fleet. A suspicion takes
-	// effect much earlier.
+	// which a member is unresponsive. It is multiplied in larger fleets (unresponsiveAfter),
+	// where each member is listed less often. A suspicion takes effect much earlier.
 	unresponsiveIntervals = 6
 	// forgetIntervals is the number of heartbeat intervals without a newer entry after which
 	// a member is forgotten. It takes at least twice as long as becoming unresponsive.
@@ -34,13 +33,13 @@
 	Host string
 	// Incarnation identifies the process; a later process of the host has a larger one.
 	Incarnation string
-	// Counter rises with each heartbeat of the process.
+	// Counter increases with each heartbeat of the process.
 	Counter uint64
 	// Leaving is true once the process has reported that it stops, and stays true.
 	Leaving bool `json:",omitempty"`
-	// Revision is that of the document in force there.
+	// Revision is that of the host's active document.
 	Revision uint64
-	// Hall and Peer are the host's hall and address, used if no document lists the host.
+	// Hall and Peer are the host's hall and address, used if the document does not list it.
 	Hall string         `json:",omitempty"`
 	Peer netip.AddrPort `json:",omitzero"`
 	// Capacity is as of policy.Capacity; 0 if the host did not report it.
@@ -53,7 +52,8 @@
 	return cmp.Or(cmp.Compare(e.Incarnation, o.Incarnation), cmp.Compare(e.Counter, o.Counter)) > 0
 }
 
-// sameAs reports whether two entries differ at most in fields that change all the time.
+// sameAs reports whether two entries are equal except for the fields that change with each
+// heartbeat or document.
 func (e *memberEntry) sameAs(o *memberEntry) bool {
 	other := *o
 	other.Counter, other.Revision, other.Age = e.Counter, e.Revision, e.Age
@@ -82,13 +82,14 @@
 	Random   policy.Random
 }
 
-// memberTable holds what one host knows of the others from heartbeats: a member is live,
+// memberTable holds what one host knows of the others from heartbeats. A member is live,
 // unresponsive or forgotten, depending on when it was last heard and on suspicions of it.
-// The caller passes the time. The cost of a message does not grow with the fleet. It is
-// not safe for concurrent use.
+// The cost of a message does not grow with the fleet. A memberTable is not safe for
+// concurrent use.
 type memberTable struct {
 	memberTableConfig
-	// records holds the other hosts by name, order the same ones in arbitrary order.
+	// records holds the other hosts by name; order holds the same ones, shuffled by
+	// appendRandom.
 	records map[string]*memberRecord
 	order   []*memberRecord
 	// updates are the records with transmitsLeft above 0.
@@ -109,8 +110,8 @@
 	return &memberTable{memberTableConfig: c, records: map[string]*memberRecord{}}
 }
 
-// tick begins a heartbeat of this host. It is where members become unresponsive or are
-// forgotten.
+// tick begins a heartbeat of this host: it increments the counter of this host's entry, and
+// marks members as unresponsive or forgets them.
 func (t *memberTable) tick(now time.Duration, revision uint64) {
 	t.Self.Counter++
 	t.Self.Revision = revision
@@ -142,7 +143,8 @@
 	t.Self.Counter++
 }
 
-// merge applies the entries that another host reported. A process that is leaving stays so.
+// merge applies the entries that another host reported. A process that has been reported as
+// leaving stays leaving.
 func (t *memberTable) merge(now time.Duration, entries []memberEntry) {
 	for i := range entries {
 		if e := &entries[i]; e.Host != t.Self.Host {
@@ -186,7 +188,7 @@
 	t.updateLive(now, r)
 }
 
-// updateLive updates whether a member is live.
+// updateLive updates a member's live state, liveCount and changedHosts.
 func (t *memberTable) updateLive(now time.Duration, r *memberRecord) {
 	if live := t.isLive(now, r); live != r.live {
 		r.live = live
@@ -225,10 +227,10 @@
 }
 
 // maxTransmits is how many messages list a member as an update. It grows with the logarithm
-// of the fleet, as does the time in which an update reaches all hosts.
+// of the fleet size, as does the time in which an update reaches all hosts.
 func (t *memberTable) maxTransmits() int { return 2 * bits.Len(uint(len(t.records))) }
 
-// queueUpdate has the next messages list a member.
+// queueUpdate queues a member, so that the next messages list it.
 func (t *memberTable) queueUpdate(r *memberRecord) {
 	if r.transmitsLeft == 0 {
 		t.updates = append(t.updates, r)
@@ -236,8 +238,8 @@
 	r.transmitsLeft = t.maxTransmits()
 }
 
-// queueUpdateFirst queues a member before all other updates, since others may take it for
-// unresponsive.
+// queueUpdateFirst queues a member before all other updates, since other hosts may consider
+// it unresponsive.
 func (t *memberTable) queueUpdateFirst(r *memberRecord) {
 	t.updates = slices.Insert(removeFirst(t.updates, r), 0, r)
 	r.transmitsLeft = t.maxTransmits()
@@ -264,13 +266,14 @@
 	return t.appendRandom(now, heartbeatEntries, listed, out)
 }
 
-// needsFullSync reports whether a host that knows this many members needs a full sync.
+// needsFullSync reports whether a host that knows the given number of members needs a full
+// sync.
 func (t *memberTable) needsFullSync(known int) bool {
 	return t.liveCount > heartbeatEntries && float64(known) < fullSyncThreshold*float64(t.liveCount)
 }
 
 // fullSync returns as many live members as one message may list, for a host that knows few.
-// Without it, a host that starts in a large fleet would learn of the others only a few per
+// Without it, a host that starts in a large fleet would learn of only a few others with each
 // heartbeat.
 func (t *memberTable) fullSync(now time.Duration) []memberEntry {
 	return t.appendRandom(now, fullSyncEntries, nil, []memberEntry{t.Self})
--- a/tier/peers/members_test.go
+++ b/tier/peers/members_test.go
@@ -49,8 +49,8 @@
 	assert.Assert(t, b.members((unresponsiveIntervals + 1) * time.Second)[0].Live)
 }
 
-// TestTableMergesInAnyOrder checks that merging gives the same result regardless of the order
-// and of duplicates.
+// TestTableMergesInAnyOrder checks that merging gives the same result in any order and with
+// duplicates.
 func TestTableMergesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entry := rapid.Custom(func(t *rapid.T) memberEntry {
@@ -70,8 +70,8 @@
 	})
 }
 
-// TestGossipReachesAllHostsOfAHall checks that all hosts of a large hall learn of each other and stay
-// live, and that all find a dead one unresponsive.
+// TestGossipReachesAllHostsOfAHall checks that all hosts of a large hall learn of each other,
+// consider each other live, and detect a failed host.
 func TestGossipReachesAllHostsOfAHall(t *testing.T) {
 	const hosts = 117
 	random := rand.New(rand.NewPCG(7, 0))
@@ -122,7 +122,7 @@
 			steady++
 		}
 	}
-	assert.Equal(t, steady, watched, "a live host was taken for silent")
+	assert.Equal(t, steady, watched, "a live host was considered unresponsive")
 	for range 10 * unresponsiveIntervals {
 		round(3)
 	}
--- a/tier/peers/node_test.go
+++ b/tier/peers/node_test.go
@@ -48,16 +48,16 @@
 		return 3, nil
 	})
 	caller, n, _ := newTestNode(t)
-	heard := make(chan string, 10)
+	received := make(chan string, 10)
 	caller.Handle("Progress", func(_ context.Context, params json.RawMessage) (any, error) {
-		heard <- string(params)
+		received <- string(params)
 		return struct{}{}, nil
 	})
-	told := 0
-	assert.NilError(t, n.callAddress(t.Context(), at, "Work", struct{}{}, &told))
+	sent := 0
+	assert.NilError(t, n.callAddress(t.Context(), at, "Work", struct{}{}, &sent))
 	var got []string
-	for range told {
-		got = append(got, <-heard)
+	for range sent {
+		got = append(got, <-received)
 	}
 	slices.Sort(got)
 	assert.DeepEqual(t, got, []string{"0", "1", "2"})
--- a/tier/peers/outage.go
+++ b/tier/peers/outage.go
@@ -6,17 +6,18 @@
 )
 
 const (
-	// unavailableAfter is how long reads must fail until the platform counts as unavailable.
+	// unavailableAfter is how long reads must fail until the platform is considered
+	// unavailable.
 	unavailableAfter = 500 * time.Millisecond
 	// minRetryDelay is the delay after the first failed read; it doubles with each further
 	// one.
 	minRetryDelay = 100 * time.Millisecond
-	// maxRetryDelay is the longest delay after a failed read: a platform that is back must be
-	// read well within the seconds in which a document has to be in force.
+	// maxRetryDelay is the longest delay after a failed read. It is well below the time in
+	// which a change has to take effect once the platform is back.
 	maxRetryDelay = time.Second
 )
 
-// outage tracks failed reads: it decides when the platform counts as unavailable and how
+// outage tracks failed reads: it decides when the platform is considered unavailable and how
 // long to back off before the next read. All times are since the process started.
 type outage struct {
 	// succeededAt is when the last read succeeded.
@@ -36,8 +37,8 @@
 
 func (o *outage) succeeded(now time.Duration) { *o = outage{succeededAt: now} }
 
-// isUnavailable reports whether the platform counts as unavailable: reads have failed for
-// unavailableAfter, or the last successful one is older than stale.
+// isUnavailable reports whether the platform is considered unavailable: reads have failed for
+// unavailableAfter, or a read has failed and the last successful one is older than maxAge.
 func (o *outage) isUnavailable(now, maxAge time.Duration) bool {
 	return o.failingSince > 0 && (now-o.failingSince >= unavailableAfter || now-o.succeededAt > maxAge)
 }
--- a/tier/peers/outage_test.go
+++ b/tier/peers/outage_test.go
@@ -10,8 +10,8 @@
 // TestOutageMakesPlatformUnavailable checks when failed reads make the platform unavailable.
 func TestOutageMakesPlatformUnavailable(t *testing.T) {
 	const (
-		heard = time.Minute
-		stale = 1200 * time.Millisecond
+		succeededAt = time.Minute
+		maxAge      = 1200 * time.Millisecond
 	)
 	tests := []struct {
 		name string
@@ -25,18 +25,18 @@
 		{"one failed just now", []time.Duration{time.Second}, time.Second, false},
 		{"they fail for a while", []time.Duration{100 * time.Millisecond, 500 * time.Millisecond}, 100*time.Millisecond + unavailableAfter, true},
 		{"not quite", []time.Duration{100 * time.Millisecond}, 100*time.Millisecond + unavailableAfter - 1, false},
-		{"the first failed late", []time.Duration{stale + 1}, stale + 1, true},
+		{"the first failed late", []time.Duration{maxAge + 1}, maxAge + 1, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			var o outage
-			o.succeeded(heard)
+			o.succeeded(succeededAt)
 			for _, at := range tt.failed {
-				o.failed(heard + at)
+				o.failed(succeededAt + at)
 			}
-			assert.Equal(t, o.isUnavailable(heard+tt.now, stale), tt.want)
-			o.succeeded(heard + tt.now)
-			assert.Assert(t, !o.isUnavailable(heard+tt.now, stale))
+			assert.Equal(t, o.isUnavailable(succeededAt+tt.now, maxAge), tt.want)
+			o.succeeded(succeededAt + tt.now)
+			assert.Assert(t, !o.isUnavailable(succeededAt+tt.now, maxAge))
 		})
 	}
 }
--- a/tier/peers/partners.go
+++ b/tier/peers/partners.go
@@ -11,36 +11,33 @@
 )
 
 const (
-	// hallPartners is how many hosts of its own hall a heartbeat goes to.
+	// hallPartners is the number of hosts of its own hall that a heartbeat goes to.
 	hallPartners = 2
-	// suspectPartners is how many suspected hosts of its hall a heartbeat also goes to.
+	// suspectPartners is the number of suspected hosts of its own hall that a heartbeat goes
+	// to in addition.
 	suspectPartners = 1
-	// otherHallPartners is how many hosts of other halls a heartbeat goes to, if it goes to
-	// other halls.
+	// otherHallPartners is the number of hosts of other halls that every otherHallEvery-th
+	// heartbeat goes to.
 	otherHallPartners = 1
-	// introductionHeartbeats is how many heartbeats after its start phase an announcer sends
-	// to all halls.
+	// introductionHeartbeats is the number of heartbeats after its start phase that an
+	// announcer sends to all halls.
 	introductionHeartbeats = 15
-	// unresponsivePartners is how many unresponsive hosts a heartbeat goes to, if it goes to any.
+	// unresponsivePartners is the number of unresponsive hosts that every
+	// unresponsiveEvery-th heartbeat goes to.
 	unresponsivePartners = 1
-	// seedPartners is how many seeds a heartbeat goes to, if it goes to any.
-	seedPartners = 2
-	// otherHallEvery is the interval, in heartbeats, of those that also go to another hall.
+	// seedPartners is the number of seeds that every seedEvery-th heartbeat goes to. These are
+	// seeds that are not members, so that a partitioned host finds the others again.
+	seedPartners   = 2
 	otherHallEvery = 3
 	// nonAnnouncerFactor multiplies otherHallEvery for a host that does not announce, since
 	// traffic between halls is expensive and the announcer of its hall already covers it.
 	nonAnnouncerFactor = 5
-	// unresponsiveEvery is the interval, in heartbeats, of those that also go to an
-	// unresponsive host.
-	unresponsiveEvery = 2
-	// seedEvery is the interval, in heartbeats, of those that also go to seeds that are not
-	// members, so that a partitioned host finds the others again.
-	seedEvery = 5
+	unresponsiveEvery  = 2
+	seedEvery          = 5
 )
 
-// partners returns the hosts that a heartbeat goes to. Their number is bounded regardless of
-// the size of the fleet. They are chosen from the members, the document's hosts and the
-// seeds, depending on how many heartbeats were sent.
+// partners returns the hosts that the next heartbeat goes to, chosen from the members, the
+// document's hosts and the seeds. Their number does not grow with the hosts of a hall.
 func (g *gossip) partners(s *kernel.State) []netip.AddrPort {
 	hall, unresponsive, other := g.classifyHosts(s)
 	out := g.sampleHallPartners(s, hall)
@@ -82,18 +79,17 @@
 	return append(g.sample(g.suspects(s), suspectPartners), g.sample(hall, hallPartners)...)
 }
 
-// recentlyStarted reports whether this host has started recently. It is false during the
-// first heartbeats, in which all hosts of a starting hall may take themselves for the
-// announcer.
+// recentlyStarted reports whether this host is within its introductionHeartbeats. It is false
+// during the start phase, when each host of a starting hall may consider itself the announcer.
 func (g *gossip) recentlyStarted() bool {
 	sent := g.sent - startHeartbeats
 	return sent > 0 && sent <= introductionHeartbeats
 }
 
 // oneOfEachHall returns a random live host of each other hall. The announcer sends heartbeats
-// there after its start, so that halls learn of each other, and while there are recent
-// suspicions in this hall: otherwise each call from another hall would discover a lost relay
-// anew.
+// to them after its start, so that halls learn of each other, and while there are recent
+// suspicions in this hall: otherwise each host of another hall would notice a failed relay
+// only by its own failed calls.
 func (g *gossip) oneOfEachHall(s *kernel.State) []netip.AddrPort {
 	_, others := byHall(s.Members, g.kernel.Settings.Hall, (*kernel.Member).Callable)
 	var out []netip.AddrPort
@@ -104,9 +100,9 @@
 	return out
 }
 
-// classifyHosts divides the other hosts into responsive ones of this hall, unresponsive ones, and
-// hosts of other halls. The unresponsive ones are of any hall with an adapter, else of this
-// hall only.
+// classifyHosts divides the other hosts into responsive ones of this hall, unresponsive ones,
+// and hosts of other halls. With an adapter, unresponsive includes hosts of all halls,
+// otherwise only those of this hall.
 func (g *gossip) classifyHosts(s *kernel.State) (hall, unresponsive, other []netip.AddrPort) {
 	for _, h := range g.hosts(s) {
 		m, known := s.Members[h.Name]
@@ -125,9 +121,9 @@
 	return hall, unresponsive, other
 }
 
-// sendsToOtherHall reports whether this heartbeat also goes to another hall. Where one host
-// of a hall reads the platform, that host informs the other halls. A host that has to learn
-// from peers asks other halls each time.
+// sendsToOtherHall reports whether this heartbeat also goes to another hall. A host that
+// cannot reach the platform sends every heartbeat there, since it has to learn from peers.
+// With an adapter, a host that does not announce does so rarely (nonAnnouncerFactor).
 func (g *gossip) sendsToOtherHall(s *kernel.State) bool {
 	switch {
 	case s.PlatformDown:
@@ -168,8 +164,8 @@
 	return sample(g.random.Perm, from, n)
 }
 
-// byHall returns the names of the members that match: those of one hall, and those of the
-// others by hall.
+// byHall returns the names of the matching members of a hall (near), and those of the other
+// halls by hall (far).
 func byHall(members map[string]kernel.Member, hall string, match func(*kernel.Member) bool) (near []string, far map[string][]string) {
 	far = map[string][]string{}
 	for n, m := range members {
--- a/tier/peers/partners_test.go
+++ b/tier/peers/partners_test.go
@@ -11,8 +11,8 @@
 	"loomgap/tier/kernel"
 )
 
-// TestHeartbeatsGoToFewHosts counts the heartbeats to hosts of the hall, of another hall, to
-// unresponsive hosts and to seeds, with an adapter.
+// TestHeartbeatsGoToFewHosts checks how many heartbeats go to hosts of the hall, hosts of another
+// hall, unresponsive hosts and seeds, with an adapter.
 func TestHeartbeatsGoToFewHosts(t *testing.T) {
 	const rounds = 30
 	tests := []struct {
--- a/tier/peers/reader.go
+++ b/tier/peers/reader.go
@@ -10,27 +10,26 @@
 	"loomgap/tier/policy"
 )
 
-// Which host reads the platform, if an adapter is set.
+// Election of the host that reads the platform, if an adapter is set:
 //
-// Hosts are ranked (readerRanking). In each hall, the first host among those whose
-// announcements arrive announces to its hall what is published. The first of all announcers
-// reads the platform, and also announces to the other halls. So a hall reads the platform
-// itself if no announcement of a reader in another hall arrives for announcerTimeout (the
-// halls are partitioned, or that reader is gone), or if that reader announces that the
-// platform does not answer it. Before it takes over, a host waits one step for each live host
-// that ranks before it. At most maxFailedReaders hosts try a platform that does not answer.
-//
-// Each change of a host's role is logged as "turn to read the platform": Tells is whether it
-// announces to its hall, Reads whether it reads the platform.
+//   - Hosts are ranked (readerRanking). In each hall, the highest ranked host announces what
+//     the platform publishes to the others. The highest ranked announcer of all halls reads
+//     the platform, and also announces to the other halls.
+//   - Another host takes over if no announcement arrives for announcerTimeout (the announcer
+//     has failed, or the halls are partitioned), or if the reader announces that the platform
+//     does not answer it. It first waits one takeoverStep for each live host that ranks
+//     before it. At most maxFailedReaders hosts try a platform that does not answer.
+//   - Each change of a host's role is logged as "turn to read the platform": Tells is whether
+//     it announces to its hall, Reads whether it reads the platform.
 
 const (
-	// announcerTimeout is how long a host goes without announcements before another takes
-	// over; it is longer than three announcement intervals. Even if the reader fails, a change
-	// must be in force within seconds.
+	// announcerTimeout is the time without announcements after which another host takes over;
+	// it is longer than three announcement intervals. Even if the reader fails, a change must
+	// take effect within seconds.
 	announcerTimeout = 1300 * time.Millisecond
-	// takeoverStep is how long each host of a hall waits for each host that ranks before it,
-	// once nobody announces any more. Without it, all hosts of a hall would take over at once
-	// and delay requests by announcing to each other.
+	// takeoverStep is how long a host waits, before it takes over, for each host that ranks
+	// before it. Without it, all hosts of a hall would take over at once and delay requests by
+	// announcing to each other.
 	takeoverStep = 50 * time.Millisecond
 	// maxTakeoverSteps limits the steps that a host waits.
 	maxTakeoverSteps = 20
@@ -40,13 +39,13 @@
 	// maxFailedReaders is how many hosts of a hall, or halls, try to read a platform that
 	// does not answer: it may refuse some hosts and serve others.
 	maxFailedReaders = 3
-	// minSecondReadAge is the age of a starting host from which on it may read the platform
-	// again. The first read may be stale, since a stale one is cheaper. By this age, hosts
-	// have exchanged heartbeats, so that not each of many hosts that start together verifies
-	// its first read at the platform.
+	// minSecondReadAge is the process age from which on a starting host may read the platform
+	// again. The first read may be stale, which is cheaper, and has to be verified. By this
+	// age hosts have exchanged heartbeats, so that of many hosts that start together only a
+	// few verify their first read at the platform.
 	minSecondReadAge = 300 * time.Millisecond
 	// secondReadSpread is the time over which the second reads of starting hosts are spread.
-	// It ends before a change has to be in force.
+	// It ends before a change has to take effect.
 	secondReadSpread = 1200 * time.Millisecond
 	// maxAnswerDelay is how long the answer to a watch may take beyond its wait, for a slow
 	// platform and a busy host.
@@ -56,7 +55,7 @@
 // watchKey is the rendezvous hashing key by which hosts are ranked for reading the platform.
 const watchKey = "watch"
 
-// maxReadAge is the age of its last read up to which a host counts as a reader.
+// maxReadAge is the age of the last successful read up to which a host counts as a reader.
 func maxReadAge(s *kernel.Settings) time.Duration { return s.WatchWait + maxAnswerDelay }
 
 // updateRole updates whether this host announces and reads, logs a change, and reports
@@ -71,7 +70,7 @@
 			Int64("PlatformAgeMillis", (k.Now() - s.PlatformReadAt).Milliseconds()).Msg("turn to read the platform")
 	}
 	if !reads {
-		// Other hosts read for this one.
+		// PlatformDown is only for a host that should read.
 		s.PlatformDown = false
 	}
 	return changed
@@ -97,15 +96,15 @@
 	return true, r.isFirst(now, s.OtherReaders, spread)
 }
 
-// secondReadAt is the age from which on a host may read the platform again after its first
-// read. The host with the smallest one announces to the others before they read.
+// secondReadAt is the process age from which on a host may read the platform again after its
+// first read. The host with the lowest value announces to the others before they read.
 func secondReadAt(host string) time.Duration {
 	return minSecondReadAge + time.Duration(xxhash.Sum64String("start "+host)%uint64(secondReadSpread))
 }
 
-// readerRanking ranks hosts for reading the platform and announcing what was read: by
-// capacity first, since each change is sent to all hosts of a hall, then by rendezvous
-// hashing.
+// readerRanking ranks hosts for reading the platform and announcing its content: by capacity
+// class first, since an announcer sends each change to all hosts of its hall, then by
+// rendezvous hashing.
 type readerRanking struct {
 	settings *kernel.Settings
 	members  map[string]kernel.Member
@@ -130,8 +129,8 @@
 	)
 }
 
-// capacityClass is 0 for a strong host and 1 for another. A host of unknown capacity counts
-// as strong as this one.
+// capacityClass is 0 for a host with enough capacity to coordinate (policy.IsCoordinator) and
+// 1 for others. A host of unknown capacity is assumed to have that of this host.
 func (r *readerRanking) capacityClass(host string) int {
 	capacity := cmp.Or(r.members[host].Capacity, r.settings.Capacity())
 	if policy.IsCoordinator(capacity, r.maxCapacity) {
@@ -143,7 +142,7 @@
 func (r *readerRanking) ranksBefore(host string) bool { return r.compare(host, r.settings.Host) < 0 }
 
 // countRankedBefore counts the active hosts of the hall that rank before this one and have
-// never announced: each of them is given time to take over first.
+// never announced. Each of them gets one takeoverStep to take over first.
 func (r *readerRanking) countRankedBefore(s *kernel.State) int {
 	n := 0
 	for host, m := range s.Members {
@@ -155,10 +154,10 @@
 	return n
 }
 
-// isFirst reports whether this host is first among the announcers: no host that ranks before
-// it has announced within announcerTimeout that the platform answers it, fewer than
-// maxFailedReaders of them announce that it does not, and the takeover steps have passed
-// since the last of them failed.
+// isFirst reports whether this host is the highest ranked working announcer: no host that
+// ranks before it has announced within announcerTimeout that the platform answers it, fewer
+// than maxFailedReaders of them announce that it does not, and the given number of takeover
+// steps has passed since the last of them failed.
 func (r *readerRanking) isFirst(now time.Duration, announcers map[string]kernel.AnnouncerReport, steps int) bool {
 	failedReaders := 0
 	vacantSince := time.Duration(0)
--- a/tier/peers/reader_test.go
+++ b/tier/peers/reader_test.go
@@ -13,7 +13,7 @@
 	"loomgap/tier/kernel"
 )
 
-// rankedHosts returns names of hosts in their order for reading the platform.
+// rankedHosts returns the names of n hosts, ranked for reading the platform.
 func rankedHosts(n int) []string {
 	var names []string
 	for i := range n {
@@ -32,7 +32,7 @@
 	platformDown := kernel.AnnouncerReport{At: now, PlatformDown: true, Since: now - time.Second}
 	tests := []struct {
 		name string
-		// heard is by rank; the host itself has rank 4.
+		// heard holds the announcers by rank; the host itself has rank 4.
 		heard map[int]kernel.AnnouncerReport
 		want  bool
 	}{
@@ -75,7 +75,8 @@
 	announcing, tookOver bool
 }
 
-// newHallModel makes hosts that know each other, some of them strong.
+// newHallModel returns a model of hosts that know each other; strong is the number of those
+// with enough capacity to coordinate.
 func newHallModel(hosts, strong int, delay time.Duration) *hallModel {
 	h := &hallModel{delay: delay}
 	members := map[string]kernel.Member{}
@@ -96,10 +97,10 @@
 }
 
 // deliver delivers an announcement to all hosts except its sender.
-func (h *hallModel) deliver(from string, sent, now time.Duration, lost bool) {
+func (h *hallModel) deliver(from string, sent, now time.Duration, platformDown bool) {
 	for _, o := range h.hosts {
 		if o.settings.Host != from {
-			o.state.HallAnnouncers[from] = o.state.HallAnnouncers[from].Next(max(now, sent+h.delay), lost)
+			o.state.HallAnnouncers[from] = o.state.HallAnnouncers[from].Next(max(now, sent+h.delay), platformDown)
 		}
 	}
 }
@@ -138,14 +139,14 @@
 	return n
 }
 
-// TestFewHostsTakeOverFromFailedReader checks that few hosts take over when the announcer loses the
-// platform or fails, regardless of the size of the hall and the delay of messages.
+// TestFewHostsTakeOverFromFailedReader checks that few hosts take over when the announcer loses
+// the platform or fails, regardless of the size of the hall and the delay of messages.
 func TestFewHostsTakeOverFromFailedReader(t *testing.T) {
 	const now = time.Minute
 	for _, hosts := range []int{3, 8, 50, 117} {
 		for _, delay := range []time.Duration{0, 20 * time.Millisecond, 40 * time.Millisecond} {
-			for _, lost := range []bool{true, false} {
-				t.Run(fmt.Sprintf("%d hosts, %s, lost %t", hosts, delay, lost), func(t *testing.T) {
+			for _, platformDown := range []bool{true, false} {
+				t.Run(fmt.Sprintf("%d hosts, %s, lost %t", hosts, delay, platformDown), func(t *testing.T) {
 					h := newHallModel(hosts, min(3, hosts), delay)
 					names := make([]string, 0, hosts)
 					for _, o := range h.hosts {
@@ -153,14 +154,14 @@
 					}
 					first := slices.MinFunc(names, newReaderRanking(h.hosts[0].state, &h.hosts[0].settings).compare)
 					for _, o := range h.hosts {
-						o.state.HallAnnouncers[first] = kernel.AnnouncerReport{At: now - time.Millisecond, Since: now - time.Millisecond, PlatformDown: lost}
-						if !lost {
+						o.state.HallAnnouncers[first] = kernel.AnnouncerReport{At: now - time.Millisecond, Since: now - time.Millisecond, PlatformDown: platformDown}
+						if !platformDown {
 							o.state.HallAnnouncers[first] = kernel.AnnouncerReport{At: now - announcerTimeout, Since: 1}
 						}
 					}
-					tried := h.run(now, now+5*time.Second)
-					assert.Assert(t, tried >= min(2, hosts-1), "%d took over", tried)
-					assert.Assert(t, tried <= maxFailedReaders+2, "%d took over", tried)
+					takenOver := h.run(now, now+5*time.Second)
+					assert.Assert(t, takenOver >= min(2, hosts-1), "%d took over", takenOver)
+					assert.Assert(t, takenOver <= maxFailedReaders+2, "%d took over", takenOver)
 				})
 			}
 		}
--- a/tier/peers/refused_test.go
+++ b/tier/peers/refused_test.go
@@ -148,8 +148,8 @@
 }
 
 // TestChangesArriveWhileTheReaderIsRefused checks that all hosts learn of each change in time
-// while the platform refuses the reader. Only the takeover may cause a gap: it must not recur
-// because the refused host is taken for the reader again.
+// while the platform refuses the reader. Only the takeover may delay a change: later ones must
+// not be delayed because the refused host is considered the reader again.
 func TestChangesArriveWhileTheReaderIsRefused(t *testing.T) {
 	const (
 		bound        = 2200 * time.Millisecond
--- a/tier/peers/removal_hold.go
+++ b/tier/peers/removal_hold.go
@@ -7,36 +7,37 @@
 )
 
 const (
-	// removalHoldTime is how long an upstream that was missing when the platform came back
-	// stays listed: its entry may have expired during the outage, and the upstream registers
-	// again within about two seconds.
+	// removalHoldTime is how long an upstream that is missing after an outage stays listed: its
+	// entry may have expired during the outage, and the upstream registers again within about
+	// two seconds.
 	removalHoldTime = 2500 * time.Millisecond
-	// lateRemovalWindow is how long after its return the platform may still remove entries
-	// that expired during the outage.
+	// lateRemovalWindow is how long after an outage the platform may still remove entries that
+	// expired during it.
 	lateRemovalWindow = time.Second
 )
 
-// removalHold delays removals of upstreams that may result from an outage of the platform.
-// All times are since the process started.
+// removalHold delays removals of upstreams that an outage of the platform may have caused. All
+// times are since the process started.
 type removalHold struct {
-	// holdUntil is the time from which on new removals are no longer held.
+	// holdUntil is when new removals are no longer held.
 	holdUntil time.Duration
-	// removals are held until due.
+	// removals are the held removals; they are released at due.
 	removals []config.Removal
 	due      time.Duration
 }
 
+// platformReturned starts to hold removals after an outage.
 func (h *removalHold) platformReturned(now time.Duration) { h.holdUntil = now + lateRemovalWindow }
 
-// platformRestored is platformReturned for a platform that came back with another history.
-// It drops the removals held so far: the new history decides on them.
+// platformRestored starts to hold removals after the platform was restored from a backup. It
+// drops the removals held so far, since they belong to the earlier history.
 func (h *removalHold) platformRestored(now time.Duration) {
 	*h = removalHold{holdUntil: now + lateRemovalWindow}
 }
 
-// hold moves the removals out of a directory change and keeps them, if the platform has just
-// returned. Entries that an operator has written do not expire, so an evacuation that a
-// whole directory lacks has ended.
+// hold moves the removals out of a directory change and keeps them, if the platform was
+// unavailable shortly before. It does not hold the end of an evacuation: evacuations are
+// written by operators and do not expire, so one that a whole directory lacks has ended.
 func (h *removalHold) hold(now time.Duration, d *config.Directory, c *config.DirectoryChange) {
 	if now >= h.holdUntil {
 		return
@@ -62,7 +63,8 @@
 	return due
 }
 
-// wait limits the duration of a read so that held removals are released in time.
+// wait returns how long a read may wait, at most limit, so that held removals are released in
+// time.
 func (h *removalHold) wait(now, limit time.Duration) time.Duration {
 	if len(h.removals) == 0 {
 		return limit
--- a/tier/peers/removal_hold_test.go
+++ b/tier/peers/removal_hold_test.go
@@ -9,8 +9,8 @@
 	"loomgap/tier/config"
 )
 
-// TestRemovalsAreHeldAfterOutage checks which removals are held, depending on when they come
-// after the platform's return.
+// TestRemovalsAreHeldAfterOutage checks which removals are held, depending on the time since the
+// outage.
 func TestRemovalsAreHeldAfterOutage(t *testing.T) {
 	const returned = time.Minute
 	var listed *config.Directory
@@ -22,7 +22,7 @@
 	whole := config.DirectoryChange{Revision: 4, Whole: true, Listed: []config.Listing{{Name: "U2", Group: "G", Revision: 1}}}
 	tests := []struct {
 		name string
-		// after is the time between the platform's return and the change.
+		// after is the time between the end of the outage and the change.
 		after   time.Duration
 		change  config.DirectoryChange
 		held    []config.Removal
--- a/tier/peers/restore.go
+++ b/tier/peers/restore.go
@@ -11,15 +11,15 @@
 
 // A platform that is restored from a backup begins another era of its history. The backup
 // may list upstreams that have left, lack live ones, and report a leaving one as ready.
-// The platform's writers correct that within seconds. Until then the era is unsettled: what a
-// full read returns is marked as copied, and what is known of the earlier era takes precedence
-// (config.Directory). Upstreams that the backup lacks are held as after an outage
-// (removal_hold.go). Then the reader reads everything once more, and the platform's content
-// applies.
+// Operators and upstreams correct that within seconds. Until then the era is unsettled: the
+// result of a full read is marked as copied, and what is known of the earlier era takes
+// precedence (config.Directory). Upstreams that the backup lacks stay listed for a while, as
+// after an outage (removal_hold.go). Once settleAfter has passed, the reader reads everything
+// again, and the platform's content applies.
 
 // settleAfter is the time from a reader's first read of an era until the platform's content
-// applies. After a restore, an upstream that is gone stays listed until it has missed three
-// status reports, 1.2 s apart; the rest is a margin for a platform that answers late.
+// applies. After a restore, the platform removes an upstream that has left only after three
+// missed status reports, 1.2 s apart; the rest is a margin for late answers.
 const settleAfter = 5 * time.Second
 
 // eraTracker follows the eras of the platform for the host that reads it. All times are
@@ -27,23 +27,23 @@
 type eraTracker struct {
 	// era is that of the last read; 0 for none.
 	era uint64
-	// settleAt is when to read the platform once more to settle the era; 0 if that is not
-	// needed.
+	// settleAt is when to read the platform again to settle the era; 0 if that is not needed.
 	settleAt time.Duration
 	// settling is true while that read is in progress.
 	settling bool
 }
 
-// startSettling reports whether it is time for the read that settles the era.
+// startSettling reports whether it is time for the read that settles the era, and records that
+// this read is in progress.
 func (e *eraTracker) startSettling(now time.Duration) bool {
 	e.settling = e.settleAt > 0 && now >= e.settleAt
 	return e.settling
 }
 
-// failed records that a read failed, so that it settles nothing.
+// failed records that a read failed, so that it does not settle the era.
 func (e *eraTracker) failed() { e.settling = false }
 
-// wait limits the duration of a read so that the era is settled in time.
+// wait returns how long a read may wait, at most limit, so that the era is settled in time.
 func (e *eraTracker) wait(now, limit time.Duration) time.Duration {
 	if e.settleAt == 0 {
 		return limit
@@ -51,17 +51,17 @@
 	return min(limit, max(e.settleAt-now, 0))
 }
 
-// observe records the era of what was read, and marks what may come from the backup that
-// the era began with. It reports whether the platform has come back with another history than
-// the known one. It runs on the control thread.
-func (e *eraTracker) observe(k *kernel.Kernel, s *kernel.State, p *kernel.Published, now time.Duration) (returned bool) {
+// observe records the era of what was read, and marks what may come from the backup with which
+// the era began. It reports whether the platform was restored since the last known era. It runs
+// on the control thread.
+func (e *eraTracker) observe(k *kernel.Kernel, s *kernel.State, p *kernel.Published, now time.Duration) (restored bool) {
 	era, known := p.Position.Era, s.Directory.Position()
 	settles := e.settling && era == e.era
 	e.settling = false
 	if era != e.era {
 		e.era, e.settleAt = era, now+settleAfter
 	}
-	if returned = known.Era > 0 && era > known.Era; returned {
+	if restored = known.Era > 0 && era > known.Era; restored {
 		logRestored(k, s, p.Position)
 	}
 	switch {
@@ -75,7 +75,7 @@
 		p.Directory.MarkCopied()
 		backdateDocument(p)
 	}
-	return returned
+	return restored
 }
 
 // backdateDocument assigns a document of a full read to the previous era if it has no
@@ -86,8 +86,8 @@
 	}
 }
 
-// logRestored logs that the platform came back with another history, and how much of the
-// earlier one is known: until when, and up to which position.
+// logRestored logs that the platform was restored, with the position and the age of what is
+// known of the earlier era.
 func logRestored(k *kernel.Kernel, s *kernel.State, at config.Position) {
 	known := s.Directory.Position()
 	metrics.GetOrCreateCounter("loomgap_platform_returns_total").Inc()
--- a/tier/peers/restore_test.go
+++ b/tier/peers/restore_test.go
@@ -13,7 +13,7 @@
 	"loomgap/tier/kernel"
 )
 
-// maxSettleTime is when an era is settled at the latest.
+// maxSettleTime is the longest time until an era is settled.
 const maxSettleTime = settleAfter + maxRetryDelay + time.Second
 
 // report makes an upstream report itself.
@@ -38,7 +38,7 @@
 	return out
 }
 
-// runFeedWithEras runs a test of a feed whose platform has eras from the start.
+// runFeedWithEras runs a test of a feed whose platform has eras and whose first era is settled.
 func runFeedWithEras(t *testing.T, test func(p *fakePlatform, k *kernel.Kernel)) {
 	runFeed(t, func(p *fakePlatform, k *kernel.Kernel) {
 		p.set(func() {
@@ -47,13 +47,13 @@
 				p.changes[i].Era = 1
 			}
 		})
-		advance(2 * maxSettleTime) // until the first era is settled
+		advance(2 * maxSettleTime)
 		test(p, k)
 	})
 }
 
 // TestFeedKeepsWhatABackupLacks checks that a live upstream that the backup lacks stays listed
-// until it registers again, while one that has ended is removed.
+// until it registers again, while one that does not register again is removed.
 func TestFeedKeepsWhatABackupLacks(t *testing.T) {
 	runFeedWithEras(t, func(p *fakePlatform, k *kernel.Kernel) {
 		backup := p.currentRevision()
@@ -92,8 +92,8 @@
 	})
 }
 
-// TestFeedAcceptsPlatformStateOnceSettled checks that an upstream that was taken for gone is
-// listed again if the platform still lists it once the era is settled.
+// TestFeedAcceptsPlatformStateOnceSettled checks that an upstream that was removed before the
+// restore is listed again if the platform still lists it once the era is settled.
 func TestFeedAcceptsPlatformStateOnceSettled(t *testing.T) {
 	runFeedWithEras(t, func(p *fakePlatform, k *kernel.Kernel) {
 		backup := p.currentRevision()
@@ -167,8 +167,8 @@
 	})
 }
 
-// TestFeedFollowsEvacuationsAcrossRestore has a backup lack an evacuation that began and contain
-// one that ended; each is written again or not.
+// TestFeedFollowsEvacuationsAcrossRestore restores a backup that lacks an evacuation in progress
+// and contains one that has ended. Operators then write both changes again or not.
 func TestFeedFollowsEvacuationsAcrossRestore(t *testing.T) {
 	for _, again := range []bool{true, false} {
 		name := "not written again"
@@ -200,8 +200,8 @@
 	}
 }
 
-// TestFeedFollowsSecondRestore has the platform restored twice before the first era is settled,
-// and unavailable in between.
+// TestFeedFollowsSecondRestore restores the platform a second time, after another outage, before
+// the era of the first restore is settled.
 func TestFeedFollowsSecondRestore(t *testing.T) {
 	runFeedWithEras(t, func(p *fakePlatform, k *kernel.Kernel) {
 		backup := p.currentRevision()
@@ -215,7 +215,7 @@
 		advance(maxRetryDelay + 500*time.Millisecond)
 		assert.DeepEqual(t, listedNames(k), []string{"U2", "U3"})
 		p.list("U4")
-		advance(300 * time.Millisecond) // less than removalHoldTime since the return
+		advance(300 * time.Millisecond) // less than removalHoldTime since the outage
 		p.set(func() { p.unavailable = true })
 		p.restore(backup)
 		advance(3 * time.Second)
@@ -299,8 +299,8 @@
 	})
 }
 
-// TestDocumentWithoutVersionIsNotRolledBack checks that a document without a version from a
-// backup is not put in force, while one written after the restore is.
+// TestDocumentWithoutVersionIsNotRolledBack checks that a document without a version is not
+// activated if it comes from a backup, while one written after the restore is.
 func TestDocumentWithoutVersionIsNotRolledBack(t *testing.T) {
 	k := newTestKernel(t, "Self")
 	done := make(chan struct{})
--- a/tier/peers/roster.go
+++ b/tier/peers/roster.go
@@ -8,7 +8,8 @@
 	"loomgap/tier/kernel"
 )
 
-// updateMembers writes changed members to the control state.
+// updateMembers writes changed members to the control state, or all members if the document
+// has changed.
 func (g *gossip) updateMembers(s *kernel.State) {
 	changed := g.table.takeChanges()
 	if s.Index != g.memberIndex {
@@ -24,8 +25,8 @@
 	}
 }
 
-// member returns the control state's form of a member. If the document lists the host, its
-// hall and address are taken from the document.
+// member converts a record to a member of the control state. If the document lists the host,
+// its hall and address are taken from the document.
 func (g *gossip) member(s *kernel.State, r *memberRecord) kernel.Member {
 	m := kernel.Member{
 		Host: r.Host, Incarnation: r.Incarnation, Live: r.live, Leaving: r.Leaving, Revision: r.Revision,
--- a/tier/peers/shares.go
+++ b/tier/peers/shares.go
@@ -53,8 +53,8 @@
 	return out
 }
 
-// divide returns one host's share of a number of slots. The shares of all hosts add up to
-// slots exactly, if they know the same hosts.
+// divide returns one host's share of a number of slots. If all hosts know the same hosts,
+// their shares add up to slots.
 func divide(key string, slots int, hosts []string, host string) int {
 	position := slices.Index(Rank(key, hosts), host)
 	if position < 0 {
--- a/tier/peers/start_test.go
+++ b/tier/peers/start_test.go
@@ -12,13 +12,13 @@
 	"loomgap/tier/kernel"
 )
 
-// startState is what a starting host knows. The fields may become true in any order, since they
-// depend on the platform, on other hosts and on callers.
+// startState describes which parts of the control state a starting host has. The fields may
+// become true in any order, since they depend on the platform, on other hosts and on callers.
 type startState struct {
-	announcing, reading, source, directory, document, member, feedDown bool
+	announcing, reading, announcedRead, directory, document, member, platformDown bool
 }
 
-// startStateOf returns the n-th combination.
+// startStateOf returns the n-th of the startStates combinations.
 func startStateOf(n int) startState {
 	has := func(bit int) bool { return n>>bit&1 == 1 }
 	return startState{has(0), has(1), has(2), has(3), has(4), has(5), has(6)}
@@ -26,16 +26,16 @@
 
 const startStates = 1 << 7
 
-// state returns the control state of a host that knows this.
+// state returns the control state that n describes.
 func (n startState) state() *kernel.State {
 	s := &kernel.State{
 		Members: map[string]kernel.Member{},
 		ReadingState: kernel.ReadingState{
 			HallAnnouncers: map[string]kernel.AnnouncerReport{}, OtherReaders: map[string]kernel.AnnouncerReport{},
-			Announcing: n.announcing, Reading: n.reading, PlatformDown: n.feedDown,
+			Announcing: n.announcing, Reading: n.reading, PlatformDown: n.platformDown,
 		},
 	}
-	if n.source {
+	if n.announcedRead {
 		s.AnnouncedReadAt = time.Millisecond
 	}
 	if n.directory {
@@ -50,8 +50,8 @@
 	return s
 }
 
-// TestStartingHostHandlesMissingState has a host announce, receive an announcement and make a
-// heartbeat in every state that it can pass through while it starts.
+// TestStartingHostHandlesMissingState makes a host announce, receive an announcement and create
+// a heartbeat in every state that it can pass through while it starts.
 func TestStartingHostHandlesMissingState(t *testing.T) {
 	for i := range startStates {
 		n := startStateOf(i)
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestIncrementalChangeIsNotServedAsDirectory checks that a host that has received only a change does not
-// offer it to others as a directory.
+// TestIncrementalChangeIsNotServedAsDirectory checks that a host that has received only an
+// incremental change does not offer it to others as a directory.
 func TestIncrementalChangeIsNotServedAsDirectory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		listing := func(name string, revision uint64) config.Listing {
--- a/tier/peers/suspicion.go
+++ b/tier/peers/suspicion.go
@@ -5,38 +5,40 @@
 	"time"
 )
 
-// How a failed host is detected.
+// Failure detection:
 //
-// A host of the same hall that answers neither a heartbeat nor an immediate second attempt is
-// suspected by the sender, as of the first attempt. Heartbeats spread suspicions, and in the
-// hall of the suspect extra heartbeats do so at once. A suspicion stands until some host has
-// heard the suspect after that attempt. Such a host lists the suspect as an update, which
-// refutes the suspicion wherever it arrives. Hosts of the suspect's hall also send their next
-// heartbeat to it, so that a live one can answer. A suspicion that stands for
-// suspicionTimeoutIntervals makes the host unresponsive.
+//   - A host suspects another host of its hall that answers neither a heartbeat nor an
+//     immediate retry.
+//   - Heartbeats spread suspicions. In the suspect's hall, extra heartbeats do so at once.
+//   - A host that has heard the suspect since the unanswered heartbeat lists it as an update,
+//     which refutes the suspicion at each receiver. Hosts of the suspect's hall send their
+//     next heartbeat to it as well, so that a live suspect can answer.
+//   - A suspicion that is not refuted within suspicionTimeoutIntervals makes the host
+//     unresponsive.
 //
-// Each host receives heartbeats from a few others at each interval. So the time to detect a
-// failure does not grow with the fleet, and the time until all hosts know of it grows with the
-// fleet's logarithm.
+// Each host receives heartbeats from a few others in each interval. The time to detect a
+// failure is therefore independent of the fleet size, and the time until all hosts know of it
+// grows with its logarithm.
 
 const (
-	// suspicionTimeoutIntervals is for how many heartbeat intervals a suspicion stands before
-	// its host is unresponsive. It lets others refute the suspicion: a host that pauses for
-	// one interval has sent heartbeats again by then.
+	// suspicionTimeoutIntervals is the number of heartbeat intervals after which a suspicion
+	// expires and its host is unresponsive. It leaves time to refute the suspicion: a host
+	// that pauses for one interval has sent heartbeats again by then.
 	suspicionTimeoutIntervals = 2
-	// otherHallExtraIntervals is for how many more intervals a suspicion of a host of another
-	// hall stands, since a refutation takes longer to arrive from there.
+	// otherHallExtraIntervals is added to suspicionTimeoutIntervals for a host of another
+	// hall, since a refutation takes longer to arrive from there.
 	otherHallExtraIntervals = 2
-	// suspicionSpreadIntervals is for how many intervals a suspicion is spread.
+	// suspicionSpreadIntervals is the number of intervals for which a suspicion is spread.
 	suspicionSpreadIntervals = 10
-	// refutationSpreadIntervals is for how many intervals a refutation is spread to other halls.
+	// refutationSpreadIntervals is the number of intervals for which a refutation is spread
+	// to other halls.
 	refutationSpreadIntervals = 3
 	// maxSuspicionEntries is the most suspicions that one heartbeat lists.
 	maxSuspicionEntries = 64
-	// urgentDelay is how long an urgent update of a suspicion waits, so that further updates
-	// are sent in the same heartbeat.
+	// urgentDelay delays an extra heartbeat about a suspicion, so that it includes further
+	// updates.
 	urgentDelay = 150 * time.Millisecond
-	// agePrecision is the precision of the ages in messages, which keeps their text short.
+	// agePrecision is the precision of ages in messages; it keeps the messages short.
 	agePrecision = 10 * time.Millisecond
 )
 
@@ -49,7 +51,7 @@
 	unansweredSince time.Duration
 }
 
-// heard records that the member was heard, and reports whether that refutes a suspicion.
+// heard records when the member was heard, and reports whether that refutes a suspicion.
 func (s *suspectState) heard(at time.Duration) bool {
 	s.heardAt = max(s.heardAt, at)
 	if s.unansweredSince == 0 || s.heardAt <= s.unansweredSince {
@@ -59,7 +61,7 @@
 	return true
 }
 
-// raise records an unanswered heartbeat, and reports whether a suspicion begins with it.
+// raise records an unanswered heartbeat, and reports whether it starts a suspicion.
 func (s *suspectState) raise(sentAt time.Duration) bool {
 	if sentAt <= s.heardAt {
 		return false
@@ -71,8 +73,7 @@
 	return first
 }
 
-// suspicionExpired reports whether a suspicion has stood long enough for the member to be
-// unresponsive.
+// suspicionExpired reports whether a suspicion of a member was not refuted in time.
 func (t *memberTable) suspicionExpired(now time.Duration, r *memberRecord) bool {
 	timeout := suspicionTimeoutIntervals * t.Interval
 	if r.Hall != t.Self.Hall {
@@ -105,25 +106,25 @@
 	t.updateLive(now, r)
 }
 
-// markUrgent has an update of a member sent at once, if the member is of this hall.
+// markUrgent requests an extra heartbeat about a member of this hall.
 func (t *memberTable) markUrgent(r *memberRecord) { t.urgent = t.urgent || r.Hall == t.Self.Hall }
 
-// takeUrgent reports whether there is an urgent update, and resets that.
+// takeUrgent returns urgent and resets it.
 func (t *memberTable) takeUrgent() bool {
 	urgent := t.urgent
 	t.urgent = false
 	return urgent
 }
 
-// updateSuspects makes members unresponsive whose suspicions have expired.
+// updateSuspects marks members whose suspicions have expired as unresponsive.
 func (t *memberTable) updateSuspects(now time.Duration) {
 	for _, r := range t.suspects {
 		t.updateLive(now, r)
 	}
 }
 
-// mergeSuspicions merges the suspicions of another host. A member that was heard since then
-// is queued as an update, which refutes the suspicion.
+// mergeSuspicions merges the suspicions of another host. A member that this host knows to
+// have been heard since is queued as an update, which refutes the suspicion.
 func (t *memberTable) mergeSuspicions(now time.Duration, suspicions []suspicion) {
 	for _, s := range suspicions {
 		r := t.records[s.Host]
--- a/tier/peers/watch.go
+++ b/tier/peers/watch.go
@@ -16,23 +16,23 @@
 )
 
 const (
-	// readTimeout is how long an answer may take beyond the wait of the read.
+	// readTimeout is how long an answer may take in addition to WatchWait.
 	readTimeout = 2 * time.Second
-	// readInterval is the pause of a host that does not watch, and after a live list without
-	// changes. After a failed read, the pause is once to twice as long.
+	// readInterval is the time between two checks of a host that does not watch, and the pause
+	// after an unchanged live list. After a failed read the pause is up to twice as long.
 	readInterval = 500 * time.Millisecond
 	// watchersPerHall is how many hosts of a hall watch the platform.
 	watchersPerHall = 2
-	// maxExtraWatchers is how many more hosts of a hall watch while the platform does not
-	// answer the others.
+	// maxExtraWatchers limits the additional hosts of a hall that watch while the platform
+	// does not answer the others.
 	maxExtraWatchers = 2
-	// extraWatcherInterval is the time beyond WatchWait without a read of the hall after which
-	// one more host watches.
+	// extraWatcherInterval, added to WatchWait, is the time without a read by any host of the
+	// hall after which one more host watches.
 	extraWatcherInterval = 5 * time.Second
 	// defaultWatchWait is how long a read waits for a change if the settings give none.
 	defaultWatchWait = 10 * time.Second
-	// replySizeFactor is the largest size of a reply relative to the largest document, which
-	// the reply contains as a longer JSON string.
+	// replySizeFactor is the maximum size of a reply relative to that of the document in it,
+	// which becomes longer when it is encoded as a JSON string.
 	replySizeFactor = 2
 )
 
@@ -77,8 +77,8 @@
 	document, live config.Position
 }
 
-// loop reads while this host is one of the watchers; with atStart, also until there is a
-// document.
+// loop reads while this host is one of the watchers. If atStart is set, it also reads while
+// there is no document yet.
 func (w *watcher) loop(ctx context.Context, read func(context.Context) error, atStart bool) {
 	for ctx.Err() == nil {
 		if !w.isWatcher(atStart) {
@@ -103,8 +103,9 @@
 	return slices.Contains(ranked[:n], host)
 }
 
-// isWatcher reports whether this host watches the platform now; /status shows it as Watching.
-// It depends on the live hosts of the hall and on when any of them last read the platform.
+// isWatcher reports whether this host watches the platform now, and updates State.Reading,
+// which /status shows as Watching. It depends on the live hosts of the hall and on when any of
+// them last read the platform.
 func (w *watcher) isWatcher(atStart bool) bool {
 	v := w.kernel.View()
 	if v.Index == nil {
@@ -122,8 +123,8 @@
 }
 
 // hosts returns the hosts of the hall that may watch. A host that has just started knows few
-// live ones and counts all of the document as live: otherwise each host of a restarting hall
-// would watch.
+// live hosts, so it considers all hosts of the document live. Otherwise each host of a
+// restarting hall would watch.
 func (w *watcher) hosts(v *kernel.View) []string {
 	if w.kernel.Now() > unresponsiveIntervals*w.kernel.Settings.Beat {
 		return v.HallHosts(&w.kernel.Settings)
@@ -181,8 +182,9 @@
 	return nil
 }
 
-// editionOf returns the edition of a document. A document from before the first revision of
-// its era belongs to the previous era: the platform was restored from a backup that held it.
+// editionOf returns the edition of a document. A document whose revision is below the first
+// one of the era belongs to the previous era, since it comes from the backup from which the
+// platform was restored.
 func editionOf(d *wire.DocumentReply) config.Edition {
 	at := config.Position{Era: d.Era, Revision: d.Revision}
 	if at.Era > 1 && at.Revision < d.EraFrom {
@@ -212,8 +214,8 @@
 	return nil
 }
 
-// applyLiveList applies the live list. Only a change from leaving to live shows that an
-// upstream is back, since the list lags.
+// applyLiveList applies the live list. Only a change from leaving to live means that an
+// upstream is back: the list lags, and may still call an upstream live that has begun to leave.
 func (w *watcher) applyLiveList(s *kernel.State, entries []wire.LiveEntry) {
 	now := w.kernel.Now()
 	for _, e := range entries {
--- a/tier/peers/watch_test.go
+++ b/tier/peers/watch_test.go
@@ -7,9 +7,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestMoreHostsWatchWhileTheHallReadsNothing counts the watchers of a hall.
+// TestMoreHostsWatchWhileTheHallReadsNothing checks the number of watchers of a hall by the
+// number of missed reads.
 func TestMoreHostsWatchWhileTheHallReadsNothing(t *testing.T) {
-	tests := []struct{ hosts, silentTurns, want int }{
+	tests := []struct{ hosts, missedReads, want int }{
 		{1, 0, 1},
 		{2, 0, 2},
 		{9, 0, 2},
@@ -19,11 +20,11 @@
 		{3, 50, 3},
 	}
 	for _, tt := range tests {
-		t.Run(fmt.Sprintf("%d hosts, %d silent turns", tt.hosts, tt.silentTurns), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d hosts, %d silent turns", tt.hosts, tt.missedReads), func(t *testing.T) {
 			names := rankedHosts(tt.hosts)
 			watching := 0
 			for _, n := range names {
-				if shouldWatch(names, n, tt.silentTurns) {
+				if shouldWatch(names, n, tt.missedReads) {
 					watching++
 				}
 			}
--- a/tier/peers/wire_test.go
+++ b/tier/peers/wire_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// TestMessagesOfPreviousVersion checks that messages of hosts without eras are encoded again
-// without additional fields, so that such hosts can read them.
+// TestMessagesOfPreviousVersion checks that a message of a host without eras is encoded again
+// without additional fields, so that such hosts can still read it.
 func TestMessagesOfPreviousVersion(t *testing.T) {
 	for name, message := range map[string]any{
 		"heartbeat": &heartbeat{}, "announcement": &announcement{}, "packed-document": &wire.PackedDocument{}, "directory": &config.DirectoryChange{},
--- a/tier/prog/prog.go
+++ b/tier/prog/prog.go
@@ -11,7 +11,7 @@
 	"github.com/google/subcommands"
 )
 
-// Release is the release version. The release build sets it.
+// Release is the release version, which the release build sets.
 var Release = "0.1.0"
 
 // Command is one command of a program.
@@ -23,8 +23,8 @@
 	Run func(context.Context, *flag.FlagSet) subcommands.ExitStatus
 }
 
-// Main runs the command given on the command line, or one of the help commands that it
-// adds, and exits with the command's status. It must be called once, from main.
+// Main runs the command given on the command line and exits with its status. It adds the
+// commands help and flags. It must be called once, from main.
 func Main(commands ...Command) {
 	for _, c := range commands {
 		subcommands.Register(subcommandAdapter{c}, "")
