--- a/loomfake/balancer_test.go
+++ b/loomfake/balancer_test.go
@@ -88,8 +88,8 @@
 	return hosts[b.nextIndex.Add(1)%uint64(len(hosts))]
 }
 
-// TestBalancerProbesHostsIndependently checks that a host without an answer to its probe
-// does not delay the removal of another host that stops.
+// TestBalancerProbesHostsIndependently checks that a host that does not answer its probe does
+// not delay the removal of a stopping host.
 func TestBalancerProbesHostsIndependently(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
--- a/loomfake/command.go
+++ b/loomfake/command.go
@@ -19,8 +19,8 @@
 
 var errNotLoopback = errors.New("stand-ins listen on loopback addresses only: use an address in 127.0.0.0/8 or [::1]")
 
-// withExitStatus adapts a function to a command: it logs the function's error and
-// returns the exit status.
+// withExitStatus adapts a function to prog.Command.Run. An error is logged and gives
+// exit status 1.
 func withExitStatus(run func(context.Context) error) func(context.Context, *flag.FlagSet) subcommands.ExitStatus {
 	return func(ctx context.Context, _ *flag.FlagSet) subcommands.ExitStatus {
 		err := run(ctx)
--- a/loomfake/commands_test.go
+++ b/loomfake/commands_test.go
@@ -68,7 +68,7 @@
 	"publish": scenarioCommand(1, func(s *scenario, ts *testscript.TestScript, args []string) error {
 		return call(http.MethodPost, s.platformAddress()+"/Publish", ts.ReadFile(args[0]), nil)
 	}),
-	// revision R N...: waits until hosts N have revision R in force.
+	// revision R N...: waits until revision R is active at hosts N.
 	"revision": scenarioCommand(2, func(s *scenario, ts *testscript.TestScript, args []string) error {
 		return s.awaitRevision(uint64(atoi(ts, args[0])), atoiAll(ts, args[1:]))
 	}),
@@ -97,7 +97,7 @@
 		time.Sleep(d)
 		return err
 	}),
-	// balancer: from now on clients use only hosts that are ready.
+	// balancer: makes clients use only ready hosts from now on.
 	"balancer": scenarioCommand(0, func(s *scenario, _ *testscript.TestScript, _ []string) error {
 		return s.startBalancer()
 	}),
@@ -128,8 +128,8 @@
 		}
 		return err
 	}),
-	// monitor N...: from now on watches the revisions of hosts N; finish fails if one
-	// decreased.
+	// monitor N...: monitors the revisions of hosts N from now on; finish fails if one
+	// has decreased.
 	"monitor": scenarioCommand(1, func(s *scenario, ts *testscript.TestScript, args []string) error {
 		for _, n := range atoiAll(ts, args) {
 			go s.monitorRevision(n)
@@ -166,7 +166,7 @@
 	}),
 }
 
-// maxWait limits waits for events that must happen, however late.
+// maxWait limits waits for events that must happen but have no time limit.
 const maxWait = 30 * time.Second
 
 // scenarioCommand returns a command with at least minArgs arguments. If the command fails,
--- a/loomfake/connect.go
+++ b/loomfake/connect.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// limitedListener delays the first read of each connection, and closes new
-// connections while maxConns are open.
+// limitedListener delays the first read of each connection. It closes a new connection at
+// once while maxConns connections are open.
 type limitedListener struct {
 	net.Listener
 	// setupDelay stands for the cost of setting up a connection.
--- a/loomfake/document.go
+++ b/loomfake/document.go
@@ -12,13 +12,14 @@
 	"loomgap/tier/prog"
 )
 
-// documentOptions describes a tier of one data hall on loopback addresses, for which
-// the command prints a document.
+// documentOptions describes a tier of one data hall on loopback addresses. The command
+// prints a document for it.
 type documentOptions struct {
 	hosts, shards int
-	// peerPort is the port of the first host; the next port is portsPerHost higher.
+	// peerPort is the peer port of the first host; that of each next host is
+	// portsPerHost higher.
 	peerPort int
-	// upstreamPort is the port of the first upstream; the next port is 1 higher.
+	// upstreamPort is the port of the first upstream; that of each next one is 1 higher.
 	upstreamPort int
 	// slots is the number of slots of each upstream.
 	slots int
@@ -33,7 +34,7 @@
 const (
 	// replicas is the number of replicas of each shard.
 	replicas = 2
-	// upstreamConnections is the connection limit of each upstream, that of the users'
+	// upstreamConnections is the connection limit of each upstream, as for the users'
 	// larger upstreams.
 	upstreamConnections = 100
 	// portsPerHost leaves room for the other ports of a host between two peer ports.
--- a/loomfake/harness_test.go
+++ b/loomfake/harness_test.go
@@ -109,7 +109,7 @@
 	return s.startProcess(fmt.Sprintf("H%d", i), append(args, more...)...)
 }
 
-// waitUntil polls until a condition holds, and fails after a generous timeout.
+// waitUntil polls until a condition holds, and returns an error after a timeout.
 func waitUntil(what string, condition func() bool) error {
 	const timeout = 30 * time.Second
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -122,8 +122,8 @@
 
 var httpClient = &http.Client{Timeout: 2 * time.Second}
 
-// call sends a request with a JSON body and decodes the JSON reply. A string is sent as it
-// is. A status of 400 or above is an error, except 503.
+// call sends a request with a JSON body and decodes the JSON reply. A string is sent
+// unencoded. A status of 400 or above is an error, except 503.
 func call(method, url string, in, out any) error {
 	var body io.Reader
 	if text, ok := in.(string); ok {
--- a/loomfake/history_test.go
+++ b/loomfake/history_test.go
@@ -39,7 +39,7 @@
 	losses []string
 }
 
-// attemptInput is an attempt of an order, or the final read of the upstreams' records.
+// attemptInput is an attempt to place an order, or the final read of the upstreams' records.
 type attemptInput struct {
 	ticket string
 	final  bool
@@ -51,8 +51,8 @@
 	runs    int
 }
 
-// orderModel models the order of a ticket. The order runs at most once; Complete means
-// that it has run, NotRun that it has not, and other outcomes mean either.
+// orderModel models the order of a ticket. The order runs at most once. The outcome Complete
+// means that it has run, NotRun that it has not, and any other outcome that either is possible.
 var orderModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{false} },
 	Step: func(state, input, output any) []any {
@@ -347,5 +347,5 @@
 	if porcupine.CheckOperations(orderModel.ToModel(), operations) {
 		return nil
 	}
-	return errors.New("history of attempts is not that of orders that run at most once and report their outcome correctly")
+	return errors.New("attempts are not consistent with orders that run at most once and report their outcome correctly")
 }
--- a/loomfake/link.go
+++ b/loomfake/link.go
@@ -60,7 +60,7 @@
 	CutBack bool
 	// Reset resets all connections, open and new ones.
 	Reset bool
-	// Delay is added to each forwarded chunk of bytes.
+	// Delay delays each forwarded chunk of bytes.
 	Delay config.Duration `json:",omitzero"`
 }
 
@@ -134,9 +134,9 @@
 	k.conns[c] = true
 }
 
-// forward copies bytes until either side closes. It drops bytes while the link is cut,
-// so that the peers see silence rather than an error. reverse marks the direction back
-// to the client.
+// forward copies bytes until either side closes. While the link is cut it drops them, so
+// that the connection stalls instead of failing. reverse is true for the direction back to
+// the client.
 func (k *link) forward(from, to net.Conn, reverse bool) {
 	defer k.untrack(from)
 	buffer := make([]byte, linkBufferBytes)
--- a/loomfake/main.go
+++ b/loomfake/main.go
@@ -3,7 +3,8 @@
 // for them. It also replays decisions in virtual time (replay) and runs daemons
 // under random faults (soak). Its servers listen on loopback addresses only.
 //
-// Each command has a file of its name; command.go holds the code they share.
+// Each command is in the file of its name; command.go holds the code they share. The
+// files of the soak begin with soak, and soakrun.go is the one to start with.
 package main
 
 import "loomgap/tier/prog"
--- a/loomfake/platform.go
+++ b/loomfake/platform.go
@@ -65,7 +65,7 @@
 	Down bool
 	// Serve is the older revision to serve; 0 means the newest.
 	Serve uint64
-	// LiveLag is how long a changed entry of the live list is still reported as live.
+	// LiveLag is how long a changed entry of the live list is reported as live.
 	LiveLag config.Duration
 }
 
@@ -101,9 +101,10 @@
 
 // Limits of the stand-in.
 const (
-	// pollInterval is how often a waiting read looks for entries whose LiveLag is over.
+	// pollInterval is how often a waiting read checks again, since the end of a LiveLag
+	// does not notify it.
 	pollInterval = 200 * time.Millisecond
-	// maxDocumentBytes is above what a host accepts, so that tests can publish a
+	// maxDocumentBytes exceeds the limit of the hosts, so that tests can publish a
 	// document that hosts refuse for its size.
 	maxDocumentBytes = 4 * config.MaxBytes
 )
@@ -131,7 +132,7 @@
 	return uint64(len(p.documents))
 }
 
-// notifyReaders wakes the waiting reads. Callers hold mu.
+// notifyReaders wakes the waiting reads. It must be called with mu locked.
 func (p *platformServer) notifyReaders() {
 	close(p.changed)
 	p.changed = make(chan struct{})
@@ -153,7 +154,7 @@
 
 // longPoll serves a value and its version. It replies when the version exceeds After,
 // when the request names another Era, or after WaitMillis. A missing or malformed
-// number counts as 0, a missing era as the current one.
+// parameter counts as 0; an Era of 0 counts as the current one.
 func (p *platformServer) longPoll(get func() (uint64, any)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		after, _ := strconv.ParseUint(r.FormValue("After"), 10, 64)
@@ -184,7 +185,8 @@
 	}
 }
 
-// currentDocument returns the revision and the document to serve. Callers hold mu.
+// currentDocument returns the revision and the document to serve. It must be called with
+// mu locked.
 func (p *platformServer) currentDocument() (uint64, any) {
 	revision := uint64(len(p.documents))
 	if p.faults.Serve > 0 && p.faults.Serve < revision {
@@ -196,7 +198,8 @@
 	return revision, wire.DocumentReply{Era: p.era, EraFrom: p.eraFrom, Revision: revision, Text: p.documents[revision-1]}
 }
 
-// liveList returns the version of the live list and the list. Callers hold mu.
+// liveList returns the version of the live list and the list. It must be called with mu
+// locked.
 func (p *platformServer) liveList() (uint64, any) {
 	out := wire.LiveReply{Era: p.era, Version: p.liveVersion}
 	for name, l := range p.live {
--- a/loomfake/records.go
+++ b/loomfake/records.go
@@ -9,7 +9,7 @@
 )
 
 // Size of the generated data. Snapshot S has baseRecords + S*recordsPerSnapshot records,
-// so that a count over all shards shows which snapshot it was taken from.
+// so that a count of all records shows which snapshot it was taken from.
 const (
 	baseRecords        = 20_000
 	recordsPerSnapshot = 1_000
@@ -22,7 +22,7 @@
 
 func recordCount(snapshot uint64) uint64 { return baseRecords + snapshot*recordsPerSnapshot }
 
-// newRecord generates record n. Its key is n modulo the size of the key space.
+// newRecord generates record n, which belongs to key n modulo the size of the key space.
 func newRecord(n uint64) query.Row {
 	return query.Row{
 		Key: fmt.Sprintf("R%08d", n),
@@ -35,7 +35,7 @@
 }
 
 // answerQuestion evaluates a question over the keys [from, to) of a snapshot. It returns
-// the number of matching records and the first rows.
+// the number of matching records and the first q.Limit of them in the question's order.
 func answerQuestion(q *query.Question, from, to, keySpace uint32, snapshot uint64) (uint64, []query.Row) {
 	end := recordCount(snapshot)
 	count := uint64(0)
--- a/loomfake/scenario_test.go
+++ b/loomfake/scenario_test.go
@@ -14,15 +14,15 @@
 // programs is the directory of the programs under test.
 var programs string
 
-// portOffset is the offset of the last block of ports given to a scenario; each scenario
-// gets its own.
+// portOffset is the offset of the block of ports that was last assigned to a scenario. Each
+// scenario has its own block.
 var portOffset atomic.Int64
 
 // Ports of scenarios.
 const (
 	// portBlock is the number of ports per scenario.
 	portBlock = 150
-	// portStart is below the ephemeral ports of the system.
+	// portStart keeps the ports of scenarios below the ephemeral ports of the system.
 	portStart = 20_000
 )
 
--- a/loomfake/soak.go
+++ b/loomfake/soak.go
@@ -11,14 +11,14 @@
 	"loomgap/tier/prog"
 )
 
-// errGuaranteeViolated is returned by a soak that saw a guarantee violated.
+// errGuaranteeViolated is wrapped when a soak has found a violated guarantee.
 var errGuaranteeViolated = errors.New("guarantee violated")
 
 // soakConfig are the settings of a soak.
 type soakConfig struct {
-	// Seed seeds the faults; the same seed gives the same faults at the same times.
+	// Seed seeds the faults: the same seed gives the same faults at the same times.
 	Seed uint64
-	// FaultDuration is how long faults are injected.
+	// FaultDuration is the time during which faults are injected.
 	FaultDuration time.Duration
 	// Daemon is the path of the daemon's binary.
 	Daemon string
--- a/loomfake/soak_test.go
+++ b/loomfake/soak_test.go
@@ -21,7 +21,7 @@
 	"loomgap/platform/mock"
 )
 
-// regressionSeeds are seeds that have revealed a fault, with its cause.
+// regressionSeeds are seeds that have revealed a bug, with its cause.
 var regressionSeeds = []struct {
 	seed  uint64
 	cause string
@@ -109,8 +109,8 @@
 	"document", "directory", "process was paused", "connection to peer is silent",
 }
 
-// controlLines returns the lines of a daemon's log with controlMessages. They go into
-// the output of a failed soak, since the log itself is removed after the test.
+// controlLines returns the lines of a daemon's log that contain controlMessages. A failed
+// soak prints them, since the log itself is removed after the test.
 func controlLines(t *testing.T, file string) string {
 	text, err := os.ReadFile(file)
 	assert.NilError(t, err)
@@ -120,8 +120,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// finishedSoak returns a soak after a run without requests, in which gathers have two
-// shards.
+// finishedSoak returns a soak as after a run without requests, with two shards per gather.
 func finishedSoak() *soak {
 	s := &soak{soakConfig: soakConfig{Shards: 2}, soakHistory: soakHistory{checked: map[string]int{}, injected: map[string]int{}}}
 	s.shardSets = [][]string{{"set0-a", "set0-b"}, {"set1-a", "set1-b"}}
@@ -266,7 +265,7 @@
 }
 
 // TestConcurrentRequestsAreNotCompared checks that checkVersions reports a refused request
-// only if it was sent after a served one had ended. A host may apply a version while both
+// only if it was sent after a served one had ended: a host may apply a version while both
 // are in flight.
 func TestConcurrentRequestsAreNotCompared(t *testing.T) {
 	const second = time.Second
--- a/loomfake/soakcaller.go
+++ b/loomfake/soakcaller.go
@@ -25,8 +25,8 @@
 // requestKind is the kind of a caller's request.
 type requestKind string
 
-// Kinds of requests. A caller repeats a cycle of two gathers and one request of each
-// other kind.
+// Kinds of requests. A caller sends two gathers and one request of each other kind in
+// turn.
 const (
 	kindGather requestKind = "gather"
 	// kindUnsafe is a request that is not repeatable.
@@ -48,7 +48,7 @@
 	header          http.Header
 	body            []byte
 	err             error
-	// route is the version whose route was requested; 0 means none.
+	// route is the version whose route was requested; 0 for the routes without a version.
 	route int
 }
 
@@ -88,8 +88,8 @@
 	}
 }
 
-// caller is a connection to a host. Unlike the client of package http, it never retries
-// a request by itself.
+// caller is a client with at most one connection. Unlike http.Client it never retries a
+// request.
 type caller struct {
 	// host is the index of the host.
 	host int
--- a/loomfake/soakcheck.go
+++ b/loomfake/soakcheck.go
@@ -18,12 +18,12 @@
 	// soakApplyTimeout is how long hosts without faults may take to apply a change.
 	soakApplyTimeout = 5 * time.Second
 	// soakSettleTime is how long a host and the store must have been without faults
-	// for a guarantee with a time limit to apply.
+	// before guarantees with a time limit apply.
 	soakSettleTime = 6 * time.Second
-	// soakRetryWindow is the window of the retry limit, the platform's.
+	// soakRetryWindow is the window in which the platform limits retries.
 	soakRetryWindow = 10 * time.Second
-	// soakStopTimeout is the longest a planned stop takes, and how long a host must
-	// have been without other faults for the guarantee about stops to apply.
+	// soakStopTimeout is the longest time that a planned stop takes. The guarantee about
+	// planned stops applies only to a host without other faults in that time.
 	soakStopTimeout = 4 * time.Second
 	// soakMinServed is the share of requests that must be served after recovery.
 	soakMinServed = 0.95
@@ -61,7 +61,7 @@
 	violations []string
 }
 
-// expect counts a check of a guarantee, and records a violation unless ok is true.
+// expect counts a check of a guarantee, and records a violation if ok is false.
 func (c *checker) expect(guarantee string, ok bool, format string, args ...any) {
 	c.soak.checked[guarantee]++
 	if !ok && len(c.violations) < soakMaxViolations {
@@ -101,7 +101,7 @@
 }
 
 // duringPlannedStop reports whether a request was in flight during a planned stop of its
-// host, and the host had no other fault at that time.
+// host, without any other fault of the host at that time.
 func (c *checker) duringPlannedStop(req *soakRequest) bool {
 	h := c.soak.hosts[req.host]
 	during := func(at time.Duration) bool { return at > req.sentAt-soakStopTimeout && at < req.endedAt }
@@ -160,10 +160,10 @@
 	c.expect("least coverage", float64(len(included)) >= soakMinCoverage*float64(c.soak.Shards), "%s has %d parts", req.id, len(included))
 }
 
-// checkVersions checks that hosts follow the configuration: once a daemon has served the
-// route of a version, it knows this route for all requests that are sent later. It does
-// not compare requests that were in flight at the same time, since the one sent first
-// may have been read last.
+// checkVersions checks that hosts apply new configurations in time and do not go back:
+// once a daemon has served the route of a version, it knows this route for all requests
+// that are sent later. It does not compare requests that were in flight at the same time,
+// since the host may have read the one sent first after the other.
 func (c *checker) checkVersions() {
 	type process struct{ host, generation int }
 	known := map[process]int{}
@@ -191,8 +191,8 @@
 }
 
 // checkExcludedUpstreams checks that upstreams get no more requests after their hall was
-// evacuated or they were listed as leaving. Faults of a host or the store may delay the
-// notice that an upstream leaves, hence the longer grace period.
+// evacuated or they were listed as leaving. The grace period for leaving upstreams is
+// longer, since faults of a host or the store may delay the change.
 func (c *checker) checkExcludedUpstreams() {
 	for _, u := range c.soak.upstreams {
 		if u.hall == halls[0] {
--- a/loomfake/soakfault.go
+++ b/loomfake/soakfault.go
@@ -17,7 +17,7 @@
 	// maxFaultInterval is the longest time between the starts of two faults.
 	maxFaultInterval = 900 * time.Millisecond
 	minFaultDuration = 200 * time.Millisecond
-	// maxExtraFaultDuration is the most that a fault outlasts minFaultDuration.
+	// maxExtraFaultDuration limits the random time that is added to minFaultDuration.
 	maxExtraFaultDuration = 2500 * time.Millisecond
 )
 
@@ -29,8 +29,8 @@
 	begin func(ctx context.Context, s *soak) func()
 }
 
-// injectFaults starts faults at random times until ctx ends, and waits for the end of
-// all. Faults may overlap.
+// injectFaults starts faults at random times until ctx ends, and waits until all faults
+// have ended. Faults may overlap.
 func (s *soak) injectFaults(ctx context.Context) {
 	var wg sync.WaitGroup
 	for {
@@ -182,15 +182,15 @@
 	}
 }
 
-// must panics if a stand-in of the soak itself fails.
+// must panics if err is not nil: a stand-in of the soak has failed, not a daemon.
 func (s *soak) must(err error) {
 	if err != nil {
 		panic(fmt.Errorf("soak: stand-in failed: %w", err))
 	}
 }
 
-// restarter returns a function that restarts a host once its current daemon has ended.
-// It starts no second daemon if an overlapping fault has already restarted the host.
+// restarter returns a function that restarts a host once its current daemon has ended,
+// unless an overlapping fault has already restarted it.
 func (s *soak) restarter(h *soakHost) func() {
 	generation := h.generation()
 	return func() {
@@ -203,7 +203,7 @@
 }
 
 // replaceUpstream starts a replacement of an upstream and drains the old one. The
-// returned function removes the old one.
+// returned function removes the old one; it is nil if the upstream is leaving already.
 func (s *soak) replaceUpstream(u *soakUpstream) func() {
 	u.mu.Lock()
 	leaving := u.leavingAt > 0
@@ -229,8 +229,8 @@
 	s.evacuatedAt = s.now()
 }
 
-// clearFaults ends all faults that may still be in place. Hosts need no restart here:
-// a fault that ends a daemon also restarts it.
+// clearFaults clears the faults of the store, the links and the upstreams, and resumes
+// paused hosts. It restarts no hosts, since the faults that end a daemon also restart it.
 func (s *soak) clearFaults() {
 	s.store.Fail(0)
 	for _, h := range s.hosts {
--- a/loomfake/soakhost.go
+++ b/loomfake/soakhost.go
@@ -19,22 +19,22 @@
 	soakCallerPort   = 7400
 	soakPeerPort     = 7401
 	soakOperatorPort = 7402
-	// soakFirstNet is the second byte of the first host's address. It is not 0, since
-	// other processes use 127.0.0.1.
+	// soakFirstNet is the second byte of the first host's address. It is not 0, so that
+	// the address differs from 127.0.0.1, which other processes use.
 	soakFirstNet = 64
 	// soakMaxSeeds limits the seeds in the settings of a host.
 	soakMaxSeeds = 3
 )
 
 // hostAddress returns the loopback address of host i, which contains the process ID of
-// the soak. A free port of a shared address could be taken by another process before
-// the daemon binds it.
+// the soak. Each soak has its own addresses, since on a shared one another process could
+// take a free port before the daemon binds it.
 func hostAddress(i int) netip.Addr {
 	pid := os.Getpid()
 	return netip.AddrFrom4([4]byte{127, byte(soakFirstNet + i), byte(pid >> 8), byte(pid)})
 }
 
-// soakHost is an entry host, whose daemon is restarted when a fault ends it.
+// soakHost is an entry host. If a fault ends its daemon, it starts another one.
 type soakHost struct {
 	name, hall string
 	listen     netip.AddrPort
@@ -53,7 +53,7 @@
 	ended   chan struct{}
 	// generations counts the daemons that were started.
 	generations int
-	// disturbedAt is when a stop or another fault last started or ended.
+	// disturbedAt is when a planned stop or another fault last started or ended.
 	disturbedAt time.Duration
 	// stopTimes are the times of planned stops, faultTimes the times when any other
 	// fault started or ended.
--- a/loomfake/soakreport.go
+++ b/loomfake/soakreport.go
@@ -11,8 +11,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// writeReport writes the injected faults, the checks, the latencies and the violations
-// as Markdown.
+// writeReport writes a report in Markdown: the injected faults, the checks, the latencies
+// and the violations.
 func (s *soak) writeReport(w io.Writer, violations []string) {
 	fmt.Fprintf(w, "# Soak, seed %d\n\n%d hosts, %d callers, %d requests, faults for %s\n\n| Injected | Times |\n| --- | ---: |\n", s.Seed, len(s.hosts), s.Callers, len(s.requests), s.FaultDuration)
 	s.writeTable(w, s.injected)
--- a/loomfake/soakrestore.go
+++ b/loomfake/soakrestore.go
@@ -11,13 +11,13 @@
 
 // Settings of a store restore, as the platform guarantees them.
 const (
-	// lostChanges is the least number of configurations that the backup lacks. With
-	// only one, the store would reuse the lost revision at once.
+	// lostChanges is the number of configurations that are written after the backup and
+	// lost. With only one, the store would reuse the lost revision at once.
 	lostChanges = 5
 	// restoreOutage is how long the store is unavailable before the restore.
 	restoreOutage = 300 * time.Millisecond
-	// reportInterval is the time between two status reports of an upstream. After it,
-	// all running upstreams have reported themselves to the restored store.
+	// reportInterval is the time between two status reports of an upstream, and thus the
+	// time until all running upstreams have reported to a restored store.
 	reportInterval = 1200 * time.Millisecond
 	// maxMissedReports is the number of missed reports after which the entry of an
 	// upstream is removed.
--- a/loomfake/soakrun.go
+++ b/loomfake/soakrun.go
@@ -24,8 +24,8 @@
 	soakWarmup = 3 * time.Second
 	// soakRecoveryTime is how long hosts have to recover after the last fault.
 	soakRecoveryTime = 6 * time.Second
-	// soakFinalTime is how long callers continue after soakRecoveryTime. These requests
-	// show whether the hosts have recovered.
+	// soakFinalTime is how long callers continue after soakRecoveryTime, to show whether
+	// the hosts have recovered.
 	soakFinalTime = 3 * time.Second
 )
 
@@ -35,7 +35,7 @@
 	random  *rand.Rand
 	started time.Time
 	store   *mock.Store
-	// closers stop the servers, and run in reverse order.
+	// closers stop the servers; they are called in reverse order.
 	closers []func()
 	hosts   []*soakHost
 	// publishMu is held while a configuration is written, so that concurrent faults
@@ -95,7 +95,7 @@
 		h.signal(syscall.SIGKILL)
 	}
 	for _, h := range s.hosts {
-		// The next soak of this process uses the same addresses.
+		// The next soak in this process uses the same addresses.
 		h.awaitEnd()
 	}
 	for _, c := range slices.Backward(s.closers) {
--- a/loomfake/soaksetup.go
+++ b/loomfake/soaksetup.go
@@ -18,14 +18,14 @@
 	soakHostName = "soak.example"
 	// soakTopRecords is the number of records in the answer of a gather.
 	soakTopRecords = 8
-	// soakMinCoverage is the least share of the shards in the answer of a gather, from
-	// 0 to 1.
+	// soakMinCoverage is the minimum fraction of the shards that the answer of a gather
+	// must include, 0 to 1.
 	soakMinCoverage = 0.6
-	// soakRetryRatio limits retries as a share of the requests. It is the setting
-	// RetryRatio of the daemons.
+	// soakRetryRatio is the number of retries allowed per request, the setting RetryRatio
+	// of the daemons.
 	soakRetryRatio = 0.2
-	// soakRetrySlack is the number of retries that all hosts together may make within
-	// soakRetryWindow beyond soakRetryRatio. It is the setting RetrySlack of the daemons.
+	// soakRetrySlack is the number of additional retries that all hosts together may make
+	// within soakRetryWindow, the setting RetrySlack of the daemons.
 	soakRetrySlack = 40
 	// soakSingleUpstreams is the number of upstreams of the service without shards.
 	soakSingleUpstreams = 3
@@ -114,7 +114,7 @@
 }
 
 // publish writes a configuration with the newest set of shards. Each version adds a
-// route, which shows whether a host has applied it.
+// route; whether a host serves it shows whether the host has applied the version.
 func (s *soak) publish() error {
 	s.publishMu.Lock()
 	defer s.publishMu.Unlock()
--- a/loomfake/soakupstream.go
+++ b/loomfake/soakupstream.go
@@ -46,11 +46,12 @@
 
 // soakUpstreamFaults are the faults of an upstream. Shares are probabilities from 0 to 1.
 type soakUpstreamFaults struct {
-	// Shed is the share of requests that are refused, Fail the share answered with an
-	// error, and Slow the service time.
+	// Shed is the share of requests that are refused, Fail the share of those that are
+	// answered with an error, and Slow the service time.
 	Shed, Fail float64
 	Slow       time.Duration
-	// Reset is the share of requests that run and whose answer is lost.
+	// Reset is the share of requests that run but whose connection is reset without an
+	// answer.
 	Reset float64
 }
 
@@ -125,8 +126,8 @@
 	return s.sendReport(u)
 }
 
-// sendReport reports the state of an upstream to the store. Callers hold the upstream's
-// mu.
+// sendReport reports the state of an upstream to the store. It must be called with the
+// upstream's mu locked.
 func (s *soak) sendReport(u *soakUpstream) error {
 	u.reportCount++
 	return s.store.Report(u.Name, platform.Upstream{
--- a/loomfake/upstream.go
+++ b/loomfake/upstream.go
@@ -20,13 +20,13 @@
 
 // Settings that all upstreams share.
 const (
-	// backlog is how many calls beyond the number of slots may wait for a slot before
-	// an upstream sheds.
+	// backlog, added to the number of slots, is the number of calls that may wait for a
+	// slot before an upstream sheds load.
 	backlog = 4
 	// defaultServiceTime is the median service time until POST /Fake sets another.
 	defaultServiceTime = 2 * time.Millisecond
-	// connSetupDelay is about what a new connection costs at the users' larger
-	// upstreams.
+	// connSetupDelay is the delay of a new connection, similar to that of the users'
+	// larger upstreams.
 	connSetupDelay = time.Millisecond
 )
 
--- a/loomfake/upstreamserver.go
+++ b/loomfake/upstreamserver.go
@@ -24,8 +24,8 @@
 	DropShare float64
 	// CrossShare of the replies carry the identity and the count of another call.
 	CrossShare float64
-	// WrongSnapshotShare of the parts come from another snapshot than the requested
-	// one, and name that snapshot.
+	// WrongSnapshotShare of the parts come from the snapshot after the requested one, and
+	// state that snapshot.
 	WrongSnapshotShare float64
 	// GarbageShare of the replies are malformed JSON.
 	GarbageShare float64
@@ -125,7 +125,7 @@
 	return time.Duration(factor * float64(f.Service))
 }
 
-// refuse replies that a call did not run, and why.
+// refuse replies that a call did not run and for which reason.
 func refuse(w http.ResponseWriter, f *upstreamFaults, id wire.Identity, kind wire.RefusalKind) {
 	code := http.StatusServiceUnavailable
 	if kind == wire.RefusalMoved || kind == wire.RefusalSnapshotGone {
@@ -134,8 +134,8 @@
 	writeJSON(w, code, wire.RefusalReply{Identity: id, UpstreamInfo: f.upstreamInfo(), Refused: kind})
 }
 
-// acquireSlot waits for a slot until the deadline, or refuses the call. It reports
-// whether the call may run; the caller must release the slot then.
+// acquireSlot waits for a slot until the deadline, or refuses the call. If it returns true
+// the call may run, and the caller must release the slot.
 func (u *upstream) acquireSlot(w http.ResponseWriter, r *http.Request, f *upstreamFaults, id wire.Identity, deadline time.Time) bool {
 	u.mu.Lock()
 	u.arrived++
@@ -224,7 +224,7 @@
 	u.reply(w, r, &f, out)
 }
 
-// reply sends a reply, or breaks it as the faults demand.
+// reply sends a reply, or a broken one according to the faults.
 func (u *upstream) reply(w http.ResponseWriter, r *http.Request, f *upstreamFaults, out wire.PartReply) {
 	switch {
 	case u.chance(f.DropShare):
--- a/tier/kernel/kernel_test.go
+++ b/tier/kernel/kernel_test.go
@@ -183,8 +183,8 @@
 		k.AwaitPauseCheck()
 		assert.Equal(t, k.Now()-begun, time.Second)
 		assert.Assert(t, k.Responsive())
-		assert.Equal(t, published, 2, "a view must be published after the pause before any job runs")
-		assert.Equal(t, pausesOf(k), 1, "the state must record the pause")
+		assert.Equal(t, published, 2, "a view tells of the pause before any job runs")
+		assert.Equal(t, pausesOf(k), 1, "the state tells of the pause")
 	})
 }
 
