--- a/tier/config/evacuation_test.go
+++ b/tier/config/evacuation_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestEvacuationsInAnyOrder draws a history of evacuations and their ends, and hands
-// it over out of order, twice and with whole directories between: the halls that are
-// evacuated at the end are the same, and one that was taken back never is again.
+// TestEvacuationsInAnyOrder applies evacuations, their ends and complete directories out
+// of order and twice. The resulting evacuated halls must be the same, and an evacuation
+// that has ended must not come back.
 func TestEvacuationsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var inOrder *Directory
@@ -31,7 +31,7 @@
 				history = append(history, whole)
 			}
 		}
-		mixed := inAnyOrder(t, history)
+		mixed := applyShuffled(t, history)
 		assert.DeepEqual(t, mixed.EvacuatedHalls(), inOrder.EvacuatedHalls())
 		assert.Equal(t, mixed.Digest(), inOrder.Digest())
 		var late *Directory
@@ -48,7 +48,7 @@
 	e, changed := d.With(&DirectoryChange{Revision: 2, Evacuated: []Evacuation{{Hall: "A", Revision: 2}}})
 	assert.Assert(t, changed && e.Digest() != d.Digest() && e.Evacuated("A") && !d.Evacuated("A"))
 	assert.DeepEqual(t, e.Since(d).Evacuated, []Evacuation{{Hall: "A", Revision: 2}})
-	assert.Equal(t, e.PerHall()["A"], 0)
+	assert.Equal(t, e.UpstreamsPerHall()["A"], 0)
 	r, changed := e.With(&DirectoryChange{Revision: 3, Resumed: []Removal{{Name: "A", Revision: 3}}})
 	assert.Assert(t, changed && r.Digest() == d.Digest() && !r.Evacuated("A"))
 	assert.DeepEqual(t, r.Since(e).Resumed, []Removal{{Name: "A", Revision: 3}})
--- a/tier/entry/endpoint.go
+++ b/tier/entry/endpoint.go
@@ -14,40 +14,41 @@
 type endpoint struct {
 	connections int
 	client      *client
-	// owner is the host that calls on this one's behalf; empty if this host
-	// has slots of its own.
+	// owner is the host that makes the calls for this host; empty if this host has
+	// slots of its own.
 	owner string
 }
 
-type basis struct {
+// endpointInputs are the parts of a view that the endpoints are computed from.
+type endpointInputs struct {
 	index   *config.Index
 	hosts   []string
 	leaving map[string]bool
 }
 
-func (b *basis) same(o *basis) bool {
+func (b *endpointInputs) equal(o *endpointInputs) bool {
 	return b.index == o.index && slices.Equal(b.hosts, o.hosts) && maps.Equal(b.leaving, o.leaving)
 }
 
-// follow sets slots and endpoints by a new view; it runs on the control thread.
-// Ranking all hosts for all upstreams takes time, so it is done only when what
-// they depend on has changed.
-func (e *engine) follow(v *kernel.View) {
+// updateEndpoints updates slots and endpoints for a new view. It does so only if their
+// inputs have changed, because ranking all hosts for all upstreams is expensive. It runs on
+// the control thread.
+func (e *engine) updateEndpoints(v *kernel.View) {
 	if v.Index == nil {
 		return
 	}
 	s := &e.kernel.Settings
-	hosts := v.Hall(s)
+	hosts := v.HallHosts(s)
 	slices.Sort(hosts)
-	next := basis{index: v.Index, hosts: hosts, leaving: v.Leaving}
-	if e.basis.same(&next) {
+	next := endpointInputs{index: v.Index, hosts: hosts, leaving: v.Leaving}
+	if e.endpointInputs.equal(&next) {
 		return
 	}
-	e.basis = next
+	e.endpointInputs = next
 	e.replaceEndpoints(v, hosts)
 }
 
-// replaceEndpoints gives each upstream of the data hall its slots and its endpoint.
+// replaceEndpoints sets the slots and the endpoint of each upstream of the data hall.
 func (e *engine) replaceEndpoints(v *kernel.View, hosts []string) {
 	s := &e.kernel.Settings
 	old, next := *e.endpoints.Load(), map[string]*endpoint{}
@@ -57,7 +58,7 @@
 		p := &endpoint{connections: max(u.Connections/len(hosts), 1)}
 		if shares[i].Slots == 0 {
 			p.owner = peers.Owner(u.Name, hosts)
-			shares[i].Slots = u.Slots // the owner keeps to the slots
+			shares[i].Slots = u.Slots // the owner enforces the limit
 		}
 		if o := old[u.Name]; o != nil && o.client.address == u.Address && o.connections == p.connections {
 			p.client = o.client
@@ -73,9 +74,9 @@
 			p.client.close()
 		}
 	}
-	// The control thread carries no traffic.
-	go policy.Deliver(granted)
+	// Requests must not run on the control thread.
+	go policy.NotifyGranted(granted)
 }
 
-// endpoint returns how to reach an upstream; nil for one of another data hall.
+// endpoint returns the endpoint of an upstream; nil if it is in another data hall.
 func (e *engine) endpoint(upstream string) *endpoint { return (*e.endpoints.Load())[upstream] }
--- a/tier/kernel/kernel_test.go
+++ b/tier/kernel/kernel_test.go
@@ -25,7 +25,7 @@
 	})
 }
 
-// document returns a valid document that is based on a revision.
+// document returns a valid document based on a revision.
 func document(t *testing.T, based string) string {
 	t.Helper()
 	text, err := os.ReadFile("../config/testdata/good.json")
@@ -33,7 +33,7 @@
 	return strings.Replace(string(text), `"Based": 0`, `"Based": `+based, 1)
 }
 
-func TestAcceptOnlyRises(t *testing.T) {
+func TestAcceptIgnoresOlderDocuments(t *testing.T) {
 	tests := []struct {
 		name              string
 		text              string
@@ -86,7 +86,6 @@
 	assert.ErrorIs(t, err, ErrNoPlugin)
 }
 
-// TestViewsAreInOrderAndDoNotChange runs in virtual time.
 func TestViewsAreInOrderAndDoNotChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k, stop := start(t)
@@ -107,68 +106,68 @@
 		assert.DeepEqual(t, seen, []uint64{0, 1, 2, 3})
 		assert.Equal(t, len(first.Members), 0)
 		assert.Equal(t, len(k.View().Members), 1)
-		assert.Assert(t, k.Awake())
+		assert.Assert(t, k.Responsive())
 	})
 }
 
-// TestPauseIsSeen stops the control thread for longer than the bound, as a pause
-// of the process does, in virtual time.
-func TestPauseIsSeen(t *testing.T) {
+// TestPauseIsDetected blocks the control thread for longer than maxTickGap, as a pause of
+// the process does.
+func TestPauseIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k, stop := start(t)
 		defer stop()
-		k.Do(func(*State) { time.Sleep(2 * pauseBound) })
-		time.Sleep(pauseBound + pulseEvery)
-		assert.Assert(t, !k.Awake(), "no pulse: what is believed may be old")
-		time.Sleep(pauseBound + pulseEvery)
+		k.Do(func(*State) { time.Sleep(2 * maxTickGap) })
+		time.Sleep(maxTickGap + tickInterval)
+		assert.Assert(t, !k.Responsive(), "without a tick the state may be outdated")
+		time.Sleep(maxTickGap + tickInterval)
 		synctest.Wait()
-		assert.Assert(t, k.Awake())
+		assert.Assert(t, k.Responsive())
 		assert.Equal(t, pausesOf(k), 1)
 	})
 }
 
-// TestSuspensionIsAPause hands in a boot clock that runs on while the monotonic one stands
-// still: what is known has aged, and the pause is noticed before the next request.
-func TestSuspensionIsAPause(t *testing.T) {
+// TestSuspensionCountsAsPause advances the boot clock alone, as a suspension does: the
+// state must age, and the pause must be noticed before the next request.
+func TestSuspensionCountsAsPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		started := time.Now()
-		var asleep atomic.Int64
+		var suspended atomic.Int64
 		boot := func() (time.Duration, error) {
-			return time.Hour + time.Since(started) + time.Duration(asleep.Load()), nil
+			return time.Hour + time.Since(started) + time.Duration(suspended.Load()), nil
 		}
 		k, stop := New(Config{Log: zerolog.Nop(), Started: started, BootTime: boot})
 		defer stop()
-		time.Sleep(10 * pulseEvery)
-		assert.Assert(t, k.Awake())
+		time.Sleep(10 * tickInterval)
+		assert.Assert(t, k.Responsive())
 		assert.Equal(t, pausesOf(k), 0)
 		before := k.Now()
-		asleep.Store(int64(3 * time.Second))
-		assert.Assert(t, !k.Awake(), "the suspension is not noticed before the next pulse")
+		suspended.Store(int64(3 * time.Second))
+		assert.Assert(t, !k.Responsive(), "the suspension is not noticed before the next tick")
 		assert.Equal(t, k.Now()-before, 3*time.Second)
-		k.Wake()
+		k.AwaitPauseCheck()
 		assert.Equal(t, pausesOf(k), 1)
-		assert.Assert(t, k.Awake())
+		assert.Assert(t, k.Responsive())
 	})
 }
 
-// TestShortDelaysAreNoSleep has the two clocks differ by less than a suspension.
-func TestShortDelaysAreNoSleep(t *testing.T) {
-	var m sleepMeter
-	assert.NilError(t, m.begin(func() (time.Duration, error) { return time.Hour, nil }, func() time.Duration { return 0 }))
+// TestShortDelaysAreNoSuspension lets the two clocks differ by less than minSuspension.
+func TestShortDelaysAreNoSuspension(t *testing.T) {
+	var m suspendMeter
+	assert.NilError(t, m.start(func() (time.Duration, error) { return time.Hour, nil }, func() time.Duration { return 0 }))
 	monotonic := func() time.Duration { return 50 * time.Millisecond }
-	assert.Equal(t, m.look(monotonic), time.Duration(0))
-	assert.Equal(t, time.Duration(m.asleep.Load()), time.Duration(0))
+	assert.Equal(t, m.update(monotonic), time.Duration(0))
+	assert.Equal(t, time.Duration(m.total.Load()), time.Duration(0))
 }
 
-// pausesOf asks the control thread for the pauses that it has noticed.
+// pausesOf returns the number of pauses that the control thread has recorded.
 func pausesOf(k *Kernel) (pauses int) {
 	k.DoAndWait(func(s *State) { pauses = s.Pauses })
 	return pauses
 }
 
-// TestWakeWaitsUntilAPauseIsNoticed holds the control thread up, as a pause of
-// the process does.
-func TestWakeWaitsUntilAPauseIsNoticed(t *testing.T) {
+// TestAwaitPauseCheckWaitsForTheControlThread blocks the control thread, as a pause of the
+// process does: the caller must wait until the pause is recorded and published.
+func TestAwaitPauseCheckWaitsForTheControlThread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k, stop := New(Config{Log: zerolog.Nop(), Started: time.Now()})
 		defer stop()
@@ -176,21 +175,21 @@
 		k.OnView(func(*View) { views++ })
 		k.Do(func(*State) { time.Sleep(3 * time.Second) })
 		time.Sleep(2 * time.Second)
-		assert.Assert(t, !k.Awake())
+		assert.Assert(t, !k.Responsive())
 		published := 0
 		k.Do(func(*State) { published = views })
 		begun := k.Now()
-		k.Wake()
+		k.AwaitPauseCheck()
 		assert.Equal(t, k.Now()-begun, time.Second)
-		assert.Assert(t, k.Awake())
+		assert.Assert(t, k.Responsive())
 		assert.Equal(t, published, 2, "a view tells of the pause before any job runs")
 		assert.Equal(t, pausesOf(k), 1, "the state tells of the pause")
 	})
 }
 
-// TestSettleWaitsUntilTheBalancerKnows has a stopping host be asked whether it is
-// ready at certain times.
-func TestSettleWaitsUntilTheBalancerKnows(t *testing.T) {
+// TestSettleWaitsForReadinessChecks checks how long a stopping host keeps accepting
+// requests when readiness checks arrive in time, late or never.
+func TestSettleWaitsForReadinessChecks(t *testing.T) {
 	tests := []struct {
 		name string
 		asks []time.Duration
@@ -215,14 +214,14 @@
 					time.AfterFunc(at, func() { assert.Check(t, !k.Ready()) })
 				}
 				k.Settle()
-				assert.Assert(t, k.Now() >= tt.want && k.Now() <= tt.want+2*settleLook, "%s", k.Now())
+				assert.Assert(t, k.Now() >= tt.want && k.Now() <= tt.want+2*settlePollInterval, "%s", k.Now())
 			})
 		})
 	}
 }
 
-// TestPanicOfControlThreadIsLogged has a panic tell what was known, before the
-// process ends.
+// TestPanicOfControlThreadIsLogged expects a panic to log the control state and to flush
+// the log before the process ends.
 func TestPanicOfControlThreadIsLogged(t *testing.T) {
 	var line strings.Builder
 	flushed := false
@@ -240,8 +239,8 @@
 	}
 }
 
-// TestStopWaitsForRequestsOfOtherHosts has a host stop while it carries a request
-// out for another one, and another that does not end in time.
+// TestStopWaitsForRequestsOfOtherHosts stops a host while it runs a request for another
+// host, which ends in time or not.
 func TestStopWaitsForRequestsOfOtherHosts(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -265,7 +264,7 @@
 				}
 				started := time.Now()
 				assert.Equal(t, k.AwaitIdle(ctx), tt.want)
-				assert.Assert(t, time.Since(started) <= min(tt.endsIn+inFlightLook, 3*time.Second))
+				assert.Assert(t, time.Since(started) <= min(tt.endsIn+inFlightPollInterval, 3*time.Second))
 			})
 		})
 	}
--- a/tier/kernel/status_test.go
+++ b/tier/kernel/status_test.go
@@ -21,8 +21,8 @@
 	"loomgap/tier/policy"
 )
 
-// TestStatusKeepsItsForm has operators ask a host for its status and its document, and
-// compares what the control state gives to them.
+// TestStatusKeepsItsForm compares the status that operators get from a starting host and
+// from one with state to golden files.
 func TestStatusKeepsItsForm(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -48,7 +48,7 @@
 		k.Accept(s, string(text), config.Edition{Position: config.Position{Revision: 1}})
 		k.Accept(s, "no document", config.Edition{Position: config.Position{Revision: 2}})
 		s.NotePublished(config.Position{Revision: 5}, "revision 5: refused by a peer")
-		s.List(&config.DirectoryChange{Revision: 3, Evacuated: []config.Evacuation{{Hall: "B", Revision: 3}}})
+		s.ApplyDirectoryChange(&config.DirectoryChange{Revision: 3, Evacuated: []config.Evacuation{{Hall: "B", Revision: 3}}})
 		s.Members["H2"] = kernel.Member{Host: "H2", Incarnation: "3", Live: true, Revision: 4}
 		s.Members["H3"] = kernel.Member{Host: "H3", Incarnation: "4", Live: true, Leaving: true}
 		s.Members["H4"] = kernel.Member{Host: "H4", Incarnation: "5"}
@@ -61,7 +61,8 @@
 	golden.Assert(t, status(t, at), "status-full.json")
 }
 
-// status asks for the status; how long the platform was silent changes with the time.
+// status returns the status of a host. PlatformSilentMillis depends on the time and is set
+// to 0.
 func status(t *testing.T, at netip.AddrPort) string {
 	t.Helper()
 	answer, err := http.Get("http://" + at.String() + "/status")
--- a/tier/pass/admit.go
+++ b/tier/pass/admit.go
@@ -14,7 +14,7 @@
 func (e *engine) admits(now time.Duration, c *call, u *policy.Upstream) bool {
 	reason := e.barReason(c.route, u.Name)
 	// The request may have been quarantined since the call was planned.
-	if verdict, _ := e.kernel.Fleet.Judge(now, c.identity); verdict == policy.VerdictQuarantined {
+	if verdict, _ := e.kernel.Fleet.Verdict(now, c.identity); verdict == policy.VerdictQuarantined {
 		reason = query.ReasonQuarantined
 	}
 	if reason == "" && !e.kernel.Fleet.AdmitCold(now, u) {
@@ -24,7 +24,7 @@
 		return true
 	}
 	metrics.GetOrCreateCounter(`loomgap_calls_barred_total{Reason="` + string(reason) + `"}`).Inc()
-	e.kernel.Decisions.Info().Str("RequestID", c.id).Str("Upstream", u.Name).
+	e.kernel.RequestLog.Info().Str("RequestID", c.id).Str("Upstream", u.Name).
 		Str("Reason", string(reason)).Msg("call barred")
 	return false
 }
@@ -39,8 +39,8 @@
 		return "" // it has no connection pool either
 	}
 	var homes []string
-	if r := v.Index.RouteNamed(route); r != nil {
+	if r := v.Index.RouteByName(route); r != nil {
 		homes = r.Homes
 	}
-	return e.placement(v).Barrier(&l, homes)
+	return e.placement(v).DenyReason(&l, homes)
 }
--- a/tier/pass/admit_test.go
+++ b/tier/pass/admit_test.go
@@ -35,7 +35,7 @@
 	p.upstreams = newShardUpstreams(t, p.east, [2]string{"A", "B"}, reply)
 	p.west.do(func(s *kernel.State) {
 		whole := p.east.kernel.View().Directory.Whole()
-		s.List(&whole)
+		s.ApplyDirectoryChange(&whole)
 	})
 	p.east.addMember(p.west)
 	return p
@@ -74,14 +74,14 @@
 func (h *host) evacuate(hall string) {
 	h.revision++
 	c := config.DirectoryChange{Revision: h.revision, Evacuated: []config.Evacuation{{Hall: hall, Revision: h.revision}}}
-	h.do(func(s *kernel.State) { s.List(&c) })
+	h.do(func(s *kernel.State) { s.ApplyDirectoryChange(&c) })
 }
 
 // resume tells the host that a hall is no longer evacuated.
 func (h *host) resume(hall string) {
 	h.revision++
 	c := config.DirectoryChange{Revision: h.revision, Resumed: []config.Removal{{Name: hall, Revision: h.revision}}}
-	h.do(func(s *kernel.State) { s.List(&c) })
+	h.do(func(s *kernel.State) { s.ApplyDirectoryChange(&c) })
 }
 
 // TestHomesApplyToEveryCall checks that no upstream outside the homes gets a call,
@@ -323,7 +323,7 @@
 			for i := range cold.Listed {
 				cold.Listed[i].Warmup, cold.Listed[i].Revision = 60000*millisecond, cold.Listed[i].Revision+100
 			}
-			s.List(&cold)
+			s.ApplyDirectoryChange(&cold)
 		})
 		h.applyDocument(d)
 	}
--- a/tier/pass/answer.go
+++ b/tier/pass/answer.go
@@ -23,7 +23,7 @@
 		}
 		q.log(o, resp.status).Int("Calls", r.Attempts).Msg("request answered")
 		q.write(w, resp.status, resp.header, resp.body)
-	case r.Ran == 0 && !r.Unknown && q.responses.failure == nil:
+	case r.Ran == 0 && !r.OutcomeUnknown && q.responses.failure == nil:
 		q.refuse(w, "no upstream took it: "+string(r.Reasons[0]), q.retryAfterUpstreams())
 	default:
 		q.fail(w, outcomeUnknown, r)
@@ -76,7 +76,7 @@
 	}
 	w.WriteHeader(status)
 	if _, err := w.Write(body); err != nil {
-		q.engine.kernel.Decisions.Info().Str("RequestID", q.in.id).Err(err).Msg("writing response to caller failed")
+		q.engine.kernel.RequestLog.Info().Str("RequestID", q.in.id).Err(err).Msg("writing response to caller failed")
 	}
 }
 
--- a/tier/pass/call.go
+++ b/tier/pass/call.go
@@ -59,7 +59,7 @@
 	route, id string
 	// identity serves to detect requests that crash upstreams; the zero value if the host
 	// that planned the call did not send it.
-	identity policy.Subject
+	identity policy.RequestIdentity
 	// upstream is the name of the upstream that may run the request; any other one must
 	// refuse it.
 	upstream string
@@ -120,7 +120,7 @@
 	if err != nil && n.reused && p.now()-started >= silentCallTimeout {
 		p.closeIdle(func(c *conn) bool { return c.idleSince < started })
 	}
-	out.Crowded = !n.reused && errors.Is(err, syscall.ECONNRESET)
+	out.NewConnReset = !n.reused && errors.Is(err, syscall.ECONNRESET)
 	return out
 }
 
@@ -219,18 +219,18 @@
 func classify(c *call, resp *response, err error) runner.Reply[*response] {
 	switch {
 	case errors.Is(err, errResponseMismatch) || errors.Is(err, wire.ErrTooLarge):
-		return runner.Reply[*response]{Outcome: policy.CallGarbage}
+		return runner.Reply[*response]{Outcome: policy.CallMalformed}
 	case err != nil:
 		return runner.Reply[*response]{Outcome: policy.CallBroken}
 	}
-	out := runner.Reply[*response]{Load: parseLoad(resp.header.Get(c.headers.Load)), Part: resp}
+	out := runner.Reply[*response]{Load: parseLoad(resp.header.Get(c.headers.Load)), Answer: resp}
 	switch {
 	case resp.status == http.StatusMisdirectedRequest:
 		out.Outcome = policy.CallMoved
 	case resp.header.Get(c.headers.NotRun) != "":
 		out.Outcome = policy.CallShed
 	case resp.status < http.StatusMultipleChoices && resp.header.Get(c.headers.Stamp) == "":
-		out.Outcome, out.Part = policy.CallGarbage, nil
+		out.Outcome, out.Answer = policy.CallMalformed, nil
 	case resp.status < http.StatusMultipleChoices || resp.status < http.StatusInternalServerError && !c.fromGather && !meansNotRun(resp.status):
 		out.Outcome = policy.CallOK
 	default:
--- a/tier/pass/conn.go
+++ b/tier/pass/conn.go
@@ -30,7 +30,7 @@
 	// usually pause, and no longer than the time for which an unwanted call lingers, so
 	// that a lingering call can show it. Without it, requests would be sent one after
 	// another on connections that have all failed without a reset.
-	silentCallTimeout = policy.LingerFor
+	silentCallTimeout = policy.LingerDuration
 )
 
 // conn is a connection to an upstream. It carries one request at a time.
--- a/tier/pass/coordinate_test.go
+++ b/tier/pass/coordinate_test.go
@@ -111,7 +111,7 @@
 
 // madeCalls reports whether the host has made calls for a request.
 func (h *host) madeCalls() bool {
-	near, _ := h.kernel.Fleet.RoutedPools("Find")
+	near, _ := h.kernel.Fleet.RoutedLatencyPools("Find")
 	return near.Count() > 0
 }
 
@@ -134,7 +134,7 @@
 func TestCoordinatorRefusalIsPassedOn(t *testing.T) {
 	f := newForwardSetup(t, replyWithPart)
 	f.strong.do(func(s *kernel.State) {
-		s.List(&config.DirectoryChange{Revision: 1000, Whole: true})
+		s.ApplyDirectoryChange(&config.DirectoryChange{Revision: 1000, Whole: true})
 	})
 	r := f.weak.send(http.MethodGet, "/find/x", "one", 15000, "")
 	assert.NilError(t, r.err)
--- a/tier/pass/coordinators.go
+++ b/tier/pass/coordinators.go
@@ -45,7 +45,7 @@
 
 // hallsWithUpstreams reports for each hall whether it lists many upstreams.
 func hallsWithUpstreams(d *config.Directory) map[string]bool {
-	listed := d.PerHall()
+	listed := d.UpstreamsPerHall()
 	largest := 0
 	for _, n := range listed {
 		largest = max(largest, n)
@@ -60,7 +60,7 @@
 // coordinator selects the host that is to execute the request; false means this one.
 func (q *request) coordinator(tried map[string]bool) (policy.Candidate, bool) {
 	e := q.engine
-	allowed := e.placement(q.view).Carriers(*e.coordinators.candidates.Load(), q.route.Homes)
+	allowed := e.placement(q.view).AllowedHosts(*e.coordinators.candidates.Load(), q.route.Homes)
 	best := policy.Coordinators(e.self(), e.hosts.candidates(allowed, e.kernel.Now(), tried))
 	if len(best) == 0 {
 		return policy.Candidate{}, false
--- a/tier/pass/crash_test.go
+++ b/tier/pass/crash_test.go
@@ -100,7 +100,7 @@
 // share gives the host the directory of another host, and a document.
 func (h *host) share(from *host, d config.Document) {
 	whole := from.kernel.View().Directory.Whole()
-	h.do(func(s *kernel.State) { s.List(&whole) })
+	h.do(func(s *kernel.State) { s.ApplyDirectoryChange(&whole) })
 	h.applyDocument(d)
 }
 
--- a/tier/pass/engine.go
+++ b/tier/pass/engine.go
@@ -103,8 +103,8 @@
 // updateShares updates the shares, connection pools and retry budgets that are affected by
 // a change of the view. It runs on the control thread.
 func (e *engine) updateShares(v *kernel.View) {
-	next := shareInputs{index: v.Index, directory: v.Directory, retryBudget: e.kernel.Live().RetryBudget, hostCounts: e.counts}
-	changed, known := v.Directory.Touched(e.inputs.directory)
+	next := shareInputs{index: v.Index, directory: v.Directory, retryBudget: e.kernel.Reloadable().RetryBudget, hostCounts: e.counts}
+	changed, known := v.Directory.ChangedNames(e.inputs.directory)
 	if !known || !next.similarTo(&e.inputs) || !v.Directory.SameEvacuations(e.inputs.directory) {
 		e.inputs = next
 		e.kernel.Fleet.SetRetryBudgets(next.retryBudgets())
@@ -127,7 +127,7 @@
 	granted := e.kernel.Fleet.Apply(e.kernel.Now(), shares)
 	e.pools.replace(all, e.kernel.Now)
 	// Waiters are notified off the control thread, which does no work for requests.
-	go policy.Deliver(granted)
+	go policy.NotifyGranted(granted)
 }
 
 // updateSharesOf updates the shares and connection pools of upstreams that were listed,
@@ -147,7 +147,7 @@
 	}
 	granted := e.kernel.Fleet.Update(e.kernel.Now(), shares, removed)
 	e.pools.update(listed, removed, e.kernel.Now)
-	go policy.Deliver(granted)
+	go policy.NotifyGranted(granted)
 }
 
 // connPool returns the connection pool of an upstream, or nil if it is not listed.
--- a/tier/pass/host_test.go
+++ b/tier/pass/host_test.go
@@ -255,7 +255,7 @@
 		Fleet: policy.NewFleet(policy.FleetConfig{Random: rand.New(rand.NewPCG(1, 2))}),
 	})
 	k.Peers = c.peers
-	stopStrikes := peers.ServeStrikes(k)
+	stopStrikes := peers.ServeCrashReports(k)
 	e, closeEngine := newEngine(k, names)
 	h := &host{t: t, kernel: k, engine: e, server: httptest.NewServer(e), revision: 1}
 	if w, ok := c.peers.(*network); ok && w.sender == nil {
@@ -296,7 +296,7 @@
 		Slots: 4, Leaving: leaving, Revision: h.revision,
 	}
 	h.do(func(s *kernel.State) {
-		s.List(&config.DirectoryChange{Revision: h.revision, Listed: []config.Listing{l}})
+		s.ApplyDirectoryChange(&config.DirectoryChange{Revision: h.revision, Listed: []config.Listing{l}})
 	})
 }
 
--- a/tier/pass/inbound.go
+++ b/tier/pass/inbound.go
@@ -19,7 +19,7 @@
 	// responseReserve is subtracted from the caller's deadline, so that the response
 	// arrives in time despite network delay and late timers.
 	responseReserve = 10 * time.Millisecond
-	// responseReserveDivisor limits the reserve to this fraction of the time limit.
+	// responseReserveDivisor limits the reserve to a quarter of the time limit.
 	responseReserveDivisor = 4
 	// defaultMaxBodyBytes bounds the body of a request if the document sets no limit.
 	defaultMaxBodyBytes = 1 << 20
@@ -34,7 +34,7 @@
 	head, body []byte
 	// identity serves to detect requests that crash upstreams; its fingerprint is empty
 	// until the request is read.
-	identity policy.Subject
+	identity policy.RequestIdentity
 }
 
 // setContent sets head and body, and the fingerprint computed from them.
@@ -158,11 +158,11 @@
 }
 
 // parseContent parses a head written by buildHead.
-func parseContent(head, body []byte) policy.Content {
+func parseContent(head, body []byte) policy.RequestContent {
 	line, rest, _ := strings.Cut(string(head), "\r\n")
 	method, line, _ := strings.Cut(line, " ")
 	host, _, _ := strings.Cut(strings.TrimPrefix(rest, "Host: "), "\r\n")
-	return policy.Content{Method: method, Target: strings.TrimSuffix(line, " HTTP/1.1"), HostName: host, Body: body}
+	return policy.RequestContent{Method: method, Target: strings.TrimSuffix(line, " HTTP/1.1"), HostName: host, Body: body}
 }
 
 // buildHead serializes the request line and the headers that are the same for all
--- a/tier/pass/plan.go
+++ b/tier/pass/plan.go
@@ -40,7 +40,7 @@
 	names, noUpstreamReasons := make([][]string, len(groups)), make([]query.Reason, len(groups))
 	placement := e.placement(v)
 	for i, g := range groups {
-		names[i], noUpstreamReasons[i] = placement.Usable(g, r.Homes)
+		names[i], noUpstreamReasons[i] = placement.AllowedUpstreams(g, r.Homes)
 	}
 	p := plan{groups: groups, replicas: e.kernel.Fleet.Resolve(names), noUpstreamReasons: noUpstreamReasons}
 	for _, us := range p.replicas {
@@ -100,7 +100,7 @@
 // each request goes to the group that lags furthest behind its share. Random selection
 // would deviate from the weights over short periods.
 type splitter struct {
-	split []config.Weighted
+	split []config.WeightedGroup
 	// lag is how far each group is behind its share, in units of weight. next keeps the sum
 	// constant.
 	lag         []float64
@@ -109,7 +109,7 @@
 
 // newSplitter returns a splitter with a random starting position, so that hosts do not all
 // start with the same group.
-func newSplitter(split []config.Weighted) *splitter {
+func newSplitter(split []config.WeightedGroup) *splitter {
 	s := &splitter{split: split, lag: make([]float64, len(split))}
 	for _, w := range split {
 		s.totalWeight += w.Weight
--- a/tier/pass/refuse.go
+++ b/tier/pass/refuse.go
@@ -37,7 +37,7 @@
 // reports whether it did.
 func (q *request) refuseQuarantined(w http.ResponseWriter) bool {
 	k := q.engine.kernel
-	verdict, left := k.Fleet.Judge(k.Now(), q.in.identity)
+	verdict, left := k.Fleet.Verdict(k.Now(), q.in.identity)
 	if verdict != policy.VerdictQuarantined {
 		return false
 	}
--- a/tier/pass/relay_client.go
+++ b/tier/pass/relay_client.go
@@ -21,7 +21,7 @@
 const (
 	// hedgeBatchDue is when the first reply to a batch of hedges is due, each call of which
 	// is reported as it ends. An upstream that only pauses responds within that time.
-	hedgeBatchDue = policy.LingerFor
+	hedgeBatchDue = policy.LingerDuration
 	// firstReplyMargin is how much earlier than the hedges of its calls the first reply to
 	// a batch is due. Without it, replies arrive just after the hedges, and the hedges are
 	// extra calls.
@@ -126,7 +126,7 @@
 		ID:    e.ids.next(),
 		Route: q.route.Name, RequestID: q.in.id, Method: q.in.method, Head: string(q.in.head), Body: q.in.body, Top: q.route.Gather.Top,
 		FirstMillis:    q.firstReplyDelay(batch, roundTrip).Milliseconds(),
-		DeadlineMillis: (q.times.deadline - now).Milliseconds(), Trace: wire.TraceOf(ctx),
+		DeadlineMillis: (q.times.deadline - now).Milliseconds(), Trace: wire.TraceParent(ctx),
 	}
 	if !e.relay.fullRecordRoutes.enabled(q.route.Name, now) {
 		in.Of = len(q.plan.groups)
@@ -214,7 +214,7 @@
 	s.reportCalls(reply)
 	if reply.Due && !s.overdue {
 		s.overdue = true
-		s.reporter.Overdue()
+		s.reporter.HedgePending()
 	}
 }
 
@@ -270,7 +270,7 @@
 	if ctx.Err() != nil {
 		s.stop()
 	} else {
-		e.kernel.Decisions.Info().Str("RequestID", q.in.id).Str("Relay", s.relay).Int("Calls", len(s.calls)).
+		e.kernel.RequestLog.Info().Str("RequestID", q.in.id).Str("Relay", s.relay).Int("Calls", len(s.calls)).
 			Str("Outcome", string(o)).Err(err).Msg("batch not answered")
 	}
 	for i := range s.calls {
@@ -283,7 +283,7 @@
 	q := s.request
 	err := q.engine.notifyStop(s.relay, methodBatchStop, batchStop{ID: s.in.ID, CallerGone: q.callerGone.Load()})
 	if err != nil {
-		q.engine.kernel.Decisions.Info().Str("RequestID", q.in.id).Str("Relay", s.relay).Err(err).Msg("stopping batch at relay failed")
+		q.engine.kernel.RequestLog.Info().Str("RequestID", q.in.id).Str("Relay", s.relay).Err(err).Msg("stopping batch at relay failed")
 	}
 }
 
@@ -291,7 +291,7 @@
 // records.
 func (s *sentBatch) reportCalls(reply *batchReply) {
 	k := s.request.engine.kernel
-	k.Fleet.TakeConditions(k.Now(), s.hall(), reply.Conditions)
+	k.Fleet.SetConditions(k.Now(), s.hall(), reply.Conditions)
 	b := &block{records: reply.Records, stamps: map[int]string{}}
 	if reply.Cut > 0 {
 		b.omitted = &omittedRef{relay: s.relay, key: recordsRequest{ID: s.in.ID, Cut: reply.Cut}}
@@ -306,7 +306,7 @@
 	for _, c := range ended {
 		r := runner.Reply[*response]{Outcome: policy.CallOutcome(c.Outcome), Took: time.Duration(c.TookMicros)*time.Microsecond + s.roundTrip}
 		if c.Stamp != "" {
-			r.Outcome, r.Part = policy.CallOK, &response{block: b}
+			r.Outcome, r.Answer = policy.CallOK, &response{block: b}
 		}
 		s.reporter.Report(c.Index, r)
 	}
--- a/tier/pass/relay_server.go
+++ b/tier/pass/relay_server.go
@@ -34,7 +34,7 @@
 	// identity serves to detect requests that crash upstreams. Its caller is unknown here,
 	// and its fingerprint is computed from the head, so that the messages between regions
 	// need not contain them.
-	identity policy.Subject
+	identity policy.RequestIdentity
 	// started is when the calls began, firstDue when the first reply is due, and deadline
 	// when the calls are cancelled.
 	started, firstDue, deadline time.Duration
@@ -115,9 +115,9 @@
 	if err != nil {
 		return nil, err
 	}
-	linger := policy.LingerFor
-	verdict, _ := e.kernel.Fleet.Judge(e.kernel.Now(), b.identity)
-	if in.CallerGone || verdict != policy.VerdictSound {
+	linger := policy.LingerDuration
+	verdict, _ := e.kernel.Fleet.Verdict(e.kernel.Now(), b.identity)
+	if in.CallerGone || verdict != policy.VerdictClean {
 		linger = 0
 	}
 	b.stop(linger)
@@ -126,7 +126,7 @@
 
 func (e *engine) startBatch(in *batchRequest) *servedBatch {
 	left := min(time.Duration(in.DeadlineMillis)*time.Millisecond, maxBatchDuration)
-	ctx, cancel := context.WithTimeout(wire.TraceInto(context.Background(), in.Trace), left)
+	ctx, cancel := context.WithTimeout(wire.WithTraceParent(context.Background(), in.Trace), left)
 	now := e.kernel.Now()
 	b := &servedBatch{
 		engine: e, in: in, identity: e.identityOf(in), cancel: cancel,
@@ -150,12 +150,12 @@
 
 // identityOf identifies the request of a batch; the zero value while no request is
 // suspected of crashing upstreams.
-func (e *engine) identityOf(in *batchRequest) policy.Subject {
+func (e *engine) identityOf(in *batchRequest) policy.RequestIdentity {
 	if !e.kernel.Fleet.HasSuspects() {
-		return policy.Subject{}
+		return policy.RequestIdentity{}
 	}
 	content := parseContent([]byte(in.Head), in.Body)
-	return policy.Subject{Fingerprint: content.Fingerprint()}
+	return policy.RequestIdentity{Fingerprint: content.Fingerprint()}
 }
 
 // call makes one call, within this host's slots.
@@ -176,7 +176,7 @@
 		b.mu.Lock()
 		c.upstream = u
 		b.mu.Unlock()
-		k.Fleet.Sent(started, u)
+		k.Fleet.RecordSent(started, u)
 		reply = b.sendCall(ctx, pool, u)
 		b.releaseSlot(i, c, &reply, started)
 	}
@@ -186,15 +186,15 @@
 		b.endCall(out, nil)
 		return
 	}
-	out.Stamp = reply.Part.header.Get(b.engine.headers.Stamp)
-	b.endCall(out, reply.Part.body)
+	out.Stamp = reply.Answer.header.Get(b.engine.headers.Stamp)
+	b.endCall(out, reply.Answer.body)
 }
 
 // sendCall sends a call that has acquired a slot and returns its result.
 func (b *servedBatch) sendCall(ctx context.Context, pool *connPool, u *policy.Upstream) runner.Reply[*response] {
 	k := b.engine.kernel
 	timeLeft := b.deadline - k.Now()
-	if timeLeft <= 0 || !k.Awake() || ctx.Err() != nil {
+	if timeLeft <= 0 || !k.Responsive() || ctx.Err() != nil {
 		return runner.Reply[*response]{Outcome: policy.CallNotSent}
 	}
 	return b.engine.callUpstream(ctx, pool, u, &call{
@@ -207,13 +207,13 @@
 func (b *servedBatch) releaseSlot(i int, c *servedCall, r *runner.Reply[*response], started time.Duration) {
 	k := b.engine.kernel
 	now := k.Now()
-	near, _ := k.Fleet.RoutedPools(b.in.Route)
+	near, _ := k.Fleet.RoutedLatencyPools(b.in.Route)
 	b.mu.Lock()
 	delete(b.calls, i)
 	lingering := c.lingering
 	b.mu.Unlock()
-	policy.Deliver(k.Fleet.Finish(now, policy.Call{
-		Upstream: c.upstream, Pool: near, Outcome: r.Outcome, Took: now - started, Load: r.Load, Crowded: r.Crowded,
+	policy.NotifyGranted(k.Fleet.Finish(now, policy.Call{
+		Upstream: c.upstream, Pool: near, Outcome: r.Outcome, Took: now - started, Load: r.Load, NewConnReset: r.NewConnReset,
 		Lingering: lingering,
 	}))
 }
@@ -243,7 +243,7 @@
 	b.stopped = true
 	b.unregister()
 	for _, c := range b.calls {
-		if linger > 0 && c.upstream != nil && b.engine.kernel.Fleet.Linger(c.upstream) {
+		if linger > 0 && c.upstream != nil && b.engine.kernel.Fleet.TryLinger(c.upstream) {
 			c.lingering = true
 			time.AfterFunc(linger, c.cancel)
 			continue
--- a/tier/pass/run.go
+++ b/tier/pass/run.go
@@ -14,7 +14,7 @@
 // and CallEnded with their results.
 func (q *request) run(ctx context.Context) (policy.Result, error) {
 	k := q.engine.kernel
-	near, far := k.Fleet.RoutedPools(q.route.Name)
+	near, far := k.Fleet.RoutedLatencyPools(q.route.Name)
 	spent := k.Now() - q.times.startedAt
 	stop := context.AfterFunc(ctx, func() { q.callerGone.Store(true) })
 	defer stop()
@@ -22,11 +22,11 @@
 		Kernel: k, Caller: q,
 		Run: policy.RunConfig{
 			Fleet: k.Fleet, Pool: near, Class: q.remainingClass(spent), Deadline: q.times.deadline,
-			Replicas: q.plan.replicas, Repeatable: q.route.Repeatable, Subject: q.in.identity,
-			Routed: &policy.Routed{
+			Replicas: q.plan.replicas, Repeatable: q.route.Repeatable, Identity: q.in.identity,
+			Routed: &policy.RoutedConfig{
 				Groups: q.plan.groups, FarPool: far, MaxAttempts: q.route.MaxAttempts,
-				Objective: max(time.Duration(q.route.Objective)-spent, 0), Hall: q.plan.preferredHall,
-				Relayed: q.route.Gather != nil, Absent: q.plan.noUpstreamReasons,
+				Objective: max(time.Duration(q.route.Objective)-spent, 0), PreferredHall: q.plan.preferredHall,
+				CanRelay: q.route.Gather != nil, NoUpstreamReasons: q.plan.noUpstreamReasons,
 			},
 		},
 	}, ctx.Done())
@@ -67,15 +67,15 @@
 
 // CallEnded implements runner.Observer. It keeps an upstream's error response and logs
 // calls that did not succeed.
-func (q *request) Ended(a policy.Action, r runner.Reply[*response], took time.Duration, over bool) {
+func (q *request) CallEnded(a policy.Action, r runner.Reply[*response], took time.Duration, over bool) {
 	q.callCounts[a.Part]++
 	if r.Outcome == policy.CallOK {
 		return
 	}
 	if r.Outcome == policy.CallFailed && !over {
-		q.responses.failure = r.Part
+		q.responses.failure = r.Answer
 	}
-	q.engine.kernel.Decisions.Info().Str("RequestID", q.in.id).Str("Group", q.plan.groups[a.Part]).
+	q.engine.kernel.RequestLog.Info().Str("RequestID", q.in.id).Str("Group", q.plan.groups[a.Part]).
 		Str("Upstream", a.Upstream.Name).Int("Call", q.callCounts[a.Part]).Str("Outcome", string(r.Outcome)).
 		Int64("TookMillis", took.Milliseconds()).Msg("call ended")
 }
--- a/tier/pass/shares.go
+++ b/tier/pass/shares.go
@@ -57,7 +57,7 @@
 	capacities := make([]int, 0, len(v.Members))
 	for _, m := range v.Members {
 		capacities = append(capacities, m.Capacity)
-		if !m.Staying() {
+		if !m.Active() {
 			continue
 		}
 		active += m.Capacity
@@ -68,7 +68,7 @@
 	return hostCounts{
 		hosts: max(float64(active)/float64(own), minHosts), inHall: max(float64(inHall)/float64(own), minHostsInHall),
 		known:        max(float64(len(capacities)+1), minHosts),
-		coordinating: max(policy.RetryShares(own, capacities), minHosts),
+		coordinating: max(policy.RetryBudgetDivisor(own, capacities), minHosts),
 	}
 }
 
@@ -86,8 +86,8 @@
 func (b *shareInputs) retryBudgets() policy.RetryBudgets {
 	ratio, slack, window := b.retryBudget.Ratio, b.retryBudget.Slack*retrySlackShare, b.retryBudget.Window
 	return policy.RetryBudgets{
-		Shards:  policy.ShareRetryBudget(ratio, slack, b.coordinating).Within(window),
-		Single:  policy.ShareRetryBudget(ratio, slack, b.known).Within(window),
+		Shards:  policy.ShareRetryBudget(ratio, slack, b.coordinating).WithWindow(window),
+		Single:  policy.ShareRetryBudget(ratio, slack, b.known).WithWindow(window),
 		IsShard: b.index.Shards(),
 	}
 }
@@ -107,6 +107,6 @@
 	return policy.Share{
 		Name: l.Name, Slots: max(int(burstFactor*fraction*float64(connections)/hosts), 1),
 		Leaving: l.Leaving || b.directory.Evacuated(l.Hall),
-		Listed:  true, Hall: l.Hall, Near: near, Born: l.Born, Cold: e.coldState(l, b),
+		Listed:  true, Hall: l.Hall, Near: near, StartedMillis: l.Born, Cold: e.coldState(l, b),
 	}
 }
--- a/tier/pass/single_test.go
+++ b/tier/pass/single_test.go
@@ -416,7 +416,7 @@
 	assert.Equal(t, us[0].total(), before)
 	h.do(func(s *kernel.State) {
 		h.revision++
-		s.List(&config.DirectoryChange{Revision: h.revision, Removed: []config.Removal{{Name: "U2", Revision: h.revision}}})
+		s.ApplyDirectoryChange(&config.DirectoryChange{Revision: h.revision, Removed: []config.Removal{{Name: "U2", Revision: h.revision}}})
 	})
 	assert.Equal(t, h.send(http.MethodGet, "/read/", "last", 2000, "").status, http.StatusServiceUnavailable)
 }
@@ -426,7 +426,7 @@
 	d := singleDoc()
 	d.Groups = append(d.Groups, config.Group{Name: "Third", Connections: 10})
 	d.Routes[0].Group = ""
-	d.Routes[0].Split = []config.Weighted{{Group: "Orders", Weight: 3}, {Group: "Other", Weight: 1}, {Group: "Third", Weight: 0}}
+	d.Routes[0].Split = []config.WeightedGroup{{Group: "Orders", Weight: 3}, {Group: "Other", Weight: 1}, {Group: "Third", Weight: 0}}
 	h.applyDocument(d)
 	var us []*fakeUpstream
 	for _, g := range []string{"Orders", "Other", "Third"} {
@@ -440,7 +440,7 @@
 	assert.Equal(t, us[0].total(), 30)
 	assert.Equal(t, us[1].total(), 10)
 	assert.Equal(t, us[2].total(), 0)
-	d.Routes[0].Split = []config.Weighted{{Group: "Orders", Weight: 0}, {Group: "Other", Weight: 1}}
+	d.Routes[0].Split = []config.WeightedGroup{{Group: "Orders", Weight: 0}, {Group: "Other", Weight: 1}}
 	h.applyDocument(d)
 	for i := range 10 {
 		assert.Equal(t, h.send(http.MethodGet, "/read/", fmt.Sprint("again", i), 2000, "").status, http.StatusOK)
@@ -454,7 +454,7 @@
 	h := newHost(t, hostConfig{name: "H1", hall: "A"})
 	d := singleDoc()
 	d.Routes[0].Group = ""
-	d.Routes[0].Split = []config.Weighted{{Group: "Orders", Weight: 1}, {Group: "Other", Weight: 3}}
+	d.Routes[0].Split = []config.WeightedGroup{{Group: "Orders", Weight: 1}, {Group: "Other", Weight: 3}}
 	h.applyDocument(d)
 	u := newFakeUpstream(t, "Orders1", good("x"))
 	h.listUpstream("Orders", "A", u, false)
--- a/tier/peers/partners_test.go
+++ b/tier/peers/partners_test.go
@@ -20,9 +20,9 @@
 		announcing, down          bool
 		hall, other, silent, seed int
 	}{
-		{"another host of the hall announces", false, false, 2 * rounds, rounds / (otherHallEvery * otherHallRarer), rounds / silentEvery, rounds / seedEvery},
-		{"this host announces", true, false, 2 * rounds, rounds / otherHallEvery, rounds / silentEvery, rounds / seedEvery},
-		{"the platform does not answer", true, true, 2 * rounds, rounds, rounds / silentEvery, rounds / seedEvery},
+		{"another host of the hall announces", false, false, 2 * rounds, rounds / (otherHallEvery * nonAnnouncerFactor), rounds / unresponsiveEvery, rounds / seedEvery},
+		{"this host announces", true, false, 2 * rounds, rounds / otherHallEvery, rounds / unresponsiveEvery, rounds / seedEvery},
+		{"the platform does not answer", true, true, 2 * rounds, rounds, rounds / unresponsiveEvery, rounds / seedEvery},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -30,7 +30,7 @@
 				return netip.AddrPortFrom(netip.AddrFrom4([4]byte{192, 0, 2, kind}), uint16(i+1))
 			}
 			s := &kernel.State{Members: map[string]kernel.Member{}}
-			s.Announcing, s.FeedDown = tt.announcing, tt.down
+			s.Announcing, s.PlatformDown = tt.announcing, tt.down
 			for i := range 9 {
 				s.Members["Hall"+string(rune('0'+i))] = kernel.Member{Hall: "A", Live: true, Peer: at('h', i)}
 				s.Members["Other"+string(rune('0'+i))] = kernel.Member{Hall: "B", Live: true, Peer: at('o', i)}
--- a/tier/peers/shares.go
+++ b/tier/peers/shares.go
@@ -17,7 +17,7 @@
 	}
 	all := make([]ranked, 0, len(hosts))
 	for _, h := range hosts {
-		all = append(all, ranked{h, policy.Affinity(key, h)})
+		all = append(all, ranked{h, policy.RendezvousHash(key, h)})
 	}
 	slices.SortFunc(all, func(a, b ranked) int {
 		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.host, b.host))
@@ -37,7 +37,7 @@
 	if v.Index == nil {
 		return nil
 	}
-	hosts := v.Hall(s)
+	hosts := v.HallHosts(s)
 	var out []policy.Share
 	for _, u := range v.Index.Document.Upstreams {
 		if u.Hall != s.Hall {
@@ -56,12 +56,12 @@
 // divide gives each host its part of a number of slots. The parts of all hosts add up
 // to the slots exactly, if they see the same hosts.
 func divide(key string, slots int, hosts []string, host string) int {
-	place := slices.Index(Rank(key, hosts), host)
-	if place < 0 {
+	position := slices.Index(Rank(key, hosts), host)
+	if position < 0 {
 		return 0
 	}
 	n := slots / len(hosts)
-	if place < slots%len(hosts) {
+	if position < slots%len(hosts) {
 		n++
 	}
 	return n
--- a/tier/policy/conditions_test.go
+++ b/tier/policy/conditions_test.go
@@ -8,12 +8,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestConditionsAreReportedAndBelieved has a near host see that one of its upstreams
-// is slow. A far host that gets the report passes it over without a call of its own,
-// and comes back once it is not reported any more.
-func TestConditionsAreReportedAndBelieved(t *testing.T) {
+// TestConditionReportsAffectOtherHosts checks that a far host avoids an upstream that a
+// near host reports as slow, and returns to it once it is no longer reported.
+func TestConditionReportsAffectOtherHosts(t *testing.T) {
 	near := routedFleet(4, RetryBudget{})
-	pool, _ := near.RoutedPools("Find")
+	pool, _ := near.RoutedLatencyPools("Find")
 	finish := func(f *Fleet, name string, took time.Duration) {
 		f.Finish(0, Call{Upstream: f.Find(name), Pool: pool, Outcome: CallOK, Took: took})
 	}
@@ -28,7 +27,7 @@
 	assert.Equal(t, len(reported), 1)
 	assert.Equal(t, reported[0].Upstream, "N1")
 	assert.Assert(t, reported[0].Slowness >= 5, "%+v", reported)
-	assert.Equal(t, len(near.Conditions(reportFresh+time.Second)), 0, "what was seen long ago is not reported")
+	assert.Equal(t, len(near.Conditions(maxReportedAge+time.Second)), 0, "what was seen long ago is not reported")
 
 	far := routedFleet(4, RetryBudget{})
 	first := func(now time.Duration) string {
@@ -36,23 +35,23 @@
 		return sends(actions)[1].Upstream.Name
 	}
 	assert.Equal(t, first(0), "N1")
-	far.TakeConditions(0, "A", reported)
+	far.SetConditions(0, "A", reported)
 	assert.Equal(t, first(time.Millisecond), "F1")
-	far.TakeConditions(time.Second, "A", nil)
+	far.SetConditions(time.Second, "A", nil)
 	assert.Equal(t, first(time.Second), "N1")
-	far.TakeConditions(time.Second, "A", reported)
-	assert.Equal(t, first(time.Second+conditionLife+1), "N1", "an old report is not believed")
+	far.SetConditions(time.Second, "A", reported)
+	assert.Equal(t, first(time.Second+conditionTTL+1), "N1", "an old report is not believed")
 }
 
-// TestWhatIsNotReportedDoesWell has a host that saw an upstream slow learn from one
-// that sees more of its calls that it does well.
-func TestWhatIsNotReportedDoesWell(t *testing.T) {
+// TestUnreportedUpstreamPerformsWell checks that a host lowers its own estimate of an
+// upstream that the upstream's hall does not report.
+func TestUnreportedUpstreamPerformsWell(t *testing.T) {
 	f := routedFleet(1, RetryBudget{})
 	u := f.Find("F0")
-	u.condition.slowness, u.latency.samples, u.condition.seenAt = 20, 5, 0
+	u.condition.slowness, u.latency.samples, u.condition.observedAt = 20, 5, 0
 	slowness, _ := u.condition.expected(0, u.Name)
 	assert.Equal(t, slowness, 20.0)
-	f.TakeConditions(0, "B", nil)
+	f.SetConditions(0, "B", nil)
 	slowness, _ = u.condition.expected(0, u.Name)
-	assert.Equal(t, slowness, float64(reportSlow))
+	assert.Equal(t, slowness, float64(minReportedSlowness))
 }
--- a/tier/policy/learn.go
+++ b/tier/policy/learn.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// Call is a finished call, as reported to the fleet.
+// Call describes a finished call.
 type Call struct {
 	Upstream *Upstream
 	// Pool holds the latencies of comparable calls.
-	Pool    *Pool
+	Pool    *LatencyPool
 	Outcome CallOutcome
-	// Took is the time from dispatch to the outcome.
+	// Took is the time from sending the call to its outcome.
 	Took time.Duration
-	// Load is what the upstream reported with its answer; zero for nothing.
+	// Load is the load that the upstream reported with its answer; zero if it reported
+	// none.
 	Load Load
-	// Elsewhere is true for a call that another host made: it held no slot.
-	Elsewhere bool
-	// Lingering is true for a call that went on though it was not wanted.
+	// Relayed is true for a call that another host made. It held no slot on this host.
+	Relayed bool
+	// Lingering is true for a call that continued although it was no longer needed.
 	Lingering bool
-	// Crowded is true for a call whose new connection was reset before any answer:
-	// the upstream may have reached its bound of connections.
-	Crowded bool
+	// NewConnReset is true for a call on a new connection that was reset before any answer.
+	// The upstream may have reached its connection limit.
+	NewConnReset bool
 }
 
-// learn updates all that calls show of an upstream. The slot of the call is still in
+// learn updates the state of the upstream after a call. The slot of the call is still in
 // use.
 func (u *Upstream) learn(now time.Duration, c Call) {
 	u.condition.observeOutcome(now, c.Outcome)
@@ -29,7 +30,7 @@
 	u.load.update(now, c.Load)
 	u.learnLatency(c)
 	u.learnHealth(now, c.Outcome)
-	u.compare(c.Pool)
+	u.updateOutlier(c.Pool)
 	u.learnSlots(c)
 }
 
@@ -39,25 +40,25 @@
 	}
 	switch {
 	case c.Outcome == CallStalled:
-		u.stall.assume(now)
+		u.stall.assumeStalled(now)
 	case c.Outcome.answered():
 		u.stall.answered(now, u.slots.inUse > 1)
-	case u.slots.inUse <= 1 && !c.Elsewhere:
-		// The call had no answer, and no other is under way that could show one.
+	case u.slots.inUse <= 1 && !c.Relayed:
+		// The call had no answer, and no other call in progress could provide one.
 		u.stall.unansweredSince = 0
-		u.stall.assume(now)
+		u.stall.assumeStalled(now)
 	}
 }
 
-// learnLatency records how long a call took, or how long it took at least.
+// learnLatency records the latency of a call, or a lower bound of it.
 func (u *Upstream) learnLatency(c Call) {
 	switch c.Outcome {
 	case CallOK:
 		c.Pool.record(c.Took)
 		u.observe(c.Took, c.Pool)
 	case CallCancelled:
-		// The call would have taken at least this long: a lower bound.
-		if c.Took > u.latency.or(c.Pool.median()) {
+		// The call would have taken at least this long.
+		if c.Took > u.latency.orDefault(c.Pool.median()) {
 			u.observe(c.Took, c.Pool)
 		}
 		if u.kind.poolsCancelled {
@@ -69,7 +70,7 @@
 	}
 }
 
-// learnHealth updates ejection, backoff and the signs of leaving.
+// learnHealth updates the ejection, the backoff and whether the upstream is leaving.
 func (u *Upstream) learnHealth(now time.Duration, o CallOutcome) {
 	switch {
 	case o == CallOK:
@@ -79,8 +80,8 @@
 		u.backoff.shed(now)
 	case o == CallLeaving:
 		u.leaving = true
-	case o == CallMoved && u.kind.movedIsGone:
-		u.leaving, u.gone = true, true
+	case o == CallMoved && u.kind.movedIsReplaced:
+		u.leaving, u.replaced = true, true
 	case o.isFailure():
 		u.ejection.failed(now)
 	}
@@ -89,24 +90,24 @@
 func (u *Upstream) learnSlots(c Call) {
 	s := &u.slots
 	switch {
-	case c.Crowded && u.kind.learnsLimit:
+	case c.NewConnReset && u.kind.learnsLimit:
 		s.limit.reset(s.inUse)
 	case c.Outcome == CallOK:
-		s.limit.succeeded(s.divided())
+		s.limit.succeeded(s.withBorrowed())
 	}
 	if c.Outcome == CallShed {
 		s.borrowing.shed()
 		return
 	}
-	s.borrowing.succeeded(s.room())
+	s.borrowing.succeeded(s.borrowable())
 }
 
-func (u *Upstream) observe(d time.Duration, p *Pool) {
+func (u *Upstream) observe(d time.Duration, p *LatencyPool) {
 	counted, weight := u.latency.observe(d, u.kind.smoothing)
 	u.condition.observeRatio(counted.Seconds()/p.median().Seconds(), weight)
 }
 
-func (u *Upstream) compare(p *Pool) {
+func (u *Upstream) updateOutlier(p *LatencyPool) {
 	if u.latency.samples == 0 || !p.known() || !u.kind.comparesLatency {
 		return
 	}
--- a/tier/policy/limit_test.go
+++ b/tier/policy/limit_test.go
@@ -15,7 +15,7 @@
 		want  int
 	}{
 		{"one less than under way", 6, 0, 5},
-		{"never below the least", 1, 0, limitLeast},
+		{"never below the least", 1, 0, minCallLimit},
 		{"too few good calls", 4, 3*limitGrowth - 1, 3},
 		{"enough good calls", 4, 3 * limitGrowth, 4},
 		{"enough for one more", 4, (3 + 4) * limitGrowth, 5},
@@ -25,7 +25,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			l := callLimit{}
 			l.succeeded(slots)
-			assert.Assert(t, !l.known(), "good calls set no limit")
+			assert.Assert(t, !l.known(), "successful calls do not set a limit")
 			l.reset(tt.inUse)
 			for range tt.good {
 				l.succeeded(slots)
--- a/tier/policy/outlier.go
+++ b/tier/policy/outlier.go
@@ -3,26 +3,26 @@
 import "time"
 
 const (
-	// outlierFrom is how many medians of its service the latency of an upstream must exceed
-	// to make it an outlier.
-	outlierFrom = 3
-	// outlierUntil is how many medians the latency must come down to until the
-	// upstream is no outlier. It is well below outlierFrom: calls that are hedged and
-	// cancelled show a slow upstream less slow than it is, and without the gap it
-	// would be trusted again and again.
-	outlierUntil = 1.5
-	// outlierLeast is by how much the latency must exceed the median besides: where calls
-	// take microseconds, three medians are noise.
-	outlierLeast = time.Millisecond
-	// probeEvery is the least time between two probes of one outlier.
-	probeEvery = 100 * time.Millisecond
+	// outlierEnterRatio is the multiple of the median latency of its service above which an
+	// upstream becomes an outlier.
+	outlierEnterRatio = 3
+	// outlierExitRatio is the multiple of the median to which the latency must fall before
+	// an upstream stops being an outlier. It is well below outlierEnterRatio because
+	// cancelled calls understate the latency of a slow upstream, which would otherwise keep
+	// returning to rotation.
+	outlierExitRatio = 1.5
+	// minOutlierExcess is by how much the latency must also exceed the median, since for
+	// calls that take microseconds a multiple of the median is noise.
+	minOutlierExcess = time.Millisecond
+	// minProbeInterval is the minimum time between two probes of an outlier.
+	minProbeInterval = 100 * time.Millisecond
 )
 
-// outlier marks an upstream whose calls take much longer than those of its service.
-// It is called only if its shard has no other, and probed beside chosen calls.
+// outlier marks an upstream whose calls take much longer than those of its service. Apart
+// from probes, it is called only if its shard has no other upstream.
 type outlier struct {
-	// marked is true from when the latency exceeds outlierFrom medians until it has
-	// come down to outlierUntil.
+	// marked is set when the latency exceeds outlierEnterRatio medians and cleared when it
+	// has fallen to outlierExitRatio medians.
 	marked bool
 	// nextProbe is the earliest time of the next probe.
 	nextProbe time.Duration
@@ -30,12 +30,12 @@
 
 func (o *outlier) update(latency, median time.Duration) {
 	if o.marked {
-		o.marked = float64(latency) > outlierUntil*float64(median)
+		o.marked = float64(latency) > outlierExitRatio*float64(median)
 		return
 	}
-	o.marked = latency > outlierFrom*median && latency-median > outlierLeast
+	o.marked = latency > outlierEnterRatio*median && latency-median > minOutlierExcess
 }
 
 func (o *outlier) probeDue(now time.Duration) bool { return o.marked && now >= o.nextProbe }
 
-func (o *outlier) probed(now time.Duration) { o.nextProbe = now + probeEvery }
+func (o *outlier) probed(now time.Duration) { o.nextProbe = now + minProbeInterval }
--- a/tier/policy/outlier_test.go
+++ b/tier/policy/outlier_test.go
@@ -32,12 +32,12 @@
 	}
 }
 
-func TestOutlierIsProbedNowAndThen(t *testing.T) {
+func TestOutlierProbeInterval(t *testing.T) {
 	o := outlier{}
-	assert.Assert(t, !o.probeDue(time.Second), "it is no outlier")
+	assert.Assert(t, !o.probeDue(time.Second), "the upstream is not an outlier")
 	o.marked = true
 	assert.Assert(t, o.probeDue(time.Second))
 	o.probed(time.Second)
-	assert.Assert(t, !o.probeDue(time.Second+probeEvery-1))
-	assert.Assert(t, o.probeDue(time.Second+probeEvery))
+	assert.Assert(t, !o.probeDue(time.Second+minProbeInterval-1))
+	assert.Assert(t, o.probeDue(time.Second+minProbeInterval))
 }
--- a/tier/policy/placement_test.go
+++ b/tier/policy/placement_test.go
@@ -12,10 +12,10 @@
 	"loomgap/tier/query"
 )
 
-// TestNoDecisionLeavesTheHomes draws regions, upstreams, evacuations and homes: no
-// upstream and no host is chosen that lies elsewhere, none that is usable is left out,
-// and where none is, the reason is one that holds.
-func TestNoDecisionLeavesTheHomes(t *testing.T) {
+// TestPlacementStaysWithinHomes checks with random regions, upstreams, evacuations and
+// homes that exactly the allowed upstreams and hosts are returned, with a reason if there
+// is no upstream.
+func TestPlacementStaysWithinHomes(t *testing.T) {
 	halls := []string{"A", "B", "C", "D", ""}
 	rapid.Check(t, func(t *rapid.T) {
 		regions := config.Regions{}
@@ -38,7 +38,7 @@
 		atHome := func(hall string) bool {
 			return len(homes) == 0 || regions[hall] != "" && slices.Contains(homes, regions[hall])
 		}
-		names, reason := p.Usable("G", homes)
+		names, reason := p.AllowedUpstreams("G", homes)
 		for _, l := range change.Listed {
 			want := !l.Leaving && !d.Evacuated(l.Hall) && atHome(l.Hall)
 			assert.Equal(t, slices.Contains(names, l.Name), want, "%+v", l)
@@ -48,14 +48,14 @@
 		for _, h := range halls {
 			all = append(all, Candidate{Host: "host of " + h, Hall: h, Capacity: 1})
 		}
-		carriers := p.Carriers(all, homes)
+		carriers := p.AllowedHosts(all, homes)
 		for _, c := range all {
 			assert.Equal(t, slices.Contains(carriers, c), atHome(c.Hall), "%+v", c)
 		}
 	})
 }
 
-func TestBarrierNamesItsReason(t *testing.T) {
+func TestDenyReason(t *testing.T) {
 	d, _ := (*config.Directory)(nil).With(&config.DirectoryChange{Revision: 1, Evacuated: []config.Evacuation{{Hall: "B", Revision: 1}}})
 	p := Placement{Regions: config.Regions{"A": "East", "B": "East", "C": "West"}, Directory: d}
 	tests := []struct {
@@ -69,6 +69,6 @@
 		{config.Listing{Hall: "D"}, query.ReasonAway},
 	}
 	for _, tt := range tests {
-		assert.Equal(t, p.Barrier(&tt.listing, []string{"East"}), tt.want, "%+v", tt.listing)
+		assert.Equal(t, p.DenyReason(&tt.listing, []string{"East"}), tt.want, "%+v", tt.listing)
 	}
 }
--- a/tier/policy/queue_test.go
+++ b/tier/policy/queue_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestAcquire waits for a slot in virtual time.
+// TestAcquire uses virtual time.
 func TestAcquire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		started := time.Now()
@@ -20,20 +20,20 @@
 		u := f.Find("U1")
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		assert.Assert(t, f.Acquire(ctx, u, time.Second, now), "a free slot is given at once")
+		assert.Assert(t, f.Acquire(ctx, u, time.Second, now), "a free slot is granted immediately")
 		begun := now()
-		assert.Assert(t, !f.Acquire(ctx, u, time.Second, now), "none comes free before the deadline")
+		assert.Assert(t, !f.Acquire(ctx, u, time.Second, now), "no slot is released before the deadline")
 		assert.Equal(t, now()-begun, time.Second)
 		got := make(chan bool)
 		go func() { got <- f.Acquire(ctx, u, now()+time.Second, now) }()
 		synctest.Wait()
-		Deliver(f.Free(now(), u))
-		assert.Assert(t, <-got, "the slot that comes free is given")
+		NotifyGranted(f.ReleaseSlot(now(), u))
+		assert.Assert(t, <-got, "the released slot is granted")
 		begun = now()
 		time.AfterFunc(time.Millisecond, cancel)
-		assert.Assert(t, !f.Acquire(ctx, u, now()+time.Second, now), "nobody waits for it any more")
+		assert.Assert(t, !f.Acquire(ctx, u, now()+time.Second, now), "the context is cancelled")
 		assert.Equal(t, now()-begun, time.Millisecond)
-		Deliver(f.Free(now(), u))
+		NotifyGranted(f.ReleaseSlot(now(), u))
 		assert.Equal(t, f.State(now())[0].InUse, 0)
 		assert.Equal(t, f.State(now())[0].Queued, 0)
 	})
@@ -44,10 +44,10 @@
 	u := &Upstream{kind: &listedKind, slots: slots{share: 1, ceiling: 1}}
 	w := func(deadline time.Duration) *Waiter { return &Waiter{Upstream: u, Deadline: deadline} }
 	first, late, early, gone, past := w(time.Second), w(90*ms), w(50*ms), w(60*ms), w(10*ms)
-	granted, queued := u.enter(first)
+	granted, queued := u.acquireOrQueue(first)
 	assert.Assert(t, granted && !queued)
 	for _, x := range []*Waiter{late, early, gone, past} {
-		granted, queued = u.enter(x)
+		granted, queued = u.acquireOrQueue(x)
 		assert.Assert(t, !granted && queued)
 	}
 	assert.Equal(t, len(u.grant(20*ms)), 0, "no slot is free")
@@ -58,9 +58,9 @@
 		got := u.grant(20 * ms)
 		assert.Equal(t, len(got), 1)
 		assert.Assert(t, got[0] == want, "%s", got[0].Deadline)
-		assert.Equal(t, want.place, placeGranted)
+		assert.Equal(t, want.index, indexGranted)
 	}
-	assert.Equal(t, past.place, placeOut)
+	assert.Equal(t, past.index, indexNone)
 	assert.Equal(t, u.slots.queue.Len(), 0)
 }
 
@@ -68,10 +68,10 @@
 	for _, share := range []int{0, 1, 2} {
 		u := &Upstream{kind: &declaredKind, slots: slots{share: share, ceiling: share, inUse: share}}
 		for range queuePerSlot * max(share, 1) {
-			_, queued := u.enter(&Waiter{Upstream: u})
+			_, queued := u.acquireOrQueue(&Waiter{Upstream: u})
 			assert.Assert(t, queued)
 		}
-		granted, queued := u.enter(&Waiter{Upstream: u})
+		granted, queued := u.acquireOrQueue(&Waiter{Upstream: u})
 		assert.Assert(t, !granted && !queued)
 	}
 }
--- a/tier/policy/slots_test.go
+++ b/tier/policy/slots_test.go
@@ -25,13 +25,13 @@
 		t.Run(tt.name, func(t *testing.T) {
 			assert.Equal(t, tt.slots.allowed(), tt.allowed)
 			assert.Equal(t, tt.slots.excess(), tt.excess)
-			assert.Equal(t, tt.slots.ahead(), tt.ahead)
+			assert.Equal(t, tt.slots.callsPerSlot(), tt.ahead)
 		})
 	}
 }
 
-// TestFewerSlotsBoundWhatIsBorrowed has the division of an upstream change.
-func TestFewerSlotsBoundWhatIsBorrowed(t *testing.T) {
+// TestShrinkingSlotsReduceBorrowed changes the share and the slots of an upstream.
+func TestShrinkingSlotsReduceBorrowed(t *testing.T) {
 	s := slots{borrowing: borrowing{borrowed: 3}}
 	s.set(2, 5)
 	assert.Equal(t, s.allowed(), 5)
--- a/tier/policy/snapshot.go
+++ b/tier/policy/snapshot.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// candidateSnapshots is the number of snapshots, the newest first, that are compared for
-// one request.
+// candidateSnapshots is the number of snapshots, newest first, that are compared for a
+// request.
 const candidateSnapshots = 16
 
-// Plan resolves the replicas of each shard and picks the snapshot that covers
-// the most shards, the newest of those that cover as many. The snapshot is 0
-// if no upstream has stated what it holds.
+// Plan resolves the replicas of each shard and picks the snapshot that covers the most
+// shards, or the newest one of those that cover equally many. The snapshot is 0 if no
+// upstream has reported which ones it holds.
 func (f *Fleet) Plan(replicas [][]string) ([][]*Upstream, uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -16,16 +16,16 @@
 	var candidates []uint64
 	for _, upstreams := range out {
 		for _, u := range upstreams {
-			if u.status.window.Known && !u.leaving && !slices.Contains(candidates, u.status.window.Newest) {
-				candidates = append(candidates, u.status.window.Newest)
+			if u.status.snapshots.Known && !u.leaving && !slices.Contains(candidates, u.status.snapshots.Newest) {
+				candidates = append(candidates, u.status.snapshots.Newest)
 			}
 		}
 	}
 	return out, best(out, candidates)
 }
 
-// best returns the candidate that covers the most parts, the newest of several; 0 if
-// there is none.
+// best returns the candidate that covers the most parts, preferring newer ones; 0 if there
+// is no candidate.
 func best(parts [][]*Upstream, candidates []uint64) uint64 {
 	slices.Sort(candidates)
 	slices.Reverse(candidates)
@@ -41,7 +41,7 @@
 func covered(parts [][]*Upstream, snapshot uint64) int {
 	n := 0
 	for _, replicas := range parts {
-		if slices.ContainsFunc(replicas, func(u *Upstream) bool { return !u.leaving && u.status.window.holds(snapshot) }) {
+		if slices.ContainsFunc(replicas, func(u *Upstream) bool { return !u.leaving && u.status.snapshots.holds(snapshot) }) {
 			n++
 		}
 	}
--- a/tier/policy/suspicion_test.go
+++ b/tier/policy/suspicion_test.go
@@ -8,13 +8,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// suspectRun begins a gather of some shards for a request with a fingerprint.
+// suspectRun begins a gather over some shards for a request with a fingerprint.
 func suspectRun(t *testing.T, f *Fleet, now time.Duration, groups int) (*Run, []Action) {
 	t.Helper()
 	r, _ := routedRun(t, f, now, groups, 2, 1, true)
 	again, err := NewRun(RunConfig{
 		Fleet: f, Pool: r.request.Pool, Class: r.request.Class, Deadline: now + 2*time.Second, Replicas: replicasOf(r),
-		Repeatable: true, Routed: r.request.Routed, Subject: Subject{Fingerprint: "F"}, Granted: func(int) {},
+		Repeatable: true, Routed: r.request.Routed, Identity: RequestIdentity{Fingerprint: "F"}, Granted: func(int) {},
 	})
 	assert.NilError(t, err)
 	actions, err := again.Begin(now)
@@ -30,7 +30,7 @@
 	return out
 }
 
-// count counts the actions of a kind.
+// count returns the number of actions of a kind.
 func count(actions []Action, k ActionKind) int {
 	n := 0
 	for _, a := range actions {
@@ -42,12 +42,12 @@
 }
 
 func verdictOf(f *Fleet, now time.Duration) Verdict {
-	v, _ := f.Judge(now, Subject{Fingerprint: "F"})
+	v, _ := f.Verdict(now, RequestIdentity{Fingerprint: "F"})
 	return v
 }
 
-// TestSuspectedRunHasOneCall has two upstreams crash under a gather before any has
-// answered: the calls in progress are given up, and one is made in isolation.
+// TestSuspectedRunHasOneCall checks that a gather cancels its calls and continues with one
+// isolated call after two upstreams crashed before any has answered.
 func TestSuspectedRunHasOneCall(t *testing.T) {
 	now := 10 * time.Millisecond
 	f := routedFleet(6, RetryBudget{Ratio: 1, Depth: 100})
@@ -56,7 +56,7 @@
 
 	one := r.Reply(now, sends(first)[0].Attempt, CallCrashed)
 	assert.Equal(t, len(sends(one)), 1, "the first is tried again at once")
-	assert.Equal(t, verdictOf(f, now), VerdictSound)
+	assert.Equal(t, verdictOf(f, now), VerdictClean)
 
 	two := r.Reply(now, sends(first)[1].Attempt, CallCrashed)
 	assert.Equal(t, count(two, ActionCancel), 4, "%v", two)
@@ -66,28 +66,28 @@
 
 	three := r.Reply(now, sends(one)[0].Attempt, CallCrashed)
 	assert.Equal(t, len(sends(three)), 0, "%v", three)
-	assert.Assert(t, finished(three), "the first shard may not be asked a third time, and all are needed")
+	assert.Assert(t, finished(three), "the first shard has no attempts left, and all shards are required")
 }
 
-// TestSuspicionEndsWithAnAnswer has the isolated call be answered: all shards
-// that waited are asked, and the request is sound again.
+// TestSuspicionEndsWithAnAnswer checks that an answer to the isolated call starts all
+// deferred shards and clears the request.
 func TestSuspicionEndsWithAnAnswer(t *testing.T) {
 	now := 10 * time.Millisecond
 	f := routedFleet(6, RetryBudget{Ratio: 1, Depth: 100})
-	f.quarantine.report(0, Subject{Fingerprint: "F"}, CrashReport{ID: 1, Isolated: true, Upstream: "Gone"})
+	f.quarantine.report(0, RequestIdentity{Fingerprint: "F"}, CrashReport{ID: 1, Isolated: true, Upstream: "Gone"})
 	r, first := suspectRun(t, f, 0, 6)
 	assert.Equal(t, len(sends(first)), 1)
-	for at := r.Next(); at < isolatedTimeoutFactor*r.attempts[0].hedgeAge; at = r.Next() {
+	for at := r.WakeAt(); at < isolatedTimeoutFactor*r.attempts[0].hedgeAge; at = r.WakeAt() {
 		assert.Equal(t, len(sends(r.Wake(at))), 0, "no hedge while it is suspected")
 		now = at
 	}
 	rest := r.Reply(now, sends(first)[0].Attempt, CallOK)
 	assert.Equal(t, len(sends(rest)), 5)
-	assert.Equal(t, verdictOf(f, now), VerdictSound)
+	assert.Equal(t, verdictOf(f, now), VerdictClean)
 }
 
-// TestIsolatedCrashIsReported tells an upstream that crashed from one that resets a
-// connection.
+// TestIsolatedCrashIsReported distinguishes a crash from other failures of an isolated
+// call.
 func TestIsolatedCrashIsReported(t *testing.T) {
 	tests := []struct {
 		outcome CallOutcome
@@ -103,7 +103,7 @@
 	for _, tt := range tests {
 		t.Run(string(tt.outcome), func(t *testing.T) {
 			f := routedFleet(6, RetryBudget{Ratio: 1, Depth: 100})
-			f.quarantine.report(0, Subject{Fingerprint: "F"}, CrashReport{ID: 1, Isolated: true, Upstream: "Gone"})
+			f.quarantine.report(0, RequestIdentity{Fingerprint: "F"}, CrashReport{ID: 1, Isolated: true, Upstream: "Gone"})
 			r, first := suspectRun(t, f, 0, 6)
 			next := r.Reply(time.Millisecond, sends(first)[0].Attempt, tt.outcome)
 			assert.Equal(t, verdictOf(f, time.Millisecond), tt.want)
@@ -115,22 +115,22 @@
 	}
 }
 
-// TestQuarantinedRequestIsRefused refuses it at once, and says for how long.
+// TestQuarantinedRequestIsRefused checks the refusal and its RetryAfter.
 func TestQuarantinedRequestIsRefused(t *testing.T) {
 	f := routedFleet(6, RetryBudget{})
 	for id, u := range []string{"A", "B"} {
-		f.quarantine.report(0, Subject{Fingerprint: "F"}, CrashReport{ID: uint64(id), Attempt: uint64(id), Isolated: true, Upstream: u})
+		f.quarantine.report(0, RequestIdentity{Fingerprint: "F"}, CrashReport{ID: uint64(id), Attempt: uint64(id), Isolated: true, Upstream: u})
 	}
 	r, _ := routedRun(t, f, 0, 6, 2, 1, true)
-	r.suspicion.subject, r.finished = Subject{Fingerprint: "F"}, false
+	r.suspicion.identity, r.finished = RequestIdentity{Fingerprint: "F"}, false
 	_, err := r.Begin(time.Second)
 	var refusal *Refusal
 	assert.Assert(t, errors.As(err, &refusal), "%v", err)
-	assert.Equal(t, refusal.RetryAfter, quarantineGrowth*quarantineFirst-time.Second)
+	assert.Equal(t, refusal.RetryAfter, quarantineGrowth*initialQuarantine-time.Second)
 }
 
-// TestResetConnectionsAreNoCrash has upstreams reset connections, as they also do when
-// they are well: the request is not suspected.
+// TestResetConnectionsAreNoCrash checks that reset connections, which also occur on healthy
+// upstreams, do not make a request suspected.
 func TestResetConnectionsAreNoCrash(t *testing.T) {
 	f := routedFleet(6, RetryBudget{Ratio: 1, Depth: 100})
 	r, first := suspectRun(t, f, 0, 6)
@@ -139,24 +139,24 @@
 		assert.Equal(t, len(sends(next)), 1, "tried again at once")
 		assert.Equal(t, count(next, ActionCancel), 0)
 	}
-	assert.Equal(t, verdictOf(f, time.Millisecond), VerdictSound)
+	assert.Equal(t, verdictOf(f, time.Millisecond), VerdictClean)
 }
 
-// TestIsolatedCallThatHangsIsReplaced has the upstreams of isolated calls be unresponsive: the
-// second is asked after a while, and the run ends before its deadline.
+// TestIsolatedCallThatHangsIsReplaced checks that an isolated call to an unresponsive
+// upstream is replaced once, and that the run then ends before its deadline.
 func TestIsolatedCallThatHangsIsReplaced(t *testing.T) {
 	f := routedFleet(6, RetryBudget{Ratio: 1, Depth: 100})
-	f.quarantine.report(0, Subject{Fingerprint: "F"}, CrashReport{ID: 1, Upstream: "Gone"})
+	f.quarantine.report(0, RequestIdentity{Fingerprint: "F"}, CrashReport{ID: 1, Upstream: "Gone"})
 	r, first := suspectRun(t, f, 0, 6)
 	assert.Equal(t, len(sends(first)), 1)
 	sent := 1
-	for now := r.Next(); now < time.Second; now = r.Next() {
+	for now := r.WakeAt(); now < time.Second; now = r.WakeAt() {
 		actions := r.Wake(now)
 		sent += len(sends(actions))
 		if finished(actions) {
-			assert.Equal(t, sent, isolatedTimeoutsMost)
+			assert.Equal(t, sent, maxIsolatedTimeouts)
 			return
 		}
 	}
-	t.Fatal("the run goes on")
+	t.Fatal("the run did not finish")
 }
--- a/tier/wire/trace.go
+++ b/tier/wire/trace.go
@@ -8,40 +8,40 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// traceHeader is the W3C header that names the trace and the parent span.
-const traceHeader = "traceparent"
+// traceParentHeader is the W3C Trace Context header of the trace and its parent span.
+const traceParentHeader = "traceparent"
 
 var propagator propagation.TraceContext
 
-// unsampled is the parent of spans that belong to no sampled trace.
-var unsampled = trace.NewSpanContext(trace.SpanContextConfig{TraceID: trace.TraceID{1}, SpanID: trace.SpanID{1}, Remote: true})
+// unsampledParent is the parent of spans outside any sampled trace.
+var unsampledParent = trace.NewSpanContext(trace.SpanContextConfig{TraceID: trace.TraceID{1}, SpanID: trace.SpanID{1}, Remote: true})
 
-// TraceOf returns the trace parent of a context, for another host; empty if the trace
-// is not sampled, which halves a short message.
-func TraceOf(ctx context.Context) string {
+// TraceParent returns the trace parent of a context, to be sent to another host. It is
+// empty if the trace is not sampled, which keeps messages short.
+func TraceParent(ctx context.Context) string {
 	if !trace.SpanContextFromContext(ctx).IsSampled() {
 		return ""
 	}
 	carrier := propagation.MapCarrier{}
 	propagator.Inject(ctx, carrier)
-	return carrier.Get(traceHeader)
+	return carrier.Get(traceParentHeader)
 }
 
-// TraceInto continues the trace of another host's TraceOf. If it is empty, nothing
-// under the context is sampled either.
-func TraceInto(ctx context.Context, parent string) context.Context {
+// WithTraceParent continues the trace whose parent another host got from TraceParent. If
+// parent is empty, spans under the returned context are not sampled.
+func WithTraceParent(ctx context.Context, parent string) context.Context {
 	if parent == "" {
-		return trace.ContextWithRemoteSpanContext(ctx, unsampled)
+		return trace.ContextWithRemoteSpanContext(ctx, unsampledParent)
 	}
-	return propagator.Extract(ctx, propagation.MapCarrier{traceHeader: parent})
+	return propagator.Extract(ctx, propagation.MapCarrier{traceParentHeader: parent})
 }
 
-// TraceFrom continues the trace of a caller's headers.
-func TraceFrom(ctx context.Context, h http.Header) context.Context {
+// ExtractTrace continues the trace given in a caller's headers.
+func ExtractTrace(ctx context.Context, h http.Header) context.Context {
 	return propagator.Extract(ctx, propagation.HeaderCarrier(h))
 }
 
-// TraceTo writes the trace parent of a context into headers.
-func TraceTo(ctx context.Context, h http.Header) {
+// InjectTrace sets the trace parent of a context in headers.
+func InjectTrace(ctx context.Context, h http.Header) {
 	propagator.Inject(ctx, propagation.HeaderCarrier(h))
 }
