--- a/tier/pass/inbound.go
+++ b/tier/pass/inbound.go
@@ -19,7 +19,7 @@
 	// responseReserve is subtracted from the caller's deadline, so that the response
 	// arrives in time despite network delay and late timers.
 	responseReserve = 10 * time.Millisecond
-	// responseReserveDivisor limits the reserve to this fraction of the time limit.
+	// responseReserveDivisor limits the reserve to a quarter of the time limit.
 	responseReserveDivisor = 4
 	// defaultMaxBodyBytes bounds the body of a request if the document sets no limit.
 	defaultMaxBodyBytes = 1 << 20
