--- a/loomd/reload.go
+++ b/loomd/reload.go
@@ -30,7 +30,7 @@
 			case <-done:
 				return
 			case <-signals:
-				k.Log.Info().Str("File", src.file).Msg("reloading settings at SIGHUP")
+				k.Log.Info().Str("File", src.file).Msg("signal to reload settings received")
 			case <-tick.C:
 			}
 			if src.file != "" {
@@ -49,7 +49,7 @@
 func reload(k *kernel.Kernel, src settingsSource) {
 	next, err := src.settings()
 	if err != nil {
-		k.Log.Error().Err(err).Msg("rejected changed settings, keeping the current ones")
+		k.Log.Error().Err(err).Msg("failed to reload settings, keeping current ones")
 		return
 	}
 	old, live := k.Reloadable(), kernel.ReloadableSettings{Seeds: next.Seeds, RetryBudget: next.RetryBudget}
@@ -58,7 +58,7 @@
 	}
 	k.Reload(live)
 	k.Log.Info().Int("Seeds", len(live.Seeds)).Float64("RetryRatio", live.RetryBudget.Ratio).
-		Float64("RetrySlack", live.RetryBudget.Slack).Msg("applied changed settings")
+		Float64("RetrySlack", live.RetryBudget.Slack).Msg("changed settings applied")
 }
 
 // settingsSource is where the settings of the process come from.
--- a/loomd/serve.go
+++ b/loomd/serve.go
@@ -44,7 +44,7 @@
 	log, flush := newLog(os.Stdout)
 	defer flush()
 	if err := c.run(ctx, f, log, flush); err != nil {
-		log.Error().Err(err).Msg("daemon failed to start")
+		log.Error().Err(err).Msg("failed to start daemon")
 		// Operators who start the daemon by hand read standard error.
 		fmt.Fprintln(os.Stderr, "loomd: "+err.Error())
 		return subcommands.ExitFailure
@@ -93,7 +93,7 @@
 	defer watchSettingsFile(k, src)()
 	log.Info().Str("Version", prog.Release).Str("Incarnation", s.Incarnation).Str("Adapter", s.Adapter).
 		Int("Seeds", len(s.Seeds)).Msg("daemon started")
-	defer log.Info().Msg("daemon stops")
+	defer log.Info().Msg("daemon stopping")
 	waitForStop(k, signals)
 	return nil
 }
--- a/loomd/stop.go
+++ b/loomd/stop.go
@@ -27,6 +27,6 @@
 		k.Stop()
 	case <-k.Stopping():
 	}
-	k.Log.Info().Dur("Settle", k.Settings.Settle).Msg("beginning planned stop")
+	k.Log.Info().Dur("Settle", k.Settings.Settle).Msg("planned stop started")
 	k.Settle()
 }
--- a/loomd/trace.go
+++ b/loomd/trace.go
@@ -29,7 +29,7 @@
 		for _, a := range p.Attributes() {
 			line = line.Str(string(a.Key), a.Value.String())
 		}
-		line.Msg("span")
+		line.Msg("span ended")
 	}
 	return nil
 }
--- a/loomfake/command.go
+++ b/loomfake/command.go
@@ -28,7 +28,7 @@
 			return subcommands.ExitSuccess
 		}
 		log := zerolog.New(os.Stderr).With().Timestamp().Logger()
-		log.Error().Err(err).Msg("running command failed")
+		log.Error().Err(err).Msg("failed to run command")
 		return subcommands.ExitFailure
 	}
 }
--- a/loomfake/soak_test.go
+++ b/loomfake/soak_test.go
@@ -105,8 +105,8 @@
 
 // controlMessages are the log messages about how a daemon follows the platform.
 var controlMessages = []string{
-	"daemon started", "daemon stops", "turn to read the platform", "platform lost", "platform regained", "history is gone",
-	"document", "directory", "process was paused", "connection to peer is silent",
+	"daemon started", "daemon stopping", "platform reader role changed", "platform became unavailable", "platform became available again",
+	"history no longer available", "document", "directory", "process was paused", "connection to peer is unresponsive",
 }
 
 // controlLines returns the lines of a daemon's log with controlMessages. They go into
--- a/tier/entry/call.go
+++ b/tier/entry/call.go
@@ -36,7 +36,7 @@
 	id, message := c.message(a.Part, a.Attempt)
 	body, err := wire.Encode(message)
 	if err != nil {
-		k.Log.Error().Err(err).Msg("message not encoded")
+		k.Log.Error().Err(err).Msg("failed to encode message")
 		return runner.Reply[*wire.PartReply]{Outcome: policy.CallNotSent}
 	}
 	x := c.upstreamCall
--- a/tier/entry/order.go
+++ b/tier/entry/order.go
@@ -126,7 +126,7 @@
 	if err == nil {
 		return answer
 	}
-	e.kernel.Log.Warn().Err(err).Str("Ticket", o.id).Msg("order not forwarded")
+	e.kernel.Log.Warn().Err(err).Str("Ticket", o.id).Msg("failed to forward order")
 	if o.deadline > e.kernel.Now() {
 		return e.askSuccessors(ctx, o)
 	}
--- a/tier/entry/serve.go
+++ b/tier/entry/serve.go
@@ -80,7 +80,7 @@
 func listen(at netip.AddrPort, flag string, h http.Handler) (func(time.Duration), error) {
 	l, err := net.Listen("tcp", at.String())
 	if err != nil {
-		return nil, fmt.Errorf("listen at %s: %w: free the address or set %s", at, err, flag)
+		return nil, fmt.Errorf("listen on %s: %w (free the address or set %s)", at, err, flag)
 	}
 	s := &http.Server{
 		Handler: h, ReadHeaderTimeout: callerHeaderTimeout, ReadTimeout: callerReadTimeout,
--- a/tier/entry/status.go
+++ b/tier/entry/status.go
@@ -113,7 +113,7 @@
 	defer cancel()
 	status, err := p.client.status(ctx)
 	if err != nil {
-		r.kernel.Log.Debug().Err(err).Str("Upstream", name).Msg("status not read")
+		r.kernel.Log.Debug().Err(err).Str("Upstream", name).Msg("failed to read upstream status")
 		return
 	}
 	now := r.kernel.Now()
--- a/tier/entry/successor.go
+++ b/tier/entry/successor.go
@@ -166,7 +166,7 @@
 	defer cancel()
 	var out struct{}
 	err := e.kernel.Peers.Call(ctx, successor, methodAdopt, r, &out)
-	e.kernel.Log.Info().Err(err).Str("Successor", successor).Int("Tickets", len(r.Tickets)).Msg("tickets handed over")
+	e.kernel.Log.Info().Err(err).Str("Successor", successor).Int("Tickets", len(r.Tickets)).Msg("ticket handover finished")
 }
 
 // askSuccessors sends an order to the hosts that may have adopted its ticket, one after the
--- a/tier/kernel/adapter.go
+++ b/tier/kernel/adapter.go
@@ -14,7 +14,7 @@
 var (
 	// ErrHistoryGone is wrapped when a source no longer has the changes after a
 	// position. The caller must read everything again.
-	ErrHistoryGone = errors.New("history of changes is gone")
+	ErrHistoryGone = errors.New("change history is no longer available")
 	// ErrStaleEra is wrapped when a source answered from an era before the one asked
 	// for, that is, from before it was restored from a copy. The caller drops the
 	// answer and asks again.
--- a/tier/kernel/control.go
+++ b/tier/kernel/control.go
@@ -81,7 +81,7 @@
 	}
 	k.Log.Error().Interface("Cause", cause).Bool("Document", s.Index != nil).Bool("Directory", s.Directory != nil).
 		Int("Members", len(s.Members)).Bool("Reading", s.Reading).Bool("Announcing", s.Announcing).
-		Bool("FeedDown", s.PlatformDown).Dur("SourceAt", s.AnnouncedReadAt).Dur("Age", k.Now()).Msg("control thread failed")
+		Bool("FeedDown", s.PlatformDown).Dur("SourceAt", s.AnnouncedReadAt).Dur("Age", k.Now()).Msg("control thread panicked")
 	if k.FlushLog != nil {
 		k.FlushLog()
 	}
--- a/tier/kernel/document.go
+++ b/tier/kernel/document.go
@@ -74,7 +74,7 @@
 	d.Based = e.Revision - 1
 	text, err := config.Encode(d)
 	if err != nil {
-		k.Log.Error().Err(err).Uint64("Revision", e.Revision).Msg("document not encoded")
+		k.Log.Error().Err(err).Uint64("Revision", e.Revision).Msg("failed to encode document")
 		return
 	}
 	k.accept(s, string(text), e)
@@ -102,7 +102,7 @@
 	}
 	s.Index = x
 	k.Log.Info().Uint64("Version", e.Version).Uint64("Era", e.Era).Uint64("Revision", e.Revision).Str("Digest", x.Digest).
-		Int("Routes", len(x.Document.Routes)).Msg("document in force")
+		Int("Routes", len(x.Document.Routes)).Msg("document activated")
 }
 
 // logIgnored logs a document that is older than the newest one seen, so that an operator
@@ -111,6 +111,6 @@
 	if s.Newest.Newer(e) {
 		k.Log.Info().Uint64("Version", e.Version).Uint64("Era", e.Era).Uint64("Revision", e.Revision).
 			Uint64("NewestVersion", s.Newest.Version).Uint64("NewestEra", s.Newest.Era).Uint64("Newest", s.Newest.Revision).
-			Msg("document passed over")
+			Msg("older document ignored")
 	}
 }
--- a/tier/kernel/kernel.go
+++ b/tier/kernel/kernel.go
@@ -64,7 +64,7 @@
 		lifecycle:  lifecycle{stopping: make(chan struct{})},
 	}
 	if err := k.suspensions.start(c.BootTime, k.monotonic); err != nil {
-		k.Log.Warn().Err(err).Msg("suspensions of the machine are not noticed")
+		k.Log.Warn().Err(err).Msg("failed to read boot clock, machine suspensions are not detected")
 	}
 	k.live.Store(&ReloadableSettings{Seeds: c.Settings.Seeds, RetryBudget: c.Settings.RetryBudget})
 	k.phase.Store(PhaseStarting)
--- a/tier/kernel/kernel_test.go
+++ b/tier/kernel/kernel_test.go
@@ -234,7 +234,7 @@
 		panic("broken")
 	}()
 	assert.Assert(t, flushed)
-	for _, want := range []string{`"Cause":"broken"`, `"Announcing":true`, `"Directory":false`, "control thread failed"} {
+	for _, want := range []string{`"Cause":"broken"`, `"Announcing":true`, `"Directory":false`, "control thread panicked"} {
 		assert.Assert(t, strings.Contains(line.String(), want), line.String())
 	}
 }
--- a/tier/kernel/lifecycle.go
+++ b/tier/kernel/lifecycle.go
@@ -72,7 +72,7 @@
 	for k.notReadyAnswers.Load() < int64(k.Settings.SettleAsks) && k.Now()-started < k.Settings.SettleMost {
 		time.Sleep(settlePollInterval)
 	}
-	k.Log.Info().Int64("Asked", k.notReadyAnswers.Load()).Dur("Took", k.Now()-started).Msg("no more requests taken")
+	k.Log.Info().Int64("Asked", k.notReadyAnswers.Load()).Dur("Took", k.Now()-started).Msg("settle period ended, no longer accepting requests")
 }
 
 // AwaitIdle waits until no request is in flight and returns true, or returns false if the
--- a/tier/pass/answer.go
+++ b/tier/pass/answer.go
@@ -76,7 +76,7 @@
 	}
 	w.WriteHeader(status)
 	if _, err := w.Write(body); err != nil {
-		q.engine.kernel.RequestLog.Info().Str("RequestID", q.in.id).Err(err).Msg("writing response to caller failed")
+		q.engine.kernel.RequestLog.Info().Str("RequestID", q.in.id).Err(err).Msg("failed to write response to caller")
 	}
 }
 
--- a/tier/pass/coordinate_client.go
+++ b/tier/pass/coordinate_client.go
@@ -62,7 +62,7 @@
 			q.respondCoordinated(w, target.Host, reply)
 			return true
 		case s.begun:
-			q.log(outcomeUnknown, http.StatusBadGateway).Str("Coordinator", target.Host).Msg("coordinator lost")
+			q.log(outcomeUnknown, http.StatusBadGateway).Str("Coordinator", target.Host).Msg("coordinator lost, request may have run")
 			http.Error(w, noResponseText(outcomeUnknown), http.StatusBadGateway)
 			return true
 		}
@@ -77,7 +77,7 @@
 		h.Set(name, value)
 	}
 	held := time.Duration(reply.HeldMicros) * time.Microsecond
-	q.log(reply.Outcome, reply.Status).Str("Coordinator", coordinator).Int64("HeldMillis", held.Milliseconds()).Msg("request answered by a coordinator")
+	q.log(reply.Outcome, reply.Status).Str("Coordinator", coordinator).Int64("HeldMillis", held.Milliseconds()).Msg("request answered by coordinator")
 	q.write(w, reply.Status, http.Header{}, reply.Body)
 	q.engine.overhead.forwarding.Observe(q.engine.kernel.Now() - q.times.startedAt - held)
 }
@@ -157,7 +157,7 @@
 	s.noteFirstResponse(0)
 	e := s.request.engine
 	if err := e.kernel.Peers.Notify(ctx, s.target.Host, methodCoordinateBegin, coordinateID{ID: id}); err != nil {
-		s.log().Err(err).Msg("coordinator not told to begin")
+		s.log().Err(err).Msg("failed to tell coordinator to begin")
 		// The message may have arrived despite the error.
 		s.begun = !notDelivered(err)
 		return false
@@ -185,13 +185,13 @@
 		if !s.responded {
 			e.hosts.unanswered(s.target.Host, s.target.Hall, e.kernel.Now(), true)
 		}
-		s.log().Bool("Begun", s.begun).Err(err).Msg("request not answered by a coordinator")
+		s.log().Bool("Begun", s.begun).Err(err).Msg("failed to get reply from coordinator")
 		return nil
 	}
 	s.noteFirstResponse(time.Duration(s.reply.HeldMicros) * time.Microsecond)
 	if s.reply.Declined != "" {
 		e.hosts.declined(s.target.Host, e.kernel.Now(), s.reply.Declined)
-		s.log().Str("Declined", string(s.reply.Declined)).Msg("request declined by a coordinator")
+		s.log().Str("Declined", string(s.reply.Declined)).Msg("request declined by coordinator")
 		return nil
 	}
 	return &s.reply
@@ -205,11 +205,11 @@
 		e.hosts.unanswered(s.target.Host, s.target.Hall, e.kernel.Now(), !callerGone)
 	}
 	if !callerGone {
-		s.log().Bool("Begun", s.begun).Msg("coordinator is silent")
+		s.log().Bool("Begun", s.begun).Msg("coordinator is unresponsive")
 	}
 	go func() {
 		if err := e.notifyStop(s.target.Host, methodCoordinateStop, coordinateID{ID: id}); err != nil {
-			s.log().Err(err).Msg("stopping forwarded request failed")
+			s.log().Err(err).Msg("failed to stop forwarded request")
 		}
 	}()
 }
--- a/tier/pass/inbound.go
+++ b/tier/pass/inbound.go
@@ -129,7 +129,7 @@
 		q.reject(w, http.StatusRequestEntityTooLarge, outcomeTooLarge, "body over "+strconv.FormatInt(maxBytes, 10)+" bytes: send a shorter one")
 		return nil, false
 	case err != nil:
-		q.log(outcomeInvalid, http.StatusBadRequest).Err(err).Msg("reading request body failed")
+		q.log(outcomeInvalid, http.StatusBadRequest).Err(err).Msg("failed to read request body")
 		w.Header().Set("Connection", "close")
 		w.WriteHeader(http.StatusBadRequest)
 		return nil, false
--- a/tier/pass/plugin.go
+++ b/tier/pass/plugin.go
@@ -45,7 +45,7 @@
 	s := &http.Server{Handler: e, ReadHeaderTimeout: callerHeaderTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxCallerHeaderBytes}
 	go func() {
 		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			k.Log.Error().Err(err).Msg("HTTP server stopped unexpectedly")
+			k.Log.Error().Err(err).Msg("http server stopped unexpectedly")
 		}
 	}()
 	return func() {
--- a/tier/pass/preconnect.go
+++ b/tier/pass/preconnect.go
@@ -79,7 +79,7 @@
 	defer cancel()
 	started := e.kernel.Now()
 	if err := e.kernel.Peers.Connect(ctx, host); err != nil {
-		e.kernel.Log.Info().Err(err).Str("Peer", host).Msg("preconnecting to host failed")
+		e.kernel.Log.Info().Err(err).Str("Peer", host).Msg("failed to preconnect to host")
 		return
 	}
 	if took := e.kernel.Now() - started; took >= minRoundTrip {
--- a/tier/pass/relay_client.go
+++ b/tier/pass/relay_client.go
@@ -271,7 +271,7 @@
 		s.stop()
 	} else {
 		e.kernel.RequestLog.Info().Str("RequestID", q.in.id).Str("Relay", s.relay).Int("Calls", len(s.calls)).
-			Str("Outcome", string(o)).Err(err).Msg("batch not answered")
+			Str("Outcome", string(o)).Err(err).Msg("failed to get batch reply from relay")
 	}
 	for i := range s.calls {
 		s.reporter.Report(i, runner.Reply[*response]{Outcome: o})
@@ -283,7 +283,7 @@
 	q := s.request
 	err := q.engine.notifyStop(s.relay, methodBatchStop, batchStop{ID: s.in.ID, CallerGone: q.callerGone.Load()})
 	if err != nil {
-		q.engine.kernel.RequestLog.Info().Str("RequestID", q.in.id).Str("Relay", s.relay).Err(err).Msg("stopping batch at relay failed")
+		q.engine.kernel.RequestLog.Info().Str("RequestID", q.in.id).Str("Relay", s.relay).Err(err).Msg("failed to stop batch at relay")
 	}
 }
 
--- a/tier/pass/relay_records.go
+++ b/tier/pass/relay_records.go
@@ -112,7 +112,7 @@
 			if errs[i] != nil {
 				q.responses.parts.remove(b)
 				e.kernel.RequestLog.Info().Str("RequestID", q.in.id).Str("Relay", b.omitted.relay).Int("Parts", len(b.stamps)).
-					Err(errs[i]).Msg("records not completed")
+					Err(errs[i]).Msg("failed to fetch omitted records")
 			}
 		}
 	}
--- a/tier/pass/serve.go
+++ b/tier/pass/serve.go
@@ -127,7 +127,7 @@
 	case errors.As(err, &refusal):
 		q.refuse(w, refusal.Reason, refusal.RetryAfter)
 	case err != nil:
-		q.engine.kernel.Log.Error().Err(err).Str("RequestID", q.in.id).Msg("running request failed")
+		q.engine.kernel.Log.Error().Err(err).Str("RequestID", q.in.id).Msg("failed to run request")
 		q.refuse(w, "internal error", retryAfterNoUpstream)
 	case caller.Err() != nil:
 		q.log(outcomeGivenUp, 0).Int("Ran", result.Ran).Msg("request cancelled by caller")
--- a/tier/peers/announcement.go
+++ b/tier/peers/announcement.go
@@ -187,7 +187,7 @@
 	defer cancel()
 	var reply announceReply
 	if err := a.kernel.Peers.Call(ctx, host, methodAnnounce, m, &reply); err != nil {
-		a.kernel.Log.Debug().Err(err).Str("Peer", host).Msg("announcement not sent")
+		a.kernel.Log.Debug().Err(err).Str("Peer", host).Msg("failed to send announcement")
 		return
 	}
 	if other := reply.Announcement; other != nil {
--- a/tier/peers/compare.go
+++ b/tier/peers/compare.go
@@ -32,7 +32,7 @@
 	}
 	if h.edition() == s.Edition() && h.Digest != s.Index.Digest {
 		metrics.GetOrCreateCounter("loomgap_config_conflicts_total").Inc()
-		g.kernel.Log.Error().Uint64("Revision", h.Revision).Msg("a peer holds another document of the same revision: publish a new revision")
+		g.kernel.Log.Error().Uint64("Revision", h.Revision).Msg("peer has a different document of the same revision, publish a new revision")
 	}
 	if g.confirms(s, h) {
 		s.Confirm(now - max(h.ConfirmedAge, 0))
--- a/tier/peers/conn.go
+++ b/tier/peers/conn.go
@@ -123,7 +123,7 @@
 	}
 	n.unregister(to, o)
 	o.replace()
-	n.kernel.Log.Info().Str("Peer", to.String()).Msg("connection to peer is silent, making another")
+	n.kernel.Log.Info().Str("Peer", to.String()).Msg("connection to peer is unresponsive, reconnecting")
 	return nil
 }
 
--- a/tier/peers/crash_reports.go
+++ b/tier/peers/crash_reports.go
@@ -179,7 +179,7 @@
 		line = k.Log.Warn()
 	}
 	line.Str("Fingerprint", string(r.Fingerprint)).Str("Verdict", string(verdict)).
-		Strs("Upstreams", upstreams).Strs("Callers", callers).Msg("strikes of a request changed")
+		Strs("Upstreams", upstreams).Strs("Callers", callers).Msg("crash reports of request changed")
 }
 
 // targets returns the hosts that new crash reports are sent to: some of this hall and of each
@@ -212,7 +212,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if err := c.kernel.Peers.Notify(ctx, host, methodCrashReports, m); err != nil {
-		c.kernel.Log.Info().Err(err).Str("Peer", host).Msg("strikes not told")
+		c.kernel.Log.Info().Err(err).Str("Peer", host).Msg("failed to send crash reports")
 	}
 }
 
@@ -237,7 +237,7 @@
 		err = c.apply(&reply)
 	}
 	if err != nil {
-		c.kernel.Log.Info().Err(err).Str("Peer", host).Msg("strikes not exchanged")
+		c.kernel.Log.Info().Err(err).Str("Peer", host).Msg("failed to exchange crash reports")
 	}
 }
 
--- a/tier/peers/feed.go
+++ b/tier/peers/feed.go
@@ -127,7 +127,7 @@
 	f.eraTracker.failed()
 	if errors.Is(err, kernel.ErrHistoryGone) {
 		f.kernel.Log.Info().Err(err).Uint64("DirectoryEra", f.position.Era).Uint64("DirectoryRevision", f.position.Revision).
-			Msg("history is gone, reading everything")
+			Msg("platform change history no longer available, reading everything")
 		f.position, f.consistentRead, f.caughtUp = config.Position{}, true, false
 		if f.historyGoneAt > 0 && now-f.historyGoneAt < changeDebounce {
 			// Without a pause, a platform that keeps losing its history would be read in a
@@ -151,14 +151,14 @@
 		return
 	}
 	s.PlatformDown = true
-	k.Log.Warn().Err(err).Int64("PlatformAgeMillis", (k.Now() - s.PlatformReadAt).Milliseconds()).Msg("platform lost")
+	k.Log.Warn().Err(err).Int64("PlatformAgeMillis", (k.Now() - s.PlatformReadAt).Milliseconds()).Msg("platform became unavailable")
 }
 
 // apply puts what was read in force on the control thread and waits for that.
 func (f *feed) apply(p *kernel.Published) {
 	now := f.kernel.Now()
 	for _, err := range p.Problems {
-		f.kernel.Log.Error().Err(err).Msg("entry of the platform not understood, left out")
+		f.kernel.Log.Error().Err(err).Msg("invalid platform entry skipped")
 		metrics.GetOrCreateCounter("loomgap_platform_entries_refused_total").Inc()
 	}
 	wasUnavailable := f.outage.isUnavailable(now, maxReadAge(&f.kernel.Settings))
@@ -187,7 +187,7 @@
 	s.PlatformReadAt, s.AnnouncedReadAt, s.OwnReadAt = now, now, now
 	if s.PlatformDown {
 		s.PlatformDown = false
-		f.kernel.Log.Info().Uint64("DirectoryEra", p.Position.Era).Uint64("DirectoryRevision", p.Position.Revision).Msg("platform regained")
+		f.kernel.Log.Info().Uint64("DirectoryEra", p.Position.Era).Uint64("DirectoryRevision", p.Position.Revision).Msg("platform became available again")
 	}
 	if p.Document != nil {
 		f.kernel.AcceptDocument(s, p.Document, p.Edition)
--- a/tier/peers/fetch.go
+++ b/tier/peers/fetch.go
@@ -94,7 +94,7 @@
 	go func() {
 		text, edition, err := f.read(from, methodDocument, config.MaxBytes)
 		if err != nil {
-			f.kernel.Log.Warn().Err(err).Msg("document not fetched")
+			f.kernel.Log.Warn().Err(err).Msg("failed to fetch document from peer")
 		}
 		f.kernel.Do(func(s *kernel.State) {
 			f.fetchingDocument = false
@@ -143,7 +143,7 @@
 	go func() {
 		change, err := f.readDirectory(from)
 		if err != nil {
-			f.kernel.Log.Info().Err(err).Stringer("Peer", from).Msg("directory not fetched")
+			f.kernel.Log.Info().Err(err).Stringer("Peer", from).Msg("failed to fetch directory from peer")
 		}
 		f.kernel.Do(func(s *kernel.State) {
 			f.fetchingDirectory = false
@@ -152,7 +152,7 @@
 			if err == nil && (s.PlatformDown || !s.Reading || s.Directory.Unsettled()) {
 				s.ApplyDirectoryChange(change)
 				f.kernel.Log.Info().Stringer("Peer", from).Uint64("DirectoryEra", change.Era).Uint64("DirectoryRevision", change.Revision).
-					Int("Upstreams", s.Directory.Size()).Msg("directory learnt from a peer")
+					Int("Upstreams", s.Directory.Size()).Msg("directory fetched from peer")
 			}
 		})
 	}()
--- a/tier/peers/heartbeat.go
+++ b/tier/peers/heartbeat.go
@@ -203,7 +203,7 @@
 		err = g.node.callWithin(heartbeatTimeout, to, methodHeartbeat, message, &reply)
 	}
 	if err != nil {
-		g.kernel.Log.Debug().Err(err).Msg("heartbeat not answered")
+		g.kernel.Log.Debug().Err(err).Msg("failed to exchange heartbeats")
 		g.kernel.Do(func(s *kernel.State) { g.recordUnanswered(s, to, sentAt) })
 		return
 	}
--- a/tier/peers/node.go
+++ b/tier/peers/node.go
@@ -50,7 +50,7 @@
 func newNode(k *kernel.Kernel) (*node, func(), error) {
 	l, err := net.Listen("tcp", k.Settings.Peer.String())
 	if err != nil {
-		return nil, nil, fmt.Errorf("listen for peers: %w: free the address or set -Peer", err)
+		return nil, nil, fmt.Errorf("listen for peers: %w (free the address or set -Peer)", err)
 	}
 	n := &node{kernel: k, listener: l, conns: map[netip.AddrPort]*outgoing{}, incoming: map[*jsonrpc2.Conn]bool{}}
 	go n.accept()
@@ -83,7 +83,7 @@
 			return
 		}
 		if err != nil {
-			n.kernel.Log.Warn().Err(err).Msg("connection of a peer not accepted")
+			n.kernel.Log.Warn().Err(err).Msg("failed to accept connection from peer")
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
--- a/tier/peers/reader.go
+++ b/tier/peers/reader.go
@@ -20,7 +20,7 @@
 // platform does not answer it. Before it takes over, a host waits one step for each live host
 // that ranks before it. At most maxFailedReaders hosts try a platform that does not answer.
 //
-// Each change of a host's role is logged as "turn to read the platform": Tells is whether it
+// Each change of a host's role is logged as "platform reader role changed": Tells is whether it
 // announces to its hall, Reads whether it reads the platform.
 
 const (
@@ -68,7 +68,7 @@
 		s.Announcing, s.Reading = announces, reads
 		s.Changed()
 		k.Log.Info().Bool("Tells", announces).Bool("Reads", reads).
-			Int64("PlatformAgeMillis", (k.Now() - s.PlatformReadAt).Milliseconds()).Msg("turn to read the platform")
+			Int64("PlatformAgeMillis", (k.Now() - s.PlatformReadAt).Milliseconds()).Msg("platform reader role changed")
 	}
 	if !reads {
 		// Other hosts read for this one.
--- a/tier/peers/restore.go
+++ b/tier/peers/restore.go
@@ -93,11 +93,11 @@
 	metrics.GetOrCreateCounter("loomgap_platform_returns_total").Inc()
 	k.Log.Warn().Uint64("DirectoryEra", at.Era).Uint64("DirectoryRevision", at.Revision).
 		Uint64("KnownEra", known.Era).Uint64("KnownRevision", known.Revision).
-		Int64("PlatformAgeMillis", (k.Now() - s.PlatformReadAt).Milliseconds()).Msg("platform came back with another history")
+		Int64("PlatformAgeMillis", (k.Now() - s.PlatformReadAt).Milliseconds()).Msg("platform history replaced, new era detected")
 }
 
 // logSettled logs what changes once an era is settled.
 func logSettled(k *kernel.Kernel, s *kernel.State, c *config.DirectoryChange) {
 	k.Log.Info().Uint64("DirectoryEra", c.Era).Uint64("DirectoryRevision", c.Revision).Int("Lacking", len(s.Directory.ImpliedRemovals(c))).
-		Int("Resumed", len(s.Directory.ImpliedResumptions(c))).Msg("history settled")
+		Int("Resumed", len(s.Directory.ImpliedResumptions(c))).Msg("new platform era settled")
 }
--- a/tier/peers/watch.go
+++ b/tier/peers/watch.go
@@ -87,7 +87,7 @@
 		}
 		metrics.GetOrCreateCounter("loomgap_platform_reads_total").Inc()
 		if err := read(ctx); err != nil {
-			w.kernel.Log.Debug().Err(err).Msg("platform not read")
+			w.kernel.Log.Debug().Err(err).Msg("failed to read platform")
 			kernel.Sleep(ctx, readInterval+rand.N(readInterval))
 		}
 	}
