--- a/loomctl/ask.go
+++ b/loomctl/ask.go
@@ -20,7 +20,7 @@
 func newAskCommand() prog.Command {
 	c := &askCommand{}
 	return c.hostCommand(prog.Command{
-		Name: "ask", Synopsis: "ask a question of the data",
+		Name: "ask", Synopsis: "query the data",
 		Usage: "loomctl ask [-Class NAME] 'count Orders where Status = Ready'\n",
 		Flags: c.flags, Run: c.run,
 	})
@@ -28,7 +28,7 @@
 
 func (c *askCommand) flags(f *flag.FlagSet) {
 	f.StringVar(&c.class, "Class", "Search", "`class` of the request")
-	f.Int64Var(&c.deadline, "DeadlineMillis", 0, "time for the answer; 0 for the class's own")
+	f.Int64Var(&c.deadline, "DeadlineMillis", 0, "deadline of the request in milliseconds; 0 for the deadline of its class")
 }
 
 func (c *askCommand) run(ctx context.Context, f *flag.FlagSet) subcommands.ExitStatus {
--- a/loomctl/check.go
+++ b/loomctl/check.go
@@ -27,7 +27,7 @@
 }
 
 func (c *checkCommand) flags(f *flag.FlagSet) {
-	f.Uint64Var(&c.revision, "Revision", 0, "`revision` that the document is to be published at; 0 for Based+1")
+	f.Uint64Var(&c.revision, "Revision", 0, "`revision` at which the document will be published; 0 for Based+1")
 }
 
 func (c *checkCommand) run(_ context.Context, f *flag.FlagSet) subcommands.ExitStatus {
--- a/loomctl/client.go
+++ b/loomctl/client.go
@@ -44,10 +44,10 @@
 }
 
 func (c *connection) registerFlags(f *flag.FlagSet) {
-	f.TextVar(&c.host, "Host", netip.MustParseAddrPort("127.0.0.1:7400"), "callers' `IP:port` of an entry host")
-	f.TextVar(&c.operate, "Operate", netip.MustParseAddrPort("127.0.0.1:7402"), "operators' `IP:port` of an entry host")
-	f.DurationVar(&c.timeout, "Timeout", 10*time.Second, "longest wait for the host")
-	f.StringVar(&c.format, "Format", formatText, "Text or JSON")
+	f.TextVar(&c.host, "Host", netip.MustParseAddrPort("127.0.0.1:7400"), "`IP:port` of an entry host for callers")
+	f.TextVar(&c.operate, "Operate", netip.MustParseAddrPort("127.0.0.1:7402"), "`IP:port` of an entry host for operators")
+	f.DurationVar(&c.timeout, "Timeout", 10*time.Second, "maximum duration of the command")
+	f.StringVar(&c.format, "Format", formatText, "output format: Text or JSON")
 }
 
 // hostCommand adds the flags of the connection to a command and runs it with the timeout
--- a/loomctl/drain.go
+++ b/loomctl/drain.go
@@ -17,7 +17,7 @@
 func newDrainCommand() prog.Command {
 	c := &drainCommand{}
 	return c.hostCommand(prog.Command{
-		Name: "drain", Synopsis: "begin a planned stop of a host",
+		Name: "drain", Synopsis: "start a graceful shutdown of a host",
 		Usage: "loomctl drain [-Operate IP:PORT]\n",
 		Run:   c.run,
 	})
--- a/loomctl/order.go
+++ b/loomctl/order.go
@@ -23,7 +23,7 @@
 func newOrderCommand() prog.Command {
 	c := &orderCommand{}
 	return c.hostCommand(prog.Command{
-		Name: "order", Synopsis: "place a not-repeatable order, at most once",
+		Name: "order", Synopsis: "place an order that runs at most once",
 		Usage: "loomctl order [-Class NAME] [-Ticket TICKET] 'place Orders key 7 set Shop = Sur'\n",
 		Flags: c.flags, Run: c.run,
 	})
@@ -31,8 +31,8 @@
 
 func (c *orderCommand) flags(f *flag.FlagSet) {
 	f.StringVar(&c.class, "Class", "Order", "`class` of the request")
-	f.StringVar(&c.ticket, "Ticket", "", "`ticket` of an earlier try; a new one is got if empty")
-	f.Int64Var(&c.deadline, "DeadlineMillis", 0, "time for the answer; 0 for the class's own")
+	f.StringVar(&c.ticket, "Ticket", "", "`ticket` of an earlier attempt; empty to get a new one")
+	f.Int64Var(&c.deadline, "DeadlineMillis", 0, "deadline of the request in milliseconds; 0 for the deadline of its class")
 }
 
 func (c *orderCommand) run(ctx context.Context, f *flag.FlagSet) subcommands.ExitStatus {
--- a/loomctl/plan.go
+++ b/loomctl/plan.go
@@ -28,19 +28,19 @@
 func newPlanCommand() prog.Command {
 	c := &planCommand{}
 	return c.hostCommand(prog.Command{
-		Name: "plan", Synopsis: "apply commands to the configuration in force and print the next document",
+		Name: "plan", Synopsis: "apply commands to the current configuration and print the resulting document",
 		Usage: "loomctl plan -Command 'set class Search deadline=250ms' [-Out FILE] [-From FILE -Revision N]\n" +
-			"Nothing is published: publish the document with the platform's own means.\n",
+			"The document is not published: publish it with the platform's own tools.\n",
 		Flags: c.flags, Run: c.run,
 	})
 }
 
 func (c *planCommand) flags(f *flag.FlagSet) {
-	f.StringVar(&c.command, "Command", "", "`commands`, divided by semicolons")
+	f.StringVar(&c.command, "Command", "", "`commands`, separated by semicolons")
 	f.StringVar(&c.file, "File", "", "`file` of commands")
-	f.StringVar(&c.from, "From", "", "`file` of a document to start from, in place of the one in force")
-	f.Uint64Var(&c.revision, "Revision", 0, "newest published `revision`, with -From")
-	f.StringVar(&c.out, "Out", "", "`file` for the next document; standard output if empty")
+	f.StringVar(&c.from, "From", "", "`file` of the document to change, instead of the current configuration")
+	f.Uint64Var(&c.revision, "Revision", 0, "newest published `revision`; used with -From")
+	f.StringVar(&c.out, "Out", "", "`file` for the resulting document; standard output if empty")
 }
 
 func (c *planCommand) run(ctx context.Context, _ *flag.FlagSet) subcommands.ExitStatus {
--- a/loomctl/status.go
+++ b/loomctl/status.go
@@ -18,7 +18,7 @@
 func newStatusCommand() prog.Command {
 	c := &statusCommand{}
 	return c.hostCommand(prog.Command{
-		Name: "status", Synopsis: "describe a host and what it believes",
+		Name: "status", Synopsis: "print the status of a host",
 		Usage: "loomctl status [-Operate IP:PORT]\n",
 		Run:   c.run,
 	})
--- a/loomd/serve.go
+++ b/loomd/serve.go
@@ -29,15 +29,15 @@
 	return prog.Command{
 		Name: "serve", Synopsis: "run the daemon of an entry host",
 		Usage: "loomd serve -Host NAME -Hall NAME -Listen IP:PORT -Operate IP:PORT -Peer IP:PORT -Platform IP:PORT\n" +
-			"Each flag may stand in the environment too: -StopBound is LOOMD_STOPBOUND.\n",
+			"Each flag can also be set in the environment: -StopBound as LOOMD_STOPBOUND.\n",
 		Flags: c.flags, Run: c.execute,
 	}
 }
 
 func (c *serveCommand) flags(f *flag.FlagSet) {
 	registerFlags(f, &c.settings)
-	f.StringVar(&c.file, "Settings", "", "`file` of settings, read again when it changes or at SIGHUP")
-	f.StringVar(&c.level, "Level", "info", "least `level` of log lines: debug, info, warn, error")
+	f.StringVar(&c.file, "Settings", "", "settings `file`, read again when it changes and at SIGHUP")
+	f.StringVar(&c.level, "Level", "info", "minimum `level` of log lines: debug, info, warn, error")
 }
 
 func (c *serveCommand) execute(ctx context.Context, f *flag.FlagSet) subcommands.ExitStatus {
--- a/loomd/settings.go
+++ b/loomd/settings.go
@@ -75,33 +75,33 @@
 
 // registerFlags registers a flag for each setting.
 func registerFlags(f *flag.FlagSet, s *kernel.Settings) {
-	f.StringVar(&s.Host, "Host", "", "`name` of this host in the document")
+	f.StringVar(&s.Host, "Host", "", "`name` of this host in the configuration document")
 	f.StringVar(&s.Hall, "Hall", "", "`name` of the data hall of this host")
 	f.TextVar(&s.Listen, "Listen", netip.AddrPort{}, "`IP:port` for callers")
 	f.TextVar(&s.Operate, "Operate", netip.AddrPort{}, "`IP:port` for operators: status, metrics, readiness, drain")
-	f.TextVar(&s.Metrics, "Metrics", netip.AddrPort{}, "`IP:port` for metrics alone; they are at -Operate too")
+	f.TextVar(&s.Metrics, "Metrics", netip.AddrPort{}, "`IP:port` for metrics only; -Operate serves them too")
 	f.TextVar(&s.Peer, "Peer", netip.AddrPort{}, "`IP:port` for other entry hosts")
 	f.TextVar(&s.Platform, "Platform", netip.AddrPort{}, "`IP:port` of the platform's service")
-	f.Var((*addressList)(&s.Seeds), "Seeds", "`IP:port,...` of other entry hosts, asked at start")
+	f.Var((*addressList)(&s.Seeds), "Seeds", "`IP:port,...` of other entry hosts to contact at start")
 	f.DurationVar(&s.Beat, "Beat", time.Second, "time between heartbeats")
-	f.DurationVar(&s.WatchWait, "WatchWait", 10*time.Second, "how long one read of the platform waits for news")
-	f.DurationVar(&s.TicketLife, "TicketLife", time.Minute, "how long a ticket is remembered")
-	f.DurationVar(&s.Settle, "Settle", 2*time.Second, "how long a stopping host still takes requests")
-	f.IntVar(&s.SettleAsks, "SettleAsks", 2, "how `often` a stopping host must have told at /ready that it stops before it takes no more requests")
-	f.DurationVar(&s.SettleMost, "SettleMost", 0, "longest time for that; 0 for twice -Settle")
-	f.DurationVar(&s.StopBound, "StopBound", 15*time.Second, "longest time for requests in flight at a planned stop")
-	f.DurationVar(&s.LeavingHold, "LeavingHold", 2*time.Minute, "how long an upstream counts as leaving after its last sign")
-	f.StringVar(&s.Adapter, "Adapter", "", "`name` of the platform's adapter; empty for loomgap's own protocols")
-	f.Float64Var(&s.RetryBudget.Ratio, "RetryRatio", 0.2, "share of routed requests that may be repeated")
-	f.DurationVar(&s.RetryBudget.Window, "RetryWindow", 10*time.Second, "span in which the platform counts calls beyond the first")
-	f.Float64Var(&s.RetryBudget.Slack, "RetrySlack", 50, "`calls` that may be repeated besides, by all hosts within the span that the platform counts in")
-	f.IntVar(&s.LogRate, "LogRate", 200, "most log lines a second about single requests")
-	f.Float64Var(&s.Cores, "Cores", 1, "share of processors that this host may use")
-	f.Float64Var(&s.LinkMbits, "LinkMbits", 0, "rate of this host's link in `Mbit/s`; 0 for no limit")
-	f.Var((*regionList)(&s.Regions), "Regions", "`Hall=Region,...` of the data halls; a hall that is not named is no home of any route")
-	f.Float64Var(&s.ColdFactor, "ColdFactor", 1, "how many times what a cold upstream bears it may get within a second")
-	f.Float64Var(&s.ColdSlack, "ColdSlack", 0, "`requests` that a cold upstream may get within a second besides")
-	f.Float64Var(&s.TraceRatio, "TraceRatio", 0, "share of requests whose spans are logged, 0 to 1")
+	f.DurationVar(&s.WatchWait, "WatchWait", 10*time.Second, "how long a read of the platform waits for a change")
+	f.DurationVar(&s.TicketLife, "TicketLife", time.Minute, "lifetime of a ticket")
+	f.DurationVar(&s.Settle, "Settle", 2*time.Second, "minimum time that a stopping host still accepts requests")
+	f.IntVar(&s.SettleAsks, "SettleAsks", 2, "minimum `number` of readiness checks at /ready that a stopping host answers with not ready before it stops accepting requests")
+	f.DurationVar(&s.SettleMost, "SettleMost", 0, "maximum time that a stopping host still accepts requests, even if -SettleAsks is not reached; 0 for twice -Settle")
+	f.DurationVar(&s.StopBound, "StopBound", 15*time.Second, "maximum time to wait for requests in flight during a graceful shutdown")
+	f.DurationVar(&s.LeavingHold, "LeavingHold", 2*time.Minute, "how long an upstream stays marked as leaving after its last leave notice")
+	f.StringVar(&s.Adapter, "Adapter", "", "`name` of the platform adapter; empty for loomgap's own protocols")
+	f.Float64Var(&s.RetryBudget.Ratio, "RetryRatio", 0.2, "maximum ratio of retries to routed requests")
+	f.DurationVar(&s.RetryBudget.Window, "RetryWindow", 10*time.Second, "time window in which the platform counts retries")
+	f.Float64Var(&s.RetryBudget.Slack, "RetrySlack", 50, "`retries` that all hosts together may send to a group within -RetryWindow, in addition to -RetryRatio")
+	f.IntVar(&s.LogRate, "LogRate", 200, "maximum log lines per second about individual requests")
+	f.Float64Var(&s.Cores, "Cores", 1, "number of processors that this host may use; may be a fraction")
+	f.Float64Var(&s.LinkMbits, "LinkMbits", 0, "bandwidth of this host's link in `Mbit/s`; 0 for no limit")
+	f.Var((*regionList)(&s.Regions), "Regions", "`Hall=Region,...` of the data halls; a hall that is not listed is home only to routes without home regions")
+	f.Float64Var(&s.ColdFactor, "ColdFactor", 1, "maximum requests per second from all hosts to a cold upstream, as a multiple of the ColdRate of its group")
+	f.Float64Var(&s.ColdSlack, "ColdSlack", 0, "additional `requests` per second that a cold upstream may receive")
+	f.Float64Var(&s.TraceRatio, "TraceRatio", 0, "fraction of requests whose spans are logged, 0 to 1")
 }
 
 // setFlagsFromEnvironment sets the flags that the command line omits from the
@@ -146,12 +146,12 @@
 		flag, problem string
 		remedy        string
 	}{
-		{config.ValidName(s.Host), "Host", "missing or bad", "give this host's name in the document"},
-		{config.ValidName(s.Hall), "Hall", "missing or bad", "give the data hall of this host"},
+		{config.ValidName(s.Host), "Host", "missing or invalid", "give this host's name in the document"},
+		{config.ValidName(s.Hall), "Hall", "missing or invalid", "give the data hall of this host"},
 		{s.Listen.IsValid(), "Listen", "missing", "give the IP:port for callers"},
 		{s.Operate.IsValid(), "Operate", "missing", "give the IP:port for operators"},
 		{s.Peer.IsValid(), "Peer", "missing", "give the IP:port for other entry hosts"},
-		{s.Platform.IsValid() || len(s.Seeds) > 0, "Platform", "missing, and no -Seeds", "give the platform's IP:port, or seeds"},
+		{s.Platform.IsValid() || len(s.Seeds) > 0, "Platform", "missing, and -Seeds is empty", "give the IP:port of the platform, or set -Seeds"},
 		{s.Beat >= 50*time.Millisecond && s.Beat <= time.Minute, "Beat", "out of range", "use 50ms to 1m"},
 		{s.WatchWait >= 100*time.Millisecond && s.WatchWait <= 5*time.Minute, "WatchWait", "out of range", "use 100ms to 5m"},
 		{s.TicketLife >= time.Second && s.TicketLife <= time.Hour, "TicketLife", "out of range", "use 1s to 1h"},
@@ -163,7 +163,7 @@
 		{s.RetryBudget.Ratio >= 0 && s.RetryBudget.Ratio <= 1, "RetryRatio", "out of range", "use 0 to 1"},
 		{s.RetryBudget.Slack >= 0, "RetrySlack", "out of range", "use 0 or more"},
 		{s.RetryBudget.Window >= time.Second, "RetryWindow", "out of range", "use 1s or more"},
-		{s.Cores > 0 && s.Cores <= 1024, "Cores", "out of range", "use above 0 to 1024"},
+		{s.Cores > 0 && s.Cores <= 1024, "Cores", "out of range", "use a number above 0, at most 1024"},
 		{s.LinkMbits >= 0, "LinkMbits", "out of range", "use 0 or more"},
 		{s.ColdFactor >= 0 && s.ColdFactor <= 100, "ColdFactor", "out of range", "use 0 to 100"},
 		{s.ColdSlack >= 0 && s.ColdSlack <= 1e6, "ColdSlack", "out of range", "use 0 to 1000000"},
--- a/loomfake/document.go
+++ b/loomfake/document.go
@@ -43,23 +43,23 @@
 func newDocumentCommand() prog.Command {
 	o := &documentOptions{}
 	return prog.Command{
-		Name: "document", Synopsis: "print a document modelled on the users' tiers",
+		Name: "document", Synopsis: "print an example configuration document",
 		Usage: "loomfake document [-Hosts N] [-Shards N]\n" +
-			"Service Orders has the shards; the document has one upstream for each.\n",
+			"All shards belong to service Orders; the document has one upstream for each shard.\n",
 		Flags: o.flags, Run: withExitStatus(o.print),
 	}
 }
 
 func (o *documentOptions) flags(f *flag.FlagSet) {
-	f.IntVar(&o.hosts, "Hosts", 2, "entry hosts H1, H2 and so on")
-	f.IntVar(&o.peerPort, "PeerPort", 7401, "peer port of the first host; the next is 10 higher")
-	f.IntVar(&o.shards, "Shards", 24, "shards of service Orders")
-	f.IntVar(&o.upstreamPort, "UpstreamPort", 7500, "port of the first upstream of Orders")
-	f.IntVar(&o.slots, "Slots", 4, "slots of an upstream of Orders")
-	f.UintVar(&o.keySpace, "KeySpace", 1024, "keys")
-	f.DurationVar(&o.deadline, "Deadline", 300*time.Millisecond, "deadline of class Counter")
+	f.IntVar(&o.hosts, "Hosts", 2, "number of entry hosts, named H1, H2 and so on")
+	f.IntVar(&o.peerPort, "PeerPort", 7401, "peer port of the first host; that of each further host is 10 higher")
+	f.IntVar(&o.shards, "Shards", 24, "number of shards of service Orders")
+	f.IntVar(&o.upstreamPort, "UpstreamPort", 7500, "port of the first upstream; that of each further upstream is 1 higher")
+	f.IntVar(&o.slots, "Slots", 4, "number of slots of each upstream")
+	f.UintVar(&o.keySpace, "KeySpace", 1024, "number of keys")
+	f.DurationVar(&o.deadline, "Deadline", 300*time.Millisecond, "deadline of classes Counter and Order")
 	f.DurationVar(&o.wideDeadline, "WideDeadline", 390*time.Millisecond, "deadline of classes Search and Tally")
-	f.DurationVar(&o.patience, "Patience", 100*time.Millisecond, "patience of class Search")
+	f.DurationVar(&o.patience, "Patience", 100*time.Millisecond, "setting Patience of class Search")
 }
 
 func (o *documentOptions) print(context.Context) error {
--- a/loomfake/link.go
+++ b/loomfake/link.go
@@ -23,18 +23,18 @@
 func newLinkCommand() prog.Command {
 	c := &linkCommand{}
 	return prog.Command{
-		Name: "link", Synopsis: "run a link between processes that can be cut",
+		Name: "link", Synopsis: "run a TCP proxy that injects network faults",
 		Usage: "loomfake link -Listen IP:PORT -To IP:PORT -Admin IP:PORT\n" +
-			"POST /Fake {\"Cut\":true} at the admin address has bytes vanish without a sign.\n",
+			"POST /Fake {\"Cut\":true} to the admin address makes the proxy drop all bytes silently.\n",
 		Flags: c.flags, Run: withExitStatus(c.run),
 	}
 }
 
 func (c *linkCommand) flags(f *flag.FlagSet) {
-	f.TextVar(&c.listen, "Listen", netip.MustParseAddrPort("127.0.0.1:7600"), "`IP:port` to take connections at")
-	f.TextVar(&c.to, "To", netip.MustParseAddrPort("127.0.0.1:7401"), "`IP:port` to pass them on to")
-	f.TextVar(&c.admin, "Admin", netip.MustParseAddrPort("127.0.0.1:7601"), "`IP:port` of the fault switch")
-	f.DurationVar(&c.maxLifetime, "Life", time.Hour, "longest life of the process")
+	f.TextVar(&c.listen, "Listen", netip.MustParseAddrPort("127.0.0.1:7600"), "`IP:port` to accept connections on")
+	f.TextVar(&c.to, "To", netip.MustParseAddrPort("127.0.0.1:7401"), "`IP:port` to forward connections to")
+	f.TextVar(&c.admin, "Admin", netip.MustParseAddrPort("127.0.0.1:7601"), "`IP:port` at which faults are set")
+	f.DurationVar(&c.maxLifetime, "Life", time.Hour, "maximum lifetime of the process")
 }
 
 func (c *linkCommand) run(context.Context) error {
--- a/loomfake/platform.go
+++ b/loomfake/platform.go
@@ -29,18 +29,18 @@
 func newPlatformCommand() prog.Command {
 	c := &platformCommand{}
 	return prog.Command{
-		Name: "platform", Synopsis: "run a stand-in of the platform's service",
+		Name: "platform", Synopsis: "run a stand-in for the platform's service",
 		Usage: "loomfake platform -Listen IP:PORT [-File DOCUMENT]\n" +
-			"POST /Publish publishes a document, POST /Fake sets faults, POST /SetLive a line of the live list,\n" +
-			"POST /Restore has it come back from a copy.\n",
+			"POST /Publish publishes a document, POST /Fake sets faults, POST /SetLive sets an entry of the live list,\n" +
+			"POST /Restore restores the platform from a backup.\n",
 		Flags: c.flags, Run: withExitStatus(c.run),
 	}
 }
 
 func (c *platformCommand) flags(f *flag.FlagSet) {
-	f.TextVar(&c.listen, "Listen", netip.MustParseAddrPort("127.0.0.1:7300"), "`IP:port` to serve at")
+	f.TextVar(&c.listen, "Listen", netip.MustParseAddrPort("127.0.0.1:7300"), "`IP:port` to listen on")
 	f.StringVar(&c.file, "File", "", "`file` of the first document")
-	f.DurationVar(&c.maxLifetime, "Life", time.Hour, "longest life of the process")
+	f.DurationVar(&c.maxLifetime, "Life", time.Hour, "maximum lifetime of the process")
 }
 
 func (c *platformCommand) run(context.Context) error {
--- a/loomfake/replay.go
+++ b/loomfake/replay.go
@@ -21,15 +21,15 @@
 func newReplayCommand() prog.Command {
 	c := &replayCommand{}
 	return prog.Command{
-		Name: "replay", Synopsis: "replay the decisions in virtual time and print a table",
+		Name: "replay", Synopsis: "replay the cases of docs/DECISIONS.md in virtual time and print a table",
 		Usage: "loomfake replay [-Only TEXT] [-Seed N]\n",
 		Flags: c.flags, Run: withExitStatus(c.run),
 	}
 }
 
 func (c *replayCommand) flags(f *flag.FlagSet) {
-	f.StringVar(&c.only, "Only", "", "replay only cases whose name has this `text`")
-	f.Uint64Var(&c.seed, "Seed", 1, "seed")
+	f.StringVar(&c.only, "Only", "", "replay only cases whose name contains this `text`")
+	f.Uint64Var(&c.seed, "Seed", 1, "random seed")
 }
 
 func (c *replayCommand) run(context.Context) error {
--- a/loomfake/soak.go
+++ b/loomfake/soak.go
@@ -37,22 +37,22 @@
 func newSoakCommand() prog.Command {
 	c := &soakConfig{}
 	return prog.Command{
-		Name: "soak", Synopsis: "run daemons under random faults and check their promises",
+		Name: "soak", Synopsis: "run daemons under random faults and check their guarantees",
 		Usage: "loomfake soak -Daemon FILE [-Seed N] [-For TIME]\n" +
-			"Prints a report; exits with 1 if a promise was broken. docs/SOAK.md has the promises.\n",
+			"Prints a report; exits with 1 if a guarantee was violated. docs/SOAK.md lists the guarantees.\n",
 		Flags: c.flags, Run: withExitStatus(c.run),
 	}
 }
 
 func (c *soakConfig) flags(f *flag.FlagSet) {
-	f.Uint64Var(&c.Seed, "Seed", 1, "`number` that draws the faults")
-	f.DurationVar(&c.FaultDuration, "For", 20*time.Second, "how long faults come")
-	f.StringVar(&c.Daemon, "Daemon", "bin/loomd", "`file` of the daemon")
+	f.Uint64Var(&c.Seed, "Seed", 1, "`number` that seeds the random faults")
+	f.DurationVar(&c.FaultDuration, "For", 20*time.Second, "how long faults are injected")
+	f.StringVar(&c.Daemon, "Daemon", "bin/loomd", "`file` of the daemon binary")
 	f.IntVar(&c.Hosts, "Hosts", 2, "`number` of entry hosts in each hall")
 	f.IntVar(&c.Callers, "Callers", 12, "`number` of callers")
 	f.IntVar(&c.Shards, "Shards", 5, "`number` of shards")
 	f.BoolVar(&c.Evacuate, "Evacuate", true, "evacuate a hall once the faults have ended")
-	f.StringVar(&c.Dir, "Dir", "", "`directory` for the daemons' logs; empty for a new one that is removed if all is well")
+	f.StringVar(&c.Dir, "Dir", "", "`directory` for the daemons' logs; empty for a temporary one that is removed if no guarantee was violated")
 }
 
 // run runs daemons under random faults, checks their guarantees and prints a report.
--- a/loomfake/upstream.go
+++ b/loomfake/upstream.go
@@ -33,9 +33,9 @@
 func newUpstreamCommand() prog.Command {
 	c := &upstreamCommand{}
 	return prog.Command{
-		Name: "upstream", Synopsis: "run stand-ins of upstreams",
+		Name: "upstream", Synopsis: "run stand-in upstreams",
 		Usage: "loomfake upstream -Listen IP:PORT [-Count N]\n" +
-			"Upstream i listens at PORT+i. POST /Fake sets faults, GET /Runs tells which orders ran.\n",
+			"Upstream i, counted from 0, listens on PORT+i. POST /Fake sets faults, GET /Runs returns how often each order ran.\n",
 		Flags: c.flags, Run: withExitStatus(c.run),
 	}
 }
@@ -43,10 +43,10 @@
 func (c *upstreamCommand) flags(f *flag.FlagSet) {
 	f.TextVar(&c.listen, "Listen", netip.MustParseAddrPort("127.0.0.1:7500"), "`IP:port` of the first upstream")
 	f.IntVar(&c.count, "Count", 1, "number of upstreams")
-	f.IntVar(&c.config.slots, "Slots", 2, "calls that an upstream works on at once")
-	f.IntVar(&c.config.connections, "Connections", 25, "connections that an upstream takes")
-	f.UintVar(&c.config.keySpace, "KeySpace", 1024, "keys of the data")
-	f.DurationVar(&c.maxLifetime, "Life", time.Hour, "longest life of the process")
+	f.IntVar(&c.config.slots, "Slots", 2, "maximum number of calls that an upstream runs at once")
+	f.IntVar(&c.config.connections, "Connections", 25, "maximum number of open connections of an upstream")
+	f.UintVar(&c.config.keySpace, "KeySpace", 1024, "number of keys of the data")
+	f.DurationVar(&c.maxLifetime, "Life", time.Hour, "maximum lifetime of the process")
 }
 
 func (c *upstreamCommand) run(context.Context) error {
