--- a/tier/config/directory.go
+++ b/tier/config/directory.go
@@ -42,14 +42,13 @@
 	// Era and Revision are the platform's position of the removal.
 	Era      uint64 `json:",omitempty"`
 	Revision uint64
-	// Sequence is the number of the name's last known report, counted from the start
-	// Born; 0 for none.
-	Sequence uint64 `json:",omitempty"`
-	Born     int64  `json:",omitempty"`
+	// Sequence and StartedMillis are those of the name's last known report; 0 if unknown.
+	Sequence      uint64 `json:",omitempty"`
+	StartedMillis int64  `json:"Born,omitempty"`
 }
 
 func (r *Removal) version() version {
-	return version{Position: Position{Era: r.Era, Revision: r.Revision}, born: r.Born, sequence: r.Sequence}
+	return version{Position: Position{Era: r.Era, Revision: r.Revision}, startedMillis: r.StartedMillis, sequence: r.Sequence}
 }
 
 // DirectoryChange is what changed in the directory up to a position.
--- a/tier/config/directory_edit.go
+++ b/tier/config/directory_edit.go
@@ -152,8 +152,8 @@
 		return
 	}
 	for _, known := range []version{old.version(), before.version()} {
-		if known.born > r.Born || known.born == r.Born && known.sequence > r.Sequence {
-			r.Born, r.Sequence = known.born, known.sequence
+		if known.startedMillis > r.StartedMillis || known.startedMillis == r.StartedMillis && known.sequence > r.Sequence {
+			r.StartedMillis, r.Sequence = known.startedMillis, known.sequence
 		}
 	}
 	e.next.removed.Set(r.Name, r)
--- a/tier/config/listing.go
+++ b/tier/config/listing.go
@@ -10,7 +10,7 @@
 
 // Listing is the entry with which an upstream registers itself with the platform.
 type Listing struct {
-	// Name is chosen by the upstream; Name and Born together identify one process.
+	// Name is chosen by the upstream; Name and StartedMillis together identify one process.
 	Name  string
 	Group string
 	// Hall is its data hall; empty if it did not report one.
@@ -26,19 +26,19 @@
 	// Era and Revision are the platform's position of the entry; Revision is above 0.
 	Era      uint64 `json:",omitempty"`
 	Revision uint64
-	// Sequence numbers the upstream's reports since Born; 0 if it does not number them.
+	// Sequence numbers the reports of the upstream's process; 0 if it does not number them.
 	Sequence uint64 `json:",omitempty"`
-	// Born is the start time of its process by its own clock, in milliseconds since the
-	// Unix epoch; 0 if it does not report one. A process that starts later under the same
-	// name does not know the reports of the one before.
-	Born int64 `json:",omitempty"`
+	// StartedMillis is the start time of its process by its own clock, in milliseconds
+	// since the Unix epoch; 0 if it does not report one. A process that starts later under
+	// the same name does not know the reports of the one before.
+	StartedMillis int64 `json:"Born,omitempty"`
 	// Copied is true if the entry may come from the copy that its era began with: the
 	// upstream may have reported since, in the previous era.
 	Copied bool `json:",omitempty"`
 }
 
 func (l *Listing) version() version {
-	return version{Position: Position{Era: l.Era, Revision: l.Revision}, born: l.Born, sequence: l.Sequence, copied: l.Copied}
+	return version{Position: Position{Era: l.Era, Revision: l.Revision}, startedMillis: l.StartedMillis, sequence: l.Sequence, copied: l.Copied}
 }
 
 // content returns the listing without the fields that order it.
@@ -64,8 +64,8 @@
 	text = l.Address.AppendTo(text)
 	text = strconv.AppendInt(append(text, 0), int64(l.Slots), 10)
 	text = strconv.AppendBool(append(text, 0), l.Leaving)
-	if l.Born > 0 {
-		text = strconv.AppendInt(append(text, 0), l.Born, 10)
+	if l.StartedMillis > 0 {
+		text = strconv.AppendInt(append(text, 0), l.StartedMillis, 10)
 	}
 	if l.Warmup > 0 {
 		text = strconv.AppendInt(append(text, 0), l.warmupSteps(), 10)
--- a/tier/config/position.go
+++ b/tier/config/position.go
@@ -61,15 +61,14 @@
 // version orders the entries of one name, which is an upstream or a hall.
 type version struct {
 	Position
-	// sequence is the number of the name's report, counted since born; 0 if there is
-	// none.
+	// sequence numbers the reports of the name's process; 0 if there is none.
 	sequence uint64
 	// copied is true for entries that may come from the copy that their era began with,
 	// and so may be older than entries of the previous era.
 	copied bool
-	// born is the start time of the name's process, in milliseconds since the Unix epoch;
-	// 0 if it is unknown.
-	born int64
+	// startedMillis is the start time of the name's process, in milliseconds since the Unix
+	// epoch; 0 if it is unknown.
+	startedMillis int64
 }
 
 // replaces reports whether an entry of version v replaces one of version old. The later
@@ -88,8 +87,8 @@
 // reportedAfter reports whether, by the name's own count, v was reported after old. A
 // later process starts a new count.
 func (v version) reportedAfter(old version) bool {
-	if v.born > 0 && old.born > 0 && v.born != old.born {
-		return v.born > old.born
+	if v.startedMillis > 0 && old.startedMillis > 0 && v.startedMillis != old.startedMillis {
+		return v.startedMillis > old.startedMillis
 	}
 	return old.sequence > 0 && v.sequence > old.sequence
 }
--- a/tier/config/position_test.go
+++ b/tier/config/position_test.go
@@ -364,7 +364,7 @@
 // same name, in a restored copy and after it.
 func TestReportsOfRestartedUpstream(t *testing.T) {
 	listed := func(era, revision, sequence uint64, born int64, copied bool) Listing {
-		return Listing{Name: "U", Group: "G", Era: era, Revision: revision, Sequence: sequence, Born: born, Copied: copied}
+		return Listing{Name: "U", Group: "G", Era: era, Revision: revision, Sequence: sequence, StartedMillis: born, Copied: copied}
 	}
 	tests := []struct {
 		name        string
@@ -383,8 +383,8 @@
 			d, _ := (*Directory)(nil).With(&DirectoryChange{Era: 1, Revision: 57, Listed: []Listing{tt.known}})
 			next, _ := d.With(&DirectoryChange{Era: tt.read.Era, Revision: tt.read.Revision, Listed: []Listing{tt.read}})
 			now, _ := next.Find("U")
-			assert.Equal(t, now.Born == tt.read.Born && now.Sequence == tt.read.Sequence && now.Era == tt.read.Era, tt.want)
-			same := tt.known.Born == now.Born
+			assert.Equal(t, now.StartedMillis == tt.read.StartedMillis && now.Sequence == tt.read.Sequence && now.Era == tt.read.Era, tt.want)
+			same := tt.known.StartedMillis == now.StartedMillis
 			assert.Equal(t, next.Digest() == d.Digest(), same, "hosts that know different starts have the same digest")
 		})
 	}
--- a/tier/entry/ask.go
+++ b/tier/entry/ask.go
@@ -33,7 +33,7 @@
 	}
 	// The same question counts as the same request, whoever asks it.
 	content := policy.RequestContent{HostName: ask.Service, Target: in.Statement}
-	q.subject.Fingerprint = content.Fingerprint()
+	q.identity.Fingerprint = content.Fingerprint()
 	return e.instrument(ctx, "ask", id, in.Class, func(ctx context.Context) (*entrygen.Answer, error) {
 		return e.answer(ctx, q, ask)
 	})
@@ -140,7 +140,7 @@
 		Kernel: e.kernel, Caller: c,
 		Run: policy.RunConfig{
 			Fleet: e.kernel.Fleet, Pool: e.kernel.Fleet.LatencyPool(q.service.Name), Class: q.class, Deadline: q.deadline,
-			Replicas: replicas, Snapshot: c.snapshot, Repeatable: repeatable, Identity: q.subject,
+			Replicas: replicas, Snapshot: c.snapshot, Repeatable: repeatable, Identity: q.identity,
 		},
 	}, callerGone)
 	return result, err
--- a/tier/entry/request.go
+++ b/tier/entry/request.go
@@ -26,9 +26,9 @@
 	// deadline is when the answer must be ready, as time since the process started. The
 	// class's margin is already subtracted.
 	deadline time.Duration
-	// subject identifies a question, so that one that crashes upstreams is recognized;
+	// identity identifies a question, so that one that crashes upstreams is recognized;
 	// the zero value for an order, which runs at most once anyway.
-	subject policy.RequestIdentity
+	identity policy.RequestIdentity
 }
 
 // newRequest creates a request with the active configuration. The error is errNoConfig, or
--- a/tier/pass/conn.go
+++ b/tier/pass/conn.go
@@ -50,9 +50,9 @@
 
 type connPool struct {
 	address netip.AddrPort
-	// startedAt is when the upstream's process started; see config.Listing.
-	startedAt int64
-	now       func() time.Duration
+	// startedMillis is when the upstream's process started; see config.Listing.
+	startedMillis int64
+	now           func() time.Duration
 
 	mu   sync.Mutex
 	idle []*conn
--- a/tier/pass/conn_pools.go
+++ b/tier/pass/conn_pools.go
@@ -27,10 +27,10 @@
 	for i := range listed {
 		l := &listed[i]
 		old := t.find(l.Name)
-		if old != nil && old.address == l.Address && old.startedAt == l.Born {
+		if old != nil && old.address == l.Address && old.startedMillis == l.StartedMillis {
 			continue
 		}
-		t.byUpstream.Store(l.Name, &connPool{address: l.Address, startedAt: l.Born, now: now})
+		t.byUpstream.Store(l.Name, &connPool{address: l.Address, startedMillis: l.StartedMillis, now: now})
 		if old != nil {
 			old.close()
 		}
--- a/tier/pass/coordinate_client.go
+++ b/tier/pass/coordinate_client.go
@@ -154,7 +154,7 @@
 	if s.begun {
 		return true
 	}
-	s.noteFirstResponse(0)
+	s.recordFirstResponse(0)
 	e := s.request.engine
 	if err := e.kernel.Peers.Notify(ctx, s.target.Host, methodCoordinateBegin, coordinateID{ID: id}); err != nil {
 		s.log().Err(err).Msg("coordinator not told to begin")
@@ -166,9 +166,9 @@
 	return true
 }
 
-// noteFirstResponse records the first response of the coordinator, which had held the
+// recordFirstResponse records the first response of the coordinator, which had held the
 // request for a time before it responded.
-func (s *sentRequest) noteFirstResponse(held time.Duration) {
+func (s *sentRequest) recordFirstResponse(held time.Duration) {
 	if s.responded {
 		return
 	}
@@ -188,7 +188,7 @@
 		s.log().Bool("Begun", s.begun).Err(err).Msg("request not answered by a coordinator")
 		return nil
 	}
-	s.noteFirstResponse(time.Duration(s.reply.HeldMicros) * time.Microsecond)
+	s.recordFirstResponse(time.Duration(s.reply.HeldMicros) * time.Microsecond)
 	if s.reply.Declined != "" {
 		e.hosts.declined(s.target.Host, e.kernel.Now(), s.reply.Declined)
 		s.log().Str("Declined", string(s.reply.Declined)).Msg("request declined by a coordinator")
--- a/tier/pass/golden_test.go
+++ b/tier/pass/golden_test.go
@@ -27,7 +27,7 @@
 var messages = []any{
 	&batchRequest{
 		ID: "b-1", Route: "Find", RequestID: "r-1", Method: "POST", Head: "POST / HTTP/1.1\r\n", Body: []byte("body"),
-		Upstreams: []string{"U1", "U2"}, Top: 50, Of: 25, FirstMillis: 40, DeadlineMillis: 900, Trace: "00-trace",
+		Upstreams: []string{"U1", "U2"}, Top: 50, TotalParts: 25, FirstMillis: 40, DeadlineMillis: 900, Trace: "00-trace",
 	},
 	&batchReply{
 		ID: "b-1",
@@ -35,12 +35,12 @@
 			{Index: 1, Stamp: "stamp", TookMicros: 1500},
 			{Index: 2, Outcome: string(policy.CallStalled), TookMicros: 7},
 		},
-		Records: []byte("0123456789abcdef"), Cut: 2, Due: true, ProgressSent: 3,
+		Records: []byte("0123456789abcdef"), OmittedID: 2, Due: true, ProgressSent: 3,
 		Conditions: []policy.Condition{{Upstream: "U1", Slowness: 4, FaultPercent: 30}}, HeldMicros: 2500,
 	},
 	&callReport{Index: 1, Stamp: "stamp", Outcome: string(policy.CallOK), TookMicros: 1500},
 	&batchStop{ID: "b-1", CallerGone: true},
-	&recordsRequest{ID: "b-1", Cut: 2},
+	&recordsRequest{ID: "b-1", OmittedID: 2},
 	&recordsReply{Records: []byte("0123456789abcdef")},
 	&coordinateRequest{
 		ID: "f-1", RequestID: "r-1", HostName: "shop.example", Path: "/find/x", Route: 1 << 63, Method: "POST",
--- a/tier/pass/relay_client.go
+++ b/tier/pass/relay_client.go
@@ -129,7 +129,7 @@
 		DeadlineMillis: (q.times.deadline - now).Milliseconds(), Trace: wire.TraceParent(ctx),
 	}
 	if !e.relay.fullRecordRoutes.enabled(q.route.Name, now) {
-		in.Of = len(q.plan.groups)
+		in.TotalParts = len(q.plan.groups)
 	}
 	for _, a := range batch {
 		in.Upstreams = append(in.Upstreams, a.Upstream.Name)
@@ -210,7 +210,7 @@
 // the first reply is due are hedged.
 func (s *sentBatch) handleProgress(reply *batchReply) {
 	s.progressHandled++
-	s.noteFirstReply(reply)
+	s.recordFirstReply(reply)
 	s.reportCalls(reply)
 	if reply.Due && !s.overdue {
 		s.overdue = true
@@ -218,8 +218,8 @@
 	}
 }
 
-// noteFirstReply records the first reply of the relay and its round trip.
-func (s *sentBatch) noteFirstReply(reply *batchReply) {
+// recordFirstReply records the first reply of the relay and its round trip.
+func (s *sentBatch) recordFirstReply(reply *batchReply) {
 	if s.responded {
 		return
 	}
@@ -238,7 +238,7 @@
 		s.fail(ctx, err)
 		return
 	}
-	s.noteFirstReply(&s.lastReply)
+	s.recordFirstReply(&s.lastReply)
 	s.reportCalls(&s.lastReply)
 	// Progress that was sent before the last reply may arrive after it.
 	timer := time.NewTimer(progressGrace)
@@ -293,8 +293,8 @@
 	k := s.request.engine.kernel
 	k.Fleet.SetConditions(k.Now(), s.hall(), reply.Conditions)
 	b := &block{records: reply.Records, stamps: map[int]string{}}
-	if reply.Cut > 0 {
-		b.omitted = &omittedRef{relay: s.relay, key: recordsRequest{ID: s.in.ID, Cut: reply.Cut}}
+	if reply.OmittedID > 0 {
+		b.omitted = &omittedRef{relay: s.relay, key: recordsRequest{ID: s.in.ID, OmittedID: reply.OmittedID}}
 	}
 	ended := slices.DeleteFunc(reply.Ended, func(c callReport) bool { return c.Index < 0 || c.Index >= len(s.calls) })
 	// The block must be complete before its first part is reported.
--- a/tier/pass/relay_messages.go
+++ b/tier/pass/relay_messages.go
@@ -37,9 +37,9 @@
 	Upstreams []string
 	// Top is the number of records in the response to the caller; at least 1.
 	Top int
-	// Of is the number of parts of that response. If it is set, the relay omits records
-	// that are unlikely to be needed; with 0 it sends all.
-	Of int `json:",omitempty"`
+	// TotalParts is the number of parts of that response. If it is set, the relay omits
+	// records that are unlikely to be needed; with 0 it sends all.
+	TotalParts int `json:"Of,omitempty"`
 	// FirstMillis is the time until the first reply is due, in milliseconds; with 0, each
 	// call is reported as it ends.
 	FirstMillis int64
@@ -56,8 +56,8 @@
 	// Records are the greatest records of the successful calls in Ended, in descending
 	// order.
 	Records []byte
-	// Cut, if above 0, is the number with which methodRecords returns the omitted records.
-	Cut int `json:",omitempty"`
+	// OmittedID identifies the omitted records in a recordsRequest; 0 if there are none.
+	OmittedID int `json:"Cut,omitempty"`
 	// Due is true once the first reply was due: unreported calls are slow.
 	Due bool `json:",omitempty"`
 	// ProgressSent is the number of methodBatchProgress messages sent for the batch; set in
@@ -88,9 +88,9 @@
 }
 
 type recordsRequest struct {
-	// ID is the ID of the batch; Cut is batchReply.Cut.
-	ID  string
-	Cut int
+	// ID is the ID of the batch; OmittedID is that of the batchReply.
+	ID        string
+	OmittedID int `json:"Cut"`
 }
 
 // recordsReply has the records that a reply omitted, in descending order.
--- a/tier/pass/relay_records.go
+++ b/tier/pass/relay_records.go
@@ -43,13 +43,13 @@
 	return min(top, int(math.Ceil(mean+extraDeviations*deviation))+extraRecords)
 }
 
-// omittedRecords are the records omitted from the replies of a batch. Number n of a reply
-// refers to item n-1.
+// omittedRecords are the records omitted from the replies of a batch. The OmittedID n of a
+// reply refers to item n-1.
 type omittedRecords [][]byte
 
-// split returns the first count records, and the number under which the others are kept; 0
-// if there are none.
-func (o *omittedRecords) split(records []byte, count int) (sent []byte, number int) {
+// split returns the first count records, and the OmittedID of the others, which are kept;
+// 0 if there are none.
+func (o *omittedRecords) split(records []byte, count int) (sent []byte, omittedID int) {
 	n := count * recordBytes
 	if len(records) <= n {
 		return records, 0
@@ -66,10 +66,10 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if in.Cut < 1 || in.Cut > len(b.omitted) {
-		return nil, fmt.Errorf("bad request for records: cut %d of %d", in.Cut, len(b.omitted))
+	if in.OmittedID < 1 || in.OmittedID > len(b.omitted) {
+		return nil, fmt.Errorf("bad request for records: cut %d of %d", in.OmittedID, len(b.omitted))
 	}
-	return &recordsReply{Records: b.omitted[in.Cut-1]}, nil
+	return &recordsReply{Records: b.omitted[in.OmittedID-1]}, nil
 }
 
 type omittedRef struct {
--- a/tier/pass/relay_records_test.go
+++ b/tier/pass/relay_records_test.go
@@ -112,7 +112,7 @@
 // requests for records.
 func TestBatchKeepsOmittedRecords(t *testing.T) {
 	b := newBatch(t, 1, 0, time.Second)
-	b.in.Top, b.in.Of, b.unreported.merger.top = 25, 50, 25
+	b.in.Top, b.in.TotalParts, b.unreported.merger.top = 25, 50, 25
 	b.engine.relay.served.add("B", b)
 	b.engine.handleRelay()
 	b.endCall(callReport{Stamp: "S"}, []byte(strings.Repeat("0123456789abcdef", 25)))
@@ -120,7 +120,7 @@
 	assert.Assert(t, last)
 	given := len(out.Records) / recordBytes
 	assert.Equal(t, given, recordsToSend(25, 1, 50))
-	assert.Equal(t, out.Cut, 1)
+	assert.Equal(t, out.OmittedID, 1)
 	for _, bad := range []string{`{`, `{"ID":"B"}`, `{"ID":"B","Cut":2}`, `{"ID":"C","Cut":1}`} {
 		_, err := b.engine.kernel.Handler(methodRecords)(t.Context(), []byte(bad))
 		assert.Assert(t, err != nil, bad)
--- a/tier/pass/relay_server.go
+++ b/tier/pass/relay_server.go
@@ -273,7 +273,7 @@
 	out = &batchReply{Due: now >= b.firstDue, Conditions: b.engine.kernel.Fleet.Conditions(now), HeldMicros: (now - b.started).Microseconds()}
 	ended, records, succeeded := b.unreported.take()
 	out.Ended = ended
-	out.Records, out.Cut = b.omitted.split(records, recordsToSend(b.in.Top, succeeded, b.in.Of))
+	out.Records, out.OmittedID = b.omitted.split(records, recordsToSend(b.in.Top, succeeded, b.in.TotalParts))
 	last = b.openCalls == 0 || now >= b.deadline
 	if last {
 		b.unregister()
--- a/tier/pass/shares.go
+++ b/tier/pass/shares.go
@@ -107,6 +107,6 @@
 	return policy.Share{
 		Name: l.Name, Slots: max(int(burstFactor*fraction*float64(connections)/hosts), 1),
 		Leaving: l.Leaving || b.directory.Evacuated(l.Hall),
-		Listed:  true, Hall: l.Hall, Near: near, StartedMillis: l.Born, Cold: e.coldState(l, b),
+		Listed:  true, Hall: l.Hall, Near: near, StartedMillis: l.StartedMillis, Cold: e.coldState(l, b),
 	}
 }
