--- a/tier/config/directory.go
+++ b/tier/config/directory.go
@@ -178,16 +178,16 @@
 	return d.impliedRemovals(c, func(v version) bool { return v.Compare(c.Position()) <= 0 })
 }
 
-// impliedRemovals returns removals of the upstreams that a complete listing lacks
-// although it should have them.
-func (d *Directory) impliedRemovals(c *DirectoryChange, should func(version) bool) []Removal {
+// impliedRemovals returns removals of the upstreams that a complete listing lacks although
+// it covers them.
+func (d *Directory) impliedRemovals(c *DirectoryChange, covered func(version) bool) []Removal {
 	names := make(map[string]bool, len(c.Listed))
 	for _, l := range c.Listed {
 		names[l.Name] = true
 	}
 	var out []Removal
 	d.orEmpty().listed.Scan(func(n string, l Listing) bool {
-		if !names[n] && should(l.version()) {
+		if !names[n] && covered(l.version()) {
 			out = append(out, Removal{Name: n, Era: c.Era, Revision: c.Revision})
 		}
 		return true
--- a/tier/config/doc.go
+++ b/tier/config/doc.go
@@ -2,10 +2,9 @@
 // publishes, and the directory of upstreams that register themselves with the platform.
 //
 // Decode and Check are pure functions, so every host accepts or refuses a document alike.
-// Accept returns an Index, which is a checked document with look-up tables.
-// Directory.With derives the next Directory from a change; changes may arrive twice or
-// out of order. An Index and a Directory are immutable, so any goroutine may read them.
+// Accept returns an Index, a checked document with look-up tables. Directory.With derives
+// the next Directory from a change; changes may arrive twice or out of order. An Index and
+// a Directory are immutable, so any goroutine may read them.
 //
-// The package imports no other package of the tier. Start with Document, which holds
-// everything that can be configured, then read Accept and Directory.With.
+// The package imports no other package of the tier.
 package config
--- a/tier/entry/answer.go
+++ b/tier/entry/answer.go
@@ -33,14 +33,14 @@
 
 // resultAnswer returns the answer to a request that ran, without its rows.
 func (e *engine) resultAnswer(q *request, shards []config.Shard, r *policy.Result) *entrygen.Answer {
-	cover := query.NewCoverage(shards, r.Reasons)
+	coverage := query.NewCoverage(shards, r.Reasons)
 	a := e.newAnswer(q.id, q.class.Name, outcomeComplete)
-	a.Asked, a.Attempts = uint32(cover.Asked), uint32(r.Attempts)
+	a.Asked, a.Attempts = uint32(coverage.Asked), uint32(r.Attempts)
 	a.Revision, a.MapRevision = q.view.Index.Revision, q.service.MapRevision
-	for _, i := range cover.Included {
+	for _, i := range coverage.Included {
 		a.Included = append(a.Included, &entrygen.KeyRange{From: i.From, To: i.To})
 	}
-	for _, m := range cover.Missing {
+	for _, m := range coverage.Missing {
 		a.Missing = append(a.Missing, &entrygen.Missing{Shard: m.Shard, From: m.From, To: m.To, Reason: string(m.Reason)})
 	}
 	if len(a.Missing) > 0 {
--- a/tier/entry/client.go
+++ b/tier/entry/client.go
@@ -114,17 +114,17 @@
 	if err := json.Unmarshal(body, &f); err != nil || f.Identity != id {
 		return countDroppedReply("refusal"), nil
 	}
-	held := &wire.PartReply{UpstreamInfo: f.UpstreamInfo}
+	info := &wire.PartReply{UpstreamInfo: f.UpstreamInfo}
 	switch f.Refused {
 	case wire.RefusalShed, wire.RefusalLate:
-		return policy.CallShed, held
+		return policy.CallShed, info
 	case wire.RefusalLeaving:
-		held.Leaving = true
-		return policy.CallLeaving, held
+		info.Leaving = true
+		return policy.CallLeaving, info
 	case wire.RefusalSnapshotGone:
-		return policy.CallSnapshotGone, held
+		return policy.CallSnapshotGone, info
 	case wire.RefusalMoved:
-		return policy.CallMoved, held
+		return policy.CallMoved, info
 	}
 	return countDroppedReply("refusal"), nil
 }
--- a/tier/entry/request.go
+++ b/tier/entry/request.go
@@ -26,8 +26,8 @@
 	// deadline is when the answer must be ready, as time since the process started. The
 	// class's margin is already subtracted.
 	deadline time.Duration
-	// identity identifies a question, so that one that crashes upstreams is recognized;
-	// the zero value for an order, which runs at most once anyway.
+	// identity serves to detect questions that crash upstreams; the zero value for an
+	// order, which runs at most once anyway.
 	identity policy.RequestIdentity
 }
 
--- a/tier/entry/status.go
+++ b/tier/entry/status.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// markReady makes the host ready once its document is confirmed to be the newest. If no peer
-// confirms it in time, or the document has no other host, the host serves without
-// confirmation. The caller has read the status of the upstreams before.
+// markReady makes a starting host ready once its document is confirmed to be the newest. If
+// no peer confirms it in time, or the document has no other host, the host serves without
+// confirmation. It is called after a round, so the snapshots of the upstreams are known.
 func (r *statusReader) markReady() {
 	v := r.kernel.View()
 	if v.Index == nil || r.kernel.Phase() != kernel.PhaseStarting {
--- a/tier/pass/answer.go
+++ b/tier/pass/answer.go
@@ -57,8 +57,7 @@
 	}
 }
 
-// write writes a response with the headers of src and suppresses the ones that net/http
-// adds by default.
+// write writes a response with the headers of src and none that net/http adds by default.
 func (q *request) write(w http.ResponseWriter, status int, src http.Header, body []byte) {
 	stripConnectionHeaders(src)
 	h := w.Header()
@@ -80,8 +79,8 @@
 	}
 }
 
-// fail responds to a request that may have run and has no response. The outcome is
-// outcomeLate if the deadline has passed.
+// fail responds to a request that may have run and has no response. If the deadline has
+// passed, the outcome is outcomeLate instead of o.
 func (q *request) fail(w http.ResponseWriter, o outcome, r *policy.Result) {
 	status := http.StatusBadGateway
 	if q.engine.kernel.Now() >= q.times.deadline {
--- a/tier/pass/conn.go
+++ b/tier/pass/conn.go
@@ -26,10 +26,9 @@
 	maxFreshIdle    = 500 * time.Millisecond
 	readBufferBytes = 4 << 10
 	// silentCallTimeout is how long a call on a reused connection must go unanswered before
-	// the other idle connections of the pool are closed. It is longer than upstreams
-	// usually pause, and no longer than the time for which an unwanted call lingers, so
-	// that a lingering call can show it. Without it, requests would be sent one after
-	// another on connections that have all failed without a reset.
+	// the other idle connections of the pool are closed. They may all have failed without a
+	// reset, and each would fail one request. The timeout is longer than upstreams usually
+	// pause, and no longer than an unwanted call lingers, so that lingering calls reach it.
 	silentCallTimeout = policy.LingerDuration
 )
 
@@ -62,8 +61,8 @@
 
 var upstreamDialer = net.Dialer{Timeout: upstreamDialTimeout, KeepAlive: -1}
 
-// get returns a usable idle connection, or dials a new one. With fresh, only a recently
-// used connection is taken.
+// get returns a usable idle connection, or dials a new one. If fresh is true, it returns an
+// idle connection only if that was used recently.
 func (p *connPool) get(ctx context.Context, fresh bool) (*conn, error) {
 	for {
 		c := p.pop()
--- a/tier/pass/coordinate_client.go
+++ b/tier/pass/coordinate_client.go
@@ -17,15 +17,15 @@
 // forwards whole gathers to one with more.
 
 const (
-	// maxCoordinatorAttempts is how many coordinators are tried before the host executes
-	// the request itself.
+	// maxCoordinatorAttempts limits the coordinators that a request is sent to before this
+	// host executes it itself.
 	maxCoordinatorAttempts = 2
 	// firstHeartbeatTimeout is how long after the round trip the first heartbeat of a
 	// coordinator may come. It leaves a busy coordinator time to respond, and an
 	// unresponsive one takes up only a small part of the objective.
 	firstHeartbeatTimeout = 50 * time.Millisecond
-	// heartbeatTimeout is how long a coordinator may be silent after a heartbeat: three
-	// heartbeats are missed by then.
+	// heartbeatTimeout is how long after a heartbeat the next one may come. Three are
+	// missed by then.
 	heartbeatTimeout  = 150 * time.Millisecond
 	heartbeatInterval = 40 * time.Millisecond
 )
@@ -166,8 +166,8 @@
 	return true
 }
 
-// recordFirstResponse records the first response of the coordinator, which had held the
-// request for a time before it responded.
+// recordFirstResponse records the first response of the coordinator and the round trip; held
+// is the time between the arrival of the request and the response.
 func (s *sentRequest) recordFirstResponse(held time.Duration) {
 	if s.responded {
 		return
--- a/tier/pass/engine.go
+++ b/tier/pass/engine.go
@@ -32,11 +32,11 @@
 	// preconnected are the hosts that connections were opened to in advance; used on the
 	// control thread only.
 	preconnected map[string]bool
-	// inputs is what the current shares and pools were computed from. counts are the hosts
-	// of the last view; memberChanges is the View.MemberChanges that counts, the
-	// coordinators and the preconnections are up to date with. Used on the control thread
-	// only.
-	inputs        shareInputs
+	// inputs are the inputs of the current shares and connection pools; used on the control
+	// thread only.
+	inputs shareInputs
+	// memberChanges is the View.MemberChanges at which counts, the coordinators and the
+	// preconnections were last updated; used on the control thread only.
 	counts        hostCounts
 	memberChanges uint64
 }
@@ -126,7 +126,7 @@
 	}
 	granted := e.kernel.Fleet.Apply(e.kernel.Now(), shares)
 	e.pools.replace(all, e.kernel.Now)
-	// Waiters are notified off the control thread, which does no work for requests.
+	// Waiters must not run on the control thread.
 	go policy.NotifyGranted(granted)
 }
 
--- a/tier/pass/exchange.go
+++ b/tier/pass/exchange.go
@@ -41,8 +41,9 @@
 // next returns an ID that is unique across hosts.
 func (s *idSource) next() string { return s.prefix + strconv.FormatUint(s.count.Add(1), 36) }
 
-// inboxes deliver what other hosts push about a batch or request that they were sent. It is
-// safe for concurrent use; the zero value is ready to use.
+// inboxes holds one inbox for each batch or request that was sent to another host, for the
+// messages that the host pushes about it. It is safe for concurrent use; the zero value is
+// ready to use.
 type inboxes[T any] struct {
 	registry[chan T]
 }
--- a/tier/pass/host_tracker.go
+++ b/tier/pass/host_tracker.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// replyGrace is how late the first reply of a host may be before the host is considered
-	// unresponsive and other hosts are tried first.
+	// replyGrace is how late the first reply of a host may be. After that, the host counts
+	// as unresponsive and is not used.
 	replyGrace = 100 * time.Millisecond
 	// hallUnresponsiveThreshold is how many different hosts of a hall must consecutively
 	// leave a batch unanswered before the upstreams of the hall are called directly: this
@@ -36,7 +36,7 @@
 	// dueAt is when the first reply to the oldest pending message is due; 0 if none is
 	// pending.
 	dueAt time.Duration
-	// backoff is active while other hosts are tried first.
+	// backoff is active while the host is not used.
 	backoff backoff
 	// roundTrip is the shortest round trip seen; 0 if unknown.
 	roundTrip time.Duration
@@ -48,7 +48,7 @@
 	// last is the most recent of them.
 	unresponsive int
 	last         string
-	// backoff is active while no host of the hall is tried.
+	// backoff is active while no host of the hall is used.
 	backoff backoff
 	// roundTrip is the shortest round trip seen; 0 if unknown.
 	roundTrip time.Duration
--- a/tier/pass/relay_client.go
+++ b/tier/pass/relay_client.go
@@ -19,8 +19,9 @@
 // are sent there in batches, through a host of that hall.
 
 const (
-	// hedgeBatchDue is when the first reply to a batch of hedges is due, each call of which
-	// is reported as it ends. An upstream that only pauses responds within that time.
+	// hedgeBatchDue is how long the first reply to a batch of hedges may take. The relay
+	// reports each of these calls as it ends, and an upstream that only pauses responds
+	// within that time.
 	hedgeBatchDue = policy.LingerDuration
 	// firstReplyMargin is how much earlier than the hedges of its calls the first reply to
 	// a batch is due. Without it, replies arrive just after the hedges, and the hedges are
@@ -168,7 +169,7 @@
 	progressHandled int
 	// responded is true once the relay has sent progress or the last reply.
 	responded bool
-	// overdue is true once the unreported calls were hedged.
+	// overdue is true once the first reply was due and the unreported calls were hedged.
 	overdue   bool
 	lastReply batchReply
 }
--- a/tier/pass/relay_report.go
+++ b/tier/pass/relay_report.go
@@ -4,7 +4,7 @@
 
 const (
 	// failureReplyDelay is how long a reply waits for other calls to end after a call has
-	// failed, since each message has a cost of its own.
+	// failed, so that one message reports several calls.
 	failureReplyDelay = 2 * time.Millisecond
 	// progressReplyDelay is the same after any call, once the first reply was due.
 	progressReplyDelay = 8 * time.Millisecond
--- a/tier/pass/relay_server.go
+++ b/tier/pass/relay_server.go
@@ -62,7 +62,7 @@
 	cancel context.CancelFunc
 	// upstream is nil until a slot is acquired.
 	upstream *policy.Upstream
-	// lingering is true once the call continues although its result is no longer wanted.
+	// lingering is true once the call continues although its result is unwanted.
 	lingering bool
 }
 
--- a/tier/pass/serve.go
+++ b/tier/pass/serve.go
@@ -64,8 +64,7 @@
 	single *response
 	// failure is the last error response of an upstream.
 	failure *response
-	// parts are the parts of a gather.
-	parts gatheredParts
+	parts   gatheredParts
 }
 
 // ServeHTTP implements http.Handler. The stages of a request are in separate files, in the
--- a/tier/query/grammar.go
+++ b/tier/query/grammar.go
@@ -1,11 +1,9 @@
 // Package query implements the query and command language, merges partial answers and
-// computes their coverage.
+// computes their coverage. It keeps no state.
 //
-// The grammar is in grammar.go, the execution of commands on a document in apply.go, the
-// merge of rows in merge.go and the coverage with the reasons for missing parts in
-// cover.go. The package keeps no state and uses package config for documents. Requests of
-// callers are parsed with ParseAsk or ParsePlace, commands of operators with Parse and
-// executed with Apply.
+// Requests of callers are parsed with ParseAsk or ParsePlace, commands of operators with
+// Parse; Apply executes commands on a document of package config. Merger merges the rows of
+// the parts of an answer, and NewCoverage lists the missing parts with the reasons.
 //
 // The nodes of the syntax tree are exported because the error messages of the parser
 // contain their names.
@@ -57,7 +55,7 @@
 	Statements []*Statement `parser:"( @@ ( ';' @@ )* ';'? )?"`
 }
 
-// Statement is one query or command; exactly one field besides Pos is set.
+// Statement is one question, order or command; exactly one field besides Pos is set.
 type Statement struct {
 	Pos     lexer.Position
 	Ask     *Ask     `parser:"  @@"`
@@ -70,7 +68,7 @@
 	Show    *Show    `parser:"| @@"`
 }
 
-// Ask is a query, which is repeatable.
+// Ask is a question: a find or count statement. It is repeatable.
 type Ask struct {
 	Verb    string       `parser:"@( 'find' | 'count' )"`
 	Service string       `parser:"@Word"`
@@ -93,7 +91,7 @@
 	Order string `parser:"@( 'asc' | 'desc' )?"`
 }
 
-// Place is a request that writes one record; it must run at most once.
+// Place is an order: it writes one record and must run at most once.
 type Place struct {
 	Service string        `parser:"'place' @Word"`
 	Key     uint32        `parser:"'key' @Number"`
@@ -120,7 +118,7 @@
 	Shard    *DeclareShard    `parser:"| 'shard' @@"`
 }
 
-// DeclareUpstream describes a back end.
+// DeclareUpstream describes an upstream.
 type DeclareUpstream struct {
 	Name        string `parser:"@Word"`
 	Address     string `parser:"'at' @Text"`
--- a/tier/query/merge.go
+++ b/tier/query/merge.go
@@ -28,7 +28,7 @@
 	return ""
 }
 
-// Question is the query that is sent to an upstream for one shard.
+// Question is the part of an Ask that is sent to an upstream for each shard.
 type Question struct {
 	Verb       string
 	Where      []Condition `json:",omitempty"`
@@ -37,7 +37,7 @@
 	Limit      int         `json:",omitempty"`
 }
 
-// Question returns the part of a statement that each shard evaluates.
+// Question returns the question that each shard evaluates.
 func (a *Ask) Question() Question {
 	q := Question{Verb: a.Verb, Limit: a.rowLimit()}
 	for _, c := range a.Where {
--- a/tier/wire/wire.go
+++ b/tier/wire/wire.go
@@ -49,8 +49,8 @@
 // ErrTooLarge is returned for a message that exceeds its size limit.
 var ErrTooLarge = errors.New("message too large")
 
-// Identity matches a reply to its call. A reply with another identity than its call is
-// dropped.
+// Identity identifies a call. A reply repeats the identity of its call; one with another
+// identity is dropped.
 type Identity struct {
 	// RequestID identifies the caller's request.
 	RequestID string
@@ -66,7 +66,7 @@
 type PartRequest struct {
 	Identity
 	Service string
-	// From and To are the half-open key range of the shard.
+	// From and To are the key range of the shard; To is exclusive.
 	From, To uint32
 	// Snapshot is the index snapshot to answer from; 0 for the newest.
 	Snapshot uint64
@@ -75,7 +75,7 @@
 	Question       query.Question
 }
 
-// PlaceRequest asks one upstream to write one record. It is not idempotent.
+// PlaceRequest asks one upstream to write one record. It must run at most once.
 type PlaceRequest struct {
 	Identity
 	Service        string
@@ -210,7 +210,7 @@
 	Entries []LiveEntry
 }
 
-// OrderRequest forwards a non-idempotent request to the host that holds its ticket.
+// OrderRequest forwards an order to the host that holds its ticket.
 type OrderRequest struct {
 	Ticket         string
 	Statement      string
