--- a/tier/config/config_test.go
+++ b/tier/config/config_test.go
@@ -19,7 +19,7 @@
 	return text
 }
 
-func TestAcceptGivesDefaultsAndLooksUp(t *testing.T) {
+func TestAcceptSetsDefaultsAndIndexes(t *testing.T) {
 	x, err := Accept(validDocument(t), Edition{Position: Position{Revision: 1}})
 	assert.NilError(t, err)
 	assert.Equal(t, x.Class("Search").MaxDeadline, DefaultClass().MaxDeadline)
@@ -32,7 +32,7 @@
 	assert.ErrorContains(t, err, "use a smaller key")
 }
 
-func TestEncodedDocumentReadsBackTheSame(t *testing.T) {
+func TestDocumentRoundTrip(t *testing.T) {
 	d, err := Decode(validDocument(t))
 	assert.NilError(t, err)
 	text, err := Encode(d)
@@ -44,7 +44,7 @@
 	assert.Equal(t, string(text), string(second))
 }
 
-func TestCheckRefuses(t *testing.T) {
+func TestCheckRejectsInvalidDocuments(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(d *Document)
--- a/tier/config/directory_cost_test.go
+++ b/tier/config/directory_cost_test.go
@@ -27,9 +27,9 @@
 	}
 }
 
-// BenchmarkOneListing measures a change of one upstream and the comparison with the
+// BenchmarkListingChange measures a change of one upstream and the comparison with the
 // directory before, by the number of upstreams listed.
-func BenchmarkOneListing(b *testing.B) {
+func BenchmarkListingChange(b *testing.B) {
 	for _, upstreams := range []int{545, 5448, 54_480} {
 		b.Run(fmt.Sprintf("upstreams=%d", upstreams), func(b *testing.B) {
 			d := newDirectory(upstreams)
@@ -45,9 +45,10 @@
 	}
 }
 
-// TestOneListingCostsWhatChanged guards against copies of the whole directory: a change
-// of one upstream must not allocate in proportion to the number of upstreams.
-func TestOneListingCostsWhatChanged(t *testing.T) {
+// TestListingChangeCostIsIndependentOfDirectorySize guards against copies of the whole
+// directory: a change of one upstream must not allocate in proportion to the number of
+// upstreams.
+func TestListingChangeCostIsIndependentOfDirectorySize(t *testing.T) {
 	const changes = 200
 	cost := func(upstreams int) uint64 {
 		d := newDirectory(upstreams)
@@ -67,9 +68,9 @@
 	assert.Assert(t, large < 2*small, "%d bytes of 1,000 upstreams, %d of 10,000", small, large)
 }
 
-// TestSinceKnowsWhatWasTouched compares what Since returns with the help of the edit
+// TestSinceMatchesFullComparison compares what Since returns with the help of the edit
 // history with what it returns from a comparison of all upstreams.
-func TestSinceKnowsWhatWasTouched(t *testing.T) {
+func TestSinceMatchesFullComparison(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d, _ := (*Directory)(nil).With(&DirectoryChange{Revision: 1})
 		all := []*Directory{d}
--- a/tier/config/directory_test.go
+++ b/tier/config/directory_test.go
@@ -47,9 +47,9 @@
 	return out
 }
 
-// TestDirectoryForgetsOldRemovals checks the bound of the number of removals kept, which
+// TestOldRemovalsAreDropped checks the bound of the number of removals kept, which
 // grows with the number of upstreams listed.
-func TestDirectoryForgetsOldRemovals(t *testing.T) {
+func TestOldRemovalsAreDropped(t *testing.T) {
 	for _, listed := range []int{0, 2000} {
 		bound := max(minRemovalsKept, removalsKeptPerUpstream*listed)
 		d := newDirectory(listed)
@@ -64,9 +64,9 @@
 	}
 }
 
-// TestRemovalsOfManyUpstreamsHold replaces all upstreams of a large directory one by one.
-// Late entries of the removed upstreams must not list them again.
-func TestRemovalsOfManyUpstreamsHold(t *testing.T) {
+// TestLateEntriesDoNotRestoreRemovedUpstreams replaces all upstreams of a large
+// directory one by one. Late entries of the removed upstreams must not list them again.
+func TestLateEntriesDoNotRestoreRemovedUpstreams(t *testing.T) {
 	const upstreams = 2 * 5448
 	d := newDirectory(upstreams)
 	revision := uint64(1)
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestRouteIsTheLongestPrefixOfItsHostName(t *testing.T) {
+func TestRouteWithLongestPrefixApplies(t *testing.T) {
 	x := newIndex(routesDoc(), nil, Edition{Position: Position{Revision: 1}})
 	tests := []struct{ host, path, route string }{
 		{"x.example", "/a/c", "One"},
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestCheckRefusesRoutes(t *testing.T) {
+func TestCheckRoutes(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(d *Document)
@@ -168,7 +168,7 @@
 	}
 }
 
-func TestRoutesReadBackTheSame(t *testing.T) {
+func TestRoutesRoundTrip(t *testing.T) {
 	d := routesDoc()
 	d.Limits = Limits{Body: int64(rand.IntN(100) + 1)}
 	text, err := Encode(d)
@@ -181,7 +181,7 @@
 	assert.Equal(t, len(again.Routes), 3)
 }
 
-func TestDecodeRefusesNonObjects(t *testing.T) {
+func TestDecodeRejectsNonObjects(t *testing.T) {
 	for _, text := range []string{"null", "[]", "1", `"x"`, "true"} {
 		_, err := Decode([]byte(text))
 		assert.ErrorIs(t, err, ErrInvalid, text)
--- a/tier/config/golden_test.go
+++ b/tier/config/golden_test.go
@@ -41,7 +41,7 @@
 	return d
 }
 
-func TestEncodedDocumentsKeepTheirForm(t *testing.T) {
+func TestDocumentFormat(t *testing.T) {
 	var out strings.Builder
 	for _, d := range []*Document{{}, fullDocument(t), {Limits: Limits{Body: 1}}, {Groups: []Group{{Name: "A"}}}} {
 		assert.Assert(t, d.Based == 0)
@@ -52,8 +52,8 @@
 	golden.Assert(t, out.String(), "documents.golden")
 }
 
-// TestFaultsKeepTheirText checks the text of each error of Check.
-func TestFaultsKeepTheirText(t *testing.T) {
+// TestCheckErrorTexts checks the text of each error of Check.
+func TestCheckErrorTexts(t *testing.T) {
 	changes := []func(d *Document){
 		func(d *Document) { d.Based = 3 },
 		func(d *Document) { d.Classes[1].Name = "9" },
@@ -126,9 +126,9 @@
 	golden.Assert(t, out.String(), "faults.golden")
 }
 
-// TestSyntaxFaultsKeepTheirText omits problem texts of the JSON library, which differ
+// TestDecodeErrorTexts omits problem texts of the JSON library, which differ
 // from one process to another.
-func TestSyntaxFaultsKeepTheirText(t *testing.T) {
+func TestDecodeErrorTexts(t *testing.T) {
 	var out strings.Builder
 	for _, text := range []string{
 		"", " \n", "[]", strings.Repeat(" ", MaxBytes+1), "{\n\"Based\": }", `{"Based": 0, "Based": 1}`, "{\n\n\"Basis\": 0}",
@@ -155,7 +155,7 @@
 	return string(text)
 }
 
-func TestDirectoriesKeepTheirText(t *testing.T) {
+func TestDirectoryFormat(t *testing.T) {
 	var none *Directory
 	empty, _ := none.With(&DirectoryChange{Revision: 1})
 	some, _ := empty.With(&DirectoryChange{
--- a/tier/config/position_test.go
+++ b/tier/config/position_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestEditionsAreOrderedByTheirAuthorsNumber(t *testing.T) {
+func TestEditionsAreOrderedByVersionFirst(t *testing.T) {
 	tests := []struct {
 		name   string
 		a, b   Edition
@@ -62,10 +62,10 @@
 	return Listing{Name: name, Group: "G", Slots: int(sequence), Era: p.Era, Revision: p.Revision, Sequence: sequence, Copied: copied}
 }
 
-// TestCopiedEntriesGiveWayUntilTheirEraIsSettled applies a complete listing from a
+// TestCopiedEntriesAreProvisionalUntilEraIsSettled applies a complete listing from a
 // restored store to a directory of the previous era, and checks the result before and
 // after the era is settled.
-func TestCopiedEntriesGiveWayUntilTheirEraIsSettled(t *testing.T) {
+func TestCopiedEntriesAreProvisionalUntilEraIsSettled(t *testing.T) {
 	known := func(c DirectoryChange) *Directory {
 		c.Era, c.Revision = 1, 58
 		d, _ := (*Directory)(nil).With(&c)
@@ -130,9 +130,9 @@
 	assert.Equal(t, other.Size(), 1)
 }
 
-// TestChangesOfALaterEraCountAtOnce checks that writes after a restore take effect
+// TestChangesOfLaterEraApplyAtOnce checks that writes after a restore take effect
 // although their revisions were already used in the previous era.
-func TestChangesOfALaterEraCountAtOnce(t *testing.T) {
+func TestChangesOfLaterEraApplyAtOnce(t *testing.T) {
 	d, _ := (*Directory)(nil).With(&DirectoryChange{
 		Era: 1, Revision: 58, Listed: []Listing{listing("U", at(1, 57), 7, false)}, Removed: []Removal{{Name: "V", Era: 1, Revision: 50, Sequence: 3}},
 		Evacuated: []Evacuation{{Hall: "A", Era: 1, Revision: 51}}, Resumed: []Removal{{Name: "B", Era: 1, Revision: 52}},
@@ -148,7 +148,7 @@
 	assert.Equal(t, d.Position(), at(2, 48))
 }
 
-func TestCopiedEvacuationsGiveWayUntilTheirEraIsSettled(t *testing.T) {
+func TestCopiedEvacuationsAreProvisionalUntilEraIsSettled(t *testing.T) {
 	d, _ := (*Directory)(nil).With(&DirectoryChange{
 		Era: 1, Revision: 58, Evacuated: []Evacuation{{Hall: "Begun", Era: 1, Revision: 51}}, Resumed: []Removal{{Name: "Ended", Era: 1, Revision: 52}},
 	})
@@ -160,9 +160,9 @@
 	assert.DeepEqual(t, d.EvacuatedHalls(), []string{"Ended"})
 }
 
-// TestHostsThatNameNoEra checks that entries without an era are ordered by their
+// TestEntriesWithoutEra checks that entries without an era are ordered by their
 // revisions until an era is settled, and belong to the time before it from then on.
-func TestHostsThatNameNoEra(t *testing.T) {
+func TestEntriesWithoutEra(t *testing.T) {
 	d, _ := (*Directory)(nil).With(&DirectoryChange{Revision: 58, Listed: []Listing{listing("U", at(0, 57), 0, false), listing("V", at(0, 50), 0, false)}})
 	d, _ = d.With(&DirectoryChange{Era: 1, Revision: 58, Whole: true, Listed: []Listing{listing("U", at(1, 57), 7, true), listing("V", at(1, 50), 3, true)}})
 	l, _ := d.Find("U")
@@ -237,11 +237,11 @@
 	return c
 }
 
-// TestHostsAgreeAfterReturns simulates a store that is restored from copies, a host that
-// reads it, and hosts that receive the changes late, twice, out of order and from one
-// another. While an era is not settled, no listed upstream may go back to an older
+// TestHostsAgreeAfterRestores simulates a store that is restored from copies, a host
+// that reads it, and hosts that receive the changes late, twice, out of order and from
+// one another. While an era is not settled, no listed upstream may go back to an older
 // report; once it is settled, all hosts must list what the store holds.
-func TestHostsAgreeAfterReturns(t *testing.T) {
+func TestHostsAgreeAfterRestores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &fakeStore{era: 1, revision: 1, entries: map[string]Listing{}, counts: map[string]uint64{}}
 		hosts := make([]*Directory, 3)
@@ -314,8 +314,8 @@
 }
 
 // TestOrderingAfterRestore compares rules for deciding whether an entry read after a
-// restore replaces the known one. Each has a known number of wrong decisions, the rule in
-// use none.
+// restore replaces the known one. Each has a known number of wrong decisions, the rule
+// in use none.
 func TestOrderingAfterRestore(t *testing.T) {
 	cases := []restoreCase{
 		{"an older document in the copy", version{at(1, 58), 26, false, 0}, version{at(2, 54), 12, true, 0}, true, false},
@@ -363,8 +363,8 @@
 // TestReportsOfRestartedUpstream checks the order of reports of two processes with the
 // same name, in a restored copy and after it.
 func TestReportsOfRestartedUpstream(t *testing.T) {
-	listed := func(era, revision, sequence uint64, born int64, copied bool) Listing {
-		return Listing{Name: "U", Group: "G", Era: era, Revision: revision, Sequence: sequence, StartedMillis: born, Copied: copied}
+	listed := func(era, revision, sequence uint64, startedMillis int64, copied bool) Listing {
+		return Listing{Name: "U", Group: "G", Era: era, Revision: revision, Sequence: sequence, StartedMillis: startedMillis, Copied: copied}
 	}
 	tests := []struct {
 		name        string
--- a/tier/entry/bench_test.go
+++ b/tier/entry/bench_test.go
@@ -74,11 +74,11 @@
 	b.Helper()
 	one()
 	b.ResetTimer()
-	begun := cpuTime()
+	started := cpuTime()
 	for range b.N {
 		one()
 	}
-	b.ReportMetric(float64(cpuTime()-begun)/float64(b.N)/1e3, "cpu-us/op")
+	b.ReportMetric(float64(cpuTime()-started)/float64(b.N)/1e3, "cpu-us/op")
 }
 
 func benchRequest() wire.PartRequest {
--- a/tier/pass/admit_test.go
+++ b/tier/pass/admit_test.go
@@ -88,9 +88,9 @@
 // whichever way the upstreams at home fail.
 func TestHomesApplyToEveryCall(t *testing.T) {
 	tests := []struct {
-		name   string
-		reply  func(shard int) replyFunc
-		single int
+		name         string
+		reply        func(shard int) replyFunc
+		singleStatus int
 	}{
 		{"well", func(s int) replyFunc { return good(shardRecords(s)) }, http.StatusOK},
 		{"silent", func(s int) replyFunc {
@@ -117,7 +117,7 @@
 			p.east.send(http.MethodGet, "/find/x", "gather", 900, "")
 			r := p.east.send(http.MethodPost, "/one/x", "single", 900, "an order")
 			assert.NilError(t, r.err)
-			assert.Equal(t, r.status, tt.single, r.body)
+			assert.Equal(t, r.status, tt.singleStatus, r.body)
 			assert.Equal(t, p.total(1), 0, "calls to upstreams that are not at home")
 			assert.Assert(t, p.total(0) > 0)
 		})
@@ -294,10 +294,10 @@
 	}
 }
 
-// TestColdUpstreamsStayWithinTheirRate has two hosts of a hall gather from cold upstreams:
+// TestColdUpstreamsStayWithinColdRate has two hosts of a hall gather from cold upstreams:
 // no upstream may get more calls within a second than its cold rate, and requests of both
 // hosts must be served.
-func TestColdUpstreamsStayWithinTheirRate(t *testing.T) {
+func TestColdUpstreamsStayWithinColdRate(t *testing.T) {
 	const limit = 8
 	var all [shards][2]*overloadable
 	w := newNetwork()
--- a/tier/pass/coordinate_test.go
+++ b/tier/pass/coordinate_test.go
@@ -35,7 +35,7 @@
 		strong:  newHost(t, hostConfig{name: "Strong", hall: "A", peers: w}),
 	}
 	// Long timeouts, so that a slow machine does not change the result.
-	f.weak.engine.coordinate.heartbeat = heartbeatTimeouts{first: testBound, next: testBound}
+	f.weak.engine.coordinate.heartbeat = heartbeatTimeouts{first: testTimeout, next: testTimeout}
 	w.hosts["Strong"] = f.strong
 	f.upstreams = newShardUpstreams(t, f.weak, [2]string{"A", "A"}, reply)
 	d := gatherDoc(0.8, 15)
@@ -60,7 +60,7 @@
 // TestGatherIsForwardedToStrongerHost puts the strong host into different states: the
 // caller always gets the whole response, and no shard is called twice.
 func TestGatherIsForwardedToStrongerHost(t *testing.T) {
-	soon := heartbeatTimeouts{first: time.Millisecond, next: testBound}
+	soon := heartbeatTimeouts{first: time.Millisecond, next: testTimeout}
 	tests := []struct {
 		name   string
 		change func(f *forwardSetup)
@@ -129,9 +129,9 @@
 	}
 }
 
-// TestCoordinatorRefusalIsPassedOn checks that the caller learns that the request did not
-// run, and when to retry.
-func TestCoordinatorRefusalIsPassedOn(t *testing.T) {
+// TestCoordinatorRefusalIsForwarded checks that the caller learns that the request did
+// not run, and when to retry.
+func TestCoordinatorRefusalIsForwarded(t *testing.T) {
 	f := newForwardSetup(t, replyWithPart)
 	f.strong.do(func(s *kernel.State) {
 		s.ApplyDirectoryChange(&config.DirectoryChange{Revision: 1000, Whole: true})
@@ -143,9 +143,9 @@
 	assert.DeepEqual(t, f.callsPerShard("one"), make([]int, shards))
 }
 
-// TestForwardedRequestEndsWithItsCaller checks that the calls of the coordinator are
-// cancelled when the caller of the request is gone.
-func TestForwardedRequestEndsWithItsCaller(t *testing.T) {
+// TestForwardedRequestStopsWhenCallerDisconnects checks that the calls of the coordinator
+// are cancelled when the caller of the request is gone.
+func TestForwardedRequestStopsWhenCallerDisconnects(t *testing.T) {
 	ended := make(chan struct{}, 100)
 	f := newForwardSetup(t, func(int, int) replyFunc {
 		return func(u *fakeUpstream, c net.Conn, r *http.Request) bool {
--- a/tier/pass/exchange_test.go
+++ b/tier/pass/exchange_test.go
@@ -16,12 +16,12 @@
 		assert.Equal(t, ok, taken)
 	}
 	deliver(1, false, false)
-	pushed, forget := in.open("one", 1)
+	pushed, release := in.open("one", 1)
 	deliver(2, true, true)
 	deliver(3, true, false)
 	assert.Equal(t, <-pushed, 2)
 	deliver(4, true, true)
-	forget()
+	release()
 	deliver(5, false, false)
 }
 
--- a/tier/pass/gather_test.go
+++ b/tier/pass/gather_test.go
@@ -39,8 +39,8 @@
 	return d
 }
 
-// shardRecords returns records of a shard, unsorted, with a remainder that is too short for
-// a record.
+// shardRecords returns records of a shard, unsorted, with a remainder that is too short
+// for a record.
 func shardRecords(shard int) string {
 	r := rand.New(rand.NewPCG(uint64(shard), 7))
 	var b strings.Builder
@@ -92,8 +92,8 @@
 		reply    func(shard, replica int) replyFunc
 		status   int
 		in       []int
-		// most bounds the calls of one shard.
-		most int
+		// maxCalls bounds the calls of one shard.
+		maxCalls int
 	}{
 		{"all well", 1, func(s, _ int) replyFunc { return good(shardRecords(s)) }, 200, whole, 2},
 		{"one replica of each fails", 1, func(s, r int) replyFunc {
@@ -150,7 +150,7 @@
 			assert.NilError(t, r.err)
 			assert.Equal(t, r.status, tt.status)
 			for s := range us {
-				assert.Assert(t, us[s][0].seen("one")+us[s][1].seen("one") <= tt.most)
+				assert.Assert(t, us[s][0].seen("one")+us[s][1].seen("one") <= tt.maxCalls)
 			}
 			if tt.status != http.StatusOK {
 				return
@@ -162,8 +162,9 @@
 	}
 }
 
-// TestGatherAllShed accepts either failure: a gather is refused only if it certainly did
-// not run, and a call may still be in flight when the coverage becomes unreachable.
+// TestGatherAllShed accepts a refusal as well as a failure: a gather is refused only if
+// it certainly did not run, and a call may still be in flight when the coverage becomes
+// unreachable.
 func TestGatherAllShed(t *testing.T) {
 	h := newHost(t, hostConfig{name: "H1", hall: "A"})
 	h.applyDocument(gatherDoc(0.5, 15))
@@ -236,9 +237,9 @@
 	}
 }
 
-// TestBatchStopsWhenCallerLeaves checks that the calls of a relay are cancelled when the
-// caller of the request is gone.
-func TestBatchStopsWhenCallerLeaves(t *testing.T) {
+// TestBatchStopsWhenCallerDisconnects checks that the calls of a relay are cancelled when
+// the caller of the request is gone.
+func TestBatchStopsWhenCallerDisconnects(t *testing.T) {
 	w := newNetwork()
 	h := newHost(t, hostConfig{name: "H1", hall: "A", peers: w})
 	far := newHost(t, hostConfig{name: "Far", hall: "B", peers: w})
@@ -351,8 +352,8 @@
 	assert.Equal(t, out.(*batchReply).Ended[0].Outcome, string(policy.CallUnreachable))
 }
 
-// TestRelayedCallsHaveOneTrace checks that each hop of a gather through a relay has a span,
-// and that all spans belong to the caller's trace.
+// TestRelayedCallsHaveOneTrace checks that each hop of a gather through a relay has a
+// span, and that all spans belong to the caller's trace.
 func TestRelayedCallsHaveOneTrace(t *testing.T) {
 	spans := tracetest.NewInMemoryExporter()
 	tracer := sdk.NewTracerProvider(sdk.WithSyncer(spans)).Tracer("")
--- a/tier/pass/golden_test.go
+++ b/tier/pass/golden_test.go
@@ -186,7 +186,7 @@
 
 // observeForwarded forwards a gather to a coordinator in each of its states.
 func (o *observation) observeForwarded(t *testing.T) {
-	soon := heartbeatTimeouts{first: time.Millisecond, next: testBound}
+	soon := heartbeatTimeouts{first: time.Millisecond, next: testTimeout}
 	cases := []struct {
 		name   string
 		change func(f *forwardSetup)
--- a/tier/pass/host_test.go
+++ b/tier/pass/host_test.go
@@ -34,8 +34,8 @@
 	NotRun: "X-Not-Run", Load: "X-Load", Parts: "X-Parts", Missing: "X-Missing",
 }
 
-// testBound is a generous timeout for anything in the tests; no result depends on it.
-const testBound = 20 * time.Second
+// testTimeout is a generous timeout for anything in the tests; no result depends on it.
+const testTimeout = 20 * time.Second
 
 // replyFunc answers one request on a connection. If it returns false, the connection is
 // closed.
@@ -255,7 +255,7 @@
 		Fleet: policy.NewFleet(policy.FleetConfig{Random: rand.New(rand.NewPCG(1, 2))}),
 	})
 	k.Peers = c.peers
-	stopStrikes := peers.ServeCrashReports(k)
+	stopCrashReports := peers.ServeCrashReports(k)
 	e, closeEngine := newEngine(k, names)
 	h := &host{t: t, kernel: k, engine: e, server: httptest.NewServer(e), revision: 1}
 	if w, ok := c.peers.(*network); ok && w.sender == nil {
@@ -264,7 +264,7 @@
 	t.Cleanup(func() {
 		h.server.Close()
 		closeEngine()
-		stopStrikes()
+		stopCrashReports()
 		stop()
 	})
 	return h
@@ -318,7 +318,7 @@
 
 // send sends a request with an ID and a deadline in milliseconds.
 func (h *host) send(method, path, id string, left int, body string) result {
-	ctx, cancel := context.WithTimeout(h.t.Context(), testBound)
+	ctx, cancel := context.WithTimeout(h.t.Context(), testTimeout)
 	defer cancel()
 	return h.sendContext(ctx, method, path, id, left, body)
 }
@@ -381,11 +381,11 @@
 
 // Call implements kernel.PeerCaller.
 func (w *network) Call(ctx context.Context, to, method string, params, result any) error {
-	handler, mute, err := w.handler(to, method)
+	handler, unresponsive, err := w.handler(to, method)
 	if err != nil {
 		return err
 	}
-	if mute {
+	if unresponsive {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -453,7 +453,7 @@
 // eventually waits until a condition holds.
 func eventually(t testing.TB, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testBound); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if holds() {
 			return
 		}
--- a/tier/pass/host_tracker_test.go
+++ b/tier/pass/host_tracker_test.go
@@ -33,8 +33,8 @@
 	assert.Assert(t, r.responsive("Far", now+backoffInitial))
 }
 
-// TestUnresponsiveHallIsCalledDirectly cuts a host off from ten hosts of another hall:
-// after two batches it must call the upstreams there itself for a while.
+// TestUnresponsiveHallIsCalledDirectly leaves batches to the hosts of another hall
+// unanswered: after two, the upstreams there must be called directly for a while.
 func TestUnresponsiveHallIsCalledDirectly(t *testing.T) {
 	r := newHostTracker()
 	v := &kernel.View{Members: map[string]kernel.Member{}}
--- a/tier/pass/relay_records_test.go
+++ b/tier/pass/relay_records_test.go
@@ -51,11 +51,11 @@
 	tests := []struct {
 		name  string
 		parts func(int) string
-		// asked reports whether omitted records are fetched.
-		asked bool
-		// cut makes fetching the omitted records fail.
-		cut    bool
-		shards int
+		// fetched is true if omitted records are fetched.
+		fetched bool
+		// fetchFails makes fetching the omitted records fail.
+		fetchFails bool
+		shards     int
 	}{
 		{"evenly spread", even, false, false, shards},
 		{"all in the other hall", high, true, false, shards},
@@ -67,7 +67,7 @@
 			h := newHost(t, hostConfig{name: "H1", hall: "A", peers: w})
 			far := newHost(t, hostConfig{name: "Far", hall: "B", peers: w})
 			w.hosts["Far"] = far
-			if tt.cut {
+			if tt.fetchFails {
 				w.failingMethods = map[string]bool{methodRecords: true}
 			}
 			var all []string
@@ -78,7 +78,7 @@
 					hall = "B"
 				}
 				h.listUpstream(fmt.Sprint("S", s), hall, newFakeUpstream(t, fmt.Sprint("U", s), good(text)), false)
-				if tt.cut && hall == "B" {
+				if tt.fetchFails && hall == "B" {
 					continue
 				}
 				for ; len(text) >= recordBytes; text = text[recordBytes:] {
@@ -95,9 +95,9 @@
 			slices.Reverse(all)
 			assert.Equal(t, r.body, strings.Join(all[:top], ""))
 			assert.Equal(t, len(sortedStamps(r)), tt.shards)
-			assert.Equal(t, w.callCount(methodRecords) > 0, tt.asked)
-			assert.Equal(t, h.engine.relay.fullRecordRoutes.enabled("Find", h.kernel.Now()), tt.asked)
-			if !tt.asked || tt.cut {
+			assert.Equal(t, w.callCount(methodRecords) > 0, tt.fetched)
+			assert.Equal(t, h.engine.relay.fullRecordRoutes.enabled("Find", h.kernel.Now()), tt.fetched)
+			if !tt.fetched || tt.fetchFails {
 				return
 			}
 			// From now on, all records are sent at once.
@@ -118,8 +118,8 @@
 	b.endCall(callReport{Stamp: "S"}, []byte(strings.Repeat("0123456789abcdef", 25)))
 	out, last := b.nextReply()
 	assert.Assert(t, last)
-	given := len(out.Records) / recordBytes
-	assert.Equal(t, given, recordsToSend(25, 1, 50))
+	sent := len(out.Records) / recordBytes
+	assert.Equal(t, sent, recordsToSend(25, 1, 50))
 	assert.Equal(t, out.OmittedID, 1)
 	for _, bad := range []string{`{`, `{"ID":"B"}`, `{"ID":"B","Cut":2}`, `{"ID":"C","Cut":1}`} {
 		_, err := b.engine.kernel.Handler(methodRecords)(t.Context(), []byte(bad))
@@ -127,5 +127,5 @@
 	}
 	rest, err := b.engine.kernel.Handler(methodRecords)(t.Context(), []byte(`{"ID":"B","Cut":1}`))
 	assert.NilError(t, err)
-	assert.Equal(t, len(rest.(*recordsReply).Records)/recordBytes, 25-given)
+	assert.Equal(t, len(rest.(*recordsReply).Records)/recordBytes, 25-sent)
 }
--- a/tier/pass/relay_server_test.go
+++ b/tier/pass/relay_server_test.go
@@ -36,28 +36,28 @@
 		after  time.Duration
 		failed bool
 	}
-	type told struct {
+	type sentReply struct {
 		at    time.Duration
 		calls int
 	}
 	tests := []struct {
 		name string
 		ends []endCall
-		want []told
+		want []sentReply
 	}{
-		{"all in time", []endCall{{10 * ms, false}, {20 * ms, false}, {20 * ms, false}}, []told{{20 * ms, 3}}},
-		{"one is stuck", []endCall{{10 * ms, false}, {20 * ms, false}, {300 * ms, false}}, []told{{50 * ms, 2}, {300 * ms, 1}}},
+		{"all in time", []endCall{{10 * ms, false}, {20 * ms, false}, {20 * ms, false}}, []sentReply{{20 * ms, 3}}},
+		{"one is stuck", []endCall{{10 * ms, false}, {20 * ms, false}, {300 * ms, false}}, []sentReply{{50 * ms, 2}, {300 * ms, 1}}},
 		{
 			"a stuck one holds nothing back",
 			[]endCall{{60 * ms, false}, {65 * ms, false}, {300 * ms, false}},
-			[]told{{50 * ms, 0}, {68 * ms, 2}, {300 * ms, 1}},
+			[]sentReply{{50 * ms, 0}, {68 * ms, 2}, {300 * ms, 1}},
 		},
 		{
 			"a failure is told at once",
 			[]endCall{{1 * ms, true}, {2 * ms, true}, {20 * ms, false}},
-			[]told{{3 * ms, 2}, {20 * ms, 1}},
+			[]sentReply{{3 * ms, 2}, {20 * ms, 1}},
 		},
-		{"the deadline ends it", []endCall{{10 * ms, false}, {20 * ms, false}, {2000 * ms, false}}, []told{{50 * ms, 2}, {1000 * ms, 0}}},
+		{"the deadline ends it", []endCall{{10 * ms, false}, {20 * ms, false}, {2000 * ms, false}}, []sentReply{{50 * ms, 2}, {1000 * ms, 0}}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -73,11 +73,11 @@
 						b.endCall(c, nil)
 					}()
 				}
-				var got []told
+				var got []sentReply
 				for last := false; !last; {
 					var r *batchReply
 					r, last = b.nextReply()
-					got = append(got, told{b.engine.kernel.Now(), len(r.Ended)})
+					got = append(got, sentReply{b.engine.kernel.Now(), len(r.Ended)})
 				}
 				assert.Assert(t, slices.Equal(got, tt.want), "%v", got)
 				time.Sleep(2 * time.Second) // wait for the calls still in flight
--- a/tier/pass/single_test.go
+++ b/tier/pass/single_test.go
@@ -49,7 +49,7 @@
 	return h, us
 }
 
-func TestRequestIsPassedOnUnchanged(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	h, us := newSingleSetup(t, good("the answer"))
 	r := h.send(http.MethodPost, "/place/a%2Fb//c/?q=1&q=%20", "one", 1000, "the body")
 	assert.NilError(t, r.err)
@@ -67,7 +67,7 @@
 	assert.Equal(t, seen.Header.Get("Connection"), "")
 }
 
-func TestConnectionHeadersAreNotPassedOn(t *testing.T) {
+func TestConnectionHeadersAreNotForwarded(t *testing.T) {
 	h, us := newSingleSetup(t, good("x"))
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, h.server.URL+"/read/", nil)
 	assert.NilError(t, err)
@@ -113,16 +113,16 @@
 	assert.Equal(t, us[0].total(), 0)
 }
 
-func TestHostWithoutDocumentRefuses(t *testing.T) {
+func TestHostWithoutDocumentRefusesRequests(t *testing.T) {
 	h := newHost(t, hostConfig{name: "H1", hall: "A"})
 	r := h.send(http.MethodGet, "/read/", "one", 1000, "")
 	assert.NilError(t, r.err)
 	assert.Equal(t, r.status, http.StatusServiceUnavailable)
 }
 
-// TestRefusalsAreSpread checks that callers that are refused together are not told to retry
-// together.
-func TestRefusalsAreSpread(t *testing.T) {
+// TestRetryAfterHasJitter checks that callers that are refused together are not told to
+// retry together.
+func TestRetryAfterHasJitter(t *testing.T) {
 	h := newHost(t, hostConfig{name: "H1", hall: "A"})
 	h.applyDocument(singleDoc())
 	h.listUpstream("Other", "A", newFakeUpstream(t, "U1", good("x")), false)
@@ -138,10 +138,10 @@
 	assert.Assert(t, len(times) > 1, "same Retry-After for all: %v", times)
 }
 
-// TestRequestWaitsForFirstDocument checks that a request to a host that is just starting is
-// served once there is a document.
+// TestRequestWaitsForFirstDocument checks that a request to a host that is just starting
+// is served once there is a document.
 func TestRequestWaitsForFirstDocument(t *testing.T) {
-	h := newHost(t, hostConfig{name: "H1", hall: "A", age: -testBound})
+	h := newHost(t, hostConfig{name: "H1", hall: "A", age: -testTimeout})
 	u := newFakeUpstream(t, "U1", good("x"))
 	results := make(chan result, 1)
 	go func() { results <- h.send(http.MethodGet, "/read/", "one", 5000, "") }()
@@ -159,11 +159,11 @@
 	tests := []struct {
 		name string
 		// reply is the reply of both upstreams.
-		reply      replyFunc
-		unsafeGets int
-		unsafeRuns int
-		safeGets   int
-		safeRuns   int
+		reply        replyFunc
+		unsafeStatus int
+		unsafeCalls  int
+		safeStatus   int
+		safeCalls    int
 	}{
 		{"reset after it was sent", reset, http.StatusBadGateway, 1, http.StatusBadGateway, 2},
 		{"own failure", fail(http.StatusInternalServerError, false), http.StatusInternalServerError, 1, http.StatusInternalServerError, 2},
@@ -194,20 +194,20 @@
 			h, us := newSingleSetup(t, tt.reply, tt.reply)
 			r := h.send(http.MethodPost, "/place/", "unsafe", 2000, "b")
 			assert.NilError(t, r.err)
-			assert.Equal(t, r.status, tt.unsafeGets)
+			assert.Equal(t, r.status, tt.unsafeStatus)
 			if r.status == http.StatusBadGateway {
 				assert.Equal(t, r.header.Get(names.Stamp), "", "a changed status carries no stamp")
 			}
-			assert.Equal(t, us[0].seen("unsafe")+us[1].seen("unsafe"), tt.unsafeRuns)
+			assert.Equal(t, us[0].seen("unsafe")+us[1].seen("unsafe"), tt.unsafeCalls)
 			r = h.send(http.MethodGet, "/read/", "safe", 2000, "")
 			assert.NilError(t, r.err)
-			assert.Equal(t, r.status, tt.safeGets)
-			assert.Equal(t, us[0].seen("safe")+us[1].seen("safe"), tt.safeRuns)
+			assert.Equal(t, r.status, tt.safeStatus)
+			assert.Equal(t, us[0].seen("safe")+us[1].seen("safe"), tt.safeCalls)
 		})
 	}
 }
 
-func TestShedRequestGoesElsewhere(t *testing.T) {
+func TestShedRequestIsSentToAnotherUpstream(t *testing.T) {
 	for _, status := range []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusMisdirectedRequest} {
 		t.Run(fmt.Sprint(status), func(t *testing.T) {
 			h, us := newSingleSetup(t, fail(status, true), good("x"))
@@ -224,7 +224,7 @@
 	}
 }
 
-func TestAllShedIsRefused(t *testing.T) {
+func TestRequestShedByAllUpstreamsIsRefused(t *testing.T) {
 	h, _ := newSingleSetup(t, fail(http.StatusServiceUnavailable, true), fail(http.StatusServiceUnavailable, true))
 	r := h.send(http.MethodPost, "/place/", "one", 300, "b")
 	assert.NilError(t, r.err)
@@ -232,9 +232,9 @@
 	assert.Assert(t, r.header.Get("Retry-After") != "")
 }
 
-// TestNoHiddenRetry resets the connection on its second request: neither the transport nor
-// the engine may send the request twice.
-func TestNoHiddenRetry(t *testing.T) {
+// TestNonRepeatableRequestIsSentOnce resets the connection on its second request: neither
+// the transport nor the engine may send the request twice.
+func TestNonRepeatableRequestIsSentOnce(t *testing.T) {
 	h, us := newSingleSetup(t, good("x"))
 	assert.Equal(t, h.send(http.MethodPost, "/place/", "first", 2000, "b").status, http.StatusOK)
 	us[0].mu.Lock()
@@ -248,10 +248,10 @@
 	assert.Equal(t, us[0].accepted, 2, "and one was made to see whether the upstream has ended")
 }
 
-// TestUpstreamGoesDownAndUp has one of two upstreams reset its connections from time to
-// time: repeatable requests are all served, others never run twice, and the upstream is
-// used again once it has recovered.
-func TestUpstreamGoesDownAndUp(t *testing.T) {
+// TestUpstreamFailsAndRecovers has one of two upstreams reset its connections from time
+// to time: repeatable requests are all served, others never run twice, and the upstream
+// is used again once it has recovered.
+func TestUpstreamFailsAndRecovers(t *testing.T) {
 	h, us := newSingleSetup(t, good("x"), good("x"))
 	setReply := func(r replyFunc) {
 		us[0].mu.Lock()
@@ -277,8 +277,8 @@
 	}
 }
 
-// TestResetIdleConnections has an upstream reset its idle connections. Repeatable requests
-// must still be served.
+// TestResetIdleConnections has an upstream reset its idle connections. Repeatable
+// requests must still be served.
 func TestResetIdleConnections(t *testing.T) {
 	h, us := newSingleSetup(t, good("x"))
 	for i := range 10 {
@@ -354,9 +354,9 @@
 	assert.Equal(t, strings.Trim(body, "x"), "", "nothing but the body follows")
 }
 
-// TestCallerLeaves checks that the connection to the upstream is closed soon after the
-// caller's.
-func TestCallerLeaves(t *testing.T) {
+// TestCallIsCancelledWhenCallerDisconnects checks that the connection to the upstream is
+// closed soon after the caller's.
+func TestCallIsCancelledWhenCallerDisconnects(t *testing.T) {
 	left := make(chan struct{})
 	h, us := newSingleSetup(t, func(_ *fakeUpstream, c net.Conn, _ *http.Request) bool {
 		_, _ = io.Copy(io.Discard, c)
@@ -372,14 +372,14 @@
 	assert.ErrorIs(t, r.err, context.Canceled)
 	select {
 	case <-left:
-	case <-time.After(testBound):
+	case <-time.After(testTimeout):
 		t.Fatal("the call to the upstream was not cancelled")
 	}
 }
 
-// TestCancelledConnectIsNoEvidence cancels a call before its connection is made: unlike a
-// refused connection, this does not count against the upstream.
-func TestCancelledConnectIsNoEvidence(t *testing.T) {
+// TestCancelledConnectDoesNotCountAgainstUpstream cancels a call before its connection is
+// made: unlike a refused connection, this does not count against the upstream.
+func TestCancelledConnectDoesNotCountAgainstUpstream(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	addr := netip.MustParseAddrPort(l.Addr().String())
@@ -393,7 +393,7 @@
 	assert.Equal(t, p.call(ctx, c).Outcome, policy.CallNotSent)
 }
 
-func TestSilentUpstream(t *testing.T) {
+func TestUnresponsiveUpstream(t *testing.T) {
 	h, us := newSingleSetup(t, silent, good("x"))
 	for i := range 5 {
 		r := h.send(http.MethodGet, "/read/", fmt.Sprint(i), 4000, "")
@@ -421,7 +421,7 @@
 	assert.Equal(t, h.send(http.MethodGet, "/read/", "last", 2000, "").status, http.StatusServiceUnavailable)
 }
 
-func TestSplitKeepsItsWeights(t *testing.T) {
+func TestSplitFollowsWeights(t *testing.T) {
 	h := newHost(t, hostConfig{name: "H1", hall: "A"})
 	d := singleDoc()
 	d.Groups = append(d.Groups, config.Group{Name: "Third", Connections: 10})
@@ -448,9 +448,9 @@
 	assert.Equal(t, us[0].total(), 30)
 }
 
-// TestSplitDoesNotMoveTurns has one group of a split without an upstream: its requests are
-// refused, and the other group gets no more than its share.
-func TestSplitDoesNotMoveTurns(t *testing.T) {
+// TestSplitDoesNotRedirectRefusedRequests has one group of a split without an upstream:
+// its requests are refused, and the other group gets no more than its share.
+func TestSplitDoesNotRedirectRefusedRequests(t *testing.T) {
 	h := newHost(t, hostConfig{name: "H1", hall: "A"})
 	d := singleDoc()
 	d.Routes[0].Group = ""
@@ -485,8 +485,8 @@
 	assert.Assert(t, extra > 0 && extra <= asked/10+16/minHosts, "%d retries", extra)
 }
 
-// TestEachDecisionIsLogged looks up the log lines of a request by its ID.
-func TestEachDecisionIsLogged(t *testing.T) {
+// TestRequestsAndCallsAreLogged looks up the log lines of a request by its ID.
+func TestRequestsAndCallsAreLogged(t *testing.T) {
 	var log lockedBuffer
 	h := newHost(t, hostConfig{name: "H1", hall: "A", log: &log})
 	h.applyDocument(singleDoc())
@@ -526,9 +526,9 @@
 	return l.b.String()
 }
 
-// TestSilentConnectionsAreClosed has all idle connections to an upstream become silent
-// without a reset, while new ones work: only one call may be lost.
-func TestSilentConnectionsAreClosed(t *testing.T) {
+// TestUnresponsiveConnectionsAreClosed has all idle connections to an upstream become
+// silent without a reset, while new ones work: only one call may be lost.
+func TestUnresponsiveConnectionsAreClosed(t *testing.T) {
 	u := newFakeUpstream(t, "U1", good("x"))
 	p := &connPool{address: netip.MustParseAddrPort(u.listener.Addr().String()), now: sinceStart(time.Now())}
 	t.Cleanup(p.close)
@@ -547,10 +547,10 @@
 		ctx, cancel := context.WithTimeout(t.Context(), bound)
 		defer cancel()
 		head := "GET / HTTP/1.1\r\nHost: x\r\n" + names.RequestID + ": " + id + "\r\n"
-		return p.call(ctx, &call{headers: &names, method: http.MethodGet, head: []byte(head), id: id, upstream: "U1", timeLeft: testBound, fromGather: true}).Outcome
+		return p.call(ctx, &call{headers: &names, method: http.MethodGet, head: []byte(head), id: id, upstream: "U1", timeLeft: testTimeout, fromGather: true}).Outcome
 	}
 	assert.Equal(t, call("one", silentCallTimeout+silentCallTimeout/4), policy.CallBroken)
-	assert.Equal(t, call("two", testBound), policy.CallOK)
+	assert.Equal(t, call("two", testTimeout), policy.CallOK)
 }
 
 func sinceStart(start time.Time) func() time.Duration {
--- a/tier/query/golden_test.go
+++ b/tier/query/golden_test.go
@@ -15,9 +15,9 @@
 const base = `create service S keyspace 10; create class C; declare host H at "127.0.0.1:1" hall Q;
 	declare upstream U at "127.0.0.1:2" hall Q slots 1 connections 2; declare shard A of S keys 0 to 10 on U;`
 
-// TestCommandsKeepTheirEffect checks the document, the output and the error of each
+// TestCommandEffects checks the document, the output and the error of each
 // command.
-func TestCommandsKeepTheirEffect(t *testing.T) {
+func TestCommandEffects(t *testing.T) {
 	scripts := []string{
 		"", "create service S keyspace 5", "create class C", "create class D",
 		`declare host H at "127.0.0.1:9" hall R; declare host I at "127.0.0.1:8" hall R`, `declare host H at "x" hall R`,
@@ -59,8 +59,8 @@
 	golden.Assert(t, out.String(), "commands.golden")
 }
 
-// TestFaultsKeepTheirText checks the position and the text of errors in statements.
-func TestFaultsKeepTheirText(t *testing.T) {
+// TestStatementErrorTexts checks the position and the text of errors in statements.
+func TestStatementErrorTexts(t *testing.T) {
 	var out strings.Builder
 	for _, text := range []string{
 		"", "find", "find A; find A", "place A key 1 set B = 1", "drop class A", "find A limit 0", "\n find A limit 1001", "find A limit x",
--- a/tier/query/query_test.go
+++ b/tier/query/query_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestMergerKeepsTheBestRows(t *testing.T) {
+func TestMergerKeepsTopRows(t *testing.T) {
 	m := NewMerger(Question{SortBy: "Due", Descending: true, Limit: 2})
 	row := func(key, due string) Row { return Row{Key: key, Fields: []Field{{Name: "Due", Value: due}}} }
 	m.Add(3, []Row{row("c", "9"), row("a", "10")})
@@ -60,7 +60,7 @@
 	}))
 }
 
-func TestApplyComposesTheNextDocument(t *testing.T) {
+func TestApplyBuildsDocument(t *testing.T) {
 	script := `create service Checks keyspace 10;
 		declare upstream C1 at "127.0.0.1:9001" hall Quito1 slots 2 connections 25;
 		declare shard A of Checks keys 5 to 10 on C1; declare shard B of Checks keys 0 to 5 on C1;
@@ -96,7 +96,7 @@
 	}))
 }
 
-func TestApplyRefuses(t *testing.T) {
+func TestApplyRejectsInvalidCommands(t *testing.T) {
 	tests := []struct {
 		text, problem string
 	}{
--- a/tier/wire/golden_test.go
+++ b/tier/wire/golden_test.go
@@ -15,17 +15,17 @@
 // a golden file: first with all fields set, then with none.
 func TestMessageFormat(t *testing.T) {
 	id := Identity{RequestID: "q1", Attempt: 2, Shard: "S1", MapRevision: 3}
-	held := UpstreamInfo{Oldest: 4, Newest: 5, Leaving: true}
+	info := UpstreamInfo{Oldest: 4, Newest: 5, Leaving: true}
 	field := query.Field{Name: "Stock", Value: "7"}
-	part := PartReply{Identity: id, UpstreamInfo: held, Snapshot: 5, Count: 6, Rows: []query.Row{{Key: "8", Fields: []query.Field{field}}}}
+	part := PartReply{Identity: id, UpstreamInfo: info, Snapshot: 5, Count: 6, Rows: []query.Row{{Key: "8", Fields: []query.Field{field}}}}
 	messages := []any{
 		&PartRequest{Identity: id, Service: "Orders", From: 1, To: 9, Snapshot: 5, DeadlineMillis: 10, Question: query.Question{
 			Verb: "Ask", Where: []query.Condition{{Field: "Stock", Operator: "=", Value: "7"}}, SortBy: "Stock", Descending: true, Limit: 11,
 		}},
 		&PlaceRequest{Identity: id, Service: "Orders", Key: 8, DeadlineMillis: 10, Fields: []query.Field{field}},
 		&part,
-		&RefusalReply{Identity: id, UpstreamInfo: held, Refused: RefusalShed},
-		&StatusReply{UpstreamInfo: held, InUse: 1, Slots: 2},
+		&RefusalReply{Identity: id, UpstreamInfo: info, Refused: RefusalShed},
+		&StatusReply{UpstreamInfo: info, InUse: 1, Slots: 2},
 		&DocumentReply{Revision: 1, Text: "{}"},
 		&PackedDocument{Revision: 1, Packed: []byte{1, 2, 3}},
 		&LiveReply{Version: 1, Entries: []LiveEntry{{Name: "H1", State: LiveLeaving}}},
--- a/tier/wire/trace_test.go
+++ b/tier/wire/trace_test.go
@@ -12,14 +12,14 @@
 // samples nothing otherwise.
 func TestTraceParentIsSentOnlyIfSampled(t *testing.T) {
 	c := trace.SpanContextConfig{TraceID: trace.TraceID{7}, SpanID: trace.SpanID{8}}
-	quiet := trace.ContextWithSpanContext(context.Background(), trace.NewSpanContext(c))
-	assert.Equal(t, TraceParent(quiet), "")
-	there := trace.SpanContextFromContext(WithTraceParent(context.Background(), TraceParent(quiet)))
-	assert.Assert(t, there.IsValid() && !there.IsSampled(), "the other host must not start its own trace")
+	unsampled := trace.ContextWithSpanContext(context.Background(), trace.NewSpanContext(c))
+	assert.Equal(t, TraceParent(unsampled), "")
+	continued := trace.SpanContextFromContext(WithTraceParent(context.Background(), TraceParent(unsampled)))
+	assert.Assert(t, continued.IsValid() && !continued.IsSampled(), "the other host must not start its own trace")
 
 	c.TraceFlags = trace.FlagsSampled
-	logged := trace.ContextWithSpanContext(context.Background(), trace.NewSpanContext(c))
-	there = trace.SpanContextFromContext(WithTraceParent(context.Background(), TraceParent(logged)))
-	assert.Equal(t, there.TraceID(), c.TraceID)
-	assert.Assert(t, there.IsSampled())
+	sampled := trace.ContextWithSpanContext(context.Background(), trace.NewSpanContext(c))
+	continued = trace.SpanContextFromContext(WithTraceParent(context.Background(), TraceParent(sampled)))
+	assert.Equal(t, continued.TraceID(), c.TraceID)
+	assert.Assert(t, continued.IsSampled())
 }
