--- a/tier/pass/coordinate_client.go
+++ b/tier/pass/coordinate_client.go
@@ -56,7 +56,7 @@
 		reply := s.do(ctx)
 		switch {
 		case ctx.Err() != nil:
-			q.log(outcomeGivenUp, 0).Str("Coordinator", target.Host).Msg("request cancelled by caller")
+			q.log(outcomeCancelled, 0).Str("Coordinator", target.Host).Msg("request cancelled by caller")
 			return true
 		case reply != nil:
 			q.respondCoordinated(w, target.Host, reply)
@@ -126,10 +126,10 @@
 		case err := <-done:
 			return s.finish(err)
 		case <-timer.C:
-			s.giveUp(in.ID, false)
+			s.abort(in.ID, false)
 			return nil
 		case <-ctx.Done():
-			s.giveUp(in.ID, true)
+			s.abort(in.ID, true)
 			return nil
 		}
 	}
@@ -197,9 +197,9 @@
 	return &s.reply
 }
 
-// giveUp stops the request at the coordinator, because it is unresponsive or the caller is
+// abort stops the request at the coordinator, because it is unresponsive or the caller is
 // gone.
-func (s *sentRequest) giveUp(id string, callerGone bool) {
+func (s *sentRequest) abort(id string, callerGone bool) {
 	e := s.request.engine
 	if !s.responded {
 		e.hosts.unanswered(s.target.Host, s.target.Hall, e.kernel.Now(), !callerGone)
--- a/tier/pass/golden_test.go
+++ b/tier/pass/golden_test.go
@@ -93,7 +93,7 @@
 func TestOutcomeNames(t *testing.T) {
 	assert.DeepEqual(t, []outcome{
 		outcomeServed, outcomePartial, outcomeFailed, outcomeNotRun, outcomeUnknown, outcomeLate, outcomeNoRoute,
-		outcomeInvalid, outcomeGivenUp, outcomeBelowCoverage, outcomeTooLarge,
+		outcomeInvalid, outcomeCancelled, outcomeBelowCoverage, outcomeTooLarge,
 	}, []outcome{
 		"Served", "Partial", "Failed", "NotRun", "Unknown", "Late", "NoRoute",
 		"Invalid", "GivenUp", "BelowCoverage", "TooLarge",
--- a/tier/pass/outcome.go
+++ b/tier/pass/outcome.go
@@ -27,8 +27,8 @@
 	outcomeLate outcome = "Late"
 	// outcomeBelowCoverage means that too few parts were answered.
 	outcomeBelowCoverage outcome = "BelowCoverage"
-	// outcomeGivenUp means that the caller closed the connection.
-	outcomeGivenUp outcome = "GivenUp"
+	// outcomeCancelled means that the caller closed the connection.
+	outcomeCancelled outcome = "GivenUp"
 	// outcomeNoRoute means that no route matches the request.
 	outcomeNoRoute outcome = "NoRoute"
 	// outcomeInvalid means that the request is invalid.
--- a/tier/pass/serve.go
+++ b/tier/pass/serve.go
@@ -105,7 +105,7 @@
 // serve plans the request, runs it and responds to it, unless the caller is gone.
 func (q *request) serve(ctx context.Context, w http.ResponseWriter) {
 	if ctx.Err() != nil {
-		q.log(outcomeGivenUp, 0).Msg("request cancelled by caller")
+		q.log(outcomeCancelled, 0).Msg("request cancelled by caller")
 		return
 	}
 	q.plan = q.engine.plan(q.view, q.route)
@@ -129,7 +129,7 @@
 		q.engine.kernel.Log.Error().Err(err).Str("RequestID", q.in.id).Msg("running request failed")
 		q.refuse(w, "internal error", retryAfterNoUpstream)
 	case caller.Err() != nil:
-		q.log(outcomeGivenUp, 0).Int("Ran", result.Ran).Msg("request cancelled by caller")
+		q.log(outcomeCancelled, 0).Int("Ran", result.Ran).Msg("request cancelled by caller")
 	case q.route.Gather != nil:
 		q.respondGathered(ctx, w, &result)
 	default:
--- a/tier/policy/outcome.go
+++ b/tier/policy/outcome.go
@@ -89,7 +89,7 @@
 	case CallMoved:
 		return query.ReasonMoved
 	case CallMalformed:
-		return query.ReasonGarbage
+		return query.ReasonMalformed
 	case CallLate, CallCancelled, CallNotSent, CallStalled:
 		return query.ReasonLate
 	default:
--- a/tier/policy/placement.go
+++ b/tier/policy/placement.go
@@ -27,7 +27,7 @@
 	case p.Directory.Evacuated(l.Hall):
 		return query.ReasonEvacuated
 	case !p.Regions.IsHome(l.Hall, homes):
-		return query.ReasonAway
+		return query.ReasonOutsideHomes
 	default:
 		return ""
 	}
--- a/tier/policy/placement_test.go
+++ b/tier/policy/placement_test.go
@@ -65,8 +65,8 @@
 		{config.Listing{Hall: "A"}, ""},
 		{config.Listing{Hall: "A", Leaving: true}, query.ReasonUnreachable},
 		{config.Listing{Hall: "B"}, query.ReasonEvacuated},
-		{config.Listing{Hall: "C"}, query.ReasonAway},
-		{config.Listing{Hall: "D"}, query.ReasonAway},
+		{config.Listing{Hall: "C"}, query.ReasonOutsideHomes},
+		{config.Listing{Hall: "D"}, query.ReasonOutsideHomes},
 	}
 	for _, tt := range tests {
 		assert.Equal(t, p.DenyReason(&tt.listing, []string{"East"}), tt.want, "%+v", tt.listing)
--- a/tier/policy/words_test.go
+++ b/tier/policy/words_test.go
@@ -27,7 +27,7 @@
 		), "OK Unreachable Shed Leaving NotSent Barred Stalled SnapshotGone Moved Failed Garbage Broken Crashed Lost Cancelled Late"},
 		{"reasons", words(
 			query.ReasonLate, query.ReasonUnreachable, query.ReasonRefused, query.ReasonSnapshotGone, query.ReasonMoved,
-			query.ReasonGarbage, query.ReasonEvacuated, query.ReasonAway, query.ReasonCold, query.ReasonSuspected, query.ReasonQuarantined,
+			query.ReasonMalformed, query.ReasonEvacuated, query.ReasonOutsideHomes, query.ReasonCold, query.ReasonSuspected, query.ReasonQuarantined,
 		), "Late Unreachable Refused SnapshotGone Moved Garbage Evacuated Away Cold Suspected Quarantined"},
 		{"verdicts", words(VerdictClean, VerdictSuspected, VerdictQuarantined), "Sound Suspected Quarantined"},
 		{"obstacles to a hedge", words(HedgeNoUpstream, HedgeNoSlot, HedgeCold, HedgeNoBudget, HedgeSuspected), "NoUpstream NoSlot Cold NoBudget Doubted"},
@@ -66,7 +66,7 @@
 		{CallSnapshotGone, query.ReasonSnapshotGone, true, true, false, true},
 		{CallMoved, query.ReasonMoved, true, true, false, true},
 		{CallFailed, query.ReasonUnreachable, false, true, true, true},
-		{CallMalformed, query.ReasonGarbage, false, true, true, false},
+		{CallMalformed, query.ReasonMalformed, false, true, true, false},
 		{CallBroken, query.ReasonUnreachable, false, true, true, false},
 		{CallCrashed, query.ReasonUnreachable, false, true, true, false},
 		{CallLost, query.ReasonUnreachable, false, true, false, false},
--- a/tier/query/cover.go
+++ b/tier/query/cover.go
@@ -24,13 +24,13 @@
 	ReasonSnapshotGone Reason = "SnapshotGone"
 	// ReasonMoved means that the upstreams use another shard map.
 	ReasonMoved Reason = "Moved"
-	// ReasonGarbage means that a reply was malformed or did not belong to the call.
-	ReasonGarbage Reason = "Garbage"
+	// ReasonMalformed means that a reply was malformed or did not belong to the call.
+	ReasonMalformed Reason = "Garbage"
 	// ReasonEvacuated means that the remaining upstreams are in evacuated data halls.
 	ReasonEvacuated Reason = "Evacuated"
-	// ReasonAway means that the remaining upstreams are outside the home regions of the
-	// route.
-	ReasonAway Reason = "Away"
+	// ReasonOutsideHomes means that the remaining upstreams are outside the home regions
+	// of the route.
+	ReasonOutsideHomes Reason = "Away"
 	// ReasonCold means that the remaining upstreams are still warming up and have no
 	// capacity for another call.
 	ReasonCold Reason = "Cold"
