--- a/tier/config/directory.go
+++ b/tier/config/directory.go
@@ -14,8 +14,9 @@
 	// Era and Revision are the platform's position up to which the directory is complete.
 	Era      uint64
 	Revision uint64
-	// Settled is the newest settled era: in it, the platform's entries are authoritative,
-	// and entries of earlier eras are ignored. It never decreases.
+	// Settled is the newest settled era. An era is settled once the writers have had time to
+	// correct the backup that it began with: its entries are authoritative then, and entries
+	// of earlier eras are ignored. Settled never decreases.
 	Settled uint64
 	// removed holds the last removal of each removed name, so that an older listing does
 	// not restore it.
@@ -93,7 +94,7 @@
 func (c *DirectoryChange) Position() Position { return Position{Era: c.Era, Revision: c.Revision} }
 
 // MarkCopied marks all entries as possibly older than those of the previous era, because
-// they may come from the copy that the era began with.
+// they may come from the backup that the era began with.
 func (c *DirectoryChange) MarkCopied() {
 	for i := range c.Listed {
 		c.Listed[i].Copied = true
@@ -172,7 +173,7 @@
 }
 
 // ImpliedRemovalsAllEras is ImpliedRemovals including the upstreams of earlier eras: a
-// restored copy lacks the upstreams that started after it was taken, and they register
+// backup lacks the upstreams that started after it was taken, and they register
 // again soon if they are alive.
 func (d *Directory) ImpliedRemovalsAllEras(c *DirectoryChange) []Removal {
 	return d.impliedRemovals(c, func(v version) bool { return v.Compare(c.Position()) <= 0 })
@@ -197,7 +198,7 @@
 
 // coveredBy reports whether a complete listing would contain an entry of version v if the
 // entry still existed. In an era that is not settled, the listing may lack live
-// upstreams, because the copy that it comes from is older than their entries.
+// upstreams, because the backup that it comes from is older than their entries.
 func (d *Directory) coveredBy(v version, c *DirectoryChange) bool {
 	settled := max(d.Settled, c.Settled) >= c.Era
 	return v.Compare(c.Position()) <= 0 && (settled || v.sameHistory(c.Position()))
--- a/tier/config/directory_edit.go
+++ b/tier/config/directory_edit.go
@@ -151,8 +151,8 @@
 	if known && !r.appliesTo(old.version()) {
 		return
 	}
-	// The removal keeps the newest known report, so that a copy of an older report does not
-	// restore the upstream.
+	// The removal keeps the newest known report, so that an older report in a backup does
+	// not list the upstream again.
 	for _, known := range []version{old.version(), before.version()} {
 		if known.startedMillis > r.StartedMillis || known.startedMillis == r.StartedMillis && known.sequence > r.Sequence {
 			r.StartedMillis, r.Sequence = known.startedMillis, known.sequence
--- a/tier/config/evacuation.go
+++ b/tier/config/evacuation.go
@@ -14,7 +14,7 @@
 	// Era and Revision are the platform's position of the entry; Revision is above 0.
 	Era      uint64 `json:",omitempty"`
 	Revision uint64
-	// Copied is true if the entry may come from the copy that its era began with: the
+	// Copied is true if the entry may come from the backup that its era began with: the
 	// evacuation may since have ended, in the previous era.
 	Copied bool `json:",omitempty"`
 }
--- a/tier/config/listing.go
+++ b/tier/config/listing.go
@@ -32,7 +32,7 @@
 	// since the Unix epoch; 0 if it does not report one. A process that starts later under
 	// the same name does not know the reports of the one before.
 	StartedMillis int64 `json:"Born,omitempty"`
-	// Copied is true if the entry may come from the copy that its era began with: the
+	// Copied is true if the entry may come from the backup that its era began with: the
 	// upstream may have reported since, in the previous era.
 	Copied bool `json:",omitempty"`
 }
@@ -48,7 +48,7 @@
 }
 
 // sameReport reports whether two listings stem from the same report, which may occur in
-// two eras: in the history of the one and in the copy that the other began with.
+// two eras: in the history of the one and in the backup that the other began with.
 // Otherwise the whole directory would be sent to all hosts once an era is settled.
 func (l Listing) sameReport(other Listing) bool {
 	l.Era, l.Copied = other.Era, other.Copied
--- a/tier/config/position.go
+++ b/tier/config/position.go
@@ -3,9 +3,9 @@
 import "cmp"
 
 // Position is a place in the platform's history: a revision within an era. The platform
-// begins a new era when it is restored from an older copy of its data. The writes after
-// that copy are lost and their revisions are assigned again, so positions order writes by
-// age only within one era.
+// begins a new era when it is restored from a backup. The writes after the backup are lost
+// and their revisions are assigned again, so positions order writes by age only within one
+// era.
 type Position struct {
 	// Era increases with each restore; 0 if the platform, or the host that reports the
 	// position, does not give one.
@@ -63,7 +63,7 @@
 	Position
 	// sequence numbers the reports of the name's process; 0 if there is none.
 	sequence uint64
-	// copied is true for entries that may come from the copy that their era began with,
+	// copied is true for entries that may come from the backup that their era began with,
 	// and so may be older than entries of the previous era.
 	copied bool
 	// startedMillis is the start time of the name's process, in milliseconds since the Unix
--- a/tier/config/position_test.go
+++ b/tier/config/position_test.go
@@ -97,7 +97,7 @@
 			d, _ := known(tt.known).With(&whole)
 			assert.Equal(t, slots(d), tt.before)
 			assert.Assert(t, d.Unsettled())
-			// The reverse order: a host reads the copy first and then hears from a host that
+			// The reverse order: a host reads the backup first and then hears from a host that
 			// knows the previous era.
 			late, _ := (*Directory)(nil).With(&whole)
 			old := known(tt.known).Whole()
@@ -116,7 +116,7 @@
 }
 
 // TestSettlingSendsOnlyWhatChanged checks that settling an era does not send entries
-// again that the restored copy left unchanged.
+// again that the backup left unchanged.
 func TestSettlingSendsOnlyWhatChanged(t *testing.T) {
 	d, _ := (*Directory)(nil).With(&DirectoryChange{Era: 1, Revision: 58, Listed: []Listing{listing("U", at(1, 40), 5, false), listing("V", at(1, 41), 5, false)}})
 	settled, _ := d.With(&DirectoryChange{
@@ -176,17 +176,17 @@
 	assert.Equal(t, d.Size(), 1)
 }
 
-// fakeStore is a store with its copies and changes, and the report counts of its
+// fakeStore is a store with its backups and changes, and the report counts of its
 // upstreams.
 type fakeStore struct {
 	era, revision uint64
 	entries       map[string]Listing
 	counts        map[string]uint64
-	copies        []storeCopy
+	backups       []storeBackup
 	changes       []DirectoryChange
 }
 
-type storeCopy struct {
+type storeBackup struct {
 	revision uint64
 	entries  map[string]Listing
 }
@@ -206,18 +206,18 @@
 	s.changes = append(s.changes, c)
 }
 
-func (s *fakeStore) saveCopy() {
+func (s *fakeStore) saveBackup() {
 	entries := map[string]Listing{}
 	for n, l := range s.entries {
 		entries[n] = l
 	}
-	s.copies = append(s.copies, storeCopy{s.revision, entries})
+	s.backups = append(s.backups, storeBackup{s.revision, entries})
 }
 
-func (s *fakeStore) restore(c storeCopy) {
+func (s *fakeStore) restore(b storeBackup) {
 	s.era++
-	s.revision, s.entries = c.revision, map[string]Listing{}
-	for n, l := range c.entries {
+	s.revision, s.entries = b.revision, map[string]Listing{}
+	for n, l := range b.entries {
 		l.Era = s.era
 		s.entries[n] = l
 	}
@@ -237,7 +237,7 @@
 	return c
 }
 
-// TestHostsAgreeAfterRestores simulates a store that is restored from copies, a host
+// TestHostsAgreeAfterRestores simulates a store that is restored from backups, a host
 // that reads it, and hosts that receive the changes late, twice, out of order and from
 // one another. While an era is not settled, no listed upstream may go back to an older
 // report; once it is settled, all hosts must list what the store holds.
@@ -260,7 +260,7 @@
 		write := func() {
 			s.write(fmt.Sprint("U", rapid.IntRange(0, 3).Draw(t, "name")), rapid.Bool().Draw(t, "live"))
 		}
-		s.saveCopy()
+		s.saveBackup()
 		for i := range hosts {
 			receive(i, s.readAll(false))
 		}
@@ -271,9 +271,9 @@
 				write()
 				receive(0, s.changes[len(s.changes)-1])
 			case 3:
-				s.saveCopy()
+				s.saveBackup()
 			case 4:
-				s.restore(rapid.SampledFrom(s.copies).Draw(t, "copy"))
+				s.restore(rapid.SampledFrom(s.backups).Draw(t, "copy"))
 				for range rapid.IntRange(0, 3).Draw(t, "writes before it is read") {
 					write()
 				}
@@ -361,7 +361,7 @@
 }
 
 // TestReportsOfRestartedUpstream checks the order of reports of two processes with the
-// same name, in a restored copy and after it.
+// same name, in a backup and after the restore.
 func TestReportsOfRestartedUpstream(t *testing.T) {
 	listed := func(era, revision, sequence uint64, startedMillis int64, copied bool) Listing {
 		return Listing{Name: "U", Group: "G", Era: era, Revision: revision, Sequence: sequence, StartedMillis: startedMillis, Copied: copied}
--- a/tier/pass/relay_client.go
+++ b/tier/pass/relay_client.go
@@ -119,7 +119,7 @@
 }
 
 // newBatchRequest builds the message for a relay. The first reply is due before the calls
-// that it does not report are hedged.
+// are hedged, so that those which it reports are not.
 func (q *request) newBatchRequest(ctx context.Context, batch []policy.Action, roundTrip time.Duration) *batchRequest {
 	e := q.engine
 	now := e.kernel.Now()
--- a/tier/wire/wire.go
+++ b/tier/wire/wire.go
@@ -135,7 +135,7 @@
 
 // DocumentReply is the platform's newest configuration document.
 type DocumentReply struct {
-	// Era is incremented whenever the platform is restored from an older copy, starting
+	// Era is incremented whenever the platform is restored from a backup, starting
 	// at 1; 0 if the platform has no eras.
 	Era uint64 `json:",omitzero"`
 	// EraFrom is the first revision of the era. Lower revisions belong to earlier eras.
