--- a/tier/config/directory.go
+++ b/tier/config/directory.go
@@ -14,8 +14,9 @@
 	// Era and Revision are the platform's position up to which the directory is complete.
 	Era      uint64
 	Revision uint64
-	// Settled is the newest settled era: in it, the platform's entries are authoritative,
-	// and entries of earlier eras are ignored. It never decreases.
+	// Settled is the newest settled era. An era is settled once the writers have had time to
+	// correct the backup that it began with: its entries are authoritative then, and entries
+	// of earlier eras are ignored. Settled never decreases.
 	Settled uint64
 	// removed holds the last removal of each removed name, so that an older listing does
 	// not restore it.
@@ -42,14 +43,13 @@
 	// Era and Revision are the platform's position of the removal.
 	Era      uint64 `json:",omitempty"`
 	Revision uint64
-	// Sequence is the number of the name's last known report, counted from the start
-	// Born; 0 for none.
-	Sequence uint64 `json:",omitempty"`
-	Born     int64  `json:",omitempty"`
+	// Sequence and StartedMillis are those of the name's last known report; 0 if unknown.
+	Sequence      uint64 `json:",omitempty"`
+	StartedMillis int64  `json:"Born,omitempty"`
 }
 
 func (r *Removal) version() version {
-	return version{Position: Position{Era: r.Era, Revision: r.Revision}, born: r.Born, sequence: r.Sequence}
+	return version{Position: Position{Era: r.Era, Revision: r.Revision}, startedMillis: r.StartedMillis, sequence: r.Sequence}
 }
 
 // DirectoryChange is what changed in the directory up to a position.
@@ -94,7 +94,7 @@
 func (c *DirectoryChange) Position() Position { return Position{Era: c.Era, Revision: c.Revision} }
 
 // MarkCopied marks all entries as possibly older than those of the previous era, because
-// they may come from the copy that the era began with.
+// they may come from the backup that the era began with.
 func (c *DirectoryChange) MarkCopied() {
 	for i := range c.Listed {
 		c.Listed[i].Copied = true
@@ -173,22 +173,22 @@
 }
 
 // ImpliedRemovalsAllEras is ImpliedRemovals including the upstreams of earlier eras: a
-// restored copy lacks the upstreams that started after it was taken, and they register
+// backup lacks the upstreams that started after it was taken, and they register
 // again soon if they are alive.
 func (d *Directory) ImpliedRemovalsAllEras(c *DirectoryChange) []Removal {
 	return d.impliedRemovals(c, func(v version) bool { return v.Compare(c.Position()) <= 0 })
 }
 
-// impliedRemovals returns removals of the upstreams that a complete listing lacks
-// although it should have them.
-func (d *Directory) impliedRemovals(c *DirectoryChange, should func(version) bool) []Removal {
+// impliedRemovals returns removals of the upstreams that a complete listing lacks although
+// it covers them.
+func (d *Directory) impliedRemovals(c *DirectoryChange, covered func(version) bool) []Removal {
 	names := make(map[string]bool, len(c.Listed))
 	for _, l := range c.Listed {
 		names[l.Name] = true
 	}
 	var out []Removal
 	d.orEmpty().listed.Scan(func(n string, l Listing) bool {
-		if !names[n] && should(l.version()) {
+		if !names[n] && covered(l.version()) {
 			out = append(out, Removal{Name: n, Era: c.Era, Revision: c.Revision})
 		}
 		return true
@@ -198,7 +198,7 @@
 
 // coveredBy reports whether a complete listing would contain an entry of version v if the
 // entry still existed. In an era that is not settled, the listing may lack live
-// upstreams, because the copy that it comes from is older than their entries.
+// upstreams, because the backup that it comes from is older than their entries.
 func (d *Directory) coveredBy(v version, c *DirectoryChange) bool {
 	settled := max(d.Settled, c.Settled) >= c.Era
 	return v.Compare(c.Position()) <= 0 && (settled || v.sameHistory(c.Position()))
--- a/tier/pass/relay_client.go
+++ b/tier/pass/relay_client.go
@@ -19,8 +19,9 @@
 // are sent there in batches, through a host of that hall.
 
 const (
-	// hedgeBatchDue is when the first reply to a batch of hedges is due, each call of which
-	// is reported as it ends. An upstream that only pauses responds within that time.
+	// hedgeBatchDue is how long the first reply to a batch of hedges may take. The relay
+	// reports each of these calls as it ends, and an upstream that only pauses responds
+	// within that time.
 	hedgeBatchDue = policy.LingerDuration
 	// firstReplyMargin is how much earlier than the hedges of its calls the first reply to
 	// a batch is due. Without it, replies arrive just after the hedges, and the hedges are
@@ -118,7 +119,7 @@
 }
 
 // newBatchRequest builds the message for a relay. The first reply is due before the calls
-// that it does not report are hedged.
+// are hedged, so that those which it reports are not.
 func (q *request) newBatchRequest(ctx context.Context, batch []policy.Action, roundTrip time.Duration) *batchRequest {
 	e := q.engine
 	now := e.kernel.Now()
@@ -129,7 +130,7 @@
 		DeadlineMillis: (q.times.deadline - now).Milliseconds(), Trace: wire.TraceParent(ctx),
 	}
 	if !e.relay.fullRecordRoutes.enabled(q.route.Name, now) {
-		in.Of = len(q.plan.groups)
+		in.TotalParts = len(q.plan.groups)
 	}
 	for _, a := range batch {
 		in.Upstreams = append(in.Upstreams, a.Upstream.Name)
@@ -168,7 +169,7 @@
 	progressHandled int
 	// responded is true once the relay has sent progress or the last reply.
 	responded bool
-	// overdue is true once the unreported calls were hedged.
+	// overdue is true once the first reply was due and the unreported calls were hedged.
 	overdue   bool
 	lastReply batchReply
 }
@@ -210,7 +211,7 @@
 // the first reply is due are hedged.
 func (s *sentBatch) handleProgress(reply *batchReply) {
 	s.progressHandled++
-	s.noteFirstReply(reply)
+	s.recordFirstReply(reply)
 	s.reportCalls(reply)
 	if reply.Due && !s.overdue {
 		s.overdue = true
@@ -218,8 +219,8 @@
 	}
 }
 
-// noteFirstReply records the first reply of the relay and its round trip.
-func (s *sentBatch) noteFirstReply(reply *batchReply) {
+// recordFirstReply records the first reply of the relay and its round trip.
+func (s *sentBatch) recordFirstReply(reply *batchReply) {
 	if s.responded {
 		return
 	}
@@ -238,7 +239,7 @@
 		s.fail(ctx, err)
 		return
 	}
-	s.noteFirstReply(&s.lastReply)
+	s.recordFirstReply(&s.lastReply)
 	s.reportCalls(&s.lastReply)
 	// Progress that was sent before the last reply may arrive after it.
 	timer := time.NewTimer(progressGrace)
@@ -293,8 +294,8 @@
 	k := s.request.engine.kernel
 	k.Fleet.SetConditions(k.Now(), s.hall(), reply.Conditions)
 	b := &block{records: reply.Records, stamps: map[int]string{}}
-	if reply.Cut > 0 {
-		b.omitted = &omittedRef{relay: s.relay, key: recordsRequest{ID: s.in.ID, Cut: reply.Cut}}
+	if reply.OmittedID > 0 {
+		b.omitted = &omittedRef{relay: s.relay, key: recordsRequest{ID: s.in.ID, OmittedID: reply.OmittedID}}
 	}
 	ended := slices.DeleteFunc(reply.Ended, func(c callReport) bool { return c.Index < 0 || c.Index >= len(s.calls) })
 	// The block must be complete before its first part is reported.
