--- a/tier/kernel/adapter.go
+++ b/tier/kernel/adapter.go
@@ -14,7 +14,7 @@
 var (
 	// ErrHistoryGone is wrapped when a source no longer has the changes after a
 	// position. The caller must read everything again.
-	ErrHistoryGone = errors.New("history of changes is gone")
+	ErrHistoryGone = errors.New("change history is no longer available")
 	// ErrStaleEra is wrapped when a source answered from an earlier era than the requested
 	// one, that is, from before it was restored from a backup. The caller must drop the
 	// answer and retry.
--- a/tier/pass/coordinate_client.go
+++ b/tier/pass/coordinate_client.go
@@ -17,15 +17,15 @@
 // forwards whole gathers to one with more.
 
 const (
-	// maxCoordinatorAttempts is how many coordinators are tried before the host executes
-	// the request itself.
+	// maxCoordinatorAttempts limits the coordinators that a request is sent to before this
+	// host executes it itself.
 	maxCoordinatorAttempts = 2
 	// firstHeartbeatTimeout is how long after the round trip the first heartbeat of a
 	// coordinator may come. It leaves a busy coordinator time to respond, and an
 	// unresponsive one takes up only a small part of the objective.
 	firstHeartbeatTimeout = 50 * time.Millisecond
-	// heartbeatTimeout is how long a coordinator may be silent after a heartbeat: three
-	// heartbeats are missed by then.
+	// heartbeatTimeout is how long after a heartbeat the next one may come. Three are
+	// missed by then.
 	heartbeatTimeout  = 150 * time.Millisecond
 	heartbeatInterval = 40 * time.Millisecond
 )
@@ -56,13 +56,13 @@
 		reply := s.do(ctx)
 		switch {
 		case ctx.Err() != nil:
-			q.log(outcomeGivenUp, 0).Str("Coordinator", target.Host).Msg("request cancelled by caller")
+			q.log(outcomeCancelled, 0).Str("Coordinator", target.Host).Msg("request cancelled by caller")
 			return true
 		case reply != nil:
 			q.respondCoordinated(w, target.Host, reply)
 			return true
 		case s.begun:
-			q.log(outcomeUnknown, http.StatusBadGateway).Str("Coordinator", target.Host).Msg("coordinator lost")
+			q.log(outcomeUnknown, http.StatusBadGateway).Str("Coordinator", target.Host).Msg("coordinator lost, request may have run")
 			http.Error(w, noResponseText(outcomeUnknown), http.StatusBadGateway)
 			return true
 		}
@@ -77,7 +77,7 @@
 		h.Set(name, value)
 	}
 	held := time.Duration(reply.HeldMicros) * time.Microsecond
-	q.log(reply.Outcome, reply.Status).Str("Coordinator", coordinator).Int64("HeldMillis", held.Milliseconds()).Msg("request answered by a coordinator")
+	q.log(reply.Outcome, reply.Status).Str("Coordinator", coordinator).Int64("HeldMillis", held.Milliseconds()).Msg("request answered by coordinator")
 	q.write(w, reply.Status, http.Header{}, reply.Body)
 	q.engine.overhead.forwarding.Observe(q.engine.kernel.Now() - q.times.startedAt - held)
 }
@@ -126,10 +126,10 @@
 		case err := <-done:
 			return s.finish(err)
 		case <-timer.C:
-			s.giveUp(in.ID, false)
+			s.abort(in.ID, false)
 			return nil
 		case <-ctx.Done():
-			s.giveUp(in.ID, true)
+			s.abort(in.ID, true)
 			return nil
 		}
 	}
@@ -154,10 +154,10 @@
 	if s.begun {
 		return true
 	}
-	s.noteFirstResponse(0)
+	s.recordFirstResponse(0)
 	e := s.request.engine
 	if err := e.kernel.Peers.Notify(ctx, s.target.Host, methodCoordinateBegin, coordinateID{ID: id}); err != nil {
-		s.log().Err(err).Msg("coordinator not told to begin")
+		s.log().Err(err).Msg("failed to tell coordinator to begin")
 		// The message may have arrived despite the error.
 		s.begun = !notDelivered(err)
 		return false
@@ -166,9 +166,9 @@
 	return true
 }
 
-// noteFirstResponse records the first response of the coordinator, which had held the
-// request for a time before it responded.
-func (s *sentRequest) noteFirstResponse(held time.Duration) {
+// recordFirstResponse records the first response of the coordinator and the round trip; held
+// is the time between the arrival of the request and the response.
+func (s *sentRequest) recordFirstResponse(held time.Duration) {
 	if s.responded {
 		return
 	}
@@ -185,31 +185,31 @@
 		if !s.responded {
 			e.hosts.unanswered(s.target.Host, s.target.Hall, e.kernel.Now(), true)
 		}
-		s.log().Bool("Begun", s.begun).Err(err).Msg("request not answered by a coordinator")
+		s.log().Bool("Begun", s.begun).Err(err).Msg("failed to get reply from coordinator")
 		return nil
 	}
-	s.noteFirstResponse(time.Duration(s.reply.HeldMicros) * time.Microsecond)
+	s.recordFirstResponse(time.Duration(s.reply.HeldMicros) * time.Microsecond)
 	if s.reply.Declined != "" {
 		e.hosts.declined(s.target.Host, e.kernel.Now(), s.reply.Declined)
-		s.log().Str("Declined", string(s.reply.Declined)).Msg("request declined by a coordinator")
+		s.log().Str("Declined", string(s.reply.Declined)).Msg("request declined by coordinator")
 		return nil
 	}
 	return &s.reply
 }
 
-// giveUp stops the request at the coordinator, because it is unresponsive or the caller is
+// abort stops the request at the coordinator, because it is unresponsive or the caller is
 // gone.
-func (s *sentRequest) giveUp(id string, callerGone bool) {
+func (s *sentRequest) abort(id string, callerGone bool) {
 	e := s.request.engine
 	if !s.responded {
 		e.hosts.unanswered(s.target.Host, s.target.Hall, e.kernel.Now(), !callerGone)
 	}
 	if !callerGone {
-		s.log().Bool("Begun", s.begun).Msg("coordinator is silent")
+		s.log().Bool("Begun", s.begun).Msg("coordinator is unresponsive")
 	}
 	go func() {
 		if err := e.notifyStop(s.target.Host, methodCoordinateStop, coordinateID{ID: id}); err != nil {
-			s.log().Err(err).Msg("stopping forwarded request failed")
+			s.log().Err(err).Msg("failed to stop forwarded request")
 		}
 	}()
 }
--- a/tier/pass/inbound.go
+++ b/tier/pass/inbound.go
@@ -19,7 +19,7 @@
 	// responseReserve is subtracted from the caller's deadline, so that the response
 	// arrives in time despite network delay and late timers.
 	responseReserve = 10 * time.Millisecond
-	// responseReserveDivisor limits the reserve to this fraction of the time limit.
+	// responseReserveDivisor limits the reserve to a quarter of the time limit.
 	responseReserveDivisor = 4
 	// defaultMaxBodyBytes bounds the body of a request if the document sets no limit.
 	defaultMaxBodyBytes = 1 << 20
@@ -129,7 +129,7 @@
 		q.reject(w, http.StatusRequestEntityTooLarge, outcomeTooLarge, "body over "+strconv.FormatInt(maxBytes, 10)+" bytes: send a shorter one")
 		return nil, false
 	case err != nil:
-		q.log(outcomeInvalid, http.StatusBadRequest).Err(err).Msg("reading request body failed")
+		q.log(outcomeInvalid, http.StatusBadRequest).Err(err).Msg("failed to read request body")
 		w.Header().Set("Connection", "close")
 		w.WriteHeader(http.StatusBadRequest)
 		return nil, false
--- a/tier/peers/reader.go
+++ b/tier/peers/reader.go
@@ -19,7 +19,7 @@
 //     has failed, or the halls are partitioned), or if the reader announces that the platform
 //     does not answer it. It first waits one takeoverStep for each live host that ranks
 //     before it. At most maxFailedReaders hosts try a platform that does not answer.
-//   - Each change of a host's role is logged as "turn to read the platform": Tells is whether
+//   - Each change of a host's role is logged as "platform reader role changed": Tells is whether
 //     it announces to its hall, Reads whether it reads the platform.
 
 const (
@@ -67,7 +67,7 @@
 		s.Announcing, s.Reading = announces, reads
 		s.Changed()
 		k.Log.Info().Bool("Tells", announces).Bool("Reads", reads).
-			Int64("PlatformAgeMillis", (k.Now() - s.PlatformReadAt).Milliseconds()).Msg("turn to read the platform")
+			Int64("PlatformAgeMillis", (k.Now() - s.PlatformReadAt).Milliseconds()).Msg("platform reader role changed")
 	}
 	if !reads {
 		// PlatformDown is only for a host that should read.
