--- a/loomfake/commands_test.go
+++ b/loomfake/commands_test.go
@@ -145,13 +145,13 @@
 	}),
 	// callsabove U3 N: waits until an upstream has received more than N calls.
 	"callsabove": scenarioCommand(2, func(s *scenario, ts *testscript.TestScript, args []string) error {
-		at, least := s.upstreamAddress(atoi(ts, strings.TrimPrefix(args[0], "U"))), atoi(ts, args[1])
+		at, minCalls := s.upstreamAddress(atoi(ts, strings.TrimPrefix(args[0], "U"))), atoi(ts, args[1])
 		for end := time.Now().Add(maxWait); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 			var r runsReply
 			if err := call(http.MethodGet, at+"/Runs", nil, &r); err != nil {
 				return err
 			}
-			if r.Arrived > least {
+			if r.Arrived > minCalls {
 				return nil
 			}
 		}
--- a/tier/peers/codec.go
+++ b/tier/peers/codec.go
@@ -87,7 +87,7 @@
 }
 
 // encode returns the JSON text of a message. The library's messages encode themselves;
-// json.Marshal would validate and copy their text once more.
+// json.Marshal would validate and copy their text a second time.
 func encode(v any) ([]byte, error) {
 	if m, ok := v.(json.Marshaler); ok {
 		return m.MarshalJSON()
@@ -96,7 +96,7 @@
 }
 
 // decode parses the JSON text of a message. The library's messages decode and validate
-// themselves; json.Unmarshal would scan their text once more.
+// themselves; json.Unmarshal would scan their text a second time.
 func decode(text []byte, v any) error {
 	if u, ok := v.(json.Unmarshaler); ok {
 		return u.UnmarshalJSON(text)
--- a/tier/peers/confirm_test.go
+++ b/tier/peers/confirm_test.go
@@ -67,7 +67,7 @@
 	}
 	delete(members, settings.Host)
 	now := time.Minute
-	heard := func(before time.Duration) map[string]kernel.AnnouncerReport {
+	announcedAgo := func(before time.Duration) map[string]kernel.AnnouncerReport {
 		return map[string]kernel.AnnouncerReport{"host-1": {At: now - before}}
 	}
 	tests := []struct {
@@ -76,8 +76,8 @@
 		announcing bool
 		asks       bool
 	}{
-		{"hears the announcer", heard(announceInterval), false, false},
-		{"hears it no more", heard(discoveryTimeout), false, true},
+		{"hears the announcer", announcedAgo(announceInterval), false, false},
+		{"hears it no more", announcedAgo(discoveryTimeout), false, true},
 		{"has never heard one", nil, false, true},
 		{"announces itself", nil, true, false},
 	}
--- a/tier/peers/members_test.go
+++ b/tier/peers/members_test.go
@@ -98,7 +98,7 @@
 		}
 	}
 	minKnown := func() int {
-		least := hosts
+		fewest := hosts
 		for _, a := range all {
 			n := 0
 			for _, m := range a.members(now) {
@@ -106,9 +106,9 @@
 					n++
 				}
 			}
-			least = min(least, n)
+			fewest = min(fewest, n)
 		}
-		return least
+		return fewest
 	}
 	for range 40 {
 		round(-1)
--- a/tier/peers/outage_test.go
+++ b/tier/peers/outage_test.go
@@ -44,9 +44,9 @@
 // TestOutageDelaysGrow checks the back-off after failed reads.
 func TestOutageDelaysGrow(t *testing.T) {
 	var o outage
-	for _, most := range []time.Duration{minRetryDelay, 2 * minRetryDelay, 4 * minRetryDelay, 8 * minRetryDelay, maxRetryDelay, maxRetryDelay} {
+	for _, maxDelay := range []time.Duration{minRetryDelay, 2 * minRetryDelay, 4 * minRetryDelay, 8 * minRetryDelay, maxRetryDelay, maxRetryDelay} {
 		p := o.nextDelay()
-		assert.Assert(t, p >= most/2 && p <= most, "%s, at most %s", p, most)
+		assert.Assert(t, p >= maxDelay/2 && p <= maxDelay, "%s, at most %s", p, maxDelay)
 	}
 	o.succeeded(0)
 	assert.Assert(t, o.nextDelay() <= minRetryDelay)
--- a/tier/peers/partners_test.go
+++ b/tier/peers/partners_test.go
@@ -16,9 +16,9 @@
 func TestHeartbeatsGoToFewHosts(t *testing.T) {
 	const rounds = 30
 	tests := []struct {
-		name                      string
-		announcing, down          bool
-		hall, other, silent, seed int
+		name                            string
+		announcing, down                bool
+		hall, other, unresponsive, seed int
 	}{
 		{"another host of the hall announces", false, false, 2 * rounds, rounds / (otherHallEvery * nonAnnouncerFactor), rounds / unresponsiveEvery, rounds / seedEvery},
 		{"this host announces", true, false, 2 * rounds, rounds / otherHallEvery, rounds / unresponsiveEvery, rounds / seedEvery},
@@ -51,7 +51,7 @@
 					sent[to.Addr().As4()[3]]++
 				}
 			}
-			assert.DeepEqual(t, sent, map[byte]int{'h': tt.hall, 'o': tt.other, 's': tt.silent, 'u': tt.seed})
+			assert.DeepEqual(t, sent, map[byte]int{'h': tt.hall, 'o': tt.other, 's': tt.unresponsive, 'u': tt.seed})
 		})
 	}
 }
--- a/tier/peers/reader.go
+++ b/tier/peers/reader.go
@@ -10,17 +10,17 @@
 	"loomgap/tier/policy"
 )
 
-// Election of the host that reads the platform, if an adapter is set:
+// Election of the hosts that read the platform and announce its content, if an adapter is set:
 //
-//   - Hosts are ranked (readerRanking). In each hall, the highest ranked host announces what
-//     the platform publishes to the others. The highest ranked announcer of all halls reads
-//     the platform, and also announces to the other halls.
-//   - Another host takes over if no announcement arrives for announcerTimeout (the announcer
-//     has failed, or the halls are partitioned), or if the reader announces that the platform
-//     does not answer it. It first waits one takeoverStep for each live host that ranks
-//     before it. At most maxFailedReaders hosts try a platform that does not answer.
-//   - Each change of a host's role is logged as "platform reader role changed": Tells is whether
-//     it announces to its hall, Reads whether it reads the platform.
+//   - Hosts are ranked (readerRanking). In each hall, the highest ranked working host is the
+//     announcer: it announces the platform's content to its hall. The highest ranked announcer
+//     of all halls is the reader: it reads the platform and also announces to other halls.
+//   - The next host takes over if no announcement arrives for announcerTimeout, or if the
+//     announcer reports that the platform does not answer it. It first waits one takeoverStep
+//     for each live host that ranks before it. So partitioned halls have a reader each. At most
+//     maxFailedReaders hosts try a platform that does not answer.
+//   - Each change of a host's role is logged as "platform reader role changed": Tells is
+//     whether it announces to its hall, Reads whether it reads the platform.
 
 const (
 	// announcerTimeout is the time without announcements after which another host takes over;
--- a/tier/peers/reader_test.go
+++ b/tier/peers/reader_test.go
@@ -32,9 +32,9 @@
 	platformDown := kernel.AnnouncerReport{At: now, PlatformDown: true, Since: now - time.Second}
 	tests := []struct {
 		name string
-		// heard holds the announcers by rank; the host itself has rank 4.
-		heard map[int]kernel.AnnouncerReport
-		want  bool
+		// announcers holds the reports of announcers by rank; the host itself has rank 4.
+		announcers map[int]kernel.AnnouncerReport
+		want       bool
 	}{
 		{"nobody is heard of", nil, true},
 		{"one before tells", map[int]kernel.AnnouncerReport{0: fresh}, false},
@@ -50,12 +50,12 @@
 			synctest.Test(t, func(t *testing.T) {
 				k := newTestKernel(t, names[4])
 				time.Sleep(now)
-				heard := map[string]kernel.AnnouncerReport{}
-				for rank, h := range tt.heard {
-					heard[names[rank]] = h
+				announcers := map[string]kernel.AnnouncerReport{}
+				for rank, h := range tt.announcers {
+					announcers[names[rank]] = h
 				}
 				r := newReaderRanking(&kernel.State{}, &k.Settings)
-				assert.Equal(t, r.isFirst(k.Now(), heard, 0), tt.want)
+				assert.Equal(t, r.isFirst(k.Now(), announcers, 0), tt.want)
 			})
 		})
 	}
--- a/tier/peers/restore_test.go
+++ b/tier/peers/restore_test.go
@@ -170,9 +170,9 @@
 // TestFeedFollowsEvacuationsAcrossRestore restores a backup that lacks an evacuation in progress
 // and contains one that has ended. Operators then write both changes again or not.
 func TestFeedFollowsEvacuationsAcrossRestore(t *testing.T) {
-	for _, again := range []bool{true, false} {
+	for _, rewritten := range []bool{true, false} {
 		name := "not written again"
-		if again {
+		if rewritten {
 			name = "written again"
 		}
 		t.Run(name, func(t *testing.T) {
@@ -186,7 +186,7 @@
 				advance(3 * time.Second)
 				assert.DeepEqual(t, k.View().Directory.EvacuatedHalls(), []string{"Begun"})
 				want := []string{"Ended"}
-				if again {
+				if rewritten {
 					p.evacuate("Begun")
 					p.resume("Ended")
 					advance(time.Second)
