--- a/loomctl/check.go
+++ b/loomctl/check.go
@@ -53,12 +53,12 @@
 func readDocument(name string) (*config.Document, error) {
 	f, err := os.Open(name)
 	if err != nil {
-		return nil, fmt.Errorf("open document: %w", err)
+		return nil, fmt.Errorf("open document: %w (give the path of a document)", err)
 	}
 	defer func() { _ = f.Close() }()
 	text, err := io.ReadAll(io.LimitReader(f, config.MaxBytes+1))
 	if err != nil {
-		return nil, fmt.Errorf("read document: %w", err)
+		return nil, fmt.Errorf("read document: %w (give the path of a document)", err)
 	}
 	d, err := config.Decode(text)
 	if err != nil {
--- a/loomctl/plan.go
+++ b/loomctl/plan.go
@@ -82,7 +82,7 @@
 		return err
 	}
 	if len(after) > config.MaxBytes {
-		return fmt.Errorf("document has %d bytes, the maximum is %d", len(after), config.MaxBytes)
+		return fmt.Errorf("document has %d bytes (keep it within %d)", len(after), config.MaxBytes)
 	}
 	fmt.Fprint(os.Stderr, lineDiff(string(before), string(after)))
 	return c.write(after)
@@ -94,7 +94,7 @@
 	if c.file != "" {
 		t, err := os.ReadFile(c.file)
 		if err != nil {
-			return nil, fmt.Errorf("read commands: %w", err)
+			return nil, fmt.Errorf("read commands: %w (give a file of commands)", err)
 		}
 		text = string(t)
 	}
@@ -136,7 +136,7 @@
 		return err
 	}
 	if err := os.WriteFile(c.out, text, 0o644); err != nil {
-		return fmt.Errorf("write document: %w", err)
+		return fmt.Errorf("write document: %w (give a file that can be written)", err)
 	}
 	return nil
 }
