--- a/tier/config/position.go
+++ b/tier/config/position.go
@@ -3,9 +3,9 @@
 import "cmp"
 
 // Position is a place in the platform's history: a revision within an era. The platform
-// begins a new era when it is restored from an older copy of its data. The writes after
-// that copy are lost and their revisions are assigned again, so positions order writes by
-// age only within one era.
+// begins a new era when it is restored from a backup. The writes after the backup are lost
+// and their revisions are assigned again, so positions order writes by age only within one
+// era.
 type Position struct {
 	// Era increases with each restore; 0 if the platform, or the host that reports the
 	// position, does not give one.
@@ -61,15 +61,14 @@
 // version orders the entries of one name, which is an upstream or a hall.
 type version struct {
 	Position
-	// sequence is the number of the name's report, counted since born; 0 if there is
-	// none.
+	// sequence numbers the reports of the name's process; 0 if there is none.
 	sequence uint64
-	// copied is true for entries that may come from the copy that their era began with,
+	// copied is true for entries that may come from the backup that their era began with,
 	// and so may be older than entries of the previous era.
 	copied bool
-	// born is the start time of the name's process, in milliseconds since the Unix epoch;
-	// 0 if it is unknown.
-	born int64
+	// startedMillis is the start time of the name's process, in milliseconds since the Unix
+	// epoch; 0 if it is unknown.
+	startedMillis int64
 }
 
 // replaces reports whether an entry of version v replaces one of version old. The later
@@ -88,8 +87,8 @@
 // reportedAfter reports whether, by the name's own count, v was reported after old. A
 // later process starts a new count.
 func (v version) reportedAfter(old version) bool {
-	if v.born > 0 && old.born > 0 && v.born != old.born {
-		return v.born > old.born
+	if v.startedMillis > 0 && old.startedMillis > 0 && v.startedMillis != old.startedMillis {
+		return v.startedMillis > old.startedMillis
 	}
 	return old.sequence > 0 && v.sequence > old.sequence
 }
--- a/tier/config/position_test.go
+++ b/tier/config/position_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestEditionsAreOrderedByTheirAuthorsNumber(t *testing.T) {
+func TestEditionsAreOrderedByVersionFirst(t *testing.T) {
 	tests := []struct {
 		name   string
 		a, b   Edition
@@ -62,10 +62,10 @@
 	return Listing{Name: name, Group: "G", Slots: int(sequence), Era: p.Era, Revision: p.Revision, Sequence: sequence, Copied: copied}
 }
 
-// TestCopiedEntriesGiveWayUntilTheirEraIsSettled applies a complete listing from a
+// TestCopiedEntriesAreProvisionalUntilEraIsSettled applies a complete listing from a
 // restored store to a directory of the previous era, and checks the result before and
 // after the era is settled.
-func TestCopiedEntriesGiveWayUntilTheirEraIsSettled(t *testing.T) {
+func TestCopiedEntriesAreProvisionalUntilEraIsSettled(t *testing.T) {
 	known := func(c DirectoryChange) *Directory {
 		c.Era, c.Revision = 1, 58
 		d, _ := (*Directory)(nil).With(&c)
@@ -97,7 +97,7 @@
 			d, _ := known(tt.known).With(&whole)
 			assert.Equal(t, slots(d), tt.before)
 			assert.Assert(t, d.Unsettled())
-			// The reverse order: a host reads the copy first and then hears from a host that
+			// The reverse order: a host reads the backup first and then hears from a host that
 			// knows the previous era.
 			late, _ := (*Directory)(nil).With(&whole)
 			old := known(tt.known).Whole()
@@ -116,7 +116,7 @@
 }
 
 // TestSettlingSendsOnlyWhatChanged checks that settling an era does not send entries
-// again that the restored copy left unchanged.
+// again that the backup left unchanged.
 func TestSettlingSendsOnlyWhatChanged(t *testing.T) {
 	d, _ := (*Directory)(nil).With(&DirectoryChange{Era: 1, Revision: 58, Listed: []Listing{listing("U", at(1, 40), 5, false), listing("V", at(1, 41), 5, false)}})
 	settled, _ := d.With(&DirectoryChange{
@@ -130,9 +130,9 @@
 	assert.Equal(t, other.Size(), 1)
 }
 
-// TestChangesOfALaterEraCountAtOnce checks that writes after a restore take effect
+// TestChangesOfLaterEraApplyAtOnce checks that writes after a restore take effect
 // although their revisions were already used in the previous era.
-func TestChangesOfALaterEraCountAtOnce(t *testing.T) {
+func TestChangesOfLaterEraApplyAtOnce(t *testing.T) {
 	d, _ := (*Directory)(nil).With(&DirectoryChange{
 		Era: 1, Revision: 58, Listed: []Listing{listing("U", at(1, 57), 7, false)}, Removed: []Removal{{Name: "V", Era: 1, Revision: 50, Sequence: 3}},
 		Evacuated: []Evacuation{{Hall: "A", Era: 1, Revision: 51}}, Resumed: []Removal{{Name: "B", Era: 1, Revision: 52}},
@@ -148,7 +148,7 @@
 	assert.Equal(t, d.Position(), at(2, 48))
 }
 
-func TestCopiedEvacuationsGiveWayUntilTheirEraIsSettled(t *testing.T) {
+func TestCopiedEvacuationsAreProvisionalUntilEraIsSettled(t *testing.T) {
 	d, _ := (*Directory)(nil).With(&DirectoryChange{
 		Era: 1, Revision: 58, Evacuated: []Evacuation{{Hall: "Begun", Era: 1, Revision: 51}}, Resumed: []Removal{{Name: "Ended", Era: 1, Revision: 52}},
 	})
@@ -160,9 +160,9 @@
 	assert.DeepEqual(t, d.EvacuatedHalls(), []string{"Ended"})
 }
 
-// TestHostsThatNameNoEra checks that entries without an era are ordered by their
+// TestEntriesWithoutEra checks that entries without an era are ordered by their
 // revisions until an era is settled, and belong to the time before it from then on.
-func TestHostsThatNameNoEra(t *testing.T) {
+func TestEntriesWithoutEra(t *testing.T) {
 	d, _ := (*Directory)(nil).With(&DirectoryChange{Revision: 58, Listed: []Listing{listing("U", at(0, 57), 0, false), listing("V", at(0, 50), 0, false)}})
 	d, _ = d.With(&DirectoryChange{Era: 1, Revision: 58, Whole: true, Listed: []Listing{listing("U", at(1, 57), 7, true), listing("V", at(1, 50), 3, true)}})
 	l, _ := d.Find("U")
@@ -176,17 +176,17 @@
 	assert.Equal(t, d.Size(), 1)
 }
 
-// fakeStore is a store with its copies and changes, and the report counts of its
+// fakeStore is a store with its backups and changes, and the report counts of its
 // upstreams.
 type fakeStore struct {
 	era, revision uint64
 	entries       map[string]Listing
 	counts        map[string]uint64
-	copies        []storeCopy
+	backups       []storeBackup
 	changes       []DirectoryChange
 }
 
-type storeCopy struct {
+type storeBackup struct {
 	revision uint64
 	entries  map[string]Listing
 }
@@ -206,18 +206,18 @@
 	s.changes = append(s.changes, c)
 }
 
-func (s *fakeStore) saveCopy() {
+func (s *fakeStore) saveBackup() {
 	entries := map[string]Listing{}
 	for n, l := range s.entries {
 		entries[n] = l
 	}
-	s.copies = append(s.copies, storeCopy{s.revision, entries})
+	s.backups = append(s.backups, storeBackup{s.revision, entries})
 }
 
-func (s *fakeStore) restore(c storeCopy) {
+func (s *fakeStore) restore(b storeBackup) {
 	s.era++
-	s.revision, s.entries = c.revision, map[string]Listing{}
-	for n, l := range c.entries {
+	s.revision, s.entries = b.revision, map[string]Listing{}
+	for n, l := range b.entries {
 		l.Era = s.era
 		s.entries[n] = l
 	}
@@ -237,11 +237,11 @@
 	return c
 }
 
-// TestHostsAgreeAfterReturns simulates a store that is restored from copies, a host that
-// reads it, and hosts that receive the changes late, twice, out of order and from one
-// another. While an era is not settled, no listed upstream may go back to an older
+// TestHostsAgreeAfterRestores simulates a store that is restored from backups, a host
+// that reads it, and hosts that receive the changes late, twice, out of order and from
+// one another. While an era is not settled, no listed upstream may go back to an older
 // report; once it is settled, all hosts must list what the store holds.
-func TestHostsAgreeAfterReturns(t *testing.T) {
+func TestHostsAgreeAfterRestores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &fakeStore{era: 1, revision: 1, entries: map[string]Listing{}, counts: map[string]uint64{}}
 		hosts := make([]*Directory, 3)
@@ -260,7 +260,7 @@
 		write := func() {
 			s.write(fmt.Sprint("U", rapid.IntRange(0, 3).Draw(t, "name")), rapid.Bool().Draw(t, "live"))
 		}
-		s.saveCopy()
+		s.saveBackup()
 		for i := range hosts {
 			receive(i, s.readAll(false))
 		}
@@ -271,9 +271,9 @@
 				write()
 				receive(0, s.changes[len(s.changes)-1])
 			case 3:
-				s.saveCopy()
+				s.saveBackup()
 			case 4:
-				s.restore(rapid.SampledFrom(s.copies).Draw(t, "copy"))
+				s.restore(rapid.SampledFrom(s.backups).Draw(t, "copy"))
 				for range rapid.IntRange(0, 3).Draw(t, "writes before it is read") {
 					write()
 				}
@@ -314,8 +314,8 @@
 }
 
 // TestOrderingAfterRestore compares rules for deciding whether an entry read after a
-// restore replaces the known one. Each has a known number of wrong decisions, the rule in
-// use none.
+// restore replaces the known one. Each has a known number of wrong decisions, the rule
+// in use none.
 func TestOrderingAfterRestore(t *testing.T) {
 	cases := []restoreCase{
 		{"an older document in the copy", version{at(1, 58), 26, false, 0}, version{at(2, 54), 12, true, 0}, true, false},
@@ -361,10 +361,10 @@
 }
 
 // TestReportsOfRestartedUpstream checks the order of reports of two processes with the
-// same name, in a restored copy and after it.
+// same name, in a backup and after the restore.
 func TestReportsOfRestartedUpstream(t *testing.T) {
-	listed := func(era, revision, sequence uint64, born int64, copied bool) Listing {
-		return Listing{Name: "U", Group: "G", Era: era, Revision: revision, Sequence: sequence, Born: born, Copied: copied}
+	listed := func(era, revision, sequence uint64, startedMillis int64, copied bool) Listing {
+		return Listing{Name: "U", Group: "G", Era: era, Revision: revision, Sequence: sequence, StartedMillis: startedMillis, Copied: copied}
 	}
 	tests := []struct {
 		name        string
@@ -383,8 +383,8 @@
 			d, _ := (*Directory)(nil).With(&DirectoryChange{Era: 1, Revision: 57, Listed: []Listing{tt.known}})
 			next, _ := d.With(&DirectoryChange{Era: tt.read.Era, Revision: tt.read.Revision, Listed: []Listing{tt.read}})
 			now, _ := next.Find("U")
-			assert.Equal(t, now.Born == tt.read.Born && now.Sequence == tt.read.Sequence && now.Era == tt.read.Era, tt.want)
-			same := tt.known.Born == now.Born
+			assert.Equal(t, now.StartedMillis == tt.read.StartedMillis && now.Sequence == tt.read.Sequence && now.Era == tt.read.Era, tt.want)
+			same := tt.known.StartedMillis == now.StartedMillis
 			assert.Equal(t, next.Digest() == d.Digest(), same, "hosts that know different starts have the same digest")
 		})
 	}
--- a/tier/pass/coordinate_client.go
+++ b/tier/pass/coordinate_client.go
@@ -17,15 +17,15 @@
 // forwards whole gathers to one with more.
 
 const (
-	// maxCoordinatorAttempts is how many coordinators are tried before the host executes
-	// the request itself.
+	// maxCoordinatorAttempts limits the coordinators that a request is sent to before this
+	// host executes it itself.
 	maxCoordinatorAttempts = 2
 	// firstHeartbeatTimeout is how long after the round trip the first heartbeat of a
 	// coordinator may come. It leaves a busy coordinator time to respond, and an
 	// unresponsive one takes up only a small part of the objective.
 	firstHeartbeatTimeout = 50 * time.Millisecond
-	// heartbeatTimeout is how long a coordinator may be silent after a heartbeat: three
-	// heartbeats are missed by then.
+	// heartbeatTimeout is how long after a heartbeat the next one may come. Three are
+	// missed by then.
 	heartbeatTimeout  = 150 * time.Millisecond
 	heartbeatInterval = 40 * time.Millisecond
 )
@@ -56,7 +56,7 @@
 		reply := s.do(ctx)
 		switch {
 		case ctx.Err() != nil:
-			q.log(outcomeGivenUp, 0).Str("Coordinator", target.Host).Msg("request cancelled by caller")
+			q.log(outcomeCancelled, 0).Str("Coordinator", target.Host).Msg("request cancelled by caller")
 			return true
 		case reply != nil:
 			q.respondCoordinated(w, target.Host, reply)
@@ -126,10 +126,10 @@
 		case err := <-done:
 			return s.finish(err)
 		case <-timer.C:
-			s.giveUp(in.ID, false)
+			s.abort(in.ID, false)
 			return nil
 		case <-ctx.Done():
-			s.giveUp(in.ID, true)
+			s.abort(in.ID, true)
 			return nil
 		}
 	}
@@ -154,7 +154,7 @@
 	if s.begun {
 		return true
 	}
-	s.noteFirstResponse(0)
+	s.recordFirstResponse(0)
 	e := s.request.engine
 	if err := e.kernel.Peers.Notify(ctx, s.target.Host, methodCoordinateBegin, coordinateID{ID: id}); err != nil {
 		s.log().Err(err).Msg("failed to tell coordinator to begin")
@@ -166,9 +166,9 @@
 	return true
 }
 
-// noteFirstResponse records the first response of the coordinator, which had held the
-// request for a time before it responded.
-func (s *sentRequest) noteFirstResponse(held time.Duration) {
+// recordFirstResponse records the first response of the coordinator and the round trip; held
+// is the time between the arrival of the request and the response.
+func (s *sentRequest) recordFirstResponse(held time.Duration) {
 	if s.responded {
 		return
 	}
@@ -188,7 +188,7 @@
 		s.log().Bool("Begun", s.begun).Err(err).Msg("failed to get reply from coordinator")
 		return nil
 	}
-	s.noteFirstResponse(time.Duration(s.reply.HeldMicros) * time.Microsecond)
+	s.recordFirstResponse(time.Duration(s.reply.HeldMicros) * time.Microsecond)
 	if s.reply.Declined != "" {
 		e.hosts.declined(s.target.Host, e.kernel.Now(), s.reply.Declined)
 		s.log().Str("Declined", string(s.reply.Declined)).Msg("request declined by coordinator")
@@ -197,9 +197,9 @@
 	return &s.reply
 }
 
-// giveUp stops the request at the coordinator, because it is unresponsive or the caller is
+// abort stops the request at the coordinator, because it is unresponsive or the caller is
 // gone.
-func (s *sentRequest) giveUp(id string, callerGone bool) {
+func (s *sentRequest) abort(id string, callerGone bool) {
 	e := s.request.engine
 	if !s.responded {
 		e.hosts.unanswered(s.target.Host, s.target.Hall, e.kernel.Now(), !callerGone)
--- a/tier/pass/relay_server.go
+++ b/tier/pass/relay_server.go
@@ -62,7 +62,7 @@
 	cancel context.CancelFunc
 	// upstream is nil until a slot is acquired.
 	upstream *policy.Upstream
-	// lingering is true once the call continues although its result is no longer wanted.
+	// lingering is true once the call continues although its result is unwanted.
 	lingering bool
 }
 
@@ -273,7 +273,7 @@
 	out = &batchReply{Due: now >= b.firstDue, Conditions: b.engine.kernel.Fleet.Conditions(now), HeldMicros: (now - b.started).Microseconds()}
 	ended, records, succeeded := b.unreported.take()
 	out.Ended = ended
-	out.Records, out.Cut = b.omitted.split(records, recordsToSend(b.in.Top, succeeded, b.in.Of))
+	out.Records, out.OmittedID = b.omitted.split(records, recordsToSend(b.in.Top, succeeded, b.in.TotalParts))
 	last = b.openCalls == 0 || now >= b.deadline
 	if last {
 		b.unregister()
