--- a/tier/entry/call.go
+++ b/tier/entry/call.go
@@ -48,7 +48,7 @@
 	return runner.Reply[*wire.PartReply]{Outcome: outcome, Answer: part}
 }
 
-func (c *partCaller) Take(_ int, p *wire.PartReply) { c.take(p) }
+func (c *partCaller) Merge(_ int, p *wire.PartReply) { c.take(p) }
 
 // upstreamCall is one call to an upstream, made by this host or through the host that owns
 // the upstream's slots.
--- a/tier/pass/run.go
+++ b/tier/pass/run.go
@@ -10,7 +10,7 @@
 )
 
 // run makes the calls that policy decides on until the run of the request ends. The runner
-// calls back: Batches and CallBatch for calls through relays, Call for other calls, Take
+// calls back: Batches and CallBatch for calls through relays, Call for other calls, Merge
 // and CallEnded with their results.
 func (q *request) run(ctx context.Context) (policy.Result, error) {
 	k := q.engine.kernel
@@ -57,7 +57,7 @@
 	})
 }
 
-func (q *request) Take(part int, resp *response) {
+func (q *request) Merge(part int, resp *response) {
 	if q.route.Gather == nil {
 		q.responses.single = resp
 		return
--- a/tier/pass/warmup.go
+++ b/tier/pass/warmup.go
@@ -13,7 +13,7 @@
 	out := policy.Cold{Remaining: time.Duration(l.Warmup), Revision: l.Revision, Sequence: l.Sequence, Evacuated: b.directory.Evacuated(l.Hall)}
 	if g := b.index.Group(l.Group); g != nil {
 		s := &e.kernel.Settings
-		out.Warmup, out.CallLimit = time.Duration(g.Warmup), policy.ColdCallLimit(g.ColdRate, s.ColdFactor, s.ColdSlack)
+		out.Warmup, out.Calls = time.Duration(g.Warmup), policy.ColdCallLimit(g.ColdRate, s.ColdFactor, s.ColdSlack)
 	}
 	return out
 }
--- a/tier/policy/admit.go
+++ b/tier/policy/admit.go
@@ -39,7 +39,7 @@
 	if c.cost == 0 {
 		c.cost = parts
 	}
-	allowed := rule.allow(q.Deadline-now, c.worthPerCall(), f.maxWorthPerCall())
+	allowed := rule.allowedWork(q.Deadline-now, c.worthPerCall(), f.maxWorthPerCall())
 	inTime, shortest := q.expected(allowed)
 	if float64(inTime) < min(class.Coverage, admissionCoverage)*parts {
 		return &Refusal{Reason: "the work ahead does not fit the deadline", RetryAfter: f.retryAfter(q.Pool, shortest-allowed)}
@@ -79,30 +79,30 @@
 
 // Shares of the remaining time that expected work may fill.
 const (
-	// minSlackShare applies to the requests with the lowest worth per call.
-	minSlackShare = 0.2
-	// maxSlackShare applies to the requests with the highest worth per call.
-	maxSlackShare = 0.75
+	// minTimeShare applies to the requests with the lowest worth per call.
+	minTimeShare = 0.2
+	// maxTimeShare applies to the requests with the highest worth per call.
+	maxTimeShare = 0.75
 )
 
 // admitAll admits every request.
 type admitAll struct{}
 
-func (admitAll) allow(time.Duration, float64, float64) time.Duration { return math.MaxInt64 }
+func (admitAll) allowedWork(time.Duration, float64, float64) time.Duration { return math.MaxInt64 }
 
 // admitDeadline refuses requests that are not expected to finish before their deadline.
 type admitDeadline struct{}
 
-func (admitDeadline) allow(slack time.Duration, _, _ float64) time.Duration { return slack }
+func (admitDeadline) allowedWork(slack time.Duration, _, _ float64) time.Duration { return slack }
 
 // admitWorth grants requests with a higher worth per call a larger share of their remaining
 // time, so that overload sheds the requests with the lowest worth per call first.
 type admitWorth struct{}
 
-func (admitWorth) allow(slack time.Duration, worthPerCall, highest float64) time.Duration {
+func (admitWorth) allowedWork(slack time.Duration, worthPerCall, highest float64) time.Duration {
 	rank := 1.0
 	if highest > 0 {
 		rank = min(worthPerCall/highest, 1)
 	}
-	return time.Duration(float64(slack) * (minSlackShare + (maxSlackShare-minSlackShare)*rank))
+	return time.Duration(float64(slack) * (minTimeShare + (maxTimeShare-minTimeShare)*rank))
 }
--- a/tier/policy/admit_test.go
+++ b/tier/policy/admit_test.go
@@ -24,8 +24,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			assert.Equal(t, tt.rule.allow(slack, tt.density, tt.top).Round(time.Microsecond), tt.want)
+			assert.Equal(t, tt.rule.allowedWork(slack, tt.density, tt.top).Round(time.Microsecond), tt.want)
 		})
 	}
-	assert.Assert(t, admitAll{}.allow(0, 0, 0) > 24*time.Hour, "every request must be admitted")
+	assert.Assert(t, admitAll{}.allowedWork(0, 0, 0) > 24*time.Hour, "every request must be admitted")
 }
--- a/tier/policy/attempt.go
+++ b/tier/policy/attempt.go
@@ -80,14 +80,14 @@
 	a.isolated = r.suspected() && !r.hasCalls()
 	a.phase = phaseSent
 	a.sentAt = now
-	a.hedgeAge = r.rules.hedgeDelay(a.upstream, r.request.Deadline-r.times.begun)
+	a.hedgeDelay = r.rules.hedgeDelay(a.upstream, r.request.Deadline-r.times.admittedAt)
 	r.parts[a.part].ran++
 	r.parts[a.part].sends++
 	r.parts[a.part].arrivals++
 	r.wakeBy(r.hedgeTime(now, a))
 	send := Action{Kind: ActionSend, Attempt: n, Part: a.part, Upstream: a.upstream, Pool: r.rules.poolOf(a.upstream)}
 	if !r.parts[a.part].hedged {
-		send.HedgeIn = a.hedgeAge
+		send.HedgeIn = a.hedgeDelay
 	}
 	return append(out, send)
 }
--- a/tier/policy/backoff.go
+++ b/tier/policy/backoff.go
@@ -24,13 +24,13 @@
 func (b *backoff) succeeded() { *b = backoff{} }
 
 func (b *backoff) shed(now time.Duration) {
-	b.until = now + exponential(initialBackoff, 2, b.sheds, maxBackoff)
+	b.until = now + exponentialDelay(initialBackoff, 2, b.sheds, maxBackoff)
 	b.sheds++
 }
 
-// exponential returns first multiplied by factor the given number of times, capped at
+// exponentialDelay returns first multiplied by factor the given number of times, capped at
 // longest.
-func exponential(first time.Duration, factor float64, times int, longest time.Duration) time.Duration {
+func exponentialDelay(first time.Duration, factor float64, times int, longest time.Duration) time.Duration {
 	return time.Duration(min(float64(first)*math.Pow(factor, float64(times)), float64(longest)))
 }
 
--- a/tier/policy/borrowing_test.go
+++ b/tier/policy/borrowing_test.go
@@ -42,9 +42,9 @@
 	}
 }
 
-// TestBorrowingIsNotDelayedForEver checks the cap on the calls needed when the upstream
+// TestBorrowingDelayIsCapped checks the cap on the calls needed when the upstream
 // sheds after each borrowed slot.
-func TestBorrowingIsNotDelayedForEver(t *testing.T) {
+func TestBorrowingDelayIsCapped(t *testing.T) {
 	b := borrowing{}
 	for range 20 {
 		b.borrowed = 1
--- a/tier/policy/choose_test.go
+++ b/tier/policy/choose_test.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestUnseenUpstreamIsAskedAgain checks that an upstream that was slow scores better once
+// TestOldObservationWeighsLess checks that an upstream that was slow scores better once
 // the observation is old.
-func TestUnseenUpstreamIsAskedAgain(t *testing.T) {
+func TestOldObservationWeighsLess(t *testing.T) {
 	const now = time.Minute
 	r, p := rand.New(rand.NewPCG(1, 0)), newPool(poolWindow)
 	seen := Upstream{near: true, condition: condition{slowness: 4, observedAt: now}}
--- a/tier/policy/classstate.go
+++ b/tier/policy/classstate.go
@@ -14,7 +14,7 @@
 
 // class returns the state of a class and creates it on first use. The fleet must be locked.
 func (f *Fleet) class(name string) *classState {
-	return findOrMake(f.classes, name, func() *classState {
+	return getOrCreate(f.classes, name, func() *classState {
 		return &classState{hedges: budget{budgetStart}, retries: budget{budgetStart}}
 	})
 }
--- a/tier/policy/cold.go
+++ b/tier/policy/cold.go
@@ -26,9 +26,9 @@
 	Revision, Sequence uint64
 	// Warmup is how long the upstream may be cold after an evacuation of its hall ends.
 	Warmup time.Duration
-	// CallLimit is the largest number of calls per second, from all hosts together, that
+	// Calls is the largest number of calls per second, from all hosts together, that
 	// the upstream can handle while it is cold; 0 for no limit.
-	CallLimit int
+	Calls int
 	// Evacuated is true while its hall is evacuated.
 	Evacuated bool
 }
@@ -81,7 +81,7 @@
 
 func (c *cold) active(now time.Duration) bool { return now < c.until }
 
-func (c *cold) throttled(now time.Duration) bool { return c.entry.CallLimit > 0 && c.active(now) }
+func (c *cold) throttled(now time.Duration) bool { return c.entry.Calls > 0 && c.active(now) }
 
 // ownerAt returns the host that must make the calls now; empty if any host may.
 func (c *cold) ownerAt(now time.Duration) string {
@@ -92,7 +92,7 @@
 }
 
 // ownerLimit returns how many calls the owner may send within coldWindow.
-func (c *cold) ownerLimit() int { return max(c.entry.CallLimit/maxColdOwners, 1) }
+func (c *cold) ownerLimit() int { return max(c.entry.Calls/maxColdOwners, 1) }
 
 // allows reports whether this host, as the owner, may send one more call now.
 func (c *cold) allows(now time.Duration) bool {
--- a/tier/policy/cold_test.go
+++ b/tier/policy/cold_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestColdCalls(t *testing.T) {
+func TestColdCallLimit(t *testing.T) {
 	tests := []struct {
 		rate, factor, slack float64
 		want                int
@@ -25,7 +25,7 @@
 // coldFleet returns a fleet with one cold upstream in this host's hall.
 func coldFleet(calls int) (*Fleet, *Upstream) {
 	f := NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(1, 2))})
-	share := Share{Name: "U", Slots: 100, Listed: true, Hall: "A", Near: true, Cold: Cold{Remaining: 10 * time.Second, Revision: 1, CallLimit: calls}}
+	share := Share{Name: "U", Slots: 100, Listed: true, Hall: "A", Near: true, Cold: Cold{Remaining: 10 * time.Second, Revision: 1, Calls: calls}}
 	f.Apply(time.Minute, []Share{share})
 	return f, f.Find("U")
 }
--- a/tier/policy/condition_test.go
+++ b/tier/policy/condition_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestFaults(t *testing.T) {
+func TestObserveOutcome(t *testing.T) {
 	tests := []struct {
 		outcome CallOutcome
 		want    float64
--- a/tier/policy/conditions.go
+++ b/tier/policy/conditions.go
@@ -12,7 +12,7 @@
 	var out []Condition
 	for _, u := range f.upstreams {
 		c := &u.condition
-		if !u.kind.inHall || !u.near || u.leaving || u.latency.samples == 0 || !c.worthReporting(now) {
+		if !u.kind.managedByHall || !u.near || u.leaving || u.latency.samples == 0 || !c.worthReporting(now) {
 			continue
 		}
 		out = append(out, Condition{
@@ -25,7 +25,7 @@
 // hallConditions returns the report of a hall. It returns the same pointer on every call.
 // The fleet must be locked.
 func (f *Fleet) hallConditions(hall string) *hallConditions {
-	return findOrMake(f.conditions, hall, func() *hallConditions { return &hallConditions{at: never} })
+	return getOrCreate(f.conditions, hall, func() *hallConditions { return &hallConditions{at: never} })
 }
 
 // SetConditions stores a host's report about the upstreams of its hall. Upstreams that it
--- a/tier/policy/ejection.go
+++ b/tier/policy/ejection.go
@@ -29,7 +29,7 @@
 	if e.failures < ejectAfterFailures {
 		return
 	}
-	e.until = now + exponential(initialEjection, 2, e.failures-ejectAfterFailures, maxEjection)
+	e.until = now + exponentialDelay(initialEjection, 2, e.failures-ejectAfterFailures, maxEjection)
 }
 
 func (e *ejection) active(now time.Duration) bool { return now < e.until }
--- a/tier/policy/finish.go
+++ b/tier/policy/finish.go
@@ -75,6 +75,6 @@
 		r.markMissing(i, reason)
 	}
 	r.fleet.class(r.request.Class.Name).inFlight--
-	r.times.next = math.MaxInt64
+	r.times.wakeAt = math.MaxInt64
 	return append(out, Action{Kind: ActionFinish})
 }
--- a/tier/policy/fleet.go
+++ b/tier/policy/fleet.go
@@ -190,10 +190,10 @@
 
 // pool returns the named pool and creates it on first use. The fleet must be locked.
 func (f *Fleet) pool(name string, window int64) *LatencyPool {
-	return findOrMake(f.pools, name, func() *LatencyPool { return newPool(window) })
+	return getOrCreate(f.pools, name, func() *LatencyPool { return newPool(window) })
 }
 
-func findOrMake[V any](m map[string]*V, key string, create func() *V) *V {
+func getOrCreate[V any](m map[string]*V, key string, create func() *V) *V {
 	if m[key] == nil {
 		m[key] = create()
 	}
--- a/tier/policy/hedge.go
+++ b/tier/policy/hedge.go
@@ -105,7 +105,7 @@
 		return false
 	}
 	a := &r.attempts[p.active[0]]
-	return a.phase != phaseQueued && now-a.sentAt >= a.hedgeAge
+	return a.phase != phaseQueued && now-a.sentAt >= a.hedgeDelay
 }
 
 // hedgeTime returns when the hedge of an attempt is considered next.
@@ -113,11 +113,11 @@
 	if !r.hedges() {
 		return r.request.Deadline
 	}
-	first := a.sentAt + a.hedgeAge
+	first := a.sentAt + a.hedgeDelay
 	if a.phase == phaseSent && first > now {
 		return first
 	}
-	return now + max(a.hedgeAge/hedgeRecheckDivisor, minHedgeDelay)
+	return now + max(a.hedgeDelay/hedgeRecheckDivisor, minHedgeDelay)
 }
 
 // probe calls an outlier in addition to the chosen replica, so that its recovery is noticed
@@ -144,7 +144,7 @@
 // the batch as a whole.
 func (r *Run) DelayHedge(n int) {
 	a := &r.attempts[n]
-	a.hedgeAge += a.hedgeAge/batchHedgeDivisor + batchHedgeDelay
+	a.hedgeDelay += a.hedgeDelay/batchHedgeDivisor + batchHedgeDelay
 }
 
 // HedgeNow hedges attempts that are known to be slow without waiting for their hedge delay.
@@ -154,7 +154,7 @@
 	}
 	for _, n := range attempts {
 		a := &r.attempts[n]
-		a.hedgeAge = min(a.hedgeAge, now-a.sentAt)
+		a.hedgeDelay = min(a.hedgeDelay, now-a.sentAt)
 	}
 	return r.Wake(now)
 }
--- a/tier/policy/hedge_test.go
+++ b/tier/policy/hedge_test.go
@@ -22,11 +22,11 @@
 		{"no attempt is left", 1, 1, func(*Run, *Upstream) {}, HedgeNoBudget},
 		{"the other one leaves", 2, 1, func(_ *Run, u *Upstream) { u.leaving = true }, HedgeNoUpstream},
 		{"the other one is cold", 2, 1, func(r *Run, u *Upstream) {
-			u.cold = cold{entry: Cold{CallLimit: 4}, until: time.Minute, owner: "H"}
+			u.cold = cold{entry: Cold{Calls: 4}, until: time.Minute, owner: "H"}
 			r.request.Routed.CanRelay = true
 		}, HedgeCold},
 		{"the other one is cold and barred", 2, 1, func(_ *Run, u *Upstream) {
-			u.cold = cold{entry: Cold{CallLimit: 4}, until: time.Minute, owner: "H"}
+			u.cold = cold{entry: Cold{Calls: 4}, until: time.Minute, owner: "H"}
 		}, HedgeNoUpstream},
 		{"the other one has no slot", 2, 1, func(_ *Run, u *Upstream) { u.slots.inUse = 100 }, HedgeNoSlot},
 		{"the request is suspected", 2, 1, func(r *Run, _ *Upstream) {
--- a/tier/policy/isolation.go
+++ b/tier/policy/isolation.go
@@ -103,7 +103,7 @@
 
 // isolatedTimedOut reports whether an isolated attempt is so slow that it must be replaced.
 func (r *Run) isolatedTimedOut(now time.Duration, a *attempt) bool {
-	return a.isolated && now-a.sentAt >= isolatedTimeoutFactor*a.hedgeAge && r.suspected()
+	return a.isolated && now-a.sentAt >= isolatedTimeoutFactor*a.hedgeDelay && r.suspected()
 }
 
 // replaceIsolated cancels the isolated call of a part so that another one is made. It ends
--- a/tier/policy/kind.go
+++ b/tier/policy/kind.go
@@ -21,10 +21,10 @@
 	// lingers lets a call that is no longer needed continue, to show when an upstream
 	// responds again.
 	lingers bool
-	// inHall is true if the hosts of the upstream's hall are responsible for it: they
+	// managedByHall is true if the hosts of the upstream's hall are responsible for it: they
 	// report its condition to other halls, and one of them makes its calls while it is
 	// cold.
-	inHall bool
+	managedByHall bool
 }
 
 const (
@@ -64,5 +64,5 @@
 	learnsLimit:     true,
 	movedIsReplaced: true,
 	lingers:         true,
-	inHall:          true,
+	managedByHall:   true,
 }
--- a/tier/policy/load_test.go
+++ b/tier/policy/load_test.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// TestQueueReportOutlastsAnswersWithoutOne checks that an answer without a report keeps the
+// TestAnswerWithoutReportKeepsQueueReport checks that an answer without a report keeps the
 // previous report.
-func TestQueueReportOutlastsAnswersWithoutOne(t *testing.T) {
+func TestAnswerWithoutReportKeepsQueueReport(t *testing.T) {
 	q := queueReport{}
 	q.update(time.Minute, Load{Waiting: 4, Slots: 4})
 	q.update(time.Minute+loadTTL/2, Load{})
--- a/tier/policy/part.go
+++ b/tier/policy/part.go
@@ -50,8 +50,8 @@
 	upstream *Upstream
 	phase    phase
 	sentAt   time.Duration
-	// hedgeAge is the delay after sentAt until the attempt is hedged.
-	hedgeAge time.Duration
+	// hedgeDelay is the delay after sentAt until the attempt is hedged.
+	hedgeDelay time.Duration
 	// waiter is the attempt's entry in the queue of the upstream.
 	waiter *Waiter
 	// isolated is true if the request was suspected when the attempt was sent, and no other
--- a/tier/policy/plugin.go
+++ b/tier/policy/plugin.go
@@ -26,10 +26,10 @@
 
 // admission limits the expected work of a request to a share of its remaining time.
 type admission interface {
-	// allow returns the part of slack that the expected work of a request may fill.
+	// allowedWork returns the part of slack that the expected work of a request may fill.
 	// worthPerCall is the worth per call of the request's class, highest the largest of all
 	// classes.
-	allow(slack time.Duration, worthPerCall, highest float64) time.Duration
+	allowedWork(slack time.Duration, worthPerCall, highest float64) time.Duration
 }
 
 // Plug-ins by name. They register themselves in init functions.
--- a/tier/policy/pool_test.go
+++ b/tier/policy/pool_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestPoolTakesAnyLatency(t *testing.T) {
+func TestPoolClampsLatencies(t *testing.T) {
 	p := newPool(poolWindow)
 	for range minPoolSamples {
 		p.record(-time.Second)
--- a/tier/policy/quarantine.go
+++ b/tier/policy/quarantine.go
@@ -82,7 +82,7 @@
 	if crashes == 0 {
 		return 0
 	}
-	return exponential(initialQuarantine, quarantineGrowth, crashes-1, crashReportTTL)
+	return exponentialDelay(initialQuarantine, quarantineGrowth, crashes-1, crashReportTTL)
 }
 
 func (s *suspect) worstVerdict(now time.Duration) Verdict {
--- a/tier/policy/retrybudget.go
+++ b/tier/policy/retrybudget.go
@@ -141,7 +141,7 @@
 
 // retriesOf returns the remaining retries for a group. The fleet must be locked.
 func (f *Fleet) retriesOf(group string) *groupRetries {
-	return findOrMake(f.retries, group, func() *groupRetries {
+	return getOrCreate(f.retries, group, func() *groupRetries {
 		return &groupRetries{saved: budget{f.retryBudgets.of(group).Depth * initialRetryShare}}
 	})
 }
--- a/tier/policy/routed_test.go
+++ b/tier/policy/routed_test.go
@@ -152,7 +152,7 @@
 	return out
 }
 
-func TestRoutedPartRunsOnAtMostItsAttempts(t *testing.T) {
+func TestRoutedPartStaysWithinMaxAttempts(t *testing.T) {
 	tests := []struct {
 		name       string
 		attempts   int
@@ -196,7 +196,7 @@
 	assert.Assert(t, finished(r.Reply(time.Millisecond, s[1].Attempt, CallFailed)), "two of four parts cannot reach a coverage of 0.75")
 }
 
-func TestRoutedRunWithoutBudgetDoesNotRepeat(t *testing.T) {
+func TestRoutedRunWithoutBudgetDoesNotRetry(t *testing.T) {
 	f := routedFleet(1, RetryBudget{})
 	r, actions := routedRun(t, f, 0, 1, 2, 1, true)
 	for now := time.Duration(0); now < time.Second; now = r.WakeAt() {
@@ -300,9 +300,9 @@
 	assert.Assert(t, f.TryLinger(u))
 }
 
-// TestOverdueCallsAreHedged checks that a call missing from a batch's progress report is
+// TestUnreportedBatchCallIsHedged checks that a call missing from a batch's progress report is
 // hedged immediately, and that no call of a batch is hedged before it is overdue.
-func TestOverdueCallsAreHedged(t *testing.T) {
+func TestUnreportedBatchCallIsHedged(t *testing.T) {
 	f := routedFleet(2, RetryBudget{Ratio: 1, Depth: 100})
 	r, actions := routedRun(t, f, 0, 2, 2, 1, true)
 	first := sends(actions)
--- a/tier/policy/run.go
+++ b/tier/policy/run.go
@@ -55,13 +55,13 @@
 }
 
 type runTimes struct {
-	// begun is when the request was admitted.
-	begun time.Duration
+	// admittedAt is when the request was admitted.
+	admittedAt time.Duration
 	// patience is when an answer with the required coverage is returned although parts are
 	// missing.
 	patience time.Duration
-	// next is when Wake must be called.
-	next time.Duration
+	// wakeAt is when Wake must be called.
+	wakeAt time.Duration
 }
 
 // spareAttempts is the initial capacity for hedges and retries, so that few runs allocate
@@ -107,7 +107,7 @@
 		r.finished = true
 		return nil, err
 	}
-	r.times.begun = now
+	r.times.admittedAt = now
 	r.times.patience = now + time.Duration(r.request.Class.Patience)
 	r.rules.earn(len(r.parts))
 	var out []Action
@@ -115,7 +115,7 @@
 		out = r.startOrDefer(now, i, out)
 		out = r.probe(now, i, out)
 	}
-	r.times.next = r.nextWake(now)
+	r.times.wakeAt = r.nextWake(now)
 	return r.finishIfDone(now, out), nil
 }
 
@@ -202,7 +202,7 @@
 		}
 		out = r.wakePart(now, i, out)
 	}
-	r.times.next = r.nextWake(now)
+	r.times.wakeAt = r.nextWake(now)
 	return r.finishIfDone(now, out)
 }
 
@@ -224,7 +224,7 @@
 }
 
 // WakeAt returns when Wake must be called.
-func (r *Run) WakeAt() time.Duration { return r.times.next }
+func (r *Run) WakeAt() time.Duration { return r.times.wakeAt }
 
 // Abort must be called when the caller has disconnected.
 func (r *Run) Abort(now time.Duration) []Action {
@@ -238,7 +238,7 @@
 }
 
 // wakeBy ensures that the run is woken no later than t. Unnecessary wake-ups are harmless.
-func (r *Run) wakeBy(t time.Duration) { r.times.next = min(r.times.next, t) }
+func (r *Run) wakeBy(t time.Duration) { r.times.wakeAt = min(r.times.wakeAt, t) }
 
 // nextWake returns the earliest time at which anything of the run is due.
 func (r *Run) nextWake(now time.Duration) time.Duration {
--- a/tier/policy/run_test.go
+++ b/tier/policy/run_test.go
@@ -38,9 +38,9 @@
 	repeatable bool
 	shards     int
 	// sent holds the attempts that were sent and have no reply yet.
-	sent     map[int]*Upstream
-	taken    map[int]int
-	finished int
+	sent        map[int]*Upstream
+	merged      map[int]int
+	finishCount int
 	// mayHaveRun is true once a sent attempt ended without proof that it did not run.
 	mayHaveRun bool
 	// sentTotal counts the attempts sent.
@@ -51,7 +51,7 @@
 	suspected, answered bool
 }
 
-func newMachine(t *rapid.T) *runModel {
+func newRunModel(t *rapid.T) *runModel {
 	seed := rapid.Uint64().Draw(t, "seed")
 	m := &runModel{t: t, fleet: NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(seed, 0))})}
 	names := []string{"A", "B", "C"}
@@ -77,7 +77,7 @@
 	c.Coverage = rapid.SampledFrom([]float64{0.5, 1}).Draw(t, "coverage")
 	c.Patience = config.Duration(5 * time.Millisecond)
 	c.HedgeBudget = 0.2
-	x := &tracked{repeatable: rapid.Bool().Draw(t, "repeatable"), shards: 1, sent: map[int]*Upstream{}, taken: map[int]int{}}
+	x := &tracked{repeatable: rapid.Bool().Draw(t, "repeatable"), shards: 1, sent: map[int]*Upstream{}, merged: map[int]int{}}
 	if x.repeatable {
 		x.shards = rapid.IntRange(1, 4).Draw(t, "shards")
 	}
@@ -111,7 +111,7 @@
 	for _, a := range actions {
 		switch a.Kind {
 		case ActionSend:
-			assert.Assert(t, x.finished == 0, "sent after the run finished")
+			assert.Assert(t, x.finishCount == 0, "sent after the run finished")
 			assert.Assert(t, !a.Upstream.leaving, "new call to a leaving upstream")
 			if x.suspected && !x.answered {
 				assert.Assert(t, len(x.sent) == 0, "a suspected request runs on two upstreams")
@@ -122,12 +122,12 @@
 			x.sent[a.Attempt] = a.Upstream
 			x.sentTotal++
 		case ActionMerge:
-			x.taken[a.Part]++
-			assert.Equal(t, x.taken[a.Part], 1, "a part merged twice")
+			x.merged[a.Part]++
+			assert.Equal(t, x.merged[a.Part], 1, "a part merged twice")
 		case ActionReleaseSlot:
 			NotifyGranted(m.fleet.ReleaseSlot(m.now, a.Upstream))
 		case ActionFinish:
-			x.finished++
+			x.finishCount++
 			m.finished(x)
 		default:
 		}
@@ -137,11 +137,11 @@
 // finished checks the result of a run at its end.
 func (m *runModel) finished(x *tracked) {
 	t := m.t
-	assert.Equal(t, x.finished, 1)
+	assert.Equal(t, x.finishCount, 1)
 	r := x.run.Result()
 	included := 0
 	for i, reason := range r.Reasons {
-		assert.Equal(t, reason == "", x.taken[i] == 1, "a part is included exactly if it was merged")
+		assert.Equal(t, reason == "", x.merged[i] == 1, "a part is included exactly if it was merged")
 		if reason == "" {
 			included++
 		}
@@ -154,8 +154,8 @@
 	}
 }
 
-// deliver passes granted slots on to their runs.
-func (m *runModel) deliver() {
+// deliverGrants passes granted slots on to their runs.
+func (m *runModel) deliverGrants() {
 	for again := true; again; {
 		again = false
 		for _, x := range m.runs {
@@ -215,7 +215,7 @@
 		}
 	}
 	if rapid.IntRange(0, 3).Draw(t, "late") > 0 {
-		m.deliver()
+		m.deliverGrants()
 	}
 }
 
@@ -233,10 +233,10 @@
 				}
 			}
 		}
-		m.deliver()
+		m.deliverGrants()
 	}
 	for _, x := range m.runs {
-		assert.Equal(m.t, x.finished, 1, "every run ends once")
+		assert.Equal(m.t, x.finishCount, 1, "every run ends once")
 	}
 	for _, u := range m.upstreams {
 		assert.Equal(m.t, u.slots.inUse, 0, "a slot leaked")
@@ -249,7 +249,7 @@
 	// the default number of checks.
 	assert.NilError(t, flag.Set("rapid.checks", "2000"))
 	rapid.Check(t, func(t *rapid.T) {
-		m := newMachine(t)
+		m := newRunModel(t)
 		for range rapid.IntRange(10, 80).Draw(t, "steps") {
 			m.step()
 			for _, u := range m.upstreams {
@@ -309,9 +309,9 @@
 	assert.Equal(t, len(sent), 2)
 	hedges := r.Wake(r.WakeAt())
 	assert.Equal(t, len(hedges), 2)
-	first := r.Reply(r.attempts[0].hedgeAge, sent[0].Attempt, CallOK)
+	first := r.Reply(r.attempts[0].hedgeDelay, sent[0].Attempt, CallOK)
 	assert.Equal(t, first[0].Kind, ActionMerge)
 	assert.Equal(t, first[1].Kind, ActionCancel)
 	assert.Equal(t, first[1].Attempt, hedges[0].Attempt)
-	assert.Equal(t, len(r.Reply(r.attempts[0].hedgeAge, hedges[0].Attempt, CallOK)), 0, "the loser is not merged")
+	assert.Equal(t, len(r.Reply(r.attempts[0].hedgeDelay, hedges[0].Attempt, CallOK)), 0, "the loser is not merged")
 }
--- a/tier/policy/snapshot.go
+++ b/tier/policy/snapshot.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// candidateSnapshots is the number of snapshots, newest first, that are compared for a
+// maxSnapshotCandidates is the number of snapshots, newest first, that are compared for a
 // request.
-const candidateSnapshots = 16
+const maxSnapshotCandidates = 16
 
 // Plan resolves the replicas of each shard and picks the snapshot that covers the most
 // shards, or the newest one of those that cover equally many. The snapshot is 0 if no
@@ -21,24 +21,24 @@
 			}
 		}
 	}
-	return out, best(out, candidates)
+	return out, bestSnapshot(out, candidates)
 }
 
-// best returns the candidate that covers the most parts, preferring newer ones; 0 if there
+// bestSnapshot returns the candidate that covers the most parts, preferring newer ones; 0 if there
 // is no candidate.
-func best(parts [][]*Upstream, candidates []uint64) uint64 {
+func bestSnapshot(parts [][]*Upstream, candidates []uint64) uint64 {
 	slices.Sort(candidates)
 	slices.Reverse(candidates)
 	snapshot, most := uint64(0), -1
-	for _, s := range candidates[:min(len(candidates), candidateSnapshots)] {
-		if n := covered(parts, s); n > most {
+	for _, s := range candidates[:min(len(candidates), maxSnapshotCandidates)] {
+		if n := countCovered(parts, s); n > most {
 			snapshot, most = s, n
 		}
 	}
 	return snapshot
 }
 
-func covered(parts [][]*Upstream, snapshot uint64) int {
+func countCovered(parts [][]*Upstream, snapshot uint64) int {
 	n := 0
 	for _, replicas := range parts {
 		if slices.ContainsFunc(replicas, func(u *Upstream) bool { return !u.leaving && u.status.snapshots.holds(snapshot) }) {
--- a/tier/policy/state_golden_test.go
+++ b/tier/policy/state_golden_test.go
@@ -80,7 +80,7 @@
 	s.Leaving = t.random.IntN(8) == 0
 	s.Cold = Cold{
 		Remaining: time.Duration(t.random.IntN(3)) * time.Second, Revision: uint64(t.random.IntN(5)),
-		Warmup: time.Duration(t.random.IntN(2)) * time.Second, CallLimit: t.random.IntN(12), Evacuated: t.random.IntN(6) == 0,
+		Warmup: time.Duration(t.random.IntN(2)) * time.Second, Calls: t.random.IntN(12), Evacuated: t.random.IntN(6) == 0,
 	}
 	NotifyGranted(t.fleet.Apply(t.now, t.shares))
 	t.fleet.SetColdOwners("Self", map[string]string{"U0": "Self", "U1": "Other", "U2": "Self"})
--- a/tier/policy/status_test.go
+++ b/tier/policy/status_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestWindowHoldsItsSnapshots(t *testing.T) {
+func TestSnapshotRangeHolds(t *testing.T) {
 	tests := []struct {
 		window   SnapshotRange
 		snapshot uint64
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestStatusKeepsTheNewestWindow(t *testing.T) {
+func TestStatusKeepsNewestRange(t *testing.T) {
 	known := func(oldest, newest uint64) SnapshotRange {
 		return SnapshotRange{Oldest: oldest, Newest: newest, Known: true}
 	}
@@ -55,9 +55,9 @@
 	}
 }
 
-// TestStatusIsReadOfSilentUpstreams checks that silent upstreams are returned, least
+// TestSilentSince checks that silent upstreams are returned, least
 // recently read first.
-func TestStatusIsReadOfSilentUpstreams(t *testing.T) {
+func TestSilentSince(t *testing.T) {
 	f := NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(1, 0))})
 	f.Apply(0, []Share{{Name: "A", Slots: 1}, {Name: "B", Slots: 1}, {Name: "C", Slots: 1}})
 	second := time.Second
--- a/tier/policy/suspicion_test.go
+++ b/tier/policy/suspicion_test.go
@@ -69,15 +69,15 @@
 	assert.Assert(t, finished(three), "the first shard has no attempts left, and all shards are required")
 }
 
-// TestSuspicionEndsWithAnAnswer checks that an answer to the isolated call starts all
+// TestAnswerClearsSuspicion checks that an answer to the isolated call starts all
 // deferred shards and clears the request.
-func TestSuspicionEndsWithAnAnswer(t *testing.T) {
+func TestAnswerClearsSuspicion(t *testing.T) {
 	now := 10 * time.Millisecond
 	f := routedFleet(6, RetryBudget{Ratio: 1, Depth: 100})
 	f.quarantine.report(0, RequestIdentity{Fingerprint: "F"}, CrashReport{ID: 1, Isolated: true, Upstream: "Gone"})
 	r, first := suspectRun(t, f, 0, 6)
 	assert.Equal(t, len(sends(first)), 1)
-	for at := r.WakeAt(); at < isolatedTimeoutFactor*r.attempts[0].hedgeAge; at = r.WakeAt() {
+	for at := r.WakeAt(); at < isolatedTimeoutFactor*r.attempts[0].hedgeDelay; at = r.WakeAt() {
 		assert.Equal(t, len(sends(r.Wake(at))), 0, "no hedge while it is suspected")
 		now = at
 	}
@@ -129,9 +129,9 @@
 	assert.Equal(t, refusal.RetryAfter, quarantineGrowth*initialQuarantine-time.Second)
 }
 
-// TestResetConnectionsAreNoCrash checks that reset connections, which also occur on healthy
+// TestConnectionResetIsNotACrash checks that reset connections, which also occur on healthy
 // upstreams, do not make a request suspected.
-func TestResetConnectionsAreNoCrash(t *testing.T) {
+func TestConnectionResetIsNotACrash(t *testing.T) {
 	f := routedFleet(6, RetryBudget{Ratio: 1, Depth: 100})
 	r, first := suspectRun(t, f, 0, 6)
 	for _, a := range sends(first) {
--- a/tier/policy/upstream_test.go
+++ b/tier/policy/upstream_test.go
@@ -22,7 +22,7 @@
 		{"ejected until now", Upstream{ejection: ejection{until: now}}, true},
 		{"in backoff", Upstream{backoff: backoff{until: later}}, false},
 		{"cold", Upstream{cold: cold{until: later}}, true},
-		{"throttled", Upstream{cold: cold{until: later, entry: Cold{CallLimit: 5}}}, false},
+		{"throttled", Upstream{cold: cold{until: later, entry: Cold{Calls: 5}}}, false},
 		{"unresponsive", Upstream{stall: stall{until: later}}, true},
 		{"slower than its like", Upstream{condition: condition{slowness: 9, faults: 0.9, observedAt: now}}, true},
 	}
--- a/tier/replay/crash_site_test.go
+++ b/tier/replay/crash_site_test.go
@@ -205,7 +205,7 @@
 // startCall schedules the crash of an upstream that starts a call of the crashing
 // request.
 func (s *routedSite) startCall(u *upstream, k *call) bool {
-	if !s.crashesBy(k) {
+	if !s.causesCrash(k) {
 		return true
 	}
 	w, c := s.world, s.routed.crash
@@ -243,8 +243,8 @@
 	w.after(s.routed.crash.restartTime, func() { state.down = false })
 }
 
-// crashesBy reports whether a call belongs to the crashing request.
-func (s *routedSite) crashesBy(k *call) bool {
+// causesCrash reports whether a call belongs to the crashing request.
+func (s *routedSite) causesCrash(k *call) bool {
 	a := s.attempts[k.execution]
 	return a != nil && a.request.crashes
 }
--- a/tier/replay/routed_site_test.go
+++ b/tier/replay/routed_site_test.go
@@ -321,7 +321,7 @@
 // fault, and delays one while the upstream pauses.
 func (s *routedSite) accept(u *upstream, k *call) bool {
 	down := s.states[u.index].down
-	if !down && s.crashesBy(k) {
+	if !down && s.causesCrash(k) {
 		s.countReached(s.attempts[k.execution])
 	}
 	switch {
--- a/tier/runner/caller.go
+++ b/tier/runner/caller.go
@@ -26,8 +26,8 @@
 	// Call makes one call. It runs in its own goroutine and returns soon after its
 	// context is done.
 	Call(ctx context.Context, a policy.Action) Reply[R]
-	// Take merges an answer into the result. Calls to Take never overlap.
-	Take(part int, answer R)
+	// Merge merges an answer into the result. Calls to Merge never overlap.
+	Merge(part int, answer R)
 }
 
 // Observer is notified of each completed call. A Caller may implement it.
--- a/tier/runner/runner.go
+++ b/tier/runner/runner.go
@@ -45,8 +45,8 @@
 	done chan struct{}
 }
 
-// never is later than any time that a timer is set to.
-const never = time.Duration(1<<63 - 1)
+// timerUnset is later than any time that a timer is set to.
+const timerUnset = time.Duration(1<<63 - 1)
 
 // Run executes a run and waits until it has finished, which was at decidedAt. A refused
 // request returns a *policy.Refusal. callerGone is closed when the caller disconnects, which
@@ -116,7 +116,7 @@
 // wake is called by the timer at the time the run asked for.
 func (e *execution[R]) wake() {
 	e.handle(func(now time.Duration) []policy.Action {
-		e.wakeAt = never
+		e.wakeAt = timerUnset
 		return e.run.Wake(now)
 	})
 }
@@ -140,7 +140,7 @@
 		case policy.ActionLinger:
 			e.linger(a)
 		case policy.ActionMerge:
-			e.caller.Take(a.Part, e.reply)
+			e.caller.Merge(a.Part, e.reply)
 		case policy.ActionReleaseSlot:
 			granted = append(granted, e.kernel.Fleet.ReleaseSlot(e.kernel.Now(), a.Upstream)...)
 		case policy.ActionFinish:
