--- a/tier/policy/admit.go
+++ b/tier/policy/admit.go
@@ -28,7 +28,7 @@
 
 // admit decides whether a request may start. The class must be below its limit of requests
 // in flight, and enough parts must be expected within the share of the remaining time that
-// the worth per call of the class allows. The fleet must be locked.
+// the admission rule allows. The fleet must be locked.
 func (f *Fleet) admit(now time.Duration, q *RunConfig, rule admission) error {
 	class, parts := q.Class, float64(len(q.Replicas))
 	c := f.class(class.Name)
@@ -77,7 +77,7 @@
 	admissions["Worth"] = admitWorth{}
 }
 
-// Shares of the remaining time that expected work may fill.
+// Shares of the remaining time that the expected work of a request may fill.
 const (
 	// minTimeShare applies to the requests with the lowest worth per call.
 	minTimeShare = 0.2
@@ -93,16 +93,18 @@
 // admitDeadline refuses requests that are not expected to finish before their deadline.
 type admitDeadline struct{}
 
-func (admitDeadline) allowedWork(slack time.Duration, _, _ float64) time.Duration { return slack }
+func (admitDeadline) allowedWork(remaining time.Duration, _, _ float64) time.Duration {
+	return remaining
+}
 
 // admitWorth grants requests with a higher worth per call a larger share of their remaining
 // time, so that overload sheds the requests with the lowest worth per call first.
 type admitWorth struct{}
 
-func (admitWorth) allowedWork(slack time.Duration, worthPerCall, highest float64) time.Duration {
+func (admitWorth) allowedWork(remaining time.Duration, worthPerCall, highest float64) time.Duration {
 	rank := 1.0
 	if highest > 0 {
 		rank = min(worthPerCall/highest, 1)
 	}
-	return time.Duration(float64(slack) * (minTimeShare + (maxTimeShare-minTimeShare)*rank))
+	return time.Duration(float64(remaining) * (minTimeShare + (maxTimeShare-minTimeShare)*rank))
 }
--- a/tier/policy/admit_test.go
+++ b/tier/policy/admit_test.go
@@ -8,14 +8,14 @@
 )
 
 func TestAllowedWork(t *testing.T) {
-	const slack = 100 * time.Millisecond
+	const remaining = 100 * time.Millisecond
 	tests := []struct {
-		name         string
-		rule         admission
-		density, top float64
-		want         time.Duration
+		name                  string
+		rule                  admission
+		worthPerCall, highest float64
+		want                  time.Duration
 	}{
-		{"deadline", admitDeadline{}, 1, 5, slack},
+		{"deadline", admitDeadline{}, 1, 5, remaining},
 		{"the best class", admitWorth{}, 5, 5, 75 * time.Millisecond},
 		{"better than any", admitWorth{}, 6, 5, 75 * time.Millisecond},
 		{"nothing known of others", admitWorth{}, 1, 0, 75 * time.Millisecond},
@@ -24,7 +24,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			assert.Equal(t, tt.rule.allowedWork(slack, tt.density, tt.top).Round(time.Microsecond), tt.want)
+			assert.Equal(t, tt.rule.allowedWork(remaining, tt.worthPerCall, tt.highest).Round(time.Microsecond), tt.want)
 		})
 	}
 	assert.Assert(t, admitAll{}.allowedWork(0, 0, 0) > 24*time.Hour, "every request must be admitted")
--- a/tier/policy/backoff.go
+++ b/tier/policy/backoff.go
@@ -28,10 +28,9 @@
 	b.sheds++
 }
 
-// exponentialDelay returns first multiplied by factor the given number of times, capped at
-// longest.
-func exponentialDelay(first time.Duration, factor float64, times int, longest time.Duration) time.Duration {
-	return time.Duration(min(float64(first)*math.Pow(factor, float64(times)), float64(longest)))
+// exponentialDelay returns initial multiplied by factor n times, capped at maximum.
+func exponentialDelay(initial time.Duration, factor float64, n int, maximum time.Duration) time.Duration {
+	return time.Duration(min(float64(initial)*math.Pow(factor, float64(n)), float64(maximum)))
 }
 
 func (b *backoff) active(now time.Duration) bool { return now < b.until }
--- a/tier/policy/borrowing.go
+++ b/tier/policy/borrowing.go
@@ -14,9 +14,9 @@
 )
 
 // borrowing lets this host use slots beyond its own share as long as the upstream does not
-// shed: either the other hosts leave these slots idle, or the upstream queues. An upstream
-// without a queue sheds few calls because of it, since each shed delays the next attempt to
-// borrow.
+// shed calls, which means that other hosts leave these slots idle or that the upstream
+// queues. Each shed delays the next attempt to borrow, so that an upstream without a queue
+// sheds few calls because of borrowing.
 type borrowing struct {
 	// borrowed is how many calls beyond the share this host may have in progress, from 0 to
 	// the number of slots that the upstream has beyond the share.
--- a/tier/policy/borrowing_test.go
+++ b/tier/policy/borrowing_test.go
@@ -10,9 +10,9 @@
 	// A step is a number of calls that are not shed; 0 is a call that is shed.
 	const shed = 0
 	tests := []struct {
-		name           string
-		steps          []int
-		borrowed, next int
+		name                    string
+		steps                   []int
+		borrowed, callsToBorrow int
 	}{
 		{"too few calls", []int{minCallsToBorrow - 1}, 0, minCallsToBorrow},
 		{"enough calls", []int{minCallsToBorrow}, 1, minCallsToBorrow},
@@ -37,13 +37,13 @@
 				}
 			}
 			assert.Equal(t, b.borrowed, tt.borrowed)
-			assert.Equal(t, b.callsToBorrow(), tt.next)
+			assert.Equal(t, b.callsToBorrow(), tt.callsToBorrow)
 		})
 	}
 }
 
-// TestBorrowingDelayIsCapped checks the cap on the calls needed when the upstream
-// sheds after each borrowed slot.
+// TestBorrowingDelayIsCapped checks the cap on the calls needed to borrow a slot when the
+// upstream sheds after each borrowed slot.
 func TestBorrowingDelayIsCapped(t *testing.T) {
 	b := borrowing{}
 	for range 20 {
--- a/tier/policy/budget_test.go
+++ b/tier/policy/budget_test.go
@@ -45,13 +45,13 @@
 		ratio, slack = 0.2, 160
 		window       = 10 * time.Second
 		perSecond    = 10
-		wanted       = 0.05
+		hedgeShare   = 0.05
 	)
 	var capacities []int
 	for i := range strong + weak {
 		capacities = append(capacities, map[bool]int{true: 800, false: 190}[i < strong])
 	}
-	replay := func(single func(own int) float64) (granted float64, most int, bound float64) {
+	simulate := func(single func(own int) float64) (granted float64, most int, bound float64) {
 		r := rand.New(rand.NewPCG(5, 6))
 		var hosts []*Fleet
 		for _, c := range capacities {
@@ -67,7 +67,7 @@
 		for now := time.Duration(0); now < 10*time.Minute; now += time.Duration(r.ExpFloat64() * float64(time.Second) / perSecond) {
 			f := hosts[r.IntN(len(hosts))]
 			f.earnRetry("Single")
-			if r.Float64() >= wanted {
+			if r.Float64() >= hedgeShare {
 				continue
 			}
 			requested++
@@ -77,8 +77,8 @@
 		}
 		return float64(len(taken)) / float64(requested), mostWithin(taken, window), ratio*perSecond*window.Seconds() + slack
 	}
-	asShards, _, _ := replay(func(own int) float64 { return RetryBudgetDivisor(own, capacities[1:]) })
-	equal, most, bound := replay(func(int) float64 { return strong + weak })
+	asShards, _, _ := simulate(func(own int) float64 { return RetryBudgetDivisor(own, capacities[1:]) })
+	equal, most, bound := simulate(func(int) float64 { return strong + weak })
 	t.Logf("share of hedges allowed: %.2f with the slack divided as for shards, %.2f with equal shares; at most %d of %.0f within %s", asShards, equal, most, bound, window)
 	assert.Assert(t, equal > 0.95 && asShards < 0.8)
 	assert.Assert(t, float64(most) <= bound)
--- a/tier/policy/choose.go
+++ b/tier/policy/choose.go
@@ -28,8 +28,8 @@
 // jitter returns a random factor for a score, from 1 to 1+scoreJitter.
 func jitter(r Random) float64 { return 1 + scoreJitter*r.Float64() }
 
-// leastTime chooses the replica with the earliest expected answer, judged by this host's
-// own calls.
+// leastTime chooses the replica with the earliest expected answer, based on this host's own
+// calls.
 type leastTime struct{}
 
 func (leastTime) score(now time.Duration, u *Upstream, p *LatencyPool, r Random) float64 {
@@ -62,8 +62,8 @@
 }
 
 const (
-	// farFactor multiplies the score of an upstream in another data hall: traffic between
-	// halls is expensive, and the distance does not change.
+	// farFactor multiplies the score of an upstream in another data hall, since traffic
+	// between halls is expensive and the distance, unlike load, is permanent.
 	farFactor = 1.25
 	// faultCost is the time added for a call without a usable answer, so that an upstream
 	// that fails part of its calls loses to a slower one.
--- a/tier/policy/choose_test.go
+++ b/tier/policy/choose_test.go
@@ -8,7 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestScoreTiers checks that the worst score of each tier beats the best of the next.
+// TestScoreTiers checks that the worst upstream of each tier scores better than the best of
+// the next.
 func TestScoreTiers(t *testing.T) {
 	const now = time.Minute
 	later := now + time.Second
@@ -70,7 +71,7 @@
 func TestOldObservationWeighsLess(t *testing.T) {
 	const now = time.Minute
 	r, p := rand.New(rand.NewPCG(1, 0)), newPool(poolWindow)
-	seen := Upstream{near: true, condition: condition{slowness: 4, observedAt: now}}
-	unseen := Upstream{near: true, condition: condition{slowness: 4, observedAt: now - minWeightAge}}
-	assert.Assert(t, leastLatency{}.score(now, &unseen, p, r) < 0.6*leastLatency{}.score(now, &seen, p, r))
+	recent := Upstream{near: true, condition: condition{slowness: 4, observedAt: now}}
+	old := Upstream{near: true, condition: condition{slowness: 4, observedAt: now - minWeightAge}}
+	assert.Assert(t, leastLatency{}.score(now, &old, p, r) < 0.6*leastLatency{}.score(now, &recent, p, r))
 }
--- a/tier/policy/class.go
+++ b/tier/policy/class.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// maxClassAttempts is the number of attempts, including queued ones, that one part of a
-	// request of a class may have.
+	// maxClassAttempts is the maximum number of attempts, including queued ones, for one
+	// part of a request of a class.
 	maxClassAttempts = 4
 	// classRetryRatio is the number of retries that each part of a request of a class
 	// earns.
@@ -19,8 +19,8 @@
 	classHedgeDivisor = 3
 )
 
-// classRules are the rules for requests of a class. Their hedges and retries are paid from
-// two budgets that all requests of the class on this host share.
+// classRules are the rules for requests of a class. Two budgets, which all requests of the
+// class on this host share, pay for their hedges and retries.
 type classRules struct {
 	fleet *Fleet
 	// pool holds the latencies of the service.
--- a/tier/policy/classstate.go
+++ b/tier/policy/classstate.go
@@ -23,9 +23,9 @@
 func (c *classState) worthPerCall() float64 { return c.worth / max(c.cost, 1) }
 
 func (f *Fleet) maxWorthPerCall() float64 {
-	top := 0.0
+	highest := 0.0
 	for _, c := range f.classes {
-		top = max(top, c.worthPerCall())
+		highest = max(highest, c.worthPerCall())
 	}
-	return top
+	return highest
 }
--- a/tier/policy/cold.go
+++ b/tier/policy/cold.go
@@ -3,19 +3,20 @@
 import "time"
 
 const (
-	// maxColdOwners is how many hosts may consider themselves the owner at the same time: a
-	// host that was paused or partitioned from its hall does not know about the next owner.
+	// maxColdOwners is how many hosts may consider themselves the owner at the same time,
+	// since a host that was paused or partitioned from its hall does not know that another
+	// host has become the owner.
 	maxColdOwners = 2
 	// coldWindow is the interval in which calls to a cold upstream are counted; the
 	// configured rate is per second.
 	coldWindow = time.Second
 	// minColdOwnerAge is how long a process must have run before it may be an owner. Until
-	// the first heartbeats arrive it knows no other host and would own every upstream.
+	// the first heartbeats arrive, it knows no other host and would own every upstream.
 	minColdOwnerAge = 3 * time.Second
 )
 
-// Cold is what a share says about an upstream that may be cold: it started or returned from
-// an evacuation recently and can handle only a few calls per second.
+// Cold describes the warm-up of an upstream. While it is cold, because it started or
+// returned from an evacuation recently, it can handle only a few calls per second.
 type Cold struct {
 	// Remaining is the warm-up time that was left when the directory entry with Revision
 	// was written.
@@ -48,7 +49,7 @@
 // has a call limit: a single host, the owner, then makes all of its calls within that
 // limit.
 type cold struct {
-	// entry is what the share said last.
+	// entry is the Cold of the latest share.
 	entry Cold
 	// until is when the warm-up ends.
 	until time.Duration
@@ -65,8 +66,8 @@
 	return c.Revision == other.Revision && c.Sequence == other.Sequence
 }
 
-// update records what a share says. A new entry is treated as if it had just been written,
-// even if it arrives late.
+// update records the Cold of a new share. It treats a new directory entry as just written,
+// even if the entry arrives late.
 func (c *cold) update(now time.Duration, entry Cold) {
 	if !entry.sameEntry(&c.entry) {
 		c.until = now + entry.Remaining
--- a/tier/policy/cold_test.go
+++ b/tier/policy/cold_test.go
@@ -43,8 +43,8 @@
 	assert.Equal(t, f.DestinationOf(now+10*time.Second, u), Destination{Hall: "A"})
 }
 
-// TestColdOwnerStaysWithinLimit checks that an owner under load sends as many calls as its
-// limit allows, and no more.
+// TestColdOwnerStaysWithinLimit checks that an owner under load uses its limit fully without
+// exceeding it.
 func TestColdOwnerStaysWithinLimit(t *testing.T) {
 	f, u := coldFleet(11)
 	f.SetColdOwners("Self", map[string]string{"U": "Self"})
@@ -135,14 +135,14 @@
 	return true
 }
 
-// randomLimiter admits calls at random so that on average a third of the limit is used at
-// the known load.
+// randomLimiter admits each call with a fixed probability, which is set so that on average
+// the load uses a third of the limit.
 type randomLimiter struct {
-	random *rand.Rand
-	part   float64
+	random      *rand.Rand
+	probability float64
 }
 
-func (r *randomLimiter) admit(int, time.Duration) bool { return r.random.Float64() < r.part }
+func (r *randomLimiter) admit(int, time.Duration) bool { return r.random.Float64() < r.probability }
 
 // ownerLimiter uses AdmitCold: every host relays its calls through the owner.
 type ownerLimiter struct {
@@ -159,42 +159,42 @@
 // failure. The owner must stay within the limit for any number of hosts.
 func TestColdCallLimitAcrossHosts(t *testing.T) {
 	const (
-		bound = 11
-		lasts = 8 * time.Second
-		load  = 5 * bound
+		limit    = 11
+		duration = 8 * time.Second
+		load     = 5 * limit
 	)
 	for _, hosts := range []int{8, 60, 300, 1000} {
-		ways := map[string]func() coldLimiter{
+		limiters := map[string]func() coldLimiter{
 			"even share": func() coldLimiter {
-				e := &evenLimiter{each: float64(bound) / float64(hosts), tokens: make([]float64, hosts), at: make([]time.Duration, hosts)}
+				e := &evenLimiter{each: float64(limit) / float64(hosts), tokens: make([]float64, hosts), at: make([]time.Duration, hosts)}
 				for i := range e.tokens {
 					e.tokens[i], e.at[i] = 1, time.Minute
 				}
 				return e
 			},
 			"chance": func() coldLimiter {
-				return &randomLimiter{random: rand.New(rand.NewPCG(3, uint64(hosts))), part: bound / 3.0 / load}
+				return &randomLimiter{random: rand.New(rand.NewPCG(3, uint64(hosts))), probability: limit / 3.0 / load}
 			},
 			"owner": func() coldLimiter {
-				f, u := coldFleet(bound)
+				f, u := coldFleet(limit)
 				f.SetColdOwners("Self", map[string]string{"U": "Self"})
 				return &ownerLimiter{fleet: f, upstream: u}
 			},
 		}
-		for name, make := range ways {
+		for name, newLimiter := range limiters {
 			r := rand.New(rand.NewPCG(uint64(hosts), 1))
-			d := make()
+			l := newLimiter()
 			var sent []time.Duration
-			for now := time.Minute; now < time.Minute+lasts; now += time.Duration(r.ExpFloat64() * float64(time.Second) / load) {
-				if d.admit(r.IntN(hosts), now) {
+			for now := time.Minute; now < time.Minute+duration; now += time.Duration(r.ExpFloat64() * float64(time.Second) / load) {
+				if l.admit(r.IntN(hosts), now) {
 					sent = append(sent, now)
 				}
 			}
 			most := mostWithin(sent, coldWindow)
-			used := float64(len(sent)) / lasts.Seconds() / bound
-			t.Logf("%4d hosts, %-10s: at most %2d calls per second of %d allowed, %.2f of the limit used", hosts, name, most, bound, used)
+			used := float64(len(sent)) / duration.Seconds() / limit
+			t.Logf("%4d hosts, %-10s: at most %2d calls per second of %d allowed, %.2f of the limit used", hosts, name, most, limit, used)
 			if name == "owner" {
-				assert.Assert(t, most <= bound/maxColdOwners && used > 0.4)
+				assert.Assert(t, most <= limit/maxColdOwners && used > 0.4)
 			}
 		}
 	}
--- a/tier/policy/condition.go
+++ b/tier/policy/condition.go
@@ -9,11 +9,11 @@
 	// minReportedFaults is the share of calls without a usable answer above which an
 	// upstream is reported.
 	minReportedFaults = 0.25
-	// maxReportedAge is the largest age of the last call to an upstream that is still
-	// reported. It lets an upstream that all hosts avoid be tried again once reports end.
+	// maxReportedAge is how long after its last call an upstream is still reported. Once
+	// the reports end, hosts call an upstream again that all of them avoided.
 	maxReportedAge = 3 * time.Second
-	// conditionTTL is how long a report is valid. One arrives with each batch that the
-	// other hall answers.
+	// conditionTTL is how long a report is valid. Each answer to a batch from the other
+	// hall carries a new report.
 	conditionTTL = 3 * time.Second
 	// faultWeight is the weight of one call in the smoothed share of faults.
 	faultWeight = 0.1
@@ -21,8 +21,8 @@
 	fullWeightAge = time.Second
 	// minWeightAge is the age from which they have only minObservationWeight.
 	minWeightAge = 5 * time.Second
-	// minObservationWeight is the weight of old observations. It is less than 1 so that an
-	// upstream that used to be slow is tried again.
+	// minObservationWeight is the weight of old observations. It is below 1 so that hosts
+	// call an upstream again that used to be slow.
 	minObservationWeight = 0.5
 )
 
@@ -85,8 +85,8 @@
 }
 
 // expected returns the expected slowness and share of faults of the named upstream. The
-// weight of this host's own observations decreases with age. If a report does not mention
-// the upstream, the thresholds for reporting bound the result.
+// weight of this host's own observations decreases with age. If the report of the hall does
+// not mention the upstream, the result is at most the thresholds for reporting.
 func (c *condition) expected(now time.Duration, name string) (slowness, faults float64) {
 	fresh := freshness(now - c.observedAt)
 	slowness, faults = fresh, fresh*c.faults
@@ -109,6 +109,6 @@
 	if age <= fullWeightAge {
 		return 1
 	}
-	passed := min(float64(age-fullWeightAge)/float64(minWeightAge-fullWeightAge), 1)
-	return 1 - (1-minObservationWeight)*passed
+	elapsed := min(float64(age-fullWeightAge)/float64(minWeightAge-fullWeightAge), 1)
+	return 1 - (1-minObservationWeight)*elapsed
 }
--- a/tier/policy/conditions.go
+++ b/tier/policy/conditions.go
@@ -22,8 +22,8 @@
 	return out
 }
 
-// hallConditions returns the report of a hall. It returns the same pointer on every call.
-// The fleet must be locked.
+// hallConditions returns the report of a hall and creates it on first use. Upstreams keep
+// the pointer. The fleet must be locked.
 func (f *Fleet) hallConditions(hall string) *hallConditions {
 	return getOrCreate(f.conditions, hall, func() *hallConditions { return &hallConditions{at: never} })
 }
--- a/tier/policy/coordinator.go
+++ b/tier/policy/coordinator.go
@@ -13,7 +13,7 @@
 	// coreCapacity is the capacity of one core with an unlimited link.
 	coreCapacity = 1000
 	// linkPerCore is the link bandwidth, in Mbit/s, that carries as many upstream calls per
-	// second as one core handles: a call takes 1.4 KB on the wire and 50 us of CPU time.
+	// second as one core handles, at 1.4 KB on the wire and 50 us of CPU time per call.
 	linkPerCore = 220
 	// coordinatorAdvantage is the factor by which a coordinator's capacity must exceed that
 	// of another host. Between similar hosts, forwarding a request costs two messages and
@@ -55,8 +55,9 @@
 // Coordinators returns the hosts that may execute a request on behalf of self, best first.
 // It returns none if no host is strong enough to make forwarding worthwhile. Hosts in the
 // same hall come first, then those in the nearest hall. Requests spread over otherwise
-// equal hosts, so that each coordinator sees enough calls to learn how upstreams perform; a
-// single host among hundreds calls almost every upstream for the first time.
+// equal hosts, so that each coordinator sees enough calls to learn how upstreams perform.
+// One of hundreds of hosts that make their own calls has hardly ever called an upstream
+// before.
 func Coordinators(self Candidate, all []Candidate) []Candidate {
 	strongest := greatestCapacity(all, self.Capacity)
 	if IsCoordinator(self.Capacity, strongest) {
--- a/tier/policy/coordinator_test.go
+++ b/tier/policy/coordinator_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// TestHostsSpreadOverCoordinators checks how 300 hosts spread over three coordinators.
+// TestHostsSpreadOverCoordinators guards against an uneven choice among equal coordinators.
 func TestHostsSpreadOverCoordinators(t *testing.T) {
 	all := []Candidate{{Host: "A", Capacity: 426}, {Host: "B", Capacity: 426}, {Host: "C", Capacity: 426}}
 	chosen := map[string]int{}
--- a/tier/policy/crashreport.go
+++ b/tier/policy/crashreport.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// crashReportTTL is how long a crash report counts. It allows for the hours that it
-	// takes to fix a bug in the upstreams.
+	// crashReportTTL is how long a crash report counts. It leaves time to fix the bug in the
+	// upstreams.
 	crashReportTTL = 24 * time.Hour
-	// minRestartTime is shorter than the time in which an upstream can restart and crash
-	// again.
+	// minRestartTime is a lower bound of the time between two crashes of one upstream.
+	// Reports that are closer together are about the same crash.
 	minRestartTime = time.Second
 )
 
@@ -27,7 +27,7 @@
 	Isolated bool `json:"Alone,omitempty"`
 	// Upstream is the one that crashed last.
 	Upstream string
-	// Caller is the address that the request came from.
+	// Caller is the address that the request came from; the zero value if unknown.
 	Caller netip.Addr `json:",omitzero"`
 	// Cleared is true once an upstream has answered the request for the same caller. The
 	// report then no longer counts.
@@ -39,7 +39,7 @@
 	Remaining time.Duration `json:"Left"`
 }
 
-// SuspectReport holds the crash reports of one request. Hosts exchange it.
+// SuspectReport holds the crash reports of one request, as hosts exchange them.
 type SuspectReport struct {
 	Fingerprint Fingerprint
 	Crashes     []CrashReport `json:"Strikes"`
--- a/tier/policy/finish.go
+++ b/tier/policy/finish.go
@@ -7,9 +7,10 @@
 	"loomgap/tier/query"
 )
 
+// progress counts the parts of an answer.
 type progress struct {
-	// parts is the total number of parts, open the number of parts that are neither
-	// included nor missing yet, and included the number of parts in the answer.
+	// parts counts all parts, open those that are neither included nor missing yet, and
+	// included those in the answer.
 	parts, open, included int
 }
 
@@ -39,10 +40,12 @@
 	return out
 }
 
-// done reports whether to return the answer now. This is the case if all parts are included
-// or missing, if the deadline has passed, or if
-//   - the answer reaches the required coverage and the patience of the class is over, or
-//   - it can no longer reach the required coverage and the rules end such a run.
+// done reports whether to return the answer now. This is the case if
+//   - all parts are included or missing,
+//   - the deadline has passed,
+//   - the request is repeatable, the answer reaches the required coverage and the patience
+//     of the class is over, or
+//   - the answer can no longer reach the required coverage and the rules end such a run.
 func (r *Run) done(now time.Duration) bool {
 	p, coverage := &r.progress, r.request.Class.Coverage
 	switch {
--- a/tier/policy/fleet.go
+++ b/tier/policy/fleet.go
@@ -66,8 +66,8 @@
 	// host.
 	Hall string
 	Near bool
-	// StartedMillis is when the upstream's process started, in milliseconds since 1970 by
-	// its own clock; 0 if unknown.
+	// StartedMillis is when the upstream's process started, in Unix milliseconds by its own
+	// clock; 0 if unknown.
 	StartedMillis int64
 	// Cold describes the warm-up of a listed upstream.
 	Cold Cold
@@ -132,7 +132,7 @@
 }
 
 // grantAll grants slots to all waiters of an upstream whose process was replaced by a later
-// one, since the state of the old process does not apply to the new one.
+// one, since the limits of the old process do not apply to the new one.
 func (u *Upstream) grantAll(now time.Duration) []*Waiter {
 	u.slots.set(u.slots.inUse+u.slots.queue.Len(), 0)
 	return u.grant(now)
@@ -184,7 +184,8 @@
 func (f *Fleet) RoutedLatencyPools(route string) (near, far *LatencyPool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	// The prefixes keep routes apart from services of the same name.
+	// The prefixes distinguish the pools of a route from that of a service with the same
+	// name.
 	return f.pool("near "+route, routedWindow), f.pool("far "+route, routedWindow)
 }
 
--- a/tier/policy/hedge.go
+++ b/tier/policy/hedge.go
@@ -10,8 +10,8 @@
 const (
 	// minHedgeDelay is the shortest delay after which a call is hedged.
 	minHedgeDelay = 500 * time.Microsecond
-	// hedgeRecheckDivisor divides the hedge delay to get the interval at which a hedge that
-	// was not possible is reconsidered.
+	// hedgeRecheckDivisor divides the hedge delay to get the interval at which the run
+	// reconsiders a hedge that was not possible.
 	hedgeRecheckDivisor = 4
 	// batchHedgeDelay is the fixed part of the extra hedge delay for calls in a batch. It
 	// allows for late progress reports from a busy relay host.
@@ -27,9 +27,9 @@
 const (
 	// HedgeNoUpstream means that no other upstream of the part may be called.
 	HedgeNoUpstream HedgeSkipReason = "NoUpstream"
-	// HedgeNoSlot means that this host has no free slot at the other upstream.
+	// HedgeNoSlot means that this host has no free slot at the upstream for the hedge.
 	HedgeNoSlot HedgeSkipReason = "NoSlot"
-	// HedgeCold means that the other upstream is still warming up.
+	// HedgeCold means that the upstream for the hedge is throttled while it warms up.
 	HedgeCold HedgeSkipReason = "Cold"
 	// HedgeNoBudget means that the retry budget is exhausted or that no further attempt is
 	// allowed.
@@ -85,11 +85,11 @@
 	return r.pick(now, i, anyUpstream)
 }
 
-// hedgesOneAtATime reports whether the run is limited to one hedge in progress, which
-// applies to a gather until the first upstream answers. Calls that are all slow probably
-// share a cause, which may affect other upstreams as well. Otherwise a request that crashes
-// upstreams after some processing time would crash all replicas of all shards on its first
-// attempt, before the first connection breaks.
+// hedgesOneAtATime reports whether the run may have only one hedge in progress. This
+// applies to a gather until the first upstream answers: calls that are all slow probably
+// share a cause, which may affect other upstreams as well. Without the limit, a request
+// that crashes upstreams after some processing time would crash all replicas of all shards
+// on its first attempt, before the first connection breaks.
 func (r *Run) hedgesOneAtATime() bool { return r.suspicion.open() && len(r.parts) > 1 }
 
 func (r *Run) hedgeInProgress() bool {
@@ -120,9 +120,9 @@
 	return now + max(a.hedgeDelay/hedgeRecheckDivisor, minHedgeDelay)
 }
 
-// probe calls an outlier in addition to the chosen replica, so that its recovery is noticed
-// without delaying a request. Only declared upstreams can be outliers, so the budget of the
-// class pays.
+// probe calls an outlier in addition to the chosen replica, so that this host notices its
+// recovery without delaying a request. Only declared upstreams can be outliers, so the
+// hedge budget of the class pays.
 func (r *Run) probe(now time.Duration, i int, out []Action) []Action {
 	if !r.hedges() || len(r.parts[i].active) == 0 {
 		return out
@@ -140,8 +140,8 @@
 	return out
 }
 
-// DelayHedge postpones the hedge of an attempt in a batch, since progress is reported for
-// the batch as a whole.
+// DelayHedge postpones the hedge of an attempt in a batch, since the relay host reports
+// progress for the batch as a whole.
 func (r *Run) DelayHedge(n int) {
 	a := &r.attempts[n]
 	a.hedgeDelay += a.hedgeDelay/batchHedgeDivisor + batchHedgeDelay
--- a/tier/policy/isolation.go
+++ b/tier/policy/isolation.go
@@ -14,7 +14,7 @@
 	// until its deadline.
 	isolatedTimeoutFactor = 4
 	// maxIsolatedTimeouts is the number of isolated calls that may time out before the run
-	// ends. The upstreams of such calls may still crash later, unnoticed.
+	// ends. The limit is low because their upstreams may still crash later, unnoticed.
 	maxIsolatedTimeouts = 2
 )
 
@@ -82,8 +82,9 @@
 	return true
 }
 
-// isolate cancels the calls in progress once the request is suspected, since they would
-// crash their upstreams too. Parts with attempts left are deferred.
+// isolate cancels the calls in progress once the request becomes suspected, since they
+// would crash their upstreams too, and defers their parts. A part without attempts left
+// keeps its calls.
 func (r *Run) isolate(out []Action) []Action {
 	if !r.suspected() || r.suspicion.reported {
 		return out
--- a/tier/policy/kind.go
+++ b/tier/policy/kind.go
@@ -1,17 +1,17 @@
 package policy
 
-// kind holds the differences between the two kinds of upstream. setShare selects it when it
-// sets the share of an upstream; other code reads only its fields.
+// kind holds the differences between declared and listed upstreams. setShare selects the
+// kind of an upstream; other code reads only its fields.
 type kind struct {
 	// smoothing sets how fast the latency follows new calls.
 	smoothing smoothing
 	// slowStart limits a new upstream to one call at a time until it has answered a few.
 	slowStart bool
-	// comparesLatency marks an upstream as an outlier, and has it probed, if its calls take
+	// comparesLatency marks an upstream as an outlier, which gets probes, if its calls take
 	// much longer than those of its pool. It is off for listed upstreams, since each call
-	// beyond the first counts against the budget of their group.
+	// beyond the first counts against the retry budget of their group.
 	comparesLatency bool
-	// poolsCancelled includes cancelled calls in the pool, with the time until they were
+	// poolsCancelled records cancelled calls in the pool, with the time until they were
 	// cancelled.
 	poolsCancelled bool
 	// learnsLimit lowers the concurrency limit when new connections are reset.
--- a/tier/policy/learn.go
+++ b/tier/policy/learn.go
@@ -17,8 +17,8 @@
 	Relayed bool
 	// Lingering is true for a call that continued although it was no longer needed.
 	Lingering bool
-	// NewConnReset is true for a call on a new connection that was reset before any answer.
-	// The upstream may have reached its connection limit.
+	// NewConnReset is true if the call's new connection was reset before any answer, which
+	// suggests that the upstream has reached its connection limit.
 	NewConnReset bool
 }
 
--- a/tier/policy/learn_test.go
+++ b/tier/policy/learn_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// learntChanges names the changes to an upstream after its only call in progress.
+// learntChanges names the changes to an upstream after the end of its only call in progress.
 func learntChanges(o CallOutcome, k *kind) string {
 	const now = time.Minute
 	u := Upstream{
--- a/tier/policy/limit_test.go
+++ b/tier/policy/limit_test.go
@@ -9,10 +9,10 @@
 func TestCallLimit(t *testing.T) {
 	const slots = 6
 	tests := []struct {
-		name  string
-		inUse int
-		good  int
-		want  int
+		name      string
+		inUse     int
+		succeeded int
+		want      int
 	}{
 		{"one less than under way", 6, 0, 5},
 		{"never below the least", 1, 0, minCallLimit},
@@ -27,7 +27,7 @@
 			l.succeeded(slots)
 			assert.Assert(t, !l.known(), "successful calls do not set a limit")
 			l.reset(tt.inUse)
-			for range tt.good {
+			for range tt.succeeded {
 				l.succeeded(slots)
 			}
 			assert.Equal(t, l.calls, tt.want)
--- a/tier/policy/load_test.go
+++ b/tier/policy/load_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestAnswerWithoutReportKeepsQueueReport checks that an answer without a report keeps the
-// previous report.
+// TestAnswerWithoutReportKeepsQueueReport guards against forgetting the queue of an upstream
+// when an answer carries no report.
 func TestAnswerWithoutReportKeepsQueueReport(t *testing.T) {
 	q := queueReport{}
 	q.update(time.Minute, Load{Waiting: 4, Slots: 4})
--- a/tier/policy/outlier.go
+++ b/tier/policy/outlier.go
@@ -8,11 +8,11 @@
 	outlierEnterRatio = 3
 	// outlierExitRatio is the multiple of the median to which the latency must fall before
 	// an upstream stops being an outlier. It is well below outlierEnterRatio because
-	// cancelled calls understate the latency of a slow upstream, which would otherwise keep
-	// returning to rotation.
+	// cancelled calls understate the latency of a slow upstream, which would otherwise
+	// return to rotation again and again.
 	outlierExitRatio = 1.5
-	// minOutlierExcess is by how much the latency must also exceed the median, since for
-	// calls that take microseconds a multiple of the median is noise.
+	// minOutlierExcess is the minimum difference between the latency of an outlier and the
+	// median. For calls that take microseconds, a multiple of the median is noise.
 	minOutlierExcess = time.Millisecond
 	// minProbeInterval is the minimum time between two probes of an outlier.
 	minProbeInterval = 100 * time.Millisecond
--- a/tier/policy/part.go
+++ b/tier/policy/part.go
@@ -14,8 +14,8 @@
 	// reason is why the part is missing; empty while it is open or included.
 	reason query.Reason
 	closed bool
-	// deferred is true while the part waits for the answer of an isolated call. retryDue is
-	// true if starting it again must be paid as a retry, since a call of it was cancelled.
+	// deferred is true while the part waits for the answer to an isolated call. retryDue is
+	// true if its next attempt counts as a retry, since a call of it was cancelled.
 	deferred, retryDue bool
 	// tries counts the attempts, including queued ones.
 	tries int
--- a/tier/policy/pick.go
+++ b/tier/policy/pick.go
@@ -15,7 +15,8 @@
 
 // pick returns the upstream with the lowest score for the next call of a part, or nil if
 // there is none. With eligible set, it considers only upstreams that are currently
-// eligible. Its inputs are current except for what upstreams report about themselves.
+// eligible. It uses the state at the time of the call; only what upstreams report about
+// themselves may be older.
 func (r *Run) pick(now time.Duration, i int, eligible bool) *Upstream {
 	p := &r.parts[i]
 	var best *Upstream
--- a/tier/policy/placement_test.go
+++ b/tier/policy/placement_test.go
@@ -48,9 +48,9 @@
 		for _, h := range halls {
 			all = append(all, Candidate{Host: "host of " + h, Hall: h, Capacity: 1})
 		}
-		carriers := p.AllowedHosts(all, homes)
+		allowed := p.AllowedHosts(all, homes)
 		for _, c := range all {
-			assert.Equal(t, slices.Contains(carriers, c), atHome(c.Hall), "%+v", c)
+			assert.Equal(t, slices.Contains(allowed, c), atHome(c.Hall), "%+v", c)
 		}
 	})
 }
--- a/tier/policy/plugin.go
+++ b/tier/policy/plugin.go
@@ -24,12 +24,13 @@
 	score(now time.Duration, u *Upstream, p *LatencyPool, r Random) float64
 }
 
-// admission limits the expected work of a request to a share of its remaining time.
+// admission limits the expected work of a request to a share of the time that remains until
+// its deadline.
 type admission interface {
-	// allowedWork returns the part of slack that the expected work of a request may fill.
-	// worthPerCall is the worth per call of the request's class, highest the largest of all
-	// classes.
-	allowedWork(slack time.Duration, worthPerCall, highest float64) time.Duration
+	// allowedWork returns how much of the remaining time the expected work of a request may
+	// fill. worthPerCall is the worth per call of the request's class, highest the largest
+	// of all classes.
+	allowedWork(remaining time.Duration, worthPerCall, highest float64) time.Duration
 }
 
 // Plug-ins by name. They register themselves in init functions.
--- a/tier/policy/pool.go
+++ b/tier/policy/pool.go
@@ -22,8 +22,8 @@
 	// routedWindow is the number of latencies in a window of a route's pool. It is smaller
 	// because the upstreams of a route change quickly.
 	routedWindow = 2_000
-	// poolSettledDivisor divides the window. Quantiles come from the previous window until
-	// the current one has reached that size.
+	// poolSettledDivisor divides the size of a window. Until the current window holds that
+	// many latencies, quantiles come from the previous one.
 	poolSettledDivisor = 4
 	// minPoolSamples is the number of latencies from which the pool is considered known.
 	minPoolSamples = 50
@@ -31,14 +31,14 @@
 	defaultMedian = 10 * time.Millisecond
 )
 
-// LatencyPool holds the latencies of all replicas of a service. Comparing an upstream with
-// the quantiles of the pool shows that it is slow, which its own quantiles would hide. It
-// is used with the fleet locked.
+// LatencyPool holds the latencies of all replicas of a service. An upstream is slow compared
+// with the quantiles of the pool; its own quantiles would hide that. The pool is used with
+// the fleet locked.
 type LatencyPool struct {
 	// current and previous are the histograms of the current and the previous window.
 	current  *hdrhistogram.Histogram
 	previous *hdrhistogram.Histogram
-	// window is the number of latencies after which a new window starts.
+	// window is the number of latencies in a window.
 	window int64
 	// fresh counts the latencies since the cached quantiles were discarded.
 	fresh int
--- a/tier/policy/quarantine.go
+++ b/tier/policy/quarantine.go
@@ -6,23 +6,24 @@
 )
 
 const (
-	// minQuarantineAttempts is the number of attempts with crashes, and of crashes, that
-	// must be reported before a request is quarantined. At least one of them must be
-	// isolated.
+	// minQuarantineAttempts is both the number of attempts with a crash and the number of
+	// crashes that hosts must report before a request is quarantined. At least one of the
+	// crashes must be isolated.
 	minQuarantineAttempts = 2
 	// minOtherCallers is the number of other callers whose reports quarantine a request for
 	// a caller without reports of its own.
 	minOtherCallers = 2
-	// initialQuarantine is how long a request is first quarantined after its latest
-	// isolated report. When it ends, the request may run again on one upstream at a time,
-	// so that a request that keeps crashing upstreams crashes only a few per day.
+	// initialQuarantine is how long the first quarantine of a request lasts after its latest
+	// isolated crash. The request may then run again on one upstream at a time. Together
+	// with quarantineGrowth, this limits a request that keeps crashing upstreams to a few
+	// crashes per day.
 	initialQuarantine = 2 * time.Minute
 	// quarantineGrowth multiplies the duration of the quarantine with each further isolated
 	// crash, up to crashReportTTL.
 	quarantineGrowth = 5
 )
 
-// ReasonQuarantined is the reason given when a quarantined request is refused.
+// ReasonQuarantined is the reason for refusing a quarantined request.
 const ReasonQuarantined = "the request has crashed the upstreams that ran it"
 
 // Verdict says how to handle a request.
@@ -48,8 +49,8 @@
 }
 
 // verdict returns the verdict on a request of a caller, and how long the request remains
-// quarantined. The reports of a single other caller do not quarantine it, and neither do
-// many reports about a single crash of one upstream.
+// quarantined. Neither the reports of a single other caller nor many reports about a single
+// crash quarantine it.
 func (s *suspect) verdict(now time.Duration, caller netip.Addr) (Verdict, time.Duration) {
 	var all, isolated []*crash
 	attempts, callers := map[uint64]bool{}, map[netip.Addr]bool{}
@@ -70,9 +71,9 @@
 		return VerdictClean, 0
 	}
 	enough := len(attempts) >= minQuarantineAttempts && countCrashes(all) >= minQuarantineAttempts
-	believed := callers[caller] || len(callers) >= minOtherCallers
+	credible := callers[caller] || len(callers) >= minOtherCallers
 	left := last + quarantineFor(countCrashes(isolated)) - now
-	if enough && believed && left > 0 {
+	if enough && credible && left > 0 {
 		return VerdictQuarantined, left
 	}
 	return VerdictSuspected, 0
--- a/tier/policy/quarantine_test.go
+++ b/tier/policy/quarantine_test.go
@@ -23,7 +23,7 @@
 	shared := func(attempt uint64) CrashReport {
 		return CrashReport{ID: 100 + attempt, Attempt: attempt, Upstream: "A"}
 	}
-	together := func(attempt uint64) CrashReport {
+	sameUpstream := func(attempt uint64) CrashReport {
 		return CrashReport{ID: 300 + attempt, Attempt: attempt, Isolated: true, Upstream: "A"}
 	}
 	isolated := func(attempt uint64) CrashReport {
@@ -49,8 +49,8 @@
 		{"for ten then", []CrashReport{shared(1), isolated(2), isolated(3)}, 9 * time.Minute, VerdictQuarantined, time.Minute},
 		{"for a day at most", []CrashReport{isolated(1), isolated(2), isolated(3), isolated(4), isolated(5), isolated(6), isolated(7)}, 0, VerdictQuarantined, 24 * time.Hour},
 		{"a day later", []CrashReport{isolated(1), isolated(2)}, 24 * time.Hour, VerdictClean, 0},
-		{"many attempts at one upstream that crashed once", []CrashReport{together(1), together(2), together(3)}, 0, VerdictSuspected, 0},
-		{"many attempts at one upstream, and one at another", []CrashReport{together(1), together(2), together(3), isolated(4)}, 0, VerdictQuarantined, 10 * time.Minute},
+		{"many attempts at one upstream that crashed once", []CrashReport{sameUpstream(1), sameUpstream(2), sameUpstream(3)}, 0, VerdictSuspected, 0},
+		{"many attempts at one upstream, and one at another", []CrashReport{sameUpstream(1), sameUpstream(2), sameUpstream(3), isolated(4)}, 0, VerdictQuarantined, 10 * time.Minute},
 		{"answered meanwhile", []CrashReport{isolated(2), cleared}, 0, VerdictSuspected, 0},
 		{"cleared when sent", []CrashReport{cleared}, 0, VerdictClean, 0},
 	}
@@ -182,7 +182,7 @@
 		name        string
 		reports     []RequestIdentity
 		answered    *RequestIdentity
-		want, their Verdict
+		want, other Verdict
 	}{
 		{"one caller's", []RequestIdentity{mine, mine}, nil, VerdictQuarantined, VerdictSuspected},
 		{"of both", []RequestIdentity{mine, other}, nil, VerdictQuarantined, VerdictQuarantined},
@@ -202,7 +202,7 @@
 			got, _ := f.Verdict(now, mine)
 			assert.Equal(t, got, tt.want)
 			got, _ = f.Verdict(now, other)
-			assert.Equal(t, got, tt.their)
+			assert.Equal(t, got, tt.other)
 		})
 	}
 }
--- a/tier/policy/queue.go
+++ b/tier/policy/queue.go
@@ -10,7 +10,7 @@
 
 // Values of Waiter.index for a waiter that is not queued.
 const (
-	// indexNone is the index of a waiter without a slot.
+	// indexNone is the index of a waiter that was not granted a slot.
 	indexNone = -1
 	// indexGranted is the index of a waiter that was granted a slot.
 	indexGranted = -2
--- a/tier/policy/recent.go
+++ b/tier/policy/recent.go
@@ -9,8 +9,7 @@
 // bucket: amounts that are up to one bucket too old still count. The zero value is empty.
 type windowedSum struct {
 	// buckets holds one sum for each bucket of the window and one for the current bucket.
-	// lastBucket is the number of the current bucket when an amount was last added or the
-	// sum was read.
+	// lastBucket is the number of the bucket that was current at the last call of advance.
 	buckets    [windowBuckets + 1]float32
 	lastBucket int64
 }
--- a/tier/policy/retry.go
+++ b/tier/policy/retry.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// minShedPause is the minimum pause before an upstream that shed a call is called
-	// again, as a multiple of the median latency.
+	// minShedPause is the minimum pause before a part calls an upstream again that shed its
+	// call, as a multiple of the median latency.
 	minShedPause = 0.5
 	// shedPauseSpread is the largest random addition to the pause, as a multiple of the
-	// median latency. It keeps calls that were shed together from being retried together.
+	// median latency. It spreads the retries of calls that were shed together.
 	shedPauseSpread = 1.0
 )
 
--- a/tier/policy/retryafter.go
+++ b/tier/policy/retryafter.go
@@ -10,7 +10,7 @@
 	// minRetryAfter is the shortest time after which a refused caller may retry.
 	minRetryAfter = 10 * time.Millisecond
 	// retryAfterSpread is the largest random extension of that time, as a share of it. It
-	// keeps callers that were refused together from retrying together.
+	// spreads the retries of callers that were refused together.
 	retryAfterSpread = 1.0
 )
 
--- a/tier/policy/retrybudget.go
+++ b/tier/policy/retrybudget.go
@@ -18,9 +18,9 @@
 	// retryBudgetShare is the share of the allowed retries that hosts may use. The rest
 	// allows for windows that are not aligned between hosts.
 	retryBudgetShare = 0.95
-	// probabilisticDepth is the depth, in retries, below which tokens are taken
-	// probabilistically. Such a low depth means that there are many hosts, so that the
-	// average evens out.
+	// probabilisticDepth is the depth, in retries, below which a host takes tokens
+	// probabilistically. Such a low depth means that there are so many hosts that the
+	// deviations of single hosts even out.
 	probabilisticDepth = 3.0
 	// initialRetryShare is the share of the depth that a host starts with, and of the
 	// reserve that it has during the first window. All hosts may restart at the same time,
@@ -33,8 +33,8 @@
 type RetryBudget struct {
 	// Ratio is how many retries one request earns.
 	Ratio float64
-	// Depth is how many earned retries may be saved up. It also limits the calls beyond the
-	// first, earned or not, that a host may make within Window before it needs earned ones.
+	// Depth is how many earned retries may be saved up. It is also how many calls beyond the
+	// first, earned or not, a host may make within Window before it needs earned ones.
 	Depth float64
 	// Window is the interval in which a group counts calls beyond the first; 0 for a host
 	// that may only spend saved retries.
@@ -42,7 +42,8 @@
 }
 
 // ShareRetryBudget returns one host's share of the retries that a group allows in each
-// window: a ratio of the requests, plus a slack that is divided by hosts.
+// window: a ratio of the requests, plus a slack that hosts divide among themselves. hosts is
+// the number of hosts or the result of RetryBudgetDivisor.
 func ShareRetryBudget(ratio, slack, hosts float64) RetryBudget {
 	return RetryBudget{Ratio: ratio * retryBudgetShare, Depth: slack * retryBudgetShare / max(hosts, 1)}
 }
@@ -120,9 +121,9 @@
 
 // takeReserve pays for a retry from the reserve. It succeeds if everything spent within the
 // window, plus this retry and the saved ones, stays within this host's share of the slack.
-// Earned retries come on top of that and are credited once per request. A limit based on
-// the number of requests within a window would let every host spend according to its own
-// peak, although not all hosts peak at once.
+// It ignores the number of requests within the window, since each request already earns its
+// retries once. Otherwise every host could spend according to its own peak, and hosts that
+// peak at different times would exceed what the group allows.
 func (f *Fleet) takeReserve(now time.Duration, group string, b *groupRetries) bool {
 	budget := f.retryBudgets.of(group)
 	if budget.Window <= 0 {
--- a/tier/policy/routed.go
+++ b/tier/policy/routed.go
@@ -12,8 +12,8 @@
 	// a routed request. The limit keeps a group that sheds from being called forever. A
 	// part with more upstreams may call each of them once.
 	minRoutedSends = 4
-	// maxHedgeDelayShare is the share of the objective after which a call is hedged at the
-	// latest while the latencies of calls to other halls are unknown.
+	// maxHedgeDelayShare is the maximum hedge delay, as a share of the objective, while the
+	// latencies of calls to other halls are unknown.
 	maxHedgeDelayShare = 0.4
 	// hedgedAnswerShare is the share of the objective by which a hedge should be answered,
 	// if it takes no longer than hedgeFarQuantile of the far calls.
@@ -21,11 +21,11 @@
 	// hedgeFarQuantile is the quantile of far latencies that a hedge is expected to take.
 	hedgeFarQuantile = 0.8
 	// minHedgeQuantile is the quantile of the latencies of comparable calls before which no
-	// call is hedged. If calls are slow because hosts or upstreams are overloaded, more
-	// hedges would make it worse.
+	// call is hedged. If calls are slow because hosts or upstreams are overloaded, hedging
+	// earlier would make it worse.
 	minHedgeQuantile = 0.9
-	// defaultHedgeDelayShare is the share of the objective after which a call is hedged
-	// while the latencies of comparable calls are unknown.
+	// defaultHedgeDelayShare is the hedge delay, as a share of the objective, while the
+	// latencies of comparable calls are unknown.
 	defaultHedgeDelayShare = 0.25
 	// otherHallFactor multiplies the score of an upstream that is neither near nor in the
 	// preferred hall. It exceeds the usual difference between similar upstreams, so that
@@ -42,8 +42,8 @@
 	FarPool *LatencyPool
 	// MaxAttempts is the largest number of upstreams that may run one part; at least 1.
 	MaxAttempts int
-	// PreferredHall is the preferred hall among those other than this host's own, so that
-	// calls can be batched there; empty for none.
+	// PreferredHall is the preferred hall among those other than this host's own; empty for
+	// none. Calls to other halls go there together, so that they can be batched.
 	PreferredHall string
 	// Objective is the time within which an answer has its full worth.
 	Objective time.Duration
@@ -54,8 +54,8 @@
 	NoUpstreamReasons []query.Reason
 }
 
-// routedRules are the rules for routed requests. Their hedges and retries are paid from
-// this host's share of what each group allows.
+// routedRules are the rules for routed requests. This host's share of the retries that each
+// group allows pays for their hedges and retries.
 type routedRules struct {
 	fleet *Fleet
 	// near holds the latencies of the route's calls within this host's hall.
@@ -67,7 +67,7 @@
 
 var _ rules = (*routedRules)(nil)
 
-// earn adds the earned share of a retry to each group of the request.
+// earn credits each group of the request with the share of a retry that a request earns.
 func (r *routedRules) earn(int) {
 	for _, n := range r.routed.Groups {
 		r.fleet.earnRetry(n)
--- a/tier/policy/routed_test.go
+++ b/tier/policy/routed_test.go
@@ -81,16 +81,16 @@
 	)
 	tests := []struct {
 		hosts int
-		// used is the minimum share of the earned retries that must be used. Much is lost
+		// minUsed is the minimum share of the earned retries that must be used. Much is lost
 		// where a host may save up less than one retry.
-		used float64
+		minUsed float64
 	}{{8, 0.7}, {100, 0.3}, {400, 0.05}}
 	for _, tt := range tests {
-		t.Run(fmt.Sprint(tt.hosts), func(t *testing.T) { simulateRetries(t, tt.hosts, ratio, slack, window, tt.used) })
+		t.Run(fmt.Sprint(tt.hosts), func(t *testing.T) { simulateRetries(t, tt.hosts, ratio, slack, window, tt.minUsed) })
 	}
 }
 
-func simulateRetries(t *testing.T, hosts int, ratio, slack float64, window int, least float64) {
+func simulateRetries(t *testing.T, hosts int, ratio, slack float64, window int, minUsed float64) {
 	random := rand.New(rand.NewPCG(20261202, 0))
 	fleets := make([]*Fleet, hosts)
 	const tickTime = 100 * time.Millisecond
@@ -141,7 +141,7 @@
 		}
 		assert.Assert(t, float64(extra) <= ratio*float64(most)+slack, "tick %d: %d hedges and retries for %d requests", tick, extra, most)
 	}
-	assert.Assert(t, float64(used) > least*ratio*float64(sum(requests)), "only %d hedges and retries used", used)
+	assert.Assert(t, float64(used) > minUsed*ratio*float64(sum(requests)), "only %d hedges and retries used", used)
 }
 
 func sum(v []int) int {
@@ -300,8 +300,8 @@
 	assert.Assert(t, f.TryLinger(u))
 }
 
-// TestUnreportedBatchCallIsHedged checks that a call missing from a batch's progress report is
-// hedged immediately, and that no call of a batch is hedged before it is overdue.
+// TestUnreportedBatchCallIsHedged checks that a call missing from the progress report of a
+// batch is hedged immediately, and that no call is hedged before the report is due.
 func TestUnreportedBatchCallIsHedged(t *testing.T) {
 	f := routedFleet(2, RetryBudget{Ratio: 1, Depth: 100})
 	r, actions := routedRun(t, f, 0, 2, 2, 1, true)
@@ -359,7 +359,7 @@
 	f := NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(1, 2))})
 	f.Apply(0, []Share{{Name: "U", Slots: 6, Listed: true, Near: true}})
 	u, p := f.Find("U"), newPool(poolWindow)
-	enter := func() int {
+	acquireAll := func() int {
 		n := 0
 		for u.hasSlot() {
 			u.slots.inUse++
@@ -367,26 +367,26 @@
 		}
 		return n
 	}
-	assert.Equal(t, enter(), 6)
+	assert.Equal(t, acquireAll(), 6)
 	f.Finish(0, Call{Upstream: u, Pool: p, Outcome: CallBroken, NewConnReset: true})
-	assert.Equal(t, enter(), 0, "five are under way")
+	assert.Equal(t, acquireAll(), 0, "five are under way")
 	finish := func(calls int) {
 		for range calls {
 			f.Finish(0, Call{Upstream: u, Pool: p, Outcome: CallOK, Took: time.Millisecond})
 		}
 	}
 	finish(5)
-	assert.Equal(t, enter(), 5)
+	assert.Equal(t, acquireAll(), 5)
 	finish(5)
 	for range 5 * limitGrowth {
 		u.slots.inUse++
 		finish(1)
 	}
-	assert.Equal(t, enter(), 6, "the limit has grown")
+	assert.Equal(t, acquireAll(), 6, "the limit has grown")
 	for range 20 {
 		f.Finish(0, Call{Upstream: u, Pool: p, Outcome: CallBroken, NewConnReset: true})
 		u.slots.inUse++
 	}
 	u.slots.inUse = 0
-	assert.Equal(t, enter(), 5)
+	assert.Equal(t, acquireAll(), 5)
 }
--- a/tier/policy/rules.go
+++ b/tier/policy/rules.go
@@ -10,8 +10,8 @@
 // selects the implementation, classRules or routedRules, and the run does not depend on
 // which one it is. The methods are called with the fleet locked.
 type rules interface {
-	// earn credits the budgets for hedges and retries with what an admitted request with
-	// the given number of parts earns.
+	// earn credits the budgets for hedges and retries with what an admitted request of the
+	// given number of parts earns.
 	earn(parts int)
 	// payHedge charges a hedge of a part to its budget and reports whether the budget
 	// allowed it.
--- a/tier/policy/run.go
+++ b/tier/policy/run.go
@@ -37,7 +37,7 @@
 	fleet *Fleet
 	// request is the argument of NewRun. It is read-only.
 	request RunConfig
-	// rules holds the behaviour that differs between classes and routed requests.
+	// rules holds the behaviour that differs between requests of a class and routed ones.
 	rules     rules
 	chooser   chooser
 	admission admission
@@ -47,7 +47,8 @@
 	progress progress
 	times    runTimes
 	// finished is true once ActionFinish was issued or the request was refused.
-	finished   bool
+	finished bool
+	// callerGone is true once the caller has disconnected.
 	callerGone bool
 	// unknown is true once a non-repeatable attempt may have run without an answer.
 	unknown   bool
@@ -57,8 +58,8 @@
 type runTimes struct {
 	// admittedAt is when the request was admitted.
 	admittedAt time.Duration
-	// patience is when an answer with the required coverage is returned although parts are
-	// missing.
+	// patience is when the run stops waiting for missing parts if the answer has the
+	// required coverage.
 	patience time.Duration
 	// wakeAt is when Wake must be called.
 	wakeAt time.Duration
--- a/tier/policy/run_test.go
+++ b/tier/policy/run_test.go
@@ -41,7 +41,7 @@
 	sent        map[int]*Upstream
 	merged      map[int]int
 	finishCount int
-	// mayHaveRun is true once a sent attempt ended without proof that it did not run.
+	// mayHaveRun is true once an attempt failed without proof that it did not run.
 	mayHaveRun bool
 	// sentTotal counts the attempts sent.
 	sentTotal int
@@ -154,7 +154,7 @@
 	}
 }
 
-// deliverGrants passes granted slots on to their runs.
+// deliverGrants notifies runs of the slots granted to them.
 func (m *runModel) deliverGrants() {
 	for again := true; again; {
 		again = false
@@ -263,9 +263,9 @@
 func TestSnapshotCoversTheMostShards(t *testing.T) {
 	f := NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(1, 0))})
 	f.Apply(0, []Share{{Name: "A", Slots: 1}, {Name: "B", Slots: 1}, {Name: "C", Slots: 1}})
-	windows := map[string]SnapshotRange{"A": {3, 5, true}, "B": {4, 4, true}, "C": {4, 6, true}}
-	for n, w := range windows {
-		f.RecordStatus(0, f.Find(n), w, false)
+	ranges := map[string]SnapshotRange{"A": {3, 5, true}, "B": {4, 4, true}, "C": {4, 6, true}}
+	for n, r := range ranges {
+		f.RecordStatus(0, f.Find(n), r, false)
 	}
 	_, s := f.Plan([][]string{{"A"}, {"B"}, {"C"}})
 	assert.Equal(t, s, uint64(4))
--- a/tier/policy/slots_test.go
+++ b/tier/policy/slots_test.go
@@ -11,7 +11,7 @@
 		name            string
 		slots           slots
 		allowed, excess int
-		ahead           float64
+		callsPerSlot    float64
 	}{
 		{"idle", slots{share: 2, ceiling: 4}, 2, 0, 0},
 		{"one of two", slots{share: 2, ceiling: 4, inUse: 1}, 2, 0, 0.5},
@@ -25,7 +25,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			assert.Equal(t, tt.slots.allowed(), tt.allowed)
 			assert.Equal(t, tt.slots.excess(), tt.excess)
-			assert.Equal(t, tt.slots.callsPerSlot(), tt.ahead)
+			assert.Equal(t, tt.slots.callsPerSlot(), tt.callsPerSlot)
 		})
 	}
 }
--- a/tier/policy/snapshot.go
+++ b/tier/policy/snapshot.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// maxSnapshotCandidates is the number of snapshots, newest first, that are compared for a
-// request.
+// maxSnapshotCandidates is the maximum number of snapshots, newest first, that Plan compares
+// for a request.
 const maxSnapshotCandidates = 16
 
 // Plan resolves the replicas of each shard and picks the snapshot that covers the most
@@ -24,8 +24,8 @@
 	return out, bestSnapshot(out, candidates)
 }
 
-// bestSnapshot returns the candidate that covers the most parts, preferring newer ones; 0 if there
-// is no candidate.
+// bestSnapshot returns the candidate that covers the most parts, preferring newer ones; 0 if
+// there is no candidate.
 func bestSnapshot(parts [][]*Upstream, candidates []uint64) uint64 {
 	slices.Sort(candidates)
 	slices.Reverse(candidates)
--- a/tier/policy/stall.go
+++ b/tier/policy/stall.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Avoiding unresponsive upstreams reduces the number of incomplete gathers.
+// Hosts avoid unresponsive upstreams so that fewer gathers are incomplete.
 const (
 	// stalledFactor is the number of latencies without any answer after which an upstream
 	// is considered unresponsive.
@@ -20,9 +20,9 @@
 	LingerDuration = 300 * time.Millisecond
 )
 
-// stall detects an upstream that accepts calls but temporarily answers none, for example
-// while its process is paused. Such an upstream is called only if its shard has no better
-// one.
+// stall detects an unresponsive upstream: one that accepts calls but temporarily answers
+// none, for example while its process is paused. It is called only if its shard has no
+// better upstream.
 type stall struct {
 	// unansweredSince is when the first call after the latest answer was sent; 0 if no
 	// answer is pending.
--- a/tier/policy/status.go
+++ b/tier/policy/status.go
@@ -13,8 +13,8 @@
 	Known bool
 }
 
-func (w SnapshotRange) holds(snapshot uint64) bool {
-	return w.Known && w.Oldest <= snapshot && snapshot <= w.Newest
+func (r SnapshotRange) holds(snapshot uint64) bool {
+	return r.Known && r.Oldest <= snapshot && snapshot <= r.Newest
 }
 
 // status is what an upstream last reported about itself, in an answer or when its status
@@ -29,10 +29,10 @@
 }
 
 // update records a report of the upstream. It ignores a range that is older than the known
-// one, which arrived out of order.
-func (s *status) update(now time.Duration, w SnapshotRange) {
+// one, since that report arrived out of order.
+func (s *status) update(now time.Duration, r SnapshotRange) {
 	s.reportedAt = now
-	if w.Known && (!s.snapshots.Known || w.Newest >= s.snapshots.Newest) {
-		s.snapshots = w
+	if r.Known && (!s.snapshots.Known || r.Newest >= s.snapshots.Newest) {
+		s.snapshots = r
 	}
 }
--- a/tier/policy/status_test.go
+++ b/tier/policy/status_test.go
@@ -10,7 +10,7 @@
 
 func TestSnapshotRangeHolds(t *testing.T) {
 	tests := []struct {
-		window   SnapshotRange
+		held     SnapshotRange
 		snapshot uint64
 		want     bool
 	}{
@@ -22,7 +22,7 @@
 		{SnapshotRange{Oldest: 3, Newest: 5, Known: true}, 6, false},
 	}
 	for _, tt := range tests {
-		assert.Equal(t, tt.window.holds(tt.snapshot), tt.want, "%+v %d", tt.window, tt.snapshot)
+		assert.Equal(t, tt.held.holds(tt.snapshot), tt.want, "%+v %d", tt.held, tt.snapshot)
 	}
 }
 
@@ -32,7 +32,7 @@
 	}
 	tests := []struct {
 		name     string
-		said     []SnapshotRange
+		reported []SnapshotRange
 		want     SnapshotRange
 		nowKnown bool
 	}{
@@ -46,11 +46,11 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := status{reportedAt: never}
-			for i, w := range tt.said {
-				s.update(time.Duration(i)*time.Second, w)
+			for i, r := range tt.reported {
+				s.update(time.Duration(i)*time.Second, r)
 			}
 			assert.Equal(t, s.snapshots, tt.want)
-			assert.Equal(t, s.reportedAt, time.Duration(len(tt.said)-1)*time.Second)
+			assert.Equal(t, s.reportedAt, time.Duration(len(tt.reported)-1)*time.Second)
 		})
 	}
 }
--- a/tier/policy/statuses.go
+++ b/tier/policy/statuses.go
@@ -8,10 +8,10 @@
 )
 
 // RecordStatus records what an upstream reported about itself.
-func (f *Fleet) RecordStatus(now time.Duration, u *Upstream, w SnapshotRange, leaving bool) {
+func (f *Fleet) RecordStatus(now time.Duration, u *Upstream, r SnapshotRange, leaving bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	u.status.update(now, w)
+	u.status.update(now, r)
 	u.leaving = u.leaving || leaving
 }
 
--- a/tier/policy/suspects.go
+++ b/tier/policy/suspects.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// maxSuspects is the number of requests that are tracked. With maxCrashReports each,
-	// they take about 1 MB.
+	// maxSuspects is the maximum number of requests that a host tracks. With maxCrashReports
+	// each, they take about 1 MB.
 	maxSuspects = 1024
-	// maxCrashReports is the number of crash reports that are kept per request.
+	// maxCrashReports is the maximum number of crash reports that a host keeps per request.
 	maxCrashReports = 8
-	// MaxReports is the number of requests that a host reports to another in one message,
-	// about 3 KB before compression.
+	// MaxReports is the maximum number of requests that a host reports to another in one
+	// message, about 3 KB before compression.
 	MaxReports = 16
 )
 
+// suspect holds the crash reports of a tracked request.
 type suspect struct {
 	// crashes has at most maxCrashReports items with unique IDs.
 	crashes []crash
@@ -37,8 +38,8 @@
 	notify func(urgent bool)
 }
 
-// suspect returns the record of a request; one without crash reports if the request is not
-// tracked.
+// suspect returns the record of a request. For a request that is not tracked, it returns a
+// record without crash reports.
 func (q *quarantine) suspect(f Fingerprint) *suspect {
 	if s := q.suspects[f]; s != nil {
 		return s
@@ -53,7 +54,7 @@
 }
 
 // clear records that an upstream has answered the request. The crashes then had another
-// cause or depend on the caller.
+// cause, or the request crashes upstreams only for other callers.
 func (q *quarantine) clear(id RequestIdentity) {
 	s := q.suspect(id.Fingerprint)
 	for i := range s.crashes {
@@ -81,8 +82,7 @@
 	q.notifyIfUnsent(s, before != VerdictQuarantined && s.worstVerdict(now) == VerdictQuarantined)
 }
 
-// notifyIfUnsent requests that the record of a request is sent to other hosts, unless that
-// was done already.
+// notifyIfUnsent calls notify if the reports of a request must still be sent to other hosts.
 func (q *quarantine) notifyIfUnsent(s *suspect, urgent bool) {
 	if s.unsent && q.notify != nil {
 		q.notify(urgent)
@@ -162,8 +162,8 @@
 	return cmp.Or(cmp.Compare(x.weight(now), y.weight(now)), cmp.Compare(x.expiresAt(), y.expiresAt()), cmp.Compare(a, b))
 }
 
-// reports returns the reports of requests, most relevant first. With unsent set, it returns
-// only those that were not returned that way before.
+// reports returns at most MaxReports reports, those of the most relevant requests first. With
+// unsent set, it returns only unsent ones and marks them as sent.
 func (q *quarantine) reports(now time.Duration, unsent bool) []SuspectReport {
 	var all []Fingerprint
 	for f, s := range q.suspects {
--- a/tier/policy/suspicion.go
+++ b/tier/policy/suspicion.go
@@ -9,9 +9,9 @@
 // has answered before the request is suspected of causing the crashes.
 const suspectAfter = 2
 
-// suspicion tracks whether the request of a run crashes upstreams. Such a request takes
-// down an upstream of each shard, and another one with each retry. While it is suspected,
-// it runs as isolated attempts, on one upstream at a time, until one has answered.
+// suspicion tracks whether the request of a run crashes upstreams. Such a request crashes an
+// upstream of each shard, and another one with each retry. While it is suspected, it runs as
+// isolated attempts, on one upstream at a time, until one has answered.
 type suspicion struct {
 	// identity identifies the request. It is never suspected if its fingerprint is empty.
 	identity RequestIdentity
@@ -58,8 +58,8 @@
 }
 
 // recordCrash records that an upstream crashed while it may have run the request. It
-// reports whether the run must end, which is the case for an isolated attempt, since the
-// upstream ran no other call of the request.
+// reports whether the run must end. This is the case after an isolated attempt, since no
+// other call of the request was in progress.
 func (r *Run) recordCrash(now time.Duration, a *attempt) bool {
 	s := &r.suspicion
 	s.countCrash(a.upstream)
@@ -73,8 +73,8 @@
 }
 
 // recordLateCrash records that an upstream crashed during a call that was no longer needed.
-// A run may end before any of its upstreams crashes because too few shards are left; the
-// crash would otherwise go unnoticed.
+// If too few shards are left, a run may end before any of its upstreams crashes, and the
+// crashes would otherwise go unnoticed.
 func (r *Run) recordLateCrash(now time.Duration, a *attempt) {
 	s := &r.suspicion
 	if !s.open() {
--- a/tier/policy/suspicion_test.go
+++ b/tier/policy/suspicion_test.go
@@ -115,7 +115,8 @@
 	}
 }
 
-// TestQuarantinedRequestIsRefused checks the refusal and its RetryAfter.
+// TestQuarantinedRequestIsRefused checks that the refusal names the time until the end of
+// the quarantine.
 func TestQuarantinedRequestIsRefused(t *testing.T) {
 	f := routedFleet(6, RetryBudget{})
 	for id, u := range []string{"A", "B"} {
--- a/tier/policy/upstream.go
+++ b/tier/policy/upstream.go
@@ -62,9 +62,9 @@
 	return true
 }
 
-// eligible reports whether the upstream is preferred for calls now. An upstream that is not
-// eligible is called only if its shard has no eligible one, and never if it is leaving. An
-// unresponsive upstream is eligible but has a worse score.
+// eligible reports whether the upstream may get calls now although its shard has other
+// upstreams. One that is not eligible is called only if its shard has no eligible one, and
+// never if it is leaving. An unresponsive upstream is eligible but has a worse score.
 func (u *Upstream) eligible(now time.Duration) bool {
 	switch {
 	case u.leaving, u.outlier.marked, u.ejection.active(now), u.backoff.active(now), u.cold.throttled(now):
--- a/tier/replay/call.go
+++ b/tier/replay/call.go
@@ -22,7 +22,8 @@
 	// execution is the execution that the call belongs to; nil for the inner call of a
 	// relayed one.
 	execution *execution
-	// inner is the call that the owner makes on behalf of a relayed one.
+	// inner is the call that the owner of the upstream makes for a relayed call; nil for
+	// others.
 	inner *call
 	// done reports the outcome to the calling host. It is called at most once.
 	done func(policy.CallOutcome)
@@ -43,8 +44,7 @@
 	}
 }
 
-// cancel ends the call immediately at the caller, and at the callee after the network
-// delay.
+// cancel ends the call, immediately at the caller and after the network delay at the callee.
 func (k *call) cancel(o policy.CallOutcome) {
 	if k.finished {
 		return
@@ -88,7 +88,7 @@
 	})
 }
 
-// startRelayed makes the call from the owner, which holds a slot for it.
+// startRelayed makes the call from the owner of the upstream, which holds a slot for it.
 func (k *call) startRelayed(owner *host, u *policy.Upstream) {
 	w := k.world
 	if k.cancelled {
--- a/tier/replay/case.go
+++ b/tier/replay/case.go
@@ -27,7 +27,7 @@
 	class config.Class
 	// rate is the number of requests per second over all hosts.
 	rate float64
-	// shards is the number of consecutive shards that each request asks, starting
+	// shards is the number of consecutive shards that each request queries, starting
 	// at a random one.
 	shards int
 }
@@ -75,7 +75,7 @@
 	sharing          sharing
 	// shards is the number of shards, replicas the number of upstreams of each. For
 	// requests of a class there are as many upstreams as shards, and replica r of
-	// shard i is upstream i+r.
+	// shard i is upstream i+r, modulo the number of shards.
 	shards, replicas int
 	// delay is the one-way network delay between host and upstream, relayDelay the
 	// one between two hosts.
--- a/tier/replay/cases.go
+++ b/tier/replay/cases.go
@@ -61,7 +61,7 @@
 }
 
 // healthyCase returns a case without faults: 510 shards on 510 upstreams of 4 slots, at
-// a quarter of their capacity, the size of one data hall that the tier is designed for.
+// a quarter of their capacity. This is the size of data hall that the tier is designed for.
 func healthyCase() Case {
 	return Case{
 		Seed: 1, duration: 20 * time.Second, warmup: 4 * time.Second, hosts: 2, sharing: sharingBorrow,
--- a/tier/replay/crash_site_test.go
+++ b/tier/replay/crash_site_test.go
@@ -8,9 +8,9 @@
 	"loomgap/tier/policy"
 )
 
-// crashSettings describes crashes of upstreams. They are caused by a crashing request,
-// which is sent repeatedly and crashes every upstream that runs it, or occur without a
-// cause. Callers of all requests retry once, at a random host.
+// crashSettings describes crashes of upstreams. A crashing request, which is sent
+// repeatedly, crashes every upstream that runs it; other crashes have no cause. Callers
+// retry every failed request once, at a random host.
 type crashSettings struct {
 	// firstAt is when the crashing request is first sent, interval the time between
 	// two that are not retries. With interval 0 it is never sent.
@@ -243,7 +243,7 @@
 	w.after(s.routed.crash.restartTime, func() { state.down = false })
 }
 
-// causesCrash reports whether a call belongs to the crashing request.
+// causesCrash reports whether a call is one of the crashing request.
 func (s *routedSite) causesCrash(k *call) bool {
 	a := s.attempts[k.execution]
 	return a != nil && a.request.crashes
--- a/tier/replay/crash_test.go
+++ b/tier/replay/crash_test.go
@@ -57,10 +57,10 @@
 		}
 		reports := runRouted(t, cases...)
 		name := fmt.Sprintf("%d shards, %d hosts, %d callers, %s", tt.shards, tt.hosts, tt.callers, tt.crashDelay)
-		for i, way := range []string{"forget", "remember", "report"} {
+		for i, mode := range []string{"forget", "remember", "report"} {
 			c := reports[i].crashes
 			t.Logf("%s, %s: %d crashes, %d attempts reached upstreams, %d of %d served, mean score %.3f",
-				name, way, c.crashed, c.reached, c.served, c.requests, reports[i].meanScore())
+				name, mode, c.crashed, c.reached, c.served, c.requests, reports[i].meanScore())
 		}
 		reporting := reports[2].crashes
 		assert.Check(t, reporting.reached <= 4, name)
@@ -123,8 +123,8 @@
 func TestCrashingRequestIsStoppedOnceHostsAgree(t *testing.T) {
 	const seeds = 20
 	tests := []struct {
-		every   time.Duration
-		callers int
+		interval time.Duration
+		callers  int
 	}{
 		{150 * time.Millisecond, 20},
 		{150 * time.Millisecond, 1},
@@ -137,7 +137,7 @@
 			for seed := range seeds {
 				c := crashCase(20, hosts, true, true)
 				c.Seed, c.duration, c.replicas = uint64(seed+1), 20*time.Second, 1
-				c.routed.crash.interval, c.routed.crash.callers = tt.every, tt.callers
+				c.routed.crash.interval, c.routed.crash.callers = tt.interval, tt.callers
 				c.routed.crash.crashDelay, c.routed.crash.restartTime = 60*time.Millisecond, 4200*time.Millisecond
 				cases = append(cases, c)
 			}
@@ -145,7 +145,7 @@
 			for _, r := range runRouted(t, cases...) {
 				worst = max(worst, r.crashes.late)
 			}
-			assert.Check(t, worst <= 3, "%d hosts, every %s, %d callers: %d", hosts, tt.every, tt.callers, worst)
+			assert.Check(t, worst <= 3, "%d hosts, every %s, %d callers: %d", hosts, tt.interval, tt.callers, worst)
 		}
 	}
 }
--- a/tier/replay/doc.go
+++ b/tier/replay/doc.go
@@ -1,6 +1,6 @@
-// Package replay simulates package policy against fake upstreams in virtual time.
-// Seeds are fixed, so a policy can be compared with its baseline within seconds and
-// with the same result every time.
+// Package replay runs package policy against fake upstreams in virtual time. Seeds are
+// fixed, so that comparing a policy with its baseline takes seconds and gives the same
+// result every time.
 //
 // The package provides the fake upstreams and the virtual clock and depends only on
 // packages policy and config: it opens no connections, starts no processes and never
--- a/tier/replay/report.go
+++ b/tier/replay/report.go
@@ -54,10 +54,10 @@
 	// answers and refusals count requests, complete the answers that include every
 	// shard.
 	answers, refusals, complete int
-	// asked counts the shards asked, included those in the answers, and attempts the
+	// queried counts the queried shards, included those in the answers, and attempts the
 	// calls made for them.
-	asked, included, attempts int
-	latency                   *hdrhistogram.Histogram
+	queried, included, attempts int
+	latency                     *hdrhistogram.Histogram
 }
 
 // Range and precision of the latency histogram.
@@ -84,7 +84,7 @@
 		return
 	}
 	c.answers++
-	c.asked += shards
+	c.queried += shards
 	c.included += r.Included
 	c.attempts += r.Attempts
 	if r.Included == shards {
@@ -98,11 +98,11 @@
 	return time.Duration(c.latency.ValueAtQuantile(q*100)) * time.Microsecond
 }
 
-// coverage returns the fraction of the asked shards that the answers include.
-func (c *classResult) coverage() float64 { return float64(c.included) / float64(max(c.asked, 1)) }
+// coverage returns the fraction of the queried shards that the answers include.
+func (c *classResult) coverage() float64 { return float64(c.included) / float64(max(c.queried, 1)) }
 
-// extraLoad returns the number of calls beyond one per asked shard, as a fraction of
-// the asked shards.
+// extraLoad returns the number of calls beyond one per queried shard, as a fraction of
+// the queried shards.
 func (c *classResult) extraLoad() float64 {
-	return float64(c.attempts)/float64(max(c.asked, 1)) - 1
+	return float64(c.attempts)/float64(max(c.queried, 1)) - 1
 }
--- a/tier/replay/routed_site_test.go
+++ b/tier/replay/routed_site_test.go
@@ -12,7 +12,7 @@
 	"loomgap/tier/policy"
 )
 
-// routedParams describes the gathers of a route. Every request asks all shards; each
+// routedParams describes the gathers of a route. Every request queries all shards; each
 // shard has its own upstreams, which are spread over the halls like the hosts.
 type routedParams struct {
 	// route is the route of the requests; its Gather lists no groups.
@@ -348,8 +348,8 @@
 		return false
 	}
 	// The large odd factor spreads the shedding upstreams over the shards.
-	isOne := float64(u.index*7919%s.upstreamCount()) < d.upstreamShare*float64(s.upstreamCount())
-	return isOne && s.world.random.Float64() < d.callShare
+	affected := float64(u.index*7919%s.upstreamCount()) < d.upstreamShare*float64(s.upstreamCount())
+	return affected && s.world.random.Float64() < d.callShare
 }
 
 // pausedFor returns the remaining time of the upstream's current pause, 0 if it is not
@@ -359,8 +359,8 @@
 	if r.pauseDuration == 0 {
 		return 0
 	}
-	into := (s.world.now + time.Duration(u.index)*pauseOffset) % r.pauseInterval
-	return max(r.pauseDuration-into, 0)
+	elapsed := (s.world.now + time.Duration(u.index)*pauseOffset) % r.pauseInterval
+	return max(r.pauseDuration-elapsed, 0)
 }
 
 // pauseOffset shifts the pauses of consecutive upstreams, modulo the pause interval. Its
--- a/tier/replay/site.go
+++ b/tier/replay/site.go
@@ -20,12 +20,12 @@
 	// delay returns the one-way network delay between a host and the upstream with the
 	// given index.
 	delay(h *host, upstream int) time.Duration
-	// process calls do once the host has spent its own processing time.
+	// process calls do after the time that the host needs to process an answer.
 	process(h *host, do func())
 	// accept reports whether the upstream handles an arriving call as usual. If not,
 	// the site handles it.
 	accept(*upstream, *call) bool
-	// startCall reports whether the upstream runs a call that got a slot as usual. If
+	// startCall reports whether the upstream runs a call as usual once it has a slot. If
 	// not, the site runs it.
 	startCall(*upstream, *call) bool
 }
@@ -35,7 +35,7 @@
 	world *world
 	index int
 	fleet *policy.Fleet
-	// pool holds the latencies of requests of a class; nil at a site of routed requests.
+	// pool holds the latencies of requests of a class; nil for routed requests.
 	pool *policy.LatencyPool
 }
 
--- a/tier/runner/batch.go
+++ b/tier/runner/batch.go
@@ -8,9 +8,9 @@
 	"loomgap/tier/policy"
 )
 
-// sendBatch starts the calls of a batch; e.mu must be held. The batch is cancelled once
-// each of its calls has been cancelled or has a reply. The slots of its calls are released,
-// since another host makes the calls within its own slots.
+// sendBatch starts the calls of a batch; e.mu must be held. It releases their slots, since
+// another host makes the calls within its own slots. The batch is cancelled once each of its
+// calls has been cancelled or has a reply.
 func (e *execution[R]) sendBatch(b Batch) (granted []*policy.Waiter) {
 	ctx, cancel := context.WithCancel(e.ctx)
 	pending := len(b.Calls)
@@ -62,7 +62,7 @@
 }
 
 // HedgePending hedges the calls that are not yet reported, because they are now known to be
-// slow. Without it, batched calls wait longer for a hedge than other calls.
+// slow. Without it, batched calls would wait longer for their hedges than other calls.
 func (r *Reporter[R]) HedgePending() {
 	r.execution.handle(func(now time.Duration) []policy.Action {
 		var pending []int
--- a/tier/runner/call.go
+++ b/tier/runner/call.go
@@ -20,7 +20,7 @@
 	outcome policy.CallOutcome
 	// lingering is true once the call continues although its result is not needed.
 	lingering bool
-	// ended is true once the outcome is known, even if the run has not been told.
+	// ended is true once the outcome is known, even before the run is notified.
 	ended bool
 }
 
@@ -73,8 +73,8 @@
 	policy.NotifyGranted(granted)
 }
 
-// finalOutcome distinguishes a call that this host cancelled or gave up at the deadline from
-// one that broke; e.mu must be held.
+// finalOutcome returns the outcome to report for a call. A call that this host cancelled, or
+// that ended after the deadline, does not count as broken or lost; e.mu must be held.
 func (e *execution[R]) finalOutcome(now time.Duration, c *call, o policy.CallOutcome) policy.CallOutcome {
 	switch {
 	case o != policy.CallBroken && o != policy.CallLost:
--- a/tier/runner/call_test.go
+++ b/tier/runner/call_test.go
@@ -9,7 +9,8 @@
 	"loomgap/tier/policy"
 )
 
-// TestFinalOutcome checks that calls that this host gave up do not count as broken.
+// TestFinalOutcome checks that calls that this host cancelled do not count as broken or
+// lost.
 func TestFinalOutcome(t *testing.T) {
 	const deadline = time.Second
 	tests := []struct {
--- a/tier/runner/crash.go
+++ b/tier/runner/crash.go
@@ -10,12 +10,13 @@
 )
 
 // connectTimeout is how long an upstream has to accept a connection before it counts as
-// crashed: several round trips between regions. It delays the retry of the call.
+// crashed. It covers several round trips between regions; the retry of the call waits for
+// it.
 const connectTimeout = 50 * time.Millisecond
 
 // DetectCrash refines the outcome of a call. If the connection was lost, it connects to the
-// upstream again: an upstream that refuses has crashed, while one that accepts has only
-// reset this connection, which is not evidence against any request.
+// upstream again: an upstream that does not accept has crashed, while one that accepts has
+// only reset this connection, which is not evidence against any request.
 func DetectCrash(ctx context.Context, o policy.CallOutcome, upstream netip.AddrPort) policy.CallOutcome {
 	if o != policy.CallBroken || ctx.Err() != nil {
 		return o
@@ -29,7 +30,7 @@
 		_ = c.Close()
 		return o
 	case ctx.Err() != nil:
-		return o // the call was given up meanwhile
+		return o // the call was cancelled in the meantime
 	default:
 		return policy.CallCrashed
 	}
--- a/tier/runner/crash_test.go
+++ b/tier/runner/crash_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestDetectCrash distinguishes a crashed upstream from one that accepts connections. Calls
-// that were given up keep their outcome.
+// that were cancelled keep their outcome.
 func TestDetectCrash(t *testing.T) {
 	accepting, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -21,7 +21,7 @@
 	assert.NilError(t, err)
 	assert.NilError(t, closed.Close())
 	addressOf := func(l net.Listener) netip.AddrPort { return l.Addr().(*net.TCPAddr).AddrPort() }
-	givenUp, cancel := context.WithCancel(t.Context())
+	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 	tests := []struct {
 		name     string
@@ -32,7 +32,7 @@
 	}{
 		{"it accepts connections", t.Context(), policy.CallBroken, accepting, policy.CallBroken},
 		{"it refuses connections", t.Context(), policy.CallBroken, closed, policy.CallCrashed},
-		{"the call was given up", givenUp, policy.CallBroken, closed, policy.CallBroken},
+		{"the call was given up", cancelled, policy.CallBroken, closed, policy.CallBroken},
 		{"the connection was not lost", t.Context(), policy.CallFailed, closed, policy.CallFailed},
 	}
 	for _, tt := range tests {
--- a/tier/runner/runner.go
+++ b/tier/runner/runner.go
@@ -28,9 +28,10 @@
 	deadline time.Duration
 	ctx      context.Context
 
+	// mu guards all fields below.
 	mu  sync.Mutex
 	run *policy.Run
-	// reply is the answer of the call whose end is being handled.
+	// reply is the answer of the call whose outcome the run is handling.
 	reply R
 	// finished is true once the run has finished.
 	finished bool
@@ -39,19 +40,21 @@
 	// calls holds the calls by attempt.
 	calls map[int]*call
 	timer *time.Timer
-	// wakeAt is when the timer fires.
+	// wakeAt is when the timer fires, or timerUnset.
 	wakeAt time.Duration
 	// done is closed when the run has finished.
 	done chan struct{}
 }
 
-// timerUnset is later than any time that a timer is set to.
+// timerUnset is the wakeAt of an execution whose timer is not set. It is later than any
+// other time.
 const timerUnset = time.Duration(1<<63 - 1)
 
-// Run executes a run and waits until it has finished, which was at decidedAt. A refused
-// request returns a *policy.Refusal. callerGone is closed when the caller disconnects, which
-// aborts the run. Only the values of ctx are used: calls are cancelled by the run alone, so
-// that every call is accounted for even after the caller has disconnected.
+// Run executes a run and waits until it has finished, which was at decidedAt. For a refused
+// request, the error is a *policy.Refusal. The run is aborted when callerGone is closed,
+// which means that the caller has disconnected. Run uses only the values of ctx: only the
+// run itself cancels calls, so that every call is accounted for even after the caller has
+// disconnected.
 func Run[R any](ctx context.Context, c Config[R], callerGone <-chan struct{}) (r policy.Result, decidedAt time.Duration, err error) {
 	e := &execution[R]{
 		kernel: c.Kernel, caller: c.Caller, deadline: c.Run.Deadline, ctx: context.WithoutCancel(ctx),
