--- a/tier/policy/admit.go
+++ b/tier/policy/admit.go
@@ -102,9 +102,9 @@
 type admitWorth struct{}
 
 func (admitWorth) allowedWork(remaining time.Duration, worthPerCall, highest float64) time.Duration {
-	rank := 1.0
+	relativeWorth := 1.0
 	if highest > 0 {
-		rank = min(worthPerCall/highest, 1)
+		relativeWorth = min(worthPerCall/highest, 1)
 	}
-	return time.Duration(float64(remaining) * (minTimeShare + (maxTimeShare-minTimeShare)*rank))
+	return time.Duration(float64(remaining) * (minTimeShare + (maxTimeShare-minTimeShare)*relativeWorth))
 }
--- a/tier/policy/backoff_test.go
+++ b/tier/policy/backoff_test.go
@@ -9,10 +9,10 @@
 
 func TestBackoff(t *testing.T) {
 	tests := []struct {
-		name      string
-		sheds     int
-		succeeded bool
-		want      time.Duration
+		name    string
+		sheds   int
+		success bool
+		want    time.Duration
 	}{
 		{"none", 0, false, 0},
 		{"one", 1, false, 5 * time.Millisecond},
@@ -29,7 +29,7 @@
 			for range tt.sheds {
 				b.shed(now)
 			}
-			if tt.succeeded {
+			if tt.success {
 				b.succeeded()
 			}
 			assert.Equal(t, b.active(now), tt.want > 0)
--- a/tier/policy/coordinator.go
+++ b/tier/policy/coordinator.go
@@ -56,8 +56,8 @@
 // It returns none if no host is strong enough to make forwarding worthwhile. Hosts in the
 // same hall come first, then those in the nearest hall. Requests spread over otherwise
 // equal hosts, so that each coordinator sees enough calls to learn how upstreams perform.
-// One of hundreds of hosts that make their own calls has hardly ever called an upstream
-// before.
+// If each of hundreds of hosts made its own calls, almost every call would be the host's
+// first to that upstream.
 func Coordinators(self Candidate, all []Candidate) []Candidate {
 	strongest := greatestCapacity(all, self.Capacity)
 	if IsCoordinator(self.Capacity, strongest) {
--- a/tier/policy/ejection_test.go
+++ b/tier/policy/ejection_test.go
@@ -9,10 +9,10 @@
 
 func TestEjection(t *testing.T) {
 	tests := []struct {
-		name      string
-		failures  int
-		succeeded bool
-		want      time.Duration
+		name     string
+		failures int
+		success  bool
+		want     time.Duration
 	}{
 		{"none", 0, false, 0},
 		{"one fewer than it takes", ejectAfterFailures - 1, false, 0},
@@ -30,7 +30,7 @@
 			for range tt.failures {
 				e.failed(now)
 			}
-			if tt.succeeded {
+			if tt.success {
 				e.succeeded()
 			}
 			assert.Equal(t, e.active(now), tt.want > 0)
--- a/tier/policy/isolation.go
+++ b/tier/policy/isolation.go
@@ -53,7 +53,7 @@
 // bestDeferred returns the deferred part whose upstream has the earliest expected answer.
 // At least one part must be deferred.
 func (r *Run) bestDeferred(now time.Duration) int {
-	best, low := -1, math.Inf(1)
+	best, lowest := -1, math.Inf(1)
 	for i := range r.parts {
 		if !r.parts[i].deferred {
 			continue
@@ -62,8 +62,8 @@
 		if u := r.pick(now, i, onlyEligible); u != nil {
 			score = r.score(now, u)
 		}
-		if best < 0 || score < low {
-			best, low = i, score
+		if best < 0 || score < lowest {
+			best, lowest = i, score
 		}
 	}
 	return best
--- a/tier/policy/limit_test.go
+++ b/tier/policy/limit_test.go
@@ -11,7 +11,7 @@
 	tests := []struct {
 		name      string
 		inUse     int
-		succeeded int
+		successes int
 		want      int
 	}{
 		{"one less than under way", 6, 0, 5},
@@ -27,7 +27,7 @@
 			l.succeeded(slots)
 			assert.Assert(t, !l.known(), "successful calls do not set a limit")
 			l.reset(tt.inUse)
-			for range tt.succeeded {
+			for range tt.successes {
 				l.succeeded(slots)
 			}
 			assert.Equal(t, l.calls, tt.want)
--- a/tier/policy/load.go
+++ b/tier/policy/load.go
@@ -13,8 +13,8 @@
 	Running, Waiting, Slots int
 }
 
-// queueReport is an upstream's latest report of its queue. Since hosts share no state, it
-// is the only sign of other hosts' calls.
+// queueReport is an upstream's latest report of its queue. Hosts share no state, so it shows
+// a host the calls of all others.
 type queueReport struct {
 	// perSlot is the number of queued calls per slot.
 	perSlot float64
--- a/tier/policy/pick.go
+++ b/tier/policy/pick.go
@@ -20,7 +20,7 @@
 func (r *Run) pick(now time.Duration, i int, eligible bool) *Upstream {
 	p := &r.parts[i]
 	var best *Upstream
-	low := math.Inf(1)
+	lowest := math.Inf(1)
 	for _, u := range p.replicas {
 		if !r.canCall(now, p, u) || eligible && !u.eligible(now) {
 			continue
@@ -29,8 +29,8 @@
 		if u.cold.throttled(now) {
 			s += coldPenalty
 		}
-		if s < low {
-			best, low = u, s
+		if s < lowest {
+			best, lowest = u, s
 		}
 	}
 	return best
--- a/tier/policy/quarantine.go
+++ b/tier/policy/quarantine.go
@@ -72,9 +72,9 @@
 	}
 	enough := len(attempts) >= minQuarantineAttempts && countCrashes(all) >= minQuarantineAttempts
 	credible := callers[caller] || len(callers) >= minOtherCallers
-	left := last + quarantineFor(countCrashes(isolated)) - now
-	if enough && credible && left > 0 {
-		return VerdictQuarantined, left
+	remaining := last + quarantineFor(countCrashes(isolated)) - now
+	if enough && credible && remaining > 0 {
+		return VerdictQuarantined, remaining
 	}
 	return VerdictSuspected, 0
 }
--- a/tier/policy/quarantine_test.go
+++ b/tier/policy/quarantine_test.go
@@ -179,10 +179,10 @@
 	mine, other := RequestIdentity{Fingerprint: "F", Caller: callers[0]}, RequestIdentity{Fingerprint: "F", Caller: callers[1]}
 	now := time.Minute
 	tests := []struct {
-		name        string
-		reports     []RequestIdentity
-		answered    *RequestIdentity
-		want, other Verdict
+		name            string
+		reports         []RequestIdentity
+		answered        *RequestIdentity
+		want, wantOther Verdict
 	}{
 		{"one caller's", []RequestIdentity{mine, mine}, nil, VerdictQuarantined, VerdictSuspected},
 		{"of both", []RequestIdentity{mine, other}, nil, VerdictQuarantined, VerdictQuarantined},
@@ -202,7 +202,7 @@
 			got, _ := f.Verdict(now, mine)
 			assert.Equal(t, got, tt.want)
 			got, _ = f.Verdict(now, other)
-			assert.Equal(t, got, tt.other)
+			assert.Equal(t, got, tt.wantOther)
 		})
 	}
 }
--- a/tier/policy/retrybudget.go
+++ b/tier/policy/retrybudget.go
@@ -108,14 +108,14 @@
 
 func (f *Fleet) takeSaved(now time.Duration, group string, b *groupRetries) bool {
 	budget := f.retryBudgets.of(group)
-	had := b.saved.tokens
+	before := b.saved.tokens
 	taken := false
 	if budget.Depth < probabilisticDepth {
 		taken = b.saved.takeProbabilistic(f.random)
 	} else {
 		taken = b.saved.take()
 	}
-	b.spent.add(now, budget.Window, had-b.saved.tokens)
+	b.spent.add(now, budget.Window, before-b.saved.tokens)
 	return taken
 }
 
--- a/tier/policy/run.go
+++ b/tier/policy/run.go
@@ -98,10 +98,10 @@
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
 	id := r.suspicion.identity
-	verdict, left := r.fleet.quarantine.suspect(id.Fingerprint).verdict(now, id.Caller)
+	verdict, remaining := r.fleet.quarantine.suspect(id.Fingerprint).verdict(now, id.Caller)
 	if verdict == VerdictQuarantined {
 		r.finished = true
-		return nil, &Refusal{Reason: ReasonQuarantined, RetryAfter: left}
+		return nil, &Refusal{Reason: ReasonQuarantined, RetryAfter: remaining}
 	}
 	r.suspicion.reported = verdict == VerdictSuspected
 	if err := r.fleet.admit(now, &r.request, r.admission); err != nil {
--- a/tier/policy/suspects.go
+++ b/tier/policy/suspects.go
@@ -91,12 +91,12 @@
 
 // add adds a crash report and reports whether anything changed.
 func (s *suspect) add(now time.Duration, c *CrashReport) bool {
-	left := min(c.Remaining, crashReportTTL)
+	remaining := min(c.Remaining, crashReportTTL)
 	i := slices.IndexFunc(s.crashes, func(o crash) bool { return o.ID == c.ID })
 	switch {
 	case i >= 0:
 		return s.crashes[i].merge(c.Cleared, c.CallerOnly)
-	case left <= 0:
+	case remaining <= 0:
 		return false
 	}
 	s.crashes = slices.DeleteFunc(s.crashes, func(o crash) bool { return now >= o.until })
@@ -104,7 +104,7 @@
 		least := s.leastRelevant(now)
 		s.crashes = slices.DeleteFunc(s.crashes, func(o crash) bool { return o.ID == least.ID })
 	}
-	s.crashes = append(s.crashes, crash{CrashReport: *c, until: now + left})
+	s.crashes = append(s.crashes, crash{CrashReport: *c, until: now + remaining})
 	return true
 }
 
