--- a/tier/policy/crashreport.go
+++ b/tier/policy/crashreport.go
@@ -19,11 +19,11 @@
 // CrashReport is evidence that a request crashes upstreams: at least one crashed while
 // running it, and none had answered it before.
 type CrashReport struct {
-	// ID is unique among the reports of all hosts, Attempt among the attempts to run a
-	// request.
+	// ID is unique among the reports of all hosts. Attempt identifies the run of the request
+	// during which the upstream crashed.
 	ID, Attempt uint64
-	// Isolated is true if the request ran on a single upstream during the attempt, which
-	// makes another cause of the crash unlikely.
+	// Isolated is true if no other call of that run was in progress, which makes another
+	// cause of the crash unlikely.
 	Isolated bool `json:"Alone,omitempty"`
 	// Upstream is the one that crashed last.
 	Upstream string
--- a/tier/policy/finish.go
+++ b/tier/policy/finish.go
@@ -68,7 +68,7 @@
 			continue
 		}
 		if !r.request.Repeatable && r.hasCall(p) {
-			r.unknown = true
+			r.outcomeUnknown = true
 		}
 		out = r.cancel(i, CallLate, out)
 		reason := query.ReasonLate
--- a/tier/policy/learn_test.go
+++ b/tier/policy/learn_test.go
@@ -46,7 +46,7 @@
 func learntChanges(o CallOutcome, k *kind) string {
 	const now = time.Minute
 	u := Upstream{
-		kind: k, slots: slots{share: 4, ceiling: 4, inUse: 1}, ejection: ejection{failures: 1},
+		kind: k, slots: slots{share: 4, maxSlots: 4, inUse: 1}, ejection: ejection{failures: 1},
 		backoff: backoff{sheds: 1, until: now}, stall: stall{unansweredSince: now - time.Second},
 	}
 	p := newPool(poolWindow)
@@ -66,7 +66,7 @@
 	add(u.replaced, "gone")
 	add(u.latency.samples > 0, "timed")
 	add(p.Count() > 0, "pooled")
-	add(u.slots.limit.known(), "limited")
+	add(u.slots.limit.active(), "limited")
 	return strings.Join(out, " ")
 }
 
--- a/tier/policy/limit.go
+++ b/tier/policy/limit.go
@@ -11,13 +11,13 @@
 // callLimit limits the calls that this host has in progress at an upstream. It is set when
 // the upstream resets new connections, which suggests that it accepts no more of them.
 type callLimit struct {
-	// calls is the limit; 0 for none, otherwise at least minCallLimit.
+	// calls is the limit; 0 for no limit, otherwise at least minCallLimit.
 	calls int
 	// succeededCalls counts successful calls since the limit last changed.
 	succeededCalls int
 }
 
-func (l *callLimit) known() bool { return l.calls > 0 }
+func (l *callLimit) active() bool { return l.calls > 0 }
 
 // reset lowers the limit after a new connection was reset. inUse counts the calls in
 // progress at that time, including the one that was reset.
@@ -26,7 +26,7 @@
 // succeeded counts a successful call. The limit is removed once it has grown to the number
 // of slots that this host has.
 func (l *callLimit) succeeded(slots int) {
-	if !l.known() {
+	if !l.active() {
 		return
 	}
 	l.succeededCalls++
--- a/tier/policy/limit_test.go
+++ b/tier/policy/limit_test.go
@@ -25,7 +25,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			l := callLimit{}
 			l.succeeded(slots)
-			assert.Assert(t, !l.known(), "successful calls do not set a limit")
+			assert.Assert(t, !l.active(), "successful calls do not set a limit")
 			l.reset(tt.inUse)
 			for range tt.successes {
 				l.succeeded(slots)
--- a/tier/policy/pool.go
+++ b/tier/policy/pool.go
@@ -25,9 +25,10 @@
 	// poolSettledDivisor divides the size of a window. Until the current window holds that
 	// many latencies, quantiles come from the previous one.
 	poolSettledDivisor = 4
-	// minPoolSamples is the number of latencies from which the pool is considered known.
+	// minPoolSamples is the number of latencies that a pool needs before its quantiles are
+	// used.
 	minPoolSamples = 50
-	// defaultMedian is the median of a pool that is not known.
+	// defaultMedian is the median of a pool with fewer latencies than minPoolSamples.
 	defaultMedian = 10 * time.Millisecond
 )
 
@@ -69,12 +70,13 @@
 	}
 }
 
+// known reports whether the pool holds enough latencies to use its quantiles.
 func (p *LatencyPool) known() bool { return p.Count() >= minPoolSamples }
 
 // Count returns the number of latencies in both windows.
 func (p *LatencyPool) Count() int64 { return p.current.TotalCount() + p.previous.TotalCount() }
 
-// median returns the median latency, or defaultMedian while the pool is not known.
+// median returns the median latency, or defaultMedian while the pool holds too few latencies.
 func (p *LatencyPool) median() time.Duration {
 	if !p.known() {
 		return defaultMedian
--- a/tier/policy/quarantine.go
+++ b/tier/policy/quarantine.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// minQuarantineAttempts is both the number of attempts with a crash and the number of
-	// crashes that hosts must report before a request is quarantined. At least one of the
-	// crashes must be isolated.
-	minQuarantineAttempts = 2
+	// minQuarantineRuns is both the number of runs with a crash and the number of crashes
+	// that hosts must report before a request is quarantined. At least one of the crashes
+	// must be isolated.
+	minQuarantineRuns = 2
 	// minOtherCallers is the number of other callers whose reports quarantine a request for
 	// a caller without reports of its own.
 	minOtherCallers = 2
@@ -53,7 +53,7 @@
 // crash quarantine it.
 func (s *suspect) verdict(now time.Duration, caller netip.Addr) (Verdict, time.Duration) {
 	var all, isolated []*crash
-	attempts, callers := map[uint64]bool{}, map[netip.Addr]bool{}
+	runs, callers := map[uint64]bool{}, map[netip.Addr]bool{}
 	last := never
 	for i := range s.crashes {
 		c := &s.crashes[i]
@@ -61,7 +61,7 @@
 			continue
 		}
 		all = append(all, c)
-		attempts[c.Attempt], callers[c.Caller] = true, true
+		runs[c.Attempt], callers[c.Caller] = true, true
 		if c.Isolated {
 			isolated = append(isolated, c)
 			last = max(last, c.until-crashReportTTL)
@@ -70,7 +70,7 @@
 	if len(all) == 0 {
 		return VerdictClean, 0
 	}
-	enough := len(attempts) >= minQuarantineAttempts && countCrashes(all) >= minQuarantineAttempts
+	enough := len(runs) >= minQuarantineRuns && countCrashes(all) >= minQuarantineRuns
 	credible := callers[caller] || len(callers) >= minOtherCallers
 	remaining := last + quarantineFor(countCrashes(isolated)) - now
 	if enough && credible && remaining > 0 {
--- a/tier/policy/queue_test.go
+++ b/tier/policy/queue_test.go
@@ -41,7 +41,7 @@
 
 func TestQueueGrantsTheEarliestDeadlineFirst(t *testing.T) {
 	const ms = time.Millisecond
-	u := &Upstream{kind: &listedKind, slots: slots{share: 1, ceiling: 1}}
+	u := &Upstream{kind: &listedKind, slots: slots{share: 1, maxSlots: 1}}
 	w := func(deadline time.Duration) *Waiter { return &Waiter{Upstream: u, Deadline: deadline} }
 	first, late, early, gone, past := w(time.Second), w(90*ms), w(50*ms), w(60*ms), w(10*ms)
 	granted, queued := u.acquireOrQueue(first)
@@ -66,7 +66,7 @@
 
 func TestQueueIsBounded(t *testing.T) {
 	for _, share := range []int{0, 1, 2} {
-		u := &Upstream{kind: &declaredKind, slots: slots{share: share, ceiling: share, inUse: share}}
+		u := &Upstream{kind: &declaredKind, slots: slots{share: share, maxSlots: share, inUse: share}}
 		for range queuePerSlot * max(share, 1) {
 			_, queued := u.acquireOrQueue(&Waiter{Upstream: u})
 			assert.Assert(t, queued)
--- a/tier/policy/result.go
+++ b/tier/policy/result.go
@@ -33,7 +33,7 @@
 
 // Result returns the result of the run. It must be called after ActionFinish.
 func (r *Run) Result() Result {
-	out := Result{Included: r.progress.included, OutcomeUnknown: r.unknown}
+	out := Result{Included: r.progress.included, OutcomeUnknown: r.outcomeUnknown}
 	for i := range r.parts {
 		p := &r.parts[i]
 		out.Attempts += p.sends
--- a/tier/policy/retry.go
+++ b/tier/policy/retry.go
@@ -58,7 +58,7 @@
 		p.retryAt = now + time.Duration(float64(r.request.Pool.median())*pause)
 		r.wakeBy(p.retryAt)
 	case stepGiveUp:
-		r.unknown = r.unknown || !r.request.Repeatable && !o.NotRun()
+		r.outcomeUnknown = r.outcomeUnknown || !r.request.Repeatable && !o.NotRun()
 		r.markMissing(i, reasonOf(o))
 	case stepWait:
 	}
--- a/tier/policy/run.go
+++ b/tier/policy/run.go
@@ -50,9 +50,9 @@
 	finished bool
 	// callerGone is true once the caller has disconnected.
 	callerGone bool
-	// unknown is true once a non-repeatable attempt may have run without an answer.
-	unknown   bool
-	suspicion suspicion
+	// outcomeUnknown is true once a non-repeatable attempt may have run without an answer.
+	outcomeUnknown bool
+	suspicion      suspicion
 }
 
 type runTimes struct {
@@ -175,7 +175,7 @@
 		return r.finishIfDone(now, r.includePart(a.part, out))
 	}
 	if o == CallCrashed && r.recordCrash(now, a) {
-		r.unknown = !r.request.Repeatable
+		r.outcomeUnknown = !r.request.Repeatable
 		r.markMissing(a.part, reasonOf(o))
 		return r.finish(now, nil)
 	}
--- a/tier/policy/run_test.go
+++ b/tier/policy/run_test.go
@@ -253,7 +253,7 @@
 		for range rapid.IntRange(10, 80).Draw(t, "steps") {
 			m.step()
 			for _, u := range m.upstreams {
-				assert.Assert(t, u.slots.inUse <= u.slots.ceiling, "more calls than slots")
+				assert.Assert(t, u.slots.inUse <= u.slots.maxSlots, "more calls than slots")
 			}
 		}
 		m.drainAll()
--- a/tier/policy/slots.go
+++ b/tier/policy/slots.go
@@ -10,8 +10,8 @@
 	// share is how many calls this host may always have in progress; 0 means that another
 	// host of the hall makes the calls for this one.
 	share int
-	// ceiling is the number of slots of the upstream; at least share.
-	ceiling int
+	// maxSlots is the number of slots of the upstream; at least share.
+	maxSlots int
 	// inUse counts granted slots that were not released yet. It is at most share+borrowed,
 	// except for a while after that sum has decreased.
 	inUse     int
@@ -21,19 +21,19 @@
 	queue waiters
 }
 
-func (s *slots) set(share, ceiling int) {
-	s.share, s.ceiling = share, max(ceiling, share)
+func (s *slots) set(share, maxSlots int) {
+	s.share, s.maxSlots = share, max(maxSlots, share)
 	s.borrowing.borrowed = min(s.borrowing.borrowed, s.borrowable())
 }
 
-func (s *slots) borrowable() int { return s.ceiling - s.share }
+func (s *slots) borrowable() int { return s.maxSlots - s.share }
 
 func (s *slots) withBorrowed() int { return s.share + s.borrowing.borrowed }
 
 // allowed returns how many calls this host may have in progress now, without considering
 // slow start.
 func (s *slots) allowed() int {
-	if s.limit.known() {
+	if s.limit.active() {
 		return min(s.withBorrowed(), s.limit.calls)
 	}
 	return s.withBorrowed()
--- a/tier/policy/slots_test.go
+++ b/tier/policy/slots_test.go
@@ -13,12 +13,12 @@
 		allowed, excess int
 		callsPerSlot    float64
 	}{
-		{"idle", slots{share: 2, ceiling: 4}, 2, 0, 0},
-		{"one of two", slots{share: 2, ceiling: 4, inUse: 1}, 2, 0, 0.5},
-		{"full", slots{share: 2, ceiling: 4, inUse: 2}, 2, 1, 1},
-		{"a call waits", slots{share: 2, ceiling: 4, inUse: 2, queue: waiters{{}}}, 2, 2, 1.5},
-		{"borrowed", slots{share: 2, ceiling: 4, borrowing: borrowing{borrowed: 2}, inUse: 3}, 4, 2, 1.5},
-		{"limited", slots{share: 6, ceiling: 6, limit: callLimit{calls: 3}}, 3, 0, 0},
+		{"idle", slots{share: 2, maxSlots: 4}, 2, 0, 0},
+		{"one of two", slots{share: 2, maxSlots: 4, inUse: 1}, 2, 0, 0.5},
+		{"full", slots{share: 2, maxSlots: 4, inUse: 2}, 2, 1, 1},
+		{"a call waits", slots{share: 2, maxSlots: 4, inUse: 2, queue: waiters{{}}}, 2, 2, 1.5},
+		{"borrowed", slots{share: 2, maxSlots: 4, borrowing: borrowing{borrowed: 2}, inUse: 3}, 4, 2, 1.5},
+		{"limited", slots{share: 6, maxSlots: 6, limit: callLimit{calls: 3}}, 3, 0, 0},
 		{"no share", slots{}, 0, 1, 0},
 	}
 	for _, tt := range tests {
@@ -38,6 +38,6 @@
 	s.set(3, 4)
 	assert.Equal(t, s.allowed(), 4)
 	s.set(3, 0)
-	assert.Equal(t, s.ceiling, 3, "no less than the share")
+	assert.Equal(t, s.maxSlots, 3, "no less than the share")
 	assert.Equal(t, s.allowed(), 3)
 }
--- a/tier/policy/suspicion.go
+++ b/tier/policy/suspicion.go
@@ -25,9 +25,8 @@
 	isolatedTimeouts int
 	// cleared is true once an upstream has answered.
 	cleared bool
-	// attemptID is the ID that all crash reports of the run share; 0 before the first
-	// report.
-	attemptID uint64
+	// runID identifies the run in its crash reports; 0 before the first report.
+	runID uint64
 	// deferred counts the parts that wait for the answer of an isolated call.
 	deferred int
 }
@@ -83,7 +82,7 @@
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
 	s.countCrash(a.upstream)
-	if s.attemptID == 0 {
+	if s.runID == 0 {
 		r.reportCrash(now, false)
 	}
 }
@@ -92,18 +91,18 @@
 // request and no call in progress can add to it.
 func (r *Run) reportAtEnd(now time.Duration) {
 	s := &r.suspicion
-	if s.open() && s.attemptID == 0 && s.crashes > 0 && !r.hasCalls() {
+	if s.open() && s.runID == 0 && s.crashes > 0 && !r.hasCalls() {
 		r.reportCrash(now, false)
 	}
 }
 
 func (r *Run) reportCrash(now time.Duration, isolated bool) {
 	s := &r.suspicion
-	if s.attemptID == 0 {
-		s.attemptID = r.fleet.uniqueID()
+	if s.runID == 0 {
+		s.runID = r.fleet.uniqueID()
 	}
 	r.fleet.quarantine.report(now, s.identity, CrashReport{
-		ID: r.fleet.uniqueID(), Attempt: s.attemptID, Isolated: isolated, Upstream: s.lastCrashed,
+		ID: r.fleet.uniqueID(), Attempt: s.runID, Isolated: isolated, Upstream: s.lastCrashed,
 	})
 }
 
--- a/tier/runner/call.go
+++ b/tier/runner/call.go
@@ -16,8 +16,8 @@
 	// batched is true for a call that another host makes within its own slots; it
 	// holds no slot of this host.
 	batched bool
-	// outcome is the outcome of a cancelled call; empty if not cancelled.
-	outcome policy.CallOutcome
+	// cancelOutcome is the cancelOutcome of a cancelled call; empty if not cancelled.
+	cancelOutcome policy.CallOutcome
 	// lingering is true once the call continues although its result is not needed.
 	lingering bool
 	// ended is true once the outcome is known, even before the run is notified.
@@ -67,7 +67,7 @@
 		Relayed: c.batched, Lingering: lingering, NewConnReset: reply.NewConnReset && !c.batched,
 	})
 	e.handle(func(now time.Duration) []policy.Action {
-		e.reply = reply.Answer
+		e.answer = reply.Answer
 		return e.run.Reply(now, a.Attempt, reply.Outcome)
 	})
 	policy.NotifyGranted(granted)
@@ -79,8 +79,8 @@
 	switch {
 	case o != policy.CallBroken && o != policy.CallLost:
 		return o
-	case c.outcome != "":
-		return c.outcome
+	case c.cancelOutcome != "":
+		return c.cancelOutcome
 	case now >= e.deadline:
 		return policy.CallLate
 	}
@@ -94,7 +94,7 @@
 		e.kernel.Fleet.CancelLinger(a.Upstream)
 		return
 	}
-	c.outcome, c.lingering = a.Outcome, true
+	c.cancelOutcome, c.lingering = a.Outcome, true
 	time.AfterFunc(policy.LingerDuration, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
--- a/tier/runner/call_test.go
+++ b/tier/runner/call_test.go
@@ -30,7 +30,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			e := &execution[int]{deadline: deadline}
-			assert.Equal(t, e.finalOutcome(tt.now, &call{outcome: tt.cancelled}, tt.outcome), tt.want)
+			assert.Equal(t, e.finalOutcome(tt.now, &call{cancelOutcome: tt.cancelled}, tt.outcome), tt.want)
 		})
 	}
 }
--- a/tier/runner/runner.go
+++ b/tier/runner/runner.go
@@ -31,8 +31,8 @@
 	// mu guards all fields below.
 	mu  sync.Mutex
 	run *policy.Run
-	// reply is the answer of the call whose outcome the run is handling.
-	reply R
+	// answer is the answer of the call whose outcome the run is handling.
+	answer R
 	// finished is true once the run has finished.
 	finished bool
 	// decidedAt is when the run finished.
@@ -137,13 +137,13 @@
 			sends = append(sends, a)
 		case policy.ActionCancel:
 			if c := e.calls[a.Attempt]; c != nil {
-				c.outcome = a.Outcome
+				c.cancelOutcome = a.Outcome
 				c.cancel()
 			}
 		case policy.ActionLinger:
 			e.linger(a)
 		case policy.ActionMerge:
-			e.caller.Merge(a.Part, e.reply)
+			e.caller.Merge(a.Part, e.answer)
 		case policy.ActionReleaseSlot:
 			granted = append(granted, e.kernel.Fleet.ReleaseSlot(e.kernel.Now(), a.Upstream)...)
 		case policy.ActionFinish:
