--- a/tier/policy/doc.go
+++ b/tier/policy/doc.go
@@ -12,15 +12,15 @@
 // Fleet.Finish. Types that occur only as fields of these types, such as ActionKind,
 // HedgeSkipReason and CrashReport, are exported so that the fields can be read.
 //
-// # Owns
+// # State
 //
-// The state of all upstreams as seen by this host (Fleet), the budgets for hedges and
-// retries, and the requests suspected of crashing upstreams. None of it is stored; it is
-// rebuilt from observations after a restart.
+// The package keeps the state of all upstreams as seen by this host (Fleet), the budgets
+// for hedges and retries, and the requests suspected of crashing upstreams. None of it is
+// stored; it is rebuilt from observations after a restart.
 //
-// # Relies on
+// # Dependencies
 //
-// Package config for classes, routes and listings, and package query for the reasons why
+// Package config provides classes, routes and listings, and package query the reasons why
 // a part is missing. The caller provides a monotonic time and a random source.
 //
 // # Concurrency
--- a/tier/policy/run.go
+++ b/tier/policy/run.go
@@ -56,7 +56,6 @@
 }
 
 type runTimes struct {
-	// admittedAt is when the request was admitted.
 	admittedAt time.Duration
 	// patience is when the run stops waiting for missing parts if the answer has the
 	// required coverage.
--- a/tier/replay/report.go
+++ b/tier/replay/report.go
@@ -54,8 +54,8 @@
 	// answers and refusals count requests, complete the answers that include every
 	// shard.
 	answers, refusals, complete int
-	// queried counts the queried shards, included those in the answers, and attempts the
-	// calls made for them.
+	// queried counts shards over all requests, included those in the answers, and
+	// attempts the calls made for them.
 	queried, included, attempts int
 	latency                     *hdrhistogram.Histogram
 }
--- a/tier/runner/call.go
+++ b/tier/runner/call.go
@@ -16,7 +16,7 @@
 	// batched is true for a call that another host makes within its own slots; it
 	// holds no slot of this host.
 	batched bool
-	// cancelOutcome is the cancelOutcome of a cancelled call; empty if not cancelled.
+	// cancelOutcome is the outcome to report if the call is cancelled; empty if it is not.
 	cancelOutcome policy.CallOutcome
 	// lingering is true once the call continues although its result is not needed.
 	lingering bool
--- a/tier/runner/doc.go
+++ b/tier/runner/doc.go
@@ -5,14 +5,14 @@
 // Start reading at Run. Its user implements Caller to make the calls, and may implement
 // Batcher to make several calls in one message and Observer to see each completed call.
 //
-// # Owns
+// # State
 //
-// The calls in progress of each run. The package reports each call that it started to the
-// fleet and to the run exactly once.
+// The package tracks the calls in progress of each run and can cancel them. Each call
+// that was started is reported to the fleet and to the run exactly once.
 //
-// # Relies on
+// # Dependencies
 //
-// Package policy for all decisions, and package kernel for the fleet, the time, and
+// Package policy makes all decisions. Package kernel provides the fleet, the time, and
 // whether the process was paused.
 //
 // # Concurrency
--- a/tier/runner/runner.go
+++ b/tier/runner/runner.go
@@ -28,7 +28,7 @@
 	deadline time.Duration
 	ctx      context.Context
 
-	// mu guards all fields below.
+	// mu guards the fields below, except the channel done.
 	mu  sync.Mutex
 	run *policy.Run
 	// answer is the answer of the call whose outcome the run is handling.
@@ -111,12 +111,12 @@
 	policy.NotifyGranted(granted)
 }
 
-// slotGranted tells the run that a queued attempt has its slot.
+// slotGranted notifies the run that a queued attempt was granted its slot.
 func (e *execution[R]) slotGranted(n int) {
 	e.handle(func(now time.Duration) []policy.Action { return e.run.Granted(now, n) })
 }
 
-// wake is called by the timer at the time the run asked for.
+// wake wakes the run when the timer fires.
 func (e *execution[R]) wake() {
 	e.handle(func(now time.Duration) []policy.Action {
 		e.wakeAt = timerUnset
