--- a/tier/policy/plugin.go
+++ b/tier/policy/plugin.go
@@ -39,7 +39,8 @@
 	admissions = map[string]admission{}
 )
 
-func named[T any](kind string, registered map[string]T, name string) (T, error) {
+// pluginByName returns a registered plug-in. kind names its kind in the error.
+func pluginByName[T any](kind string, registered map[string]T, name string) (T, error) {
 	p, ok := registered[name]
 	if !ok {
 		return p, fmt.Errorf("%s %q: %w", kind, name, errNotRegistered)
--- a/tier/policy/retry.go
+++ b/tier/policy/retry.go
@@ -47,7 +47,8 @@
 	}
 }
 
-func (r *Run) failed(now time.Duration, i int, o CallOutcome) []Action {
+// handleFailure carries out the next step after a failed call of a part.
+func (r *Run) handleFailure(now time.Duration, i int, o CallOutcome) []Action {
 	p := &r.parts[i]
 	switch r.decideRetry(now, i, o) {
 	case stepRetry:
--- a/tier/policy/run.go
+++ b/tier/policy/run.go
@@ -70,11 +70,11 @@
 
 // NewRun returns a run for a request. Begin starts it.
 func NewRun(c RunConfig) (*Run, error) {
-	chooser, err := named("chooser", choosers, c.Class.Choice)
+	chooser, err := pluginByName("chooser", choosers, c.Class.Choice)
 	if err != nil {
 		return nil, err
 	}
-	admission, err := named("admission", admissions, c.Class.Admission)
+	admission, err := pluginByName("admission", admissions, c.Class.Admission)
 	if err != nil {
 		return nil, err
 	}
@@ -134,7 +134,7 @@
 		a.phase = phaseDone
 		p := &r.parts[a.part]
 		p.active = removeFirst(p.active, n)
-		return r.finishIfDone(now, append(r.releaseSlot(n), r.failed(now, a.part, CallLeaving)...))
+		return r.finishIfDone(now, append(r.releaseSlot(n), r.handleFailure(now, a.part, CallLeaving)...))
 	}
 	if r.deferGranted(n) {
 		return r.finishIfDone(now, r.releaseSlot(n))
@@ -178,7 +178,7 @@
 		r.markMissing(a.part, reasonOf(o))
 		return r.finish(now, nil)
 	}
-	out := r.failed(now, a.part, o)
+	out := r.handleFailure(now, a.part, o)
 	if o == CallCrashed && r.suspicion.crashes == suspectAfter {
 		out = r.isolate(out)
 	}
--- a/tier/policy/run_test.go
+++ b/tier/policy/run_test.go
@@ -128,14 +128,14 @@
 			NotifyGranted(m.fleet.ReleaseSlot(m.now, a.Upstream))
 		case ActionFinish:
 			x.finishCount++
-			m.finished(x)
+			m.checkResult(x)
 		default:
 		}
 	}
 }
 
-// finished checks the result of a run at its end.
-func (m *runModel) finished(x *tracked) {
+// checkResult checks the result of a finished run.
+func (m *runModel) checkResult(x *tracked) {
 	t := m.t
 	assert.Equal(t, x.finishCount, 1)
 	r := x.run.Result()
@@ -277,14 +277,14 @@
 
 func TestConfiguredPluginsAreRegistered(t *testing.T) {
 	for _, n := range config.Choices {
-		_, err := named("chooser", choosers, n)
+		_, err := pluginByName("chooser", choosers, n)
 		assert.NilError(t, err)
 	}
 	for _, n := range config.Admissions {
-		_, err := named("admission", admissions, n)
+		_, err := pluginByName("admission", admissions, n)
 		assert.NilError(t, err)
 	}
-	_, err := named("chooser", choosers, "Best")
+	_, err := pluginByName("chooser", choosers, "Best")
 	assert.ErrorIs(t, err, errNotRegistered)
 }
 
