--- a/tier/policy/classstate.go
+++ b/tier/policy/classstate.go
@@ -14,7 +14,7 @@
 
 // class returns the state of a class and creates it on first use. The fleet must be locked.
 func (f *Fleet) class(name string) *classState {
-	return findOrMake(f.classes, name, func() *classState {
+	return getOrCreate(f.classes, name, func() *classState {
 		return &classState{hedges: budget{budgetStart}, retries: budget{budgetStart}}
 	})
 }
@@ -23,9 +23,9 @@
 func (c *classState) worthPerCall() float64 { return c.worth / max(c.cost, 1) }
 
 func (f *Fleet) maxWorthPerCall() float64 {
-	top := 0.0
+	highest := 0.0
 	for _, c := range f.classes {
-		top = max(top, c.worthPerCall())
+		highest = max(highest, c.worthPerCall())
 	}
-	return top
+	return highest
 }
--- a/tier/policy/cold.go
+++ b/tier/policy/cold.go
@@ -3,19 +3,20 @@
 import "time"
 
 const (
-	// maxColdOwners is how many hosts may consider themselves the owner at the same time: a
-	// host that was paused or partitioned from its hall does not know about the next owner.
+	// maxColdOwners is how many hosts may consider themselves the owner at the same time,
+	// since a host that was paused or partitioned from its hall does not know that another
+	// host has become the owner.
 	maxColdOwners = 2
 	// coldWindow is the interval in which calls to a cold upstream are counted; the
 	// configured rate is per second.
 	coldWindow = time.Second
 	// minColdOwnerAge is how long a process must have run before it may be an owner. Until
-	// the first heartbeats arrive it knows no other host and would own every upstream.
+	// the first heartbeats arrive, it knows no other host and would own every upstream.
 	minColdOwnerAge = 3 * time.Second
 )
 
-// Cold is what a share says about an upstream that may be cold: it started or returned from
-// an evacuation recently and can handle only a few calls per second.
+// Cold describes the warm-up of an upstream. While it is cold, because it started or
+// returned from an evacuation recently, it can handle only a few calls per second.
 type Cold struct {
 	// Remaining is the warm-up time that was left when the directory entry with Revision
 	// was written.
@@ -26,9 +27,9 @@
 	Revision, Sequence uint64
 	// Warmup is how long the upstream may be cold after an evacuation of its hall ends.
 	Warmup time.Duration
-	// CallLimit is the largest number of calls per second, from all hosts together, that
+	// Calls is the largest number of calls per second, from all hosts together, that
 	// the upstream can handle while it is cold; 0 for no limit.
-	CallLimit int
+	Calls int
 	// Evacuated is true while its hall is evacuated.
 	Evacuated bool
 }
@@ -48,7 +49,7 @@
 // has a call limit: a single host, the owner, then makes all of its calls within that
 // limit.
 type cold struct {
-	// entry is what the share said last.
+	// entry is the Cold of the latest share.
 	entry Cold
 	// until is when the warm-up ends.
 	until time.Duration
@@ -65,8 +66,8 @@
 	return c.Revision == other.Revision && c.Sequence == other.Sequence
 }
 
-// update records what a share says. A new entry is treated as if it had just been written,
-// even if it arrives late.
+// update records the Cold of a new share. It treats a new directory entry as just written,
+// even if the entry arrives late.
 func (c *cold) update(now time.Duration, entry Cold) {
 	if !entry.sameEntry(&c.entry) {
 		c.until = now + entry.Remaining
@@ -81,7 +82,7 @@
 
 func (c *cold) active(now time.Duration) bool { return now < c.until }
 
-func (c *cold) throttled(now time.Duration) bool { return c.entry.CallLimit > 0 && c.active(now) }
+func (c *cold) throttled(now time.Duration) bool { return c.entry.Calls > 0 && c.active(now) }
 
 // ownerAt returns the host that must make the calls now; empty if any host may.
 func (c *cold) ownerAt(now time.Duration) string {
@@ -92,7 +93,7 @@
 }
 
 // ownerLimit returns how many calls the owner may send within coldWindow.
-func (c *cold) ownerLimit() int { return max(c.entry.CallLimit/maxColdOwners, 1) }
+func (c *cold) ownerLimit() int { return max(c.entry.Calls/maxColdOwners, 1) }
 
 // allows reports whether this host, as the owner, may send one more call now.
 func (c *cold) allows(now time.Duration) bool {
--- a/tier/policy/ejection_test.go
+++ b/tier/policy/ejection_test.go
@@ -11,7 +11,7 @@
 	tests := []struct {
 		name     string
 		failures int
-		good     bool
+		success  bool
 		want     time.Duration
 	}{
 		{"none", 0, false, 0},
@@ -30,7 +30,7 @@
 			for range tt.failures {
 				e.failed(now)
 			}
-			if tt.good {
+			if tt.success {
 				e.succeeded()
 			}
 			assert.Equal(t, e.active(now), tt.want > 0)
--- a/tier/policy/hedge.go
+++ b/tier/policy/hedge.go
@@ -10,8 +10,8 @@
 const (
 	// minHedgeDelay is the shortest delay after which a call is hedged.
 	minHedgeDelay = 500 * time.Microsecond
-	// hedgeRecheckDivisor divides the hedge delay to get the interval at which a hedge that
-	// was not possible is reconsidered.
+	// hedgeRecheckDivisor divides the hedge delay to get the interval at which the run
+	// reconsiders a hedge that was not possible.
 	hedgeRecheckDivisor = 4
 	// batchHedgeDelay is the fixed part of the extra hedge delay for calls in a batch. It
 	// allows for late progress reports from a busy relay host.
@@ -27,9 +27,9 @@
 const (
 	// HedgeNoUpstream means that no other upstream of the part may be called.
 	HedgeNoUpstream HedgeSkipReason = "NoUpstream"
-	// HedgeNoSlot means that this host has no free slot at the other upstream.
+	// HedgeNoSlot means that this host has no free slot at the upstream for the hedge.
 	HedgeNoSlot HedgeSkipReason = "NoSlot"
-	// HedgeCold means that the other upstream is still warming up.
+	// HedgeCold means that the upstream for the hedge is throttled while it warms up.
 	HedgeCold HedgeSkipReason = "Cold"
 	// HedgeNoBudget means that the retry budget is exhausted or that no further attempt is
 	// allowed.
@@ -85,11 +85,11 @@
 	return r.pick(now, i, anyUpstream)
 }
 
-// hedgesOneAtATime reports whether the run is limited to one hedge in progress, which
-// applies to a gather until the first upstream answers. Calls that are all slow probably
-// share a cause, which may affect other upstreams as well. Otherwise a request that crashes
-// upstreams after some processing time would crash all replicas of all shards on its first
-// attempt, before the first connection breaks.
+// hedgesOneAtATime reports whether the run may have only one hedge in progress. This
+// applies to a gather until the first upstream answers: calls that are all slow probably
+// share a cause, which may affect other upstreams as well. Without the limit, a request
+// that crashes upstreams after some processing time would crash all replicas of all shards
+// on its first attempt, before the first connection breaks.
 func (r *Run) hedgesOneAtATime() bool { return r.suspicion.open() && len(r.parts) > 1 }
 
 func (r *Run) hedgeInProgress() bool {
@@ -105,7 +105,7 @@
 		return false
 	}
 	a := &r.attempts[p.active[0]]
-	return a.phase != phaseQueued && now-a.sentAt >= a.hedgeAge
+	return a.phase != phaseQueued && now-a.sentAt >= a.hedgeDelay
 }
 
 // hedgeTime returns when the hedge of an attempt is considered next.
@@ -113,16 +113,16 @@
 	if !r.hedges() {
 		return r.request.Deadline
 	}
-	first := a.sentAt + a.hedgeAge
+	first := a.sentAt + a.hedgeDelay
 	if a.phase == phaseSent && first > now {
 		return first
 	}
-	return now + max(a.hedgeAge/hedgeRecheckDivisor, minHedgeDelay)
+	return now + max(a.hedgeDelay/hedgeRecheckDivisor, minHedgeDelay)
 }
 
-// probe calls an outlier in addition to the chosen replica, so that its recovery is noticed
-// without delaying a request. Only declared upstreams can be outliers, so the budget of the
-// class pays.
+// probe calls an outlier in addition to the chosen replica, so that this host notices its
+// recovery without delaying a request. Only declared upstreams can be outliers, so the
+// hedge budget of the class pays.
 func (r *Run) probe(now time.Duration, i int, out []Action) []Action {
 	if !r.hedges() || len(r.parts[i].active) == 0 {
 		return out
@@ -140,11 +140,11 @@
 	return out
 }
 
-// DelayHedge postpones the hedge of an attempt in a batch, since progress is reported for
-// the batch as a whole.
+// DelayHedge postpones the hedge of an attempt in a batch, since the relay host reports
+// progress for the batch as a whole.
 func (r *Run) DelayHedge(n int) {
 	a := &r.attempts[n]
-	a.hedgeAge += a.hedgeAge/batchHedgeDivisor + batchHedgeDelay
+	a.hedgeDelay += a.hedgeDelay/batchHedgeDivisor + batchHedgeDelay
 }
 
 // HedgeNow hedges attempts that are known to be slow without waiting for their hedge delay.
@@ -154,7 +154,7 @@
 	}
 	for _, n := range attempts {
 		a := &r.attempts[n]
-		a.hedgeAge = min(a.hedgeAge, now-a.sentAt)
+		a.hedgeDelay = min(a.hedgeDelay, now-a.sentAt)
 	}
 	return r.Wake(now)
 }
--- a/tier/policy/part.go
+++ b/tier/policy/part.go
@@ -14,8 +14,8 @@
 	// reason is why the part is missing; empty while it is open or included.
 	reason query.Reason
 	closed bool
-	// deferred is true while the part waits for the answer of an isolated call. retryDue is
-	// true if starting it again must be paid as a retry, since a call of it was cancelled.
+	// deferred is true while the part waits for the answer to an isolated call. retryDue is
+	// true if its next attempt counts as a retry, since a call of it was cancelled.
 	deferred, retryDue bool
 	// tries counts the attempts, including queued ones.
 	tries int
@@ -50,8 +50,8 @@
 	upstream *Upstream
 	phase    phase
 	sentAt   time.Duration
-	// hedgeAge is the delay after sentAt until the attempt is hedged.
-	hedgeAge time.Duration
+	// hedgeDelay is the delay after sentAt until the attempt is hedged.
+	hedgeDelay time.Duration
 	// waiter is the attempt's entry in the queue of the upstream.
 	waiter *Waiter
 	// isolated is true if the request was suspected when the attempt was sent, and no other
--- a/tier/policy/quarantine.go
+++ b/tier/policy/quarantine.go
@@ -6,23 +6,24 @@
 )
 
 const (
-	// minQuarantineAttempts is the number of attempts with crashes, and of crashes, that
-	// must be reported before a request is quarantined. At least one of them must be
-	// isolated.
-	minQuarantineAttempts = 2
+	// minQuarantineRuns is both the number of runs with a crash and the number of crashes
+	// that hosts must report before a request is quarantined. At least one of the crashes
+	// must be isolated.
+	minQuarantineRuns = 2
 	// minOtherCallers is the number of other callers whose reports quarantine a request for
 	// a caller without reports of its own.
 	minOtherCallers = 2
-	// initialQuarantine is how long a request is first quarantined after its latest
-	// isolated report. When it ends, the request may run again on one upstream at a time,
-	// so that a request that keeps crashing upstreams crashes only a few per day.
+	// initialQuarantine is how long the first quarantine of a request lasts after its latest
+	// isolated crash. The request may then run again on one upstream at a time. Together
+	// with quarantineGrowth, this limits a request that keeps crashing upstreams to a few
+	// crashes per day.
 	initialQuarantine = 2 * time.Minute
 	// quarantineGrowth multiplies the duration of the quarantine with each further isolated
 	// crash, up to crashReportTTL.
 	quarantineGrowth = 5
 )
 
-// ReasonQuarantined is the reason given when a quarantined request is refused.
+// ReasonQuarantined is the reason for refusing a quarantined request.
 const ReasonQuarantined = "the request has crashed the upstreams that ran it"
 
 // Verdict says how to handle a request.
@@ -48,11 +49,11 @@
 }
 
 // verdict returns the verdict on a request of a caller, and how long the request remains
-// quarantined. The reports of a single other caller do not quarantine it, and neither do
-// many reports about a single crash of one upstream.
+// quarantined. Neither the reports of a single other caller nor many reports about a single
+// crash quarantine it.
 func (s *suspect) verdict(now time.Duration, caller netip.Addr) (Verdict, time.Duration) {
 	var all, isolated []*crash
-	attempts, callers := map[uint64]bool{}, map[netip.Addr]bool{}
+	runs, callers := map[uint64]bool{}, map[netip.Addr]bool{}
 	last := never
 	for i := range s.crashes {
 		c := &s.crashes[i]
@@ -60,7 +61,7 @@
 			continue
 		}
 		all = append(all, c)
-		attempts[c.Attempt], callers[c.Caller] = true, true
+		runs[c.Attempt], callers[c.Caller] = true, true
 		if c.Isolated {
 			isolated = append(isolated, c)
 			last = max(last, c.until-crashReportTTL)
@@ -69,11 +70,11 @@
 	if len(all) == 0 {
 		return VerdictClean, 0
 	}
-	enough := len(attempts) >= minQuarantineAttempts && countCrashes(all) >= minQuarantineAttempts
-	believed := callers[caller] || len(callers) >= minOtherCallers
-	left := last + quarantineFor(countCrashes(isolated)) - now
-	if enough && believed && left > 0 {
-		return VerdictQuarantined, left
+	enough := len(runs) >= minQuarantineRuns && countCrashes(all) >= minQuarantineRuns
+	credible := callers[caller] || len(callers) >= minOtherCallers
+	remaining := last + quarantineFor(countCrashes(isolated)) - now
+	if enough && credible && remaining > 0 {
+		return VerdictQuarantined, remaining
 	}
 	return VerdictSuspected, 0
 }
@@ -82,7 +83,7 @@
 	if crashes == 0 {
 		return 0
 	}
-	return exponential(initialQuarantine, quarantineGrowth, crashes-1, crashReportTTL)
+	return exponentialDelay(initialQuarantine, quarantineGrowth, crashes-1, crashReportTTL)
 }
 
 func (s *suspect) worstVerdict(now time.Duration) Verdict {
--- a/tier/policy/retry.go
+++ b/tier/policy/retry.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// minShedPause is the minimum pause before an upstream that shed a call is called
-	// again, as a multiple of the median latency.
+	// minShedPause is the minimum pause before a part calls an upstream again that shed its
+	// call, as a multiple of the median latency.
 	minShedPause = 0.5
 	// shedPauseSpread is the largest random addition to the pause, as a multiple of the
-	// median latency. It keeps calls that were shed together from being retried together.
+	// median latency. It spreads the retries of calls that were shed together.
 	shedPauseSpread = 1.0
 )
 
@@ -47,7 +47,8 @@
 	}
 }
 
-func (r *Run) failed(now time.Duration, i int, o CallOutcome) []Action {
+// handleFailure carries out the next step after a failed call of a part.
+func (r *Run) handleFailure(now time.Duration, i int, o CallOutcome) []Action {
 	p := &r.parts[i]
 	switch r.decideRetry(now, i, o) {
 	case stepRetry:
@@ -58,7 +59,7 @@
 		p.retryAt = now + time.Duration(float64(r.request.Pool.median())*pause)
 		r.wakeBy(p.retryAt)
 	case stepGiveUp:
-		r.unknown = r.unknown || !r.request.Repeatable && !o.NotRun()
+		r.outcomeUnknown = r.outcomeUnknown || !r.request.Repeatable && !o.NotRun()
 		r.markMissing(i, reasonOf(o))
 	case stepWait:
 	}
--- a/tier/policy/run.go
+++ b/tier/policy/run.go
@@ -37,7 +37,7 @@
 	fleet *Fleet
 	// request is the argument of NewRun. It is read-only.
 	request RunConfig
-	// rules holds the behaviour that differs between classes and routed requests.
+	// rules holds the behaviour that differs between requests of a class and routed ones.
 	rules     rules
 	chooser   chooser
 	admission admission
@@ -47,21 +47,21 @@
 	progress progress
 	times    runTimes
 	// finished is true once ActionFinish was issued or the request was refused.
-	finished   bool
+	finished bool
+	// callerGone is true once the caller has disconnected.
 	callerGone bool
-	// unknown is true once a non-repeatable attempt may have run without an answer.
-	unknown   bool
-	suspicion suspicion
+	// outcomeUnknown is true once a non-repeatable attempt may have run without an answer.
+	outcomeUnknown bool
+	suspicion      suspicion
 }
 
 type runTimes struct {
-	// begun is when the request was admitted.
-	begun time.Duration
-	// patience is when an answer with the required coverage is returned although parts are
-	// missing.
+	admittedAt time.Duration
+	// patience is when the run stops waiting for missing parts if the answer has the
+	// required coverage.
 	patience time.Duration
-	// next is when Wake must be called.
-	next time.Duration
+	// wakeAt is when Wake must be called.
+	wakeAt time.Duration
 }
 
 // spareAttempts is the initial capacity for hedges and retries, so that few runs allocate
@@ -70,11 +70,11 @@
 
 // NewRun returns a run for a request. Begin starts it.
 func NewRun(c RunConfig) (*Run, error) {
-	chooser, err := named("chooser", choosers, c.Class.Choice)
+	chooser, err := pluginByName("chooser", choosers, c.Class.Choice)
 	if err != nil {
 		return nil, err
 	}
-	admission, err := named("admission", admissions, c.Class.Admission)
+	admission, err := pluginByName("admission", admissions, c.Class.Admission)
 	if err != nil {
 		return nil, err
 	}
@@ -97,17 +97,17 @@
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
 	id := r.suspicion.identity
-	verdict, left := r.fleet.quarantine.suspect(id.Fingerprint).verdict(now, id.Caller)
+	verdict, remaining := r.fleet.quarantine.suspect(id.Fingerprint).verdict(now, id.Caller)
 	if verdict == VerdictQuarantined {
 		r.finished = true
-		return nil, &Refusal{Reason: ReasonQuarantined, RetryAfter: left}
+		return nil, &Refusal{Reason: ReasonQuarantined, RetryAfter: remaining}
 	}
 	r.suspicion.reported = verdict == VerdictSuspected
 	if err := r.fleet.admit(now, &r.request, r.admission); err != nil {
 		r.finished = true
 		return nil, err
 	}
-	r.times.begun = now
+	r.times.admittedAt = now
 	r.times.patience = now + time.Duration(r.request.Class.Patience)
 	r.rules.earn(len(r.parts))
 	var out []Action
@@ -115,7 +115,7 @@
 		out = r.startOrDefer(now, i, out)
 		out = r.probe(now, i, out)
 	}
-	r.times.next = r.nextWake(now)
+	r.times.wakeAt = r.nextWake(now)
 	return r.finishIfDone(now, out), nil
 }
 
@@ -134,7 +134,7 @@
 		a.phase = phaseDone
 		p := &r.parts[a.part]
 		p.active = removeFirst(p.active, n)
-		return r.finishIfDone(now, append(r.releaseSlot(n), r.failed(now, a.part, CallLeaving)...))
+		return r.finishIfDone(now, append(r.releaseSlot(n), r.handleFailure(now, a.part, CallLeaving)...))
 	}
 	if r.deferGranted(n) {
 		return r.finishIfDone(now, r.releaseSlot(n))
@@ -174,11 +174,11 @@
 		return r.finishIfDone(now, r.includePart(a.part, out))
 	}
 	if o == CallCrashed && r.recordCrash(now, a) {
-		r.unknown = !r.request.Repeatable
+		r.outcomeUnknown = !r.request.Repeatable
 		r.markMissing(a.part, reasonOf(o))
 		return r.finish(now, nil)
 	}
-	out := r.failed(now, a.part, o)
+	out := r.handleFailure(now, a.part, o)
 	if o == CallCrashed && r.suspicion.crashes == suspectAfter {
 		out = r.isolate(out)
 	}
@@ -202,7 +202,7 @@
 		}
 		out = r.wakePart(now, i, out)
 	}
-	r.times.next = r.nextWake(now)
+	r.times.wakeAt = r.nextWake(now)
 	return r.finishIfDone(now, out)
 }
 
@@ -224,7 +224,7 @@
 }
 
 // WakeAt returns when Wake must be called.
-func (r *Run) WakeAt() time.Duration { return r.times.next }
+func (r *Run) WakeAt() time.Duration { return r.times.wakeAt }
 
 // Abort must be called when the caller has disconnected.
 func (r *Run) Abort(now time.Duration) []Action {
@@ -238,7 +238,7 @@
 }
 
 // wakeBy ensures that the run is woken no later than t. Unnecessary wake-ups are harmless.
-func (r *Run) wakeBy(t time.Duration) { r.times.next = min(r.times.next, t) }
+func (r *Run) wakeBy(t time.Duration) { r.times.wakeAt = min(r.times.wakeAt, t) }
 
 // nextWake returns the earliest time at which anything of the run is due.
 func (r *Run) nextWake(now time.Duration) time.Duration {
--- a/tier/policy/suspicion.go
+++ b/tier/policy/suspicion.go
@@ -9,9 +9,9 @@
 // has answered before the request is suspected of causing the crashes.
 const suspectAfter = 2
 
-// suspicion tracks whether the request of a run crashes upstreams. Such a request takes
-// down an upstream of each shard, and another one with each retry. While it is suspected,
-// it runs as isolated attempts, on one upstream at a time, until one has answered.
+// suspicion tracks whether the request of a run crashes upstreams. Such a request crashes an
+// upstream of each shard, and another one with each retry. While it is suspected, it runs as
+// isolated attempts, on one upstream at a time, until one has answered.
 type suspicion struct {
 	// identity identifies the request. It is never suspected if its fingerprint is empty.
 	identity RequestIdentity
@@ -25,9 +25,8 @@
 	isolatedTimeouts int
 	// cleared is true once an upstream has answered.
 	cleared bool
-	// attemptID is the ID that all crash reports of the run share; 0 before the first
-	// report.
-	attemptID uint64
+	// runID identifies the run in its crash reports; 0 before the first report.
+	runID uint64
 	// deferred counts the parts that wait for the answer of an isolated call.
 	deferred int
 }
@@ -58,8 +57,8 @@
 }
 
 // recordCrash records that an upstream crashed while it may have run the request. It
-// reports whether the run must end, which is the case for an isolated attempt, since the
-// upstream ran no other call of the request.
+// reports whether the run must end. This is the case after an isolated attempt, since no
+// other call of the request was in progress.
 func (r *Run) recordCrash(now time.Duration, a *attempt) bool {
 	s := &r.suspicion
 	s.countCrash(a.upstream)
@@ -73,8 +72,8 @@
 }
 
 // recordLateCrash records that an upstream crashed during a call that was no longer needed.
-// A run may end before any of its upstreams crashes because too few shards are left; the
-// crash would otherwise go unnoticed.
+// If too few shards are left, a run may end before any of its upstreams crashes, and the
+// crashes would otherwise go unnoticed.
 func (r *Run) recordLateCrash(now time.Duration, a *attempt) {
 	s := &r.suspicion
 	if !s.open() {
@@ -83,7 +82,7 @@
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
 	s.countCrash(a.upstream)
-	if s.attemptID == 0 {
+	if s.runID == 0 {
 		r.reportCrash(now, false)
 	}
 }
@@ -92,18 +91,18 @@
 // request and no call in progress can add to it.
 func (r *Run) reportAtEnd(now time.Duration) {
 	s := &r.suspicion
-	if s.open() && s.attemptID == 0 && s.crashes > 0 && !r.hasCalls() {
+	if s.open() && s.runID == 0 && s.crashes > 0 && !r.hasCalls() {
 		r.reportCrash(now, false)
 	}
 }
 
 func (r *Run) reportCrash(now time.Duration, isolated bool) {
 	s := &r.suspicion
-	if s.attemptID == 0 {
-		s.attemptID = r.fleet.uniqueID()
+	if s.runID == 0 {
+		s.runID = r.fleet.uniqueID()
 	}
 	r.fleet.quarantine.report(now, s.identity, CrashReport{
-		ID: r.fleet.uniqueID(), Attempt: s.attemptID, Isolated: isolated, Upstream: s.lastCrashed,
+		ID: r.fleet.uniqueID(), Attempt: s.runID, Isolated: isolated, Upstream: s.lastCrashed,
 	})
 }
 
--- a/tier/runner/call_test.go
+++ b/tier/runner/call_test.go
@@ -9,7 +9,8 @@
 	"loomgap/tier/policy"
 )
 
-// TestFinalOutcome checks that calls that this host gave up do not count as broken.
+// TestFinalOutcome checks that calls that this host cancelled do not count as broken or
+// lost.
 func TestFinalOutcome(t *testing.T) {
 	const deadline = time.Second
 	tests := []struct {
@@ -29,7 +30,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			e := &execution[int]{deadline: deadline}
-			assert.Equal(t, e.finalOutcome(tt.now, &call{outcome: tt.cancelled}, tt.outcome), tt.want)
+			assert.Equal(t, e.finalOutcome(tt.now, &call{cancelOutcome: tt.cancelled}, tt.outcome), tt.want)
 		})
 	}
 }
