--- a/tier/policy/crashreport.go
+++ b/tier/policy/crashreport.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// crashReportTTL is how long a crash report counts. It allows for the hours that it
-	// takes to fix a bug in the upstreams.
+	// crashReportTTL is how long a crash report counts. It leaves time to fix the bug in the
+	// upstreams.
 	crashReportTTL = 24 * time.Hour
-	// minRestartTime is shorter than the time in which an upstream can restart and crash
-	// again.
+	// minRestartTime is a lower bound of the time between two crashes of one upstream.
+	// Reports that are closer together are about the same crash.
 	minRestartTime = time.Second
 )
 
 // CrashReport is evidence that a request crashes upstreams: at least one crashed while
 // running it, and none had answered it before.
 type CrashReport struct {
-	// ID is unique among the reports of all hosts, Attempt among the attempts to run a
-	// request.
+	// ID is unique among the reports of all hosts. Attempt identifies the run of the request
+	// during which the upstream crashed.
 	ID, Attempt uint64
-	// Isolated is true if the request ran on a single upstream during the attempt, which
-	// makes another cause of the crash unlikely.
+	// Isolated is true if no other call of that run was in progress, which makes another
+	// cause of the crash unlikely.
 	Isolated bool `json:"Alone,omitempty"`
 	// Upstream is the one that crashed last.
 	Upstream string
-	// Caller is the address that the request came from.
+	// Caller is the address that the request came from; the zero value if unknown.
 	Caller netip.Addr `json:",omitzero"`
 	// Cleared is true once an upstream has answered the request for the same caller. The
 	// report then no longer counts.
@@ -39,7 +39,7 @@
 	Remaining time.Duration `json:"Left"`
 }
 
-// SuspectReport holds the crash reports of one request. Hosts exchange it.
+// SuspectReport holds the crash reports of one request, as hosts exchange them.
 type SuspectReport struct {
 	Fingerprint Fingerprint
 	Crashes     []CrashReport `json:"Strikes"`
--- a/tier/policy/isolation.go
+++ b/tier/policy/isolation.go
@@ -14,7 +14,7 @@
 	// until its deadline.
 	isolatedTimeoutFactor = 4
 	// maxIsolatedTimeouts is the number of isolated calls that may time out before the run
-	// ends. The upstreams of such calls may still crash later, unnoticed.
+	// ends. The limit is low because their upstreams may still crash later, unnoticed.
 	maxIsolatedTimeouts = 2
 )
 
@@ -53,7 +53,7 @@
 // bestDeferred returns the deferred part whose upstream has the earliest expected answer.
 // At least one part must be deferred.
 func (r *Run) bestDeferred(now time.Duration) int {
-	best, low := -1, math.Inf(1)
+	best, lowest := -1, math.Inf(1)
 	for i := range r.parts {
 		if !r.parts[i].deferred {
 			continue
@@ -62,8 +62,8 @@
 		if u := r.pick(now, i, onlyEligible); u != nil {
 			score = r.score(now, u)
 		}
-		if best < 0 || score < low {
-			best, low = i, score
+		if best < 0 || score < lowest {
+			best, lowest = i, score
 		}
 	}
 	return best
@@ -82,8 +82,9 @@
 	return true
 }
 
-// isolate cancels the calls in progress once the request is suspected, since they would
-// crash their upstreams too. Parts with attempts left are deferred.
+// isolate cancels the calls in progress once the request becomes suspected, since they
+// would crash their upstreams too, and defers their parts. A part without attempts left
+// keeps its calls.
 func (r *Run) isolate(out []Action) []Action {
 	if !r.suspected() || r.suspicion.reported {
 		return out
@@ -103,7 +104,7 @@
 
 // isolatedTimedOut reports whether an isolated attempt is so slow that it must be replaced.
 func (r *Run) isolatedTimedOut(now time.Duration, a *attempt) bool {
-	return a.isolated && now-a.sentAt >= isolatedTimeoutFactor*a.hedgeAge && r.suspected()
+	return a.isolated && now-a.sentAt >= isolatedTimeoutFactor*a.hedgeDelay && r.suspected()
 }
 
 // replaceIsolated cancels the isolated call of a part so that another one is made. It ends
--- a/tier/policy/limit_test.go
+++ b/tier/policy/limit_test.go
@@ -9,10 +9,10 @@
 func TestCallLimit(t *testing.T) {
 	const slots = 6
 	tests := []struct {
-		name  string
-		inUse int
-		good  int
-		want  int
+		name      string
+		inUse     int
+		successes int
+		want      int
 	}{
 		{"one less than under way", 6, 0, 5},
 		{"never below the least", 1, 0, minCallLimit},
@@ -25,9 +25,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			l := callLimit{}
 			l.succeeded(slots)
-			assert.Assert(t, !l.known(), "successful calls do not set a limit")
+			assert.Assert(t, !l.active(), "successful calls do not set a limit")
 			l.reset(tt.inUse)
-			for range tt.good {
+			for range tt.successes {
 				l.succeeded(slots)
 			}
 			assert.Equal(t, l.calls, tt.want)
--- a/tier/policy/plugin.go
+++ b/tier/policy/plugin.go
@@ -24,12 +24,13 @@
 	score(now time.Duration, u *Upstream, p *LatencyPool, r Random) float64
 }
 
-// admission limits the expected work of a request to a share of its remaining time.
+// admission limits the expected work of a request to a share of the time that remains until
+// its deadline.
 type admission interface {
-	// allow returns the part of slack that the expected work of a request may fill.
-	// worthPerCall is the worth per call of the request's class, highest the largest of all
-	// classes.
-	allow(slack time.Duration, worthPerCall, highest float64) time.Duration
+	// allowedWork returns how much of the remaining time the expected work of a request may
+	// fill. worthPerCall is the worth per call of the request's class, highest the largest
+	// of all classes.
+	allowedWork(remaining time.Duration, worthPerCall, highest float64) time.Duration
 }
 
 // Plug-ins by name. They register themselves in init functions.
@@ -38,7 +39,8 @@
 	admissions = map[string]admission{}
 )
 
-func named[T any](kind string, registered map[string]T, name string) (T, error) {
+// pluginByName returns a registered plug-in. kind names its kind in the error.
+func pluginByName[T any](kind string, registered map[string]T, name string) (T, error) {
 	p, ok := registered[name]
 	if !ok {
 		return p, fmt.Errorf("%s %q: %w", kind, name, errNotRegistered)
--- a/tier/policy/status_test.go
+++ b/tier/policy/status_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestWindowHoldsItsSnapshots(t *testing.T) {
+func TestSnapshotRangeHolds(t *testing.T) {
 	tests := []struct {
-		window   SnapshotRange
+		held     SnapshotRange
 		snapshot uint64
 		want     bool
 	}{
@@ -22,17 +22,17 @@
 		{SnapshotRange{Oldest: 3, Newest: 5, Known: true}, 6, false},
 	}
 	for _, tt := range tests {
-		assert.Equal(t, tt.window.holds(tt.snapshot), tt.want, "%+v %d", tt.window, tt.snapshot)
+		assert.Equal(t, tt.held.holds(tt.snapshot), tt.want, "%+v %d", tt.held, tt.snapshot)
 	}
 }
 
-func TestStatusKeepsTheNewestWindow(t *testing.T) {
+func TestStatusKeepsNewestRange(t *testing.T) {
 	known := func(oldest, newest uint64) SnapshotRange {
 		return SnapshotRange{Oldest: oldest, Newest: newest, Known: true}
 	}
 	tests := []struct {
 		name     string
-		said     []SnapshotRange
+		reported []SnapshotRange
 		want     SnapshotRange
 		nowKnown bool
 	}{
@@ -46,18 +46,18 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := status{reportedAt: never}
-			for i, w := range tt.said {
-				s.update(time.Duration(i)*time.Second, w)
+			for i, r := range tt.reported {
+				s.update(time.Duration(i)*time.Second, r)
 			}
 			assert.Equal(t, s.snapshots, tt.want)
-			assert.Equal(t, s.reportedAt, time.Duration(len(tt.said)-1)*time.Second)
+			assert.Equal(t, s.reportedAt, time.Duration(len(tt.reported)-1)*time.Second)
 		})
 	}
 }
 
-// TestStatusIsReadOfSilentUpstreams checks that silent upstreams are returned, least
+// TestSilentSince checks that silent upstreams are returned, least
 // recently read first.
-func TestStatusIsReadOfSilentUpstreams(t *testing.T) {
+func TestSilentSince(t *testing.T) {
 	f := NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(1, 0))})
 	f.Apply(0, []Share{{Name: "A", Slots: 1}, {Name: "B", Slots: 1}, {Name: "C", Slots: 1}})
 	second := time.Second
--- a/tier/runner/runner.go
+++ b/tier/runner/runner.go
@@ -28,10 +28,11 @@
 	deadline time.Duration
 	ctx      context.Context
 
+	// mu guards the fields below, except the channel done.
 	mu  sync.Mutex
 	run *policy.Run
-	// reply is the answer of the call whose end is being handled.
-	reply R
+	// answer is the answer of the call whose outcome the run is handling.
+	answer R
 	// finished is true once the run has finished.
 	finished bool
 	// decidedAt is when the run finished.
@@ -39,19 +40,21 @@
 	// calls holds the calls by attempt.
 	calls map[int]*call
 	timer *time.Timer
-	// wakeAt is when the timer fires.
+	// wakeAt is when the timer fires, or timerUnset.
 	wakeAt time.Duration
 	// done is closed when the run has finished.
 	done chan struct{}
 }
 
-// never is later than any time that a timer is set to.
-const never = time.Duration(1<<63 - 1)
+// timerUnset is the wakeAt of an execution whose timer is not set. It is later than any
+// other time.
+const timerUnset = time.Duration(1<<63 - 1)
 
-// Run executes a run and waits until it has finished, which was at decidedAt. A refused
-// request returns a *policy.Refusal. callerGone is closed when the caller disconnects, which
-// aborts the run. Only the values of ctx are used: calls are cancelled by the run alone, so
-// that every call is accounted for even after the caller has disconnected.
+// Run executes a run and waits until it has finished, which was at decidedAt. For a refused
+// request, the error is a *policy.Refusal. The run is aborted when callerGone is closed,
+// which means that the caller has disconnected. Run uses only the values of ctx: only the
+// run itself cancels calls, so that every call is accounted for even after the caller has
+// disconnected.
 func Run[R any](ctx context.Context, c Config[R], callerGone <-chan struct{}) (r policy.Result, decidedAt time.Duration, err error) {
 	e := &execution[R]{
 		kernel: c.Kernel, caller: c.Caller, deadline: c.Run.Deadline, ctx: context.WithoutCancel(ctx),
@@ -108,15 +111,15 @@
 	policy.NotifyGranted(granted)
 }
 
-// slotGranted tells the run that a queued attempt has its slot.
+// slotGranted notifies the run that a queued attempt was granted its slot.
 func (e *execution[R]) slotGranted(n int) {
 	e.handle(func(now time.Duration) []policy.Action { return e.run.Granted(now, n) })
 }
 
-// wake is called by the timer at the time the run asked for.
+// wake wakes the run when the timer fires.
 func (e *execution[R]) wake() {
 	e.handle(func(now time.Duration) []policy.Action {
-		e.wakeAt = never
+		e.wakeAt = timerUnset
 		return e.run.Wake(now)
 	})
 }
@@ -134,13 +137,13 @@
 			sends = append(sends, a)
 		case policy.ActionCancel:
 			if c := e.calls[a.Attempt]; c != nil {
-				c.outcome = a.Outcome
+				c.cancelOutcome = a.Outcome
 				c.cancel()
 			}
 		case policy.ActionLinger:
 			e.linger(a)
 		case policy.ActionMerge:
-			e.caller.Take(a.Part, e.reply)
+			e.caller.Merge(a.Part, e.answer)
 		case policy.ActionReleaseSlot:
 			granted = append(granted, e.kernel.Fleet.ReleaseSlot(e.kernel.Now(), a.Upstream)...)
 		case policy.ActionFinish:
