--- a/loomfake/document.go
+++ b/loomfake/document.go
@@ -57,7 +57,7 @@
 	f.IntVar(&o.shards, "Shards", 24, "number of shards of service Orders")
 	f.IntVar(&o.upstreamPort, "UpstreamPort", 7500, "port of the first upstream; that of each further upstream is 1 higher")
 	f.IntVar(&o.slots, "Slots", 4, "number of slots of each upstream")
-	f.UintVar(&o.keySpace, "KeySpace", 1024, "number of keys")
+	f.UintVar(&o.keySpace, "KeySpace", 1024, "keys")
 	f.DurationVar(&o.deadline, "Deadline", 300*time.Millisecond, "deadline of classes Counter and Order")
 	f.DurationVar(&o.wideDeadline, "WideDeadline", 390*time.Millisecond, "deadline of classes Search and Tally")
 	f.DurationVar(&o.patience, "Patience", 100*time.Millisecond, "setting Patience of class Search")
--- a/loomfake/replay.go
+++ b/loomfake/replay.go
@@ -29,7 +29,7 @@
 
 func (c *replayCommand) flags(f *flag.FlagSet) {
 	f.StringVar(&c.only, "Only", "", "replay only cases whose name contains this `text`")
-	f.Uint64Var(&c.seed, "Seed", 1, "random seed")
+	f.Uint64Var(&c.seed, "Seed", 1, "seed")
 }
 
 func (c *replayCommand) run(context.Context) error {
