--- a/tier/entry/serve.go
+++ b/tier/entry/serve.go
@@ -25,8 +25,8 @@
 	callerReadTimeout = 10 * time.Second
 	// callerIdleTimeout limits the time between two requests of a connection.
 	callerIdleTimeout = 2 * time.Minute
-	// callerHeaderBytes limits the size of a request's header.
-	callerHeaderBytes = 16 << 10
+	// maxCallerHeaderBytes limits the size of a request's header.
+	maxCallerHeaderBytes = 16 << 10
 )
 
 // plugin is the plug-in that serves callers.
@@ -84,7 +84,7 @@
 	}
 	s := &http.Server{
 		Handler: h, ReadHeaderTimeout: callerHeaderTimeout, ReadTimeout: callerReadTimeout,
-		IdleTimeout: callerIdleTimeout, MaxHeaderBytes: callerHeaderBytes,
+		IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxCallerHeaderBytes,
 	}
 	go func() { _ = s.Serve(l) }()
 	return func(timeout time.Duration) {
--- a/tier/entry/status.go
+++ b/tier/entry/status.go
@@ -26,12 +26,12 @@
 	// statusPerRound limits the upstreams that one round reads, so that the cost of a
 	// round does not grow with the fleet.
 	statusPerRound = 50
-	// startInterval is the time between two rounds while the host starts. It is short,
+	// startStatusInterval is the time between two rounds while the host starts. It is short,
 	// because the host cannot serve until it knows the snapshots.
-	startInterval = 100 * time.Millisecond
-	// startHeartbeats is the number of heartbeat intervals that a starting host waits for
+	startStatusInterval = 100 * time.Millisecond
+	// confirmIntervals is the number of heartbeat intervals that a starting host waits for
 	// a peer to confirm its configuration before it serves without confirmation.
-	startHeartbeats = 10
+	confirmIntervals = 10
 )
 
 // statusReader polls the status endpoints of upstreams. It learns which snapshots they hold
@@ -48,7 +48,7 @@
 		}
 		pause := statusInterval
 		if r.kernel.Phase() == kernel.PhaseStarting {
-			pause = startInterval
+			pause = startStatusInterval
 		}
 		kernel.Sleep(ctx, pause)
 	}
@@ -73,7 +73,7 @@
 	if v.Index == nil || r.kernel.Phase() != kernel.PhaseStarting {
 		return
 	}
-	serveUnconfirmed := len(v.Index.Document.Hosts) < 2 || r.kernel.Now() > startHeartbeats*r.kernel.Settings.Beat
+	serveUnconfirmed := len(v.Index.Document.Hosts) < 2 || r.kernel.Now() > confirmIntervals*r.kernel.Settings.Beat
 	if !v.Confirmed && !serveUnconfirmed {
 		return
 	}
@@ -92,7 +92,7 @@
 	}
 	slots := make(chan struct{}, statusConcurrency)
 	var all sync.WaitGroup
-	for _, name := range r.kernel.Fleet.SilentSince(now-statusInterval, limit) {
+	for _, name := range r.kernel.Fleet.NotReportedSince(now-statusInterval, limit) {
 		p := endpoints[name]
 		if p == nil {
 			continue
--- a/tier/pass/backoff.go
+++ b/tier/pass/backoff.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// backoffInitial is the backoff of a host or hall after its first failure. Each attempt
+	// initialBackoff is the backoff of a host or hall after its first failure. Each attempt
 	// to use a host that is cut off costs the calls of a batch.
-	backoffInitial = 2 * time.Second
-	// backoffMax caps the backoff, which doubles with each consecutive failure.
-	backoffMax = 16 * time.Second
+	initialBackoff = 2 * time.Second
+	// maxBackoff caps the backoff, which doubles with each consecutive failure.
+	maxBackoff = 16 * time.Second
 )
 
 // backoff is an exponential backoff for a host or hall that does not respond. The zero
@@ -20,7 +20,7 @@
 }
 
 func (b *backoff) begin(now time.Duration) {
-	b.last = min(max(2*b.last, backoffInitial), backoffMax)
+	b.last = min(max(2*b.last, initialBackoff), maxBackoff)
 	b.until = now + b.last
 }
 
--- a/tier/pass/backoff_test.go
+++ b/tier/pass/backoff_test.go
@@ -11,7 +11,7 @@
 	var b backoff
 	assert.Assert(t, !b.active(0))
 	now := time.Minute
-	for _, want := range []time.Duration{backoffInitial, 2 * backoffInitial, 4 * backoffInitial, backoffMax, backoffMax} {
+	for _, want := range []time.Duration{initialBackoff, 2 * initialBackoff, 4 * initialBackoff, maxBackoff, maxBackoff} {
 		b.begin(now)
 		assert.Assert(t, b.active(now+want-1), "%s", want)
 		now += want
@@ -19,5 +19,5 @@
 	}
 	b = backoff{}
 	b.begin(now)
-	assert.Assert(t, !b.active(now+backoffInitial), "the backoff starts over after a response")
+	assert.Assert(t, !b.active(now+initialBackoff), "the backoff starts over after a response")
 }
--- a/tier/pass/call.go
+++ b/tier/pass/call.go
@@ -117,7 +117,7 @@
 		return out
 	}
 	_ = n.Close()
-	if err != nil && n.reused && p.now()-started >= silentCallTimeout {
+	if err != nil && n.reused && p.now()-started >= unresponsiveCallTimeout {
 		p.closeIdle(func(c *conn) bool { return c.idleSince < started })
 	}
 	out.NewConnReset = !n.reused && errors.Is(err, syscall.ECONNRESET)
--- a/tier/pass/conn.go
+++ b/tier/pass/conn.go
@@ -25,11 +25,11 @@
 	// that is not repeatable.
 	maxFreshIdle    = 500 * time.Millisecond
 	readBufferBytes = 4 << 10
-	// silentCallTimeout is how long a call on a reused connection must go unanswered before
+	// unresponsiveCallTimeout is how long a call on a reused connection must go unanswered before
 	// the other idle connections of the pool are closed. They may all have failed without a
 	// reset, and each would fail one request. The timeout is longer than upstreams usually
 	// pause, and no longer than an unwanted call lingers, so that lingering calls reach it.
-	silentCallTimeout = policy.LingerDuration
+	unresponsiveCallTimeout = policy.LingerDuration
 )
 
 // conn is a connection to an upstream. It carries one request at a time.
--- a/tier/pass/host_test.go
+++ b/tier/pass/host_test.go
@@ -58,8 +58,8 @@
 	usedConns int
 	reply     replyFunc
 	conns     []net.Conn
-	// silencedConns is how many of conns, from the first, no longer respond.
-	silencedConns int
+	// stalledConns is how many of conns, from the first, no longer respond.
+	stalledConns int
 }
 
 // resetConns resets the open connections.
@@ -75,11 +75,11 @@
 	u.conns = nil
 }
 
-// silenceConns makes the open connections unresponsive; new ones work.
-func (u *fakeUpstream) silenceConns() {
+// stallConns makes the open connections unresponsive; new ones work.
+func (u *fakeUpstream) stallConns() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.silencedConns = len(u.conns)
+	u.stalledConns = len(u.conns)
 }
 
 func (u *fakeUpstream) connections() int {
@@ -88,11 +88,11 @@
 	return len(u.conns)
 }
 
-// isSilenced reports whether a connection was silenced.
-func (u *fakeUpstream) isSilenced(c net.Conn) bool {
+// isStalled reports whether a connection was silenced.
+func (u *fakeUpstream) isStalled(c net.Conn) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return slices.Contains(u.conns[:min(u.silencedConns, len(u.conns))], c)
+	return slices.Contains(u.conns[:min(u.stalledConns, len(u.conns))], c)
 }
 
 func newFakeUpstream(t testing.TB, name string, reply replyFunc) *fakeUpstream {
@@ -144,8 +144,8 @@
 		u.requests[id], u.bodies[id] = r, string(body)
 		reply := u.reply
 		u.mu.Unlock()
-		if u.isSilenced(c) {
-			reply = silent
+		if u.isStalled(c) {
+			reply = unresponsive
 		}
 		if !reply(u, c, r) {
 			return
@@ -209,8 +209,8 @@
 	return false
 }
 
-// silent never responds.
-func silent(_ *fakeUpstream, c net.Conn, _ *http.Request) bool {
+// unresponsive never responds.
+func unresponsive(_ *fakeUpstream, c net.Conn, _ *http.Request) bool {
 	_, _ = io.Copy(io.Discard, c)
 	return false
 }
--- a/tier/pass/host_tracker_test.go
+++ b/tier/pass/host_tracker_test.go
@@ -17,7 +17,7 @@
 func TestUnresponsiveHostBackoffGrows(t *testing.T) {
 	r := newHostTracker()
 	now := time.Minute
-	for _, want := range []time.Duration{backoffInitial, 2 * backoffInitial, 4 * backoffInitial, backoffMax, backoffMax} {
+	for _, want := range []time.Duration{initialBackoff, 2 * initialBackoff, 4 * initialBackoff, maxBackoff, maxBackoff} {
 		r.sent("Far", now)
 		assert.Assert(t, r.responsive("Far", now+replyGrace-1))
 		assert.Assert(t, !r.responsive("Far", now+replyGrace))
@@ -30,7 +30,7 @@
 	r.answered("Far", "B", now, time.Millisecond)
 	r.sent("Far", now)
 	r.unanswered("Far", "B", now, true)
-	assert.Assert(t, r.responsive("Far", now+backoffInitial))
+	assert.Assert(t, r.responsive("Far", now+initialBackoff))
 }
 
 // TestUnresponsiveHallIsCalledDirectly leaves batches to the hosts of another hall
@@ -54,10 +54,10 @@
 	assert.Equal(t, sendLost(), "B0")
 	assert.Equal(t, sendLost(), "B1")
 	assert.Equal(t, sendLost(), "")
-	now += backoffInitial
+	now += initialBackoff
 	assert.Equal(t, sendLost(), "B0", "one batch looks whether the way is back")
 	assert.Equal(t, sendLost(), "")
-	now += 2 * backoffInitial
+	now += 2 * initialBackoff
 	host := r.leastPending(v, "B", now, nil)
 	r.sent(host, now)
 	r.answered(host, "B", now, time.Millisecond)
@@ -88,5 +88,5 @@
 	r.declined("Stopping", time.Minute, declineStopping)
 	assert.Assert(t, r.responsive("Route", time.Minute))
 	assert.Assert(t, !r.responsive("Stopping", time.Minute))
-	assert.Assert(t, r.responsive("Stopping", time.Minute+backoffInitial))
+	assert.Assert(t, r.responsive("Stopping", time.Minute+initialBackoff))
 }
--- a/tier/pass/refuse.go
+++ b/tier/pass/refuse.go
@@ -28,9 +28,9 @@
 	// minRetryAfter is the minimum after calls were refused, so that a retry does not meet
 	// the same queue.
 	minRetryAfter = 20 * time.Millisecond
-	// retryJitter is the maximum fraction by which a time is randomly extended, so that
+	// retryAfterJitter is the maximum fraction by which a time is randomly extended, so that
 	// callers that were refused together do not retry together.
-	retryJitter = 0.5
+	retryAfterJitter = 0.5
 )
 
 // refuseQuarantined refuses the request if it is quarantined for crashing upstreams, and
@@ -58,7 +58,7 @@
 // refuse responds that the request did not run and may be retried after the given time,
 // extended by jitter.
 func (q *request) refuse(w http.ResponseWriter, reason string, after time.Duration) {
-	after += rand.N(time.Duration(retryJitter * float64(after)))
+	after += rand.N(time.Duration(retryAfterJitter * float64(after)))
 	q.log(outcomeNotRun, http.StatusServiceUnavailable).Str("Reason", reason).
 		Int64("RetryMillis", after.Milliseconds()).Msg("request refused")
 	w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
--- a/tier/pass/single_test.go
+++ b/tier/pass/single_test.go
@@ -132,7 +132,7 @@
 		assert.Equal(t, r.status, http.StatusServiceUnavailable)
 		after, err := strconv.ParseFloat(r.header.Get("Retry-After"), 64)
 		assert.NilError(t, err)
-		assert.Assert(t, after >= retryAfterNoUpstream.Seconds() && after <= (1+retryJitter)*retryAfterNoUpstream.Seconds(), "%v s", after)
+		assert.Assert(t, after >= retryAfterNoUpstream.Seconds() && after <= (1+retryAfterJitter)*retryAfterNoUpstream.Seconds(), "%v s", after)
 		times[r.header.Get("Retry-After")] = true
 	}
 	assert.Assert(t, len(times) > 1, "same Retry-After for all: %v", times)
@@ -394,13 +394,13 @@
 }
 
 func TestUnresponsiveUpstream(t *testing.T) {
-	h, us := newSingleSetup(t, silent, good("x"))
+	h, us := newSingleSetup(t, unresponsive, good("x"))
 	for i := range 5 {
 		r := h.send(http.MethodGet, "/read/", fmt.Sprint(i), 4000, "")
 		assert.Equal(t, r.status, http.StatusOK)
 		assert.Equal(t, us[1].seen(fmt.Sprint(i)), 1)
 	}
-	h, us = newSingleSetup(t, silent)
+	h, us = newSingleSetup(t, unresponsive)
 	r := h.send(http.MethodPost, "/place/", "one", 200, "b")
 	assert.Equal(t, r.status, http.StatusGatewayTimeout)
 	assert.Equal(t, us[0].seen("one"), 1)
@@ -542,14 +542,14 @@
 		p.put(c)
 	}
 	eventually(t, "connections are accepted", func() bool { return u.connections() == 3 })
-	u.silenceConns()
+	u.stallConns()
 	call := func(id string, bound time.Duration) policy.CallOutcome {
 		ctx, cancel := context.WithTimeout(t.Context(), bound)
 		defer cancel()
 		head := "GET / HTTP/1.1\r\nHost: x\r\n" + names.RequestID + ": " + id + "\r\n"
 		return p.call(ctx, &call{headers: &names, method: http.MethodGet, head: []byte(head), id: id, upstream: "U1", timeLeft: testTimeout, fromGather: true}).Outcome
 	}
-	assert.Equal(t, call("one", silentCallTimeout+silentCallTimeout/4), policy.CallBroken)
+	assert.Equal(t, call("one", unresponsiveCallTimeout+unresponsiveCallTimeout/4), policy.CallBroken)
 	assert.Equal(t, call("two", testTimeout), policy.CallOK)
 }
 
--- a/tier/peers/detection_test.go
+++ b/tier/peers/detection_test.go
@@ -246,9 +246,9 @@
 	return slices.DeleteFunc([]int{60, 300, 584}, func(n int) bool { return n > maxModelHosts })
 }
 
-// TestFailedHostsAreDetectedAtAnySize checks that when a sixth of the hosts fail at once, the
+// TestFailedHostsAreDetectedAtAnyFleetSize checks that when a sixth of the hosts fail at once, the
 // hosts of their halls know 99% of the failures within 5 s, and those of other halls within 8 s.
-func TestFailedHostsAreDetectedAtAnySize(t *testing.T) {
+func TestFailedHostsAreDetectedAtAnyFleetSize(t *testing.T) {
 	for _, hosts := range modelSizes() {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
 			m := newFleetModel(hosts, true)
@@ -273,9 +273,9 @@
 	}
 }
 
-// TestLiveHostsStayLiveAtAnySize checks that no host considers a live one unresponsive for more
+// TestLiveHostsStayLiveAtAnyFleetSize checks that no host considers a live one unresponsive for more
 // than a second, although heartbeats are lost and hosts pause for a second.
-func TestLiveHostsStayLiveAtAnySize(t *testing.T) {
+func TestLiveHostsStayLiveAtAnyFleetSize(t *testing.T) {
 	for _, hosts := range modelSizes() {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
 			m := newFleetModel(hosts, true)
@@ -308,9 +308,9 @@
 	}
 }
 
-// TestHostsDiscoverEachOtherAtAnySize checks that hosts that start together with the same few
+// TestHostsDiscoverEachOtherAtAnyFleetSize checks that hosts that start together with the same few
 // seeds know 99% of their hall after 5 intervals, and 99% of all hosts after 15.
-func TestHostsDiscoverEachOtherAtAnySize(t *testing.T) {
+func TestHostsDiscoverEachOtherAtAnyFleetSize(t *testing.T) {
 	for _, hosts := range modelSizes() {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
 			m := newFleetModel(hosts, false)
--- a/tier/policy/retry.go
+++ b/tier/policy/retry.go
@@ -6,9 +6,9 @@
 	// minShedPause is the minimum pause before a part calls an upstream again that shed its
 	// call, as a multiple of the median latency.
 	minShedPause = 0.5
-	// shedPauseSpread is the largest random addition to the pause, as a multiple of the
+	// shedPauseJitter is the largest random addition to the pause, as a multiple of the
 	// median latency. It spreads the retries of calls that were shed together.
-	shedPauseSpread = 1.0
+	shedPauseJitter = 1.0
 )
 
 type nextStep string
@@ -55,7 +55,7 @@
 		return r.startOrDefer(now, i, nil)
 	case stepPause:
 		p.tried = nil
-		pause := minShedPause + shedPauseSpread*r.fleet.random.Float64()
+		pause := minShedPause + shedPauseJitter*r.fleet.random.Float64()
 		p.retryAt = now + time.Duration(float64(r.request.Pool.median())*pause)
 		r.wakeBy(p.retryAt)
 	case stepGiveUp:
--- a/tier/policy/retryafter.go
+++ b/tier/policy/retryafter.go
@@ -9,9 +9,9 @@
 const (
 	// minRetryAfter is the shortest time after which a refused caller may retry.
 	minRetryAfter = 10 * time.Millisecond
-	// retryAfterSpread is the largest random extension of that time, as a share of it. It
+	// retryAfterJitter is the largest random extension of that time, as a share of it. It
 	// spreads the retries of callers that were refused together.
-	retryAfterSpread = 1.0
+	retryAfterJitter = 1.0
 )
 
 // RetryIn returns how long it takes until enough parts of a request have an upstream that
@@ -51,5 +51,5 @@
 // of the expected work over the allowed work, and at least the duration of one call.
 func (f *Fleet) retryAfter(p *LatencyPool, excess time.Duration) time.Duration {
 	base := max(excess, p.median(), minRetryAfter)
-	return time.Duration(float64(base) * (1 + retryAfterSpread*f.random.Float64())).Round(time.Millisecond)
+	return time.Duration(float64(base) * (1 + retryAfterJitter*f.random.Float64())).Round(time.Millisecond)
 }
--- a/tier/policy/state_golden_test.go
+++ b/tier/policy/state_golden_test.go
@@ -137,7 +137,7 @@
 		return fmt.Sprint("linger ", t.fleet.TryLinger(u))
 	case what == 20:
 		t.fleet.RecordStatus(t.now, u, SnapshotRange{Oldest: 1, Newest: uint64(t.random.IntN(5)), Known: t.random.IntN(2) == 0}, t.random.IntN(40) == 0)
-		return fmt.Sprint("note ", t.fleet.SilentSince(t.now-100*time.Millisecond, 2))
+		return fmt.Sprint("note ", t.fleet.NotReportedSince(t.now-100*time.Millisecond, 2))
 	case what == 21:
 		reported := []Condition{{Upstream: u.Name, Slowness: t.random.IntN(8), FaultPercent: t.random.IntN(100)}}
 		t.fleet.SetConditions(t.now, string(rune('A'+t.random.IntN(2))), reported[:t.random.IntN(2)])
--- a/tier/policy/status_test.go
+++ b/tier/policy/status_test.go
@@ -55,18 +55,18 @@
 	}
 }
 
-// TestSilentSince checks that silent upstreams are returned, least
+// TestNotReportedSince checks that silent upstreams are returned, least
 // recently read first.
-func TestSilentSince(t *testing.T) {
+func TestNotReportedSince(t *testing.T) {
 	f := NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(1, 0))})
 	f.Apply(0, []Share{{Name: "A", Slots: 1}, {Name: "B", Slots: 1}, {Name: "C", Slots: 1}})
 	second := time.Second
-	assert.DeepEqual(t, f.SilentSince(second, 9), []string{"A", "B", "C"})
-	assert.DeepEqual(t, f.SilentSince(second, 2), []string{"A", "B"})
+	assert.DeepEqual(t, f.NotReportedSince(second, 9), []string{"A", "B", "C"})
+	assert.DeepEqual(t, f.NotReportedSince(second, 2), []string{"A", "B"})
 	f.RecordStatusRead(second, "A")
 	f.RecordStatusRead(second, "None")
-	assert.DeepEqual(t, f.SilentSince(second, 9), []string{"B", "C", "A"})
+	assert.DeepEqual(t, f.NotReportedSince(second, 9), []string{"B", "C", "A"})
 	f.RecordStatus(2*second, f.Find("B"), SnapshotRange{}, true)
-	assert.DeepEqual(t, f.SilentSince(second, 9), []string{"C", "A"})
+	assert.DeepEqual(t, f.NotReportedSince(second, 9), []string{"C", "A"})
 	assert.DeepEqual(t, f.Leaving(), []string{"B"})
 }
--- a/tier/policy/statuses.go
+++ b/tier/policy/statuses.go
@@ -15,9 +15,9 @@
 	u.leaving = u.leaving || leaving
 }
 
-// SilentSince returns the names of upstreams that have reported nothing since a time, at
+// NotReportedSince returns the names of upstreams that have reported nothing since a time, at
 // most limit of them, least recently read first.
-func (f *Fleet) SilentSince(since time.Duration, limit int) []string {
+func (f *Fleet) NotReportedSince(since time.Duration, limit int) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	all := slices.Collect(maps.Values(f.upstreams))
--- a/tier/replay/routed_test.go
+++ b/tier/replay/routed_test.go
@@ -40,9 +40,9 @@
 	}}
 }
 
-// TestRoutedPolicyBeatsBaselineAtAnySize requires that the default policies score higher
+// TestRoutedPolicyBeatsBaselineAtAnyFleetSize requires that the default policies score higher
 // than the baseline wherever a shard has several upstreams, and not lower elsewhere.
-func TestRoutedPolicyBeatsBaselineAtAnySize(t *testing.T) {
+func TestRoutedPolicyBeatsBaselineAtAnyFleetSize(t *testing.T) {
 	tests := []struct {
 		shards, replicas, hosts int
 		farDelay                time.Duration
