--- a/loomd/start.go
+++ b/loomd/start.go
@@ -48,7 +48,7 @@
 	return cleanUp, nil
 }
 
-// startStage starts a stage unless the settings skip it. It returns the stage's clean-up
+// startStage starts a stage unless the settings skip it. It returns the stage's cleanup
 // function, nil if there is none.
 func startStage(ctx context.Context, k *kernel.Kernel, p kernel.Plugin) (func(), error) {
 	started := time.Now()
--- a/loomd/stop.go
+++ b/loomd/stop.go
@@ -18,7 +18,7 @@
 }
 
 // waitForStop waits for a signal or a drain command and returns once the host accepts no
-// more requests. Requests in flight continue: the clean-up of the stages waits for them,
+// more requests. Requests in flight continue: the cleanup of the stages waits for them,
 // up to the setting StopBound.
 func waitForStop(k *kernel.Kernel, signals <-chan os.Signal) {
 	select {
--- a/loomfake/platform.go
+++ b/loomfake/platform.go
@@ -104,8 +104,8 @@
 	// pollInterval is how often a waiting read checks again, since the end of a LiveLag
 	// does not notify it.
 	pollInterval = 200 * time.Millisecond
-	// maxDocumentBytes exceeds the limit of the hosts, so that tests can publish a
-	// document that hosts refuse for its size.
+	// maxDocumentBytes exceeds the limit of the hosts, so that a document can be published
+	// that hosts refuse for its size.
 	maxDocumentBytes = 4 * config.MaxBytes
 )
 
--- a/tier/config/index.go
+++ b/tier/config/index.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Index is an accepted document with look-up tables. It is immutable.
+// Index is an accepted document with lookup tables. It is immutable.
 type Index struct {
 	// Edition orders the document among others; its revision is the platform's.
 	Edition
--- a/tier/pass/coordinate_test.go
+++ b/tier/pass/coordinate_test.go
@@ -115,7 +115,7 @@
 	return near.Count() > 0
 }
 
-// TestLostCoordinatorIsNotReplaced has a coordinator begin and become silent. Since its
+// TestLostCoordinatorIsNotReplaced has a coordinator begin and become unresponsive. Since its
 // calls may have run, the host must fail the request soon and make no calls of its own.
 func TestLostCoordinatorIsNotReplaced(t *testing.T) {
 	f := newForwardSetup(t, func(int, int) replyFunc { return unresponsive })
--- a/tier/pass/host_test.go
+++ b/tier/pass/host_test.go
@@ -88,7 +88,7 @@
 	return len(u.conns)
 }
 
-// isStalled reports whether a connection was silenced.
+// isStalled reports whether a connection was stalled.
 func (u *fakeUpstream) isStalled(c net.Conn) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/tier/pass/refuse.go
+++ b/tier/pass/refuse.go
@@ -28,7 +28,7 @@
 	// minRetryAfter is the minimum after calls were refused, so that a retry does not meet
 	// the same queue.
 	minRetryAfter = 20 * time.Millisecond
-	// retryAfterJitter is the maximum fraction by which a time is randomly extended, so that
+	// retryAfterJitter is the largest random extension of a time, as a share of it, so that
 	// callers that were refused together do not retry together.
 	retryAfterJitter = 0.5
 )
--- a/tier/pass/single_test.go
+++ b/tier/pass/single_test.go
@@ -527,7 +527,7 @@
 }
 
 // TestUnresponsiveConnectionsAreClosed has all idle connections to an upstream become
-// silent without a reset, while new ones work: only one call may be lost.
+// unresponsive without a reset, while new ones work: only one call may be lost.
 func TestUnresponsiveConnectionsAreClosed(t *testing.T) {
 	u := newFakeUpstream(t, "U1", good("x"))
 	p := &connPool{address: netip.MustParseAddrPort(u.listener.Addr().String()), now: sinceStart(time.Now())}
--- a/tier/peers/detection_test.go
+++ b/tier/peers/detection_test.go
@@ -152,7 +152,7 @@
 	}
 }
 
-// classifyHosts divides the hosts that a host knows as gossip.sortHosts does with an adapter.
+// classifyHosts divides the hosts that a host knows as gossip.classifyHosts does with an adapter.
 func (m *fleetModel) classifyHosts(h *fleetModelHost) (hall, unresponsive, other []*fleetModelHost) {
 	for _, r := range h.table.order {
 		to := m.hosts[hostIndex(r.Host)]
--- a/tier/peers/feed_test.go
+++ b/tier/peers/feed_test.go
@@ -174,7 +174,7 @@
 	return out, p.updated, nil
 }
 
-// set changes the platform's behavior.
+// set changes the platform's behaviour.
 func (p *fakePlatform) set(change func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/tier/peers/outage.go
+++ b/tier/peers/outage.go
@@ -44,7 +44,7 @@
 }
 
 // nextDelay returns the delay before the next read, drawn at random from the upper half of
-// the back-off so that hosts do not read at the same time.
+// the backoff so that hosts do not read at the same time.
 func (o *outage) nextDelay() time.Duration {
 	o.delay = min(max(2*o.delay, minRetryDelay), maxRetryDelay)
 	return o.delay/2 + rand.N(o.delay/2+1)
--- a/tier/peers/outage_test.go
+++ b/tier/peers/outage_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// TestOutageDelaysGrow checks the back-off after failed reads.
+// TestOutageDelaysGrow checks the backoff after failed reads.
 func TestOutageDelaysGrow(t *testing.T) {
 	var o outage
 	for _, maxDelay := range []time.Duration{minRetryDelay, 2 * minRetryDelay, 4 * minRetryDelay, 8 * minRetryDelay, maxRetryDelay, maxRetryDelay} {
--- a/tier/policy/status_test.go
+++ b/tier/policy/status_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// TestNotReportedSince checks that silent upstreams are returned, least
+// TestNotReportedSince checks that upstreams without a recent report are returned, least
 // recently read first.
 func TestNotReportedSince(t *testing.T) {
 	f := NewFleet(FleetConfig{Random: rand.New(rand.NewPCG(1, 0))})
--- a/tier/replay/case.go
+++ b/tier/replay/case.go
@@ -69,7 +69,7 @@
 	// Seed seeds the random source of arrivals, service times and choices.
 	Seed uint64
 	// duration is the virtual time during which requests arrive. Requests that start
-	// within the initial warmup are not counted.
+	// within the initial warm-up are not counted.
 	duration, warmup time.Duration
 	hosts            int
 	sharing          sharing
