--- a/tier/config/route.go
+++ b/tier/config/route.go
@@ -116,7 +116,7 @@
 	c.Name = r.Name
 	c.Deadline, c.MaxDeadline, c.Margin = r.TimeLimit, r.TimeLimit, 0
 	c.Choice, c.Admission, c.HedgeQuantile = "LeastLatency", "None", routeHedgeQuantile
-	c.Patience = r.Objective - min(ResponseReserve, r.Objective/reserveDivisor)
+	c.Patience = r.Objective - min(ResponseReserve, r.Objective/responseReserveDivisor)
 	c.MaxInFlight = maxRouteInFlight
 	if r.Gather != nil {
 		c.Coverage = r.Gather.Coverage
@@ -125,8 +125,8 @@
 }
 
 const (
-	// reserveDivisor limits ResponseReserve to a fifth of a short objective.
-	reserveDivisor = 5
+	// responseReserveDivisor limits ResponseReserve to a fifth of a short objective.
+	responseReserveDivisor = 5
 	// routeHedgeQuantile is the latency quantile after which a call of a route is hedged.
 	// It is lower than that of a class, because the hedges of a route are limited by its
 	// retry budget, and a call to a paused upstream is best replaced early.
--- a/tier/entry/successor.go
+++ b/tier/entry/successor.go
@@ -58,8 +58,8 @@
 	t.released = true
 	var out []handedTicket
 	for n, s := range t.states {
-		if s.running == nil && now < s.expires {
-			out = append(out, handedTicket{Counter: n, Left: s.expires - now, Statement: s.statement, Answer: s.answer})
+		if s.running == nil && now < s.expiresAt {
+			out = append(out, handedTicket{Counter: n, Left: s.expiresAt - now, Statement: s.statement, Answer: s.answer})
 		}
 	}
 	return out
@@ -74,7 +74,7 @@
 	for _, h := range handed {
 		if len(t.states) < maxTickets && t.states[h.Counter] == nil {
 			t.oldest = min(t.oldest, h.Counter)
-			t.states[h.Counter] = &ticketState{expires: now + min(h.Left, t.Life), statement: h.Statement, answer: h.Answer}
+			t.states[h.Counter] = &ticketState{expiresAt: now + min(h.Left, t.Life), statement: h.Statement, answer: h.Answer}
 		}
 	}
 }
--- a/tier/entry/ticket.go
+++ b/tier/entry/ticket.go
@@ -77,8 +77,8 @@
 
 // ticketState is the state of one minted ticket.
 type ticketState struct {
-	// expires is when the ticket expires, as time since the process started.
-	expires time.Duration
+	// expiresAt is when the ticket expires, as time since the process started.
+	expiresAt time.Duration
 	// statement is the statement that the ticket was first used for; empty if unused.
 	statement string
 	// running is not nil while the order runs, and is closed when it has finished.
@@ -122,7 +122,7 @@
 	}
 	n := t.next
 	t.next++
-	t.states[n] = &ticketState{expires: now + t.Life}
+	t.states[n] = &ticketState{expiresAt: now + t.Life}
 	return ticket{Host: t.Host, Incarnation: t.Incarnation, Counter: n}, nil
 }
 
@@ -131,7 +131,7 @@
 func (t *ticketStore) dropExpired(now time.Duration) {
 	for t.oldest < t.next {
 		s := t.states[t.oldest]
-		if s != nil && (now < s.expires || s.running != nil) {
+		if s != nil && (now < s.expiresAt || s.running != nil) {
 			return
 		}
 		delete(t.states, t.oldest)
@@ -158,7 +158,7 @@
 		return claim{kind: claimDone, answer: s.answer}
 	case s.running != nil:
 		return claim{kind: claimWait, done: s.running}
-	case now >= s.expires:
+	case now >= s.expiresAt:
 		return claim{kind: claimExpired}
 	}
 	s.statement = statement
--- a/tier/pass/conn.go
+++ b/tier/pass/conn.go
@@ -25,10 +25,11 @@
 	// that is not repeatable.
 	maxFreshIdle    = 500 * time.Millisecond
 	readBufferBytes = 4 << 10
-	// unresponsiveCallTimeout is how long a call on a reused connection must go unanswered before
-	// the other idle connections of the pool are closed. They may all have failed without a
-	// reset, and each would fail one request. The timeout is longer than upstreams usually
-	// pause, and no longer than an unwanted call lingers, so that lingering calls reach it.
+	// unresponsiveCallTimeout is how long a call on a reused connection must go unanswered
+	// before the other idle connections of the pool are closed. They may all have failed
+	// without a reset, and each would fail one request. The timeout is longer than upstreams
+	// usually pause, and no longer than an unwanted call lingers, so that lingering calls
+	// reach it.
 	unresponsiveCallTimeout = policy.LingerDuration
 )
 
--- a/tier/pass/coordinate_client.go
+++ b/tier/pass/coordinate_client.go
@@ -85,9 +85,9 @@
 // sentRequest is a request that a coordinator executes for this host. It is used by one
 // goroutine.
 type sentRequest struct {
-	request *request
-	target  policy.Candidate
-	started time.Duration
+	request   *request
+	target    policy.Candidate
+	startedAt time.Duration
 	// responded is true once the coordinator has sent a heartbeat or a reply.
 	responded bool
 	// begun is true once the coordinator was told to begin. Before that it makes no calls.
@@ -104,10 +104,10 @@
 	if span.IsRecording() {
 		span.SetAttributes(attribute.String("Coordinator", s.target.Host))
 	}
-	s.started = e.kernel.Now()
+	s.startedAt = e.kernel.Now()
 	in := q.coordinateRequest(ctx)
 	first := e.hosts.roundTrip(s.target.Host) + e.coordinate.heartbeat.first
-	e.hosts.sent(s.target.Host, s.started+first)
+	e.hosts.sent(s.target.Host, s.startedAt+first)
 	heartbeats, release := e.coordinate.inboxes.open(in.ID, 1)
 	defer release()
 	callCtx, stop := q.untilDeadline(ctx)
@@ -148,7 +148,7 @@
 }
 
 // begin tells the coordinator to begin, after its first heartbeat, and reports whether it
-// was told. This costs a round trip, and prevents a coordinator that was frozen or cut off
+// was told. This costs a round trip, and prevents a coordinator that was paused or cut off
 // from executing a request that another host executes meanwhile.
 func (s *sentRequest) begin(ctx context.Context, id string) bool {
 	if s.begun {
@@ -175,7 +175,7 @@
 	s.responded = true
 	e := s.request.engine
 	now := e.kernel.Now()
-	e.hosts.answered(s.target.Host, s.target.Hall, now, max(now-s.started-held, time.Microsecond))
+	e.hosts.answered(s.target.Host, s.target.Hall, now, max(now-s.startedAt-held, time.Microsecond))
 }
 
 // finish handles the reply to the request, or its error.
--- a/tier/pass/inbound.go
+++ b/tier/pass/inbound.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	// responseReserve is subtracted from the caller's deadline, so that the response
+	// deadlineReserve is subtracted from the caller's deadline, so that the response
 	// arrives in time despite network delay and late timers.
-	responseReserve = 10 * time.Millisecond
-	// responseReserveDivisor limits the reserve to a quarter of the time limit.
-	responseReserveDivisor = 4
+	deadlineReserve = 10 * time.Millisecond
+	// deadlineReserveDivisor limits the reserve to a quarter of the time limit.
+	deadlineReserveDivisor = 4
 	// defaultMaxBodyBytes bounds the body of a request if the document sets no limit.
 	defaultMaxBodyBytes = 1 << 20
 )
@@ -109,7 +109,7 @@
 		}
 		limit = min(limit, time.Duration(millis)*time.Millisecond)
 	}
-	q.times.deadline = q.times.startedAt + limit - min(responseReserve, limit/responseReserveDivisor)
+	q.times.deadline = q.times.startedAt + limit - min(deadlineReserve, limit/deadlineReserveDivisor)
 	return true
 }
 
--- a/tier/pass/relay_client.go
+++ b/tier/pass/relay_client.go
@@ -113,7 +113,7 @@
 	}
 	s := &sentBatch{
 		request: q, calls: b.Calls, in: in, relay: b.Host, reporter: reporter,
-		started: started, due: started + roundTrip + first, roundTrip: roundTrip,
+		startedAt: started, dueAt: started + roundTrip + first, roundTrip: roundTrip,
 	}
 	s.do(ctx)
 }
@@ -159,8 +159,8 @@
 	calls   []policy.Action
 	in      *batchRequest
 	relay   string
-	// started is when the batch was sent; due is when the first reply is due.
-	started, due time.Duration
+	// startedAt is when the batch was sent; dueAt is when the first reply is due.
+	startedAt, dueAt time.Duration
 	// roundTrip is the shortest known round trip to the relay, and after the first reply
 	// the one of this batch.
 	roundTrip time.Duration
@@ -177,7 +177,7 @@
 // do sends the batch and reports its calls until all have ended.
 func (s *sentBatch) do(ctx context.Context) {
 	e := s.request.engine
-	e.hosts.sent(s.relay, s.due)
+	e.hosts.sent(s.relay, s.dueAt)
 	progress, release := e.relay.inboxes.open(s.in.ID, progressBacklog)
 	defer release()
 	callCtx, cancel := s.request.untilDeadline(ctx)
@@ -228,7 +228,7 @@
 	e := s.request.engine
 	now := e.kernel.Now()
 	held := time.Duration(reply.HeldMicros) * time.Microsecond
-	s.roundTrip = max(now-s.started-held, time.Microsecond)
+	s.roundTrip = max(now-s.startedAt-held, time.Microsecond)
 	e.hosts.answered(s.relay, s.hall(), now, s.roundTrip)
 	s.request.relays.answered(s.relay)
 }
@@ -265,7 +265,7 @@
 	}
 	if !s.responded {
 		now := e.kernel.Now()
-		e.hosts.unanswered(s.relay, s.hall(), now, ctx.Err() == nil || now-s.due > replyGrace)
+		e.hosts.unanswered(s.relay, s.hall(), now, ctx.Err() == nil || now-s.dueAt > replyGrace)
 		q.relays.answered(s.relay)
 	}
 	if ctx.Err() != nil {
--- a/tier/pass/relay_server.go
+++ b/tier/pass/relay_server.go
@@ -35,9 +35,9 @@
 	// and its fingerprint is computed from the head, so that the messages between regions
 	// need not contain them.
 	identity policy.RequestIdentity
-	// started is when the calls began, firstDue when the first reply is due, and deadline
+	// startedAt is when the calls began, firstDueAt when the first reply is due, and deadline
 	// when the calls are cancelled.
-	started, firstDue, deadline time.Duration
+	startedAt, firstDueAt, deadline time.Duration
 	// cancel cancels all calls.
 	cancel context.CancelFunc
 
@@ -130,7 +130,7 @@
 	now := e.kernel.Now()
 	b := &servedBatch{
 		engine: e, in: in, identity: e.identityOf(in), cancel: cancel,
-		started: now, firstDue: now + min(time.Duration(in.FirstMillis)*time.Millisecond, left), deadline: now + left,
+		startedAt: now, firstDueAt: now + min(time.Duration(in.FirstMillis)*time.Millisecond, left), deadline: now + left,
 		unreported: unreported{merger: merger{top: in.Top}}, openCalls: len(in.Upstreams), calls: map[int]*servedCall{},
 		finished: make(chan struct{}), changed: make(chan struct{}, 1),
 	}
@@ -270,7 +270,7 @@
 		return nil, true
 	}
 	now := b.engine.kernel.Now()
-	out = &batchReply{Due: now >= b.firstDue, Conditions: b.engine.kernel.Fleet.Conditions(now), HeldMicros: (now - b.started).Microseconds()}
+	out = &batchReply{Due: now >= b.firstDueAt, Conditions: b.engine.kernel.Fleet.Conditions(now), HeldMicros: (now - b.startedAt).Microseconds()}
 	ended, records, succeeded := b.unreported.take()
 	out.Ended = ended
 	out.Records, out.OmittedID = b.omitted.split(records, recordsToSend(b.in.Top, succeeded, b.in.TotalParts))
@@ -286,8 +286,8 @@
 // the first reply was due, soon after any call has ended, so that one call that hangs does
 // not delay the others.
 func (b *servedBatch) waitUntilDue(now time.Duration) {
-	firstDuePassed := now >= b.firstDue
-	until := b.firstDue
+	firstDuePassed := now >= b.firstDueAt
+	until := b.firstDueAt
 	if firstDuePassed {
 		until = b.deadline
 	}
--- a/tier/pass/relay_server_test.go
+++ b/tier/pass/relay_server_test.go
@@ -23,7 +23,7 @@
 	t.Cleanup(closeKernel)
 	return &servedBatch{
 		engine: &engine{kernel: k}, in: &batchRequest{ID: "B"},
-		firstDue: due, deadline: deadline, cancel: func() {}, unreported: unreported{merger: merger{top: 1}}, openCalls: calls,
+		firstDueAt: due, deadline: deadline, cancel: func() {}, unreported: unreported{merger: merger{top: 1}}, openCalls: calls,
 		calls: map[int]*servedCall{}, finished: make(chan struct{}), changed: make(chan struct{}, 1),
 	}
 }
--- a/tier/peers/crash_reports.go
+++ b/tier/peers/crash_reports.go
@@ -51,9 +51,9 @@
 	startExchanges = 2
 	// maxFingerprintBytes limits a fingerprint in a message.
 	maxFingerprintBytes = 64
-	// maxCrashesPerRequest limits the crashes of one request in a message; it is more than a
-	// host keeps.
-	maxCrashesPerRequest = 64
+	// maxCrashReportsPerRequest limits the crash reports of one request in a message; it is
+	// more than a host keeps.
+	maxCrashReportsPerRequest = 64
 )
 
 // errInvalidCrashReports is wrapped when a message of another host is invalid.
@@ -65,14 +65,14 @@
 }
 
 func (m *crashReportsMessage) check() error {
-	if len(m.Reports) > policy.MaxReports {
-		return fmt.Errorf("%w: %d requests: send %d at most", errInvalidCrashReports, len(m.Reports), policy.MaxReports)
+	if len(m.Reports) > policy.MaxSuspectReports {
+		return fmt.Errorf("%w: %d requests: send %d at most", errInvalidCrashReports, len(m.Reports), policy.MaxSuspectReports)
 	}
 	for i := range m.Reports {
 		r := &m.Reports[i]
-		if r.Fingerprint == "" || len(r.Fingerprint) > maxFingerprintBytes || len(r.Crashes) > maxCrashesPerRequest {
+		if r.Fingerprint == "" || len(r.Fingerprint) > maxFingerprintBytes || len(r.Crashes) > maxCrashReportsPerRequest {
 			return fmt.Errorf("%w: fingerprint of %d bytes with %d strikes: send 1 to %d bytes and %d strikes at most",
-				errInvalidCrashReports, len(r.Fingerprint), len(r.Crashes), maxFingerprintBytes, maxCrashesPerRequest)
+				errInvalidCrashReports, len(r.Fingerprint), len(r.Crashes), maxFingerprintBytes, maxCrashReportsPerRequest)
 		}
 	}
 	return nil
@@ -157,7 +157,7 @@
 	if len(reports) == 0 {
 		return
 	}
-	if len(reports) == policy.MaxReports {
+	if len(reports) == policy.MaxSuspectReports {
 		c.notify(false) // there may be more
 	}
 	for i := range reports {
--- a/tier/peers/detection_test.go
+++ b/tier/peers/detection_test.go
@@ -246,8 +246,9 @@
 	return slices.DeleteFunc([]int{60, 300, 584}, func(n int) bool { return n > maxModelHosts })
 }
 
-// TestFailedHostsAreDetectedAtAnyFleetSize checks that when a sixth of the hosts fail at once, the
-// hosts of their halls know 99% of the failures within 5 s, and those of other halls within 8 s.
+// TestFailedHostsAreDetectedAtAnyFleetSize checks that when a sixth of the hosts fail at
+// once, the hosts of their halls know 99% of the failures within 5 s, and those of other halls
+// within 8 s.
 func TestFailedHostsAreDetectedAtAnyFleetSize(t *testing.T) {
 	for _, hosts := range modelSizes() {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
@@ -273,8 +274,8 @@
 	}
 }
 
-// TestLiveHostsStayLiveAtAnyFleetSize checks that no host considers a live one unresponsive for more
-// than a second, although heartbeats are lost and hosts pause for a second.
+// TestLiveHostsStayLiveAtAnyFleetSize checks that no host considers a live one unresponsive
+// for more than a second, although heartbeats are lost and hosts pause for a second.
 func TestLiveHostsStayLiveAtAnyFleetSize(t *testing.T) {
 	for _, hosts := range modelSizes() {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
@@ -308,8 +309,8 @@
 	}
 }
 
-// TestHostsDiscoverEachOtherAtAnyFleetSize checks that hosts that start together with the same few
-// seeds know 99% of their hall after 5 intervals, and 99% of all hosts after 15.
+// TestHostsDiscoverEachOtherAtAnyFleetSize checks that hosts that start together with the
+// same few seeds know 99% of their hall after 5 intervals, and 99% of all hosts after 15.
 func TestHostsDiscoverEachOtherAtAnyFleetSize(t *testing.T) {
 	for _, hosts := range modelSizes() {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
--- a/tier/peers/plugin.go
+++ b/tier/peers/plugin.go
@@ -8,8 +8,8 @@
 	"loomgap/tier/kernel"
 )
 
-// defaultHeartbeat is the time between heartbeats if the settings give none.
-const defaultHeartbeat = time.Second
+// defaultHeartbeatInterval is the time between heartbeats if the settings give none.
+const defaultHeartbeatInterval = time.Second
 
 // plugin starts the exchanges between entry hosts.
 type plugin struct{}
@@ -22,7 +22,7 @@
 
 func (plugin) Default(s *kernel.Settings) {
 	if s.Beat == 0 {
-		s.Beat = defaultHeartbeat
+		s.Beat = defaultHeartbeatInterval
 	}
 }
 
--- a/tier/peers/removal_hold.go
+++ b/tier/peers/removal_hold.go
@@ -21,9 +21,9 @@
 type removalHold struct {
 	// holdUntil is when new removals are no longer held.
 	holdUntil time.Duration
-	// removals are the held removals; they are released at due.
+	// removals are the held removals; they are released at dueAt.
 	removals []config.Removal
-	due      time.Duration
+	dueAt    time.Duration
 }
 
 // platformReturned starts to hold removals after an outage.
@@ -47,15 +47,15 @@
 		h.removals = append(h.removals, d.ImpliedRemovalsAllEras(c)...)
 		c.Resumed = append(c.Resumed, d.ImpliedResumptions(c)...)
 	}
-	if len(h.removals) > 0 && h.due <= now {
-		h.due = now + removalHoldTime
+	if len(h.removals) > 0 && h.dueAt <= now {
+		h.dueAt = now + removalHoldTime
 	}
 	c.Removed, c.Whole = nil, false
 }
 
 // release returns the removals that are due and stops holding them.
 func (h *removalHold) release(now time.Duration) []config.Removal {
-	if now < h.due {
+	if now < h.dueAt {
 		return nil
 	}
 	due := h.removals
@@ -69,5 +69,5 @@
 	if len(h.removals) == 0 {
 		return limit
 	}
-	return min(limit, max(h.due-now, 0))
+	return min(limit, max(h.dueAt-now, 0))
 }
--- a/tier/policy/choose_test.go
+++ b/tier/policy/choose_test.go
@@ -53,7 +53,7 @@
 		{"slower than its like", near(func(u *Upstream) { u.condition.slowness = 1.1 })},
 		{"fails a part of its calls", near(func(u *Upstream) { u.condition.faults = 0.01 })},
 		{"this host's calls are ahead", near(func(u *Upstream) { u.slots.share, u.slots.inUse = 4, 1 })},
-		{"other hosts' calls are ahead", near(func(u *Upstream) { u.load = queueReport{perSlot: 0.25, at: now} })},
+		{"other hosts' calls are ahead", near(func(u *Upstream) { u.load = queueReport{perSlot: 0.25, reportedAt: now} })},
 		{"in another hall", Upstream{condition: condition{observedAt: now}}},
 	}
 	for _, tt := range tests {
--- a/tier/policy/condition.go
+++ b/tier/policy/condition.go
@@ -40,8 +40,8 @@
 type hallConditions struct {
 	// reported holds the upstreams that perform worse than others; the rest perform well.
 	reported map[string]Condition
-	// at is when the report arrived; set to never until the first report.
-	at time.Duration
+	// reportedAt is when the report arrived; set to never until the first report.
+	reportedAt time.Duration
 }
 
 // condition tracks how slow and how faulty an upstream is, based on this host's own calls
@@ -93,7 +93,7 @@
 	if c.slowness > 0 {
 		slowness *= c.slowness
 	}
-	if c.hall == nil || now-c.hall.at > conditionTTL {
+	if c.hall == nil || now-c.hall.reportedAt > conditionTTL {
 		return slowness, faults
 	}
 	r, worse := c.hall.reported[name]
--- a/tier/policy/condition_test.go
+++ b/tier/policy/condition_test.go
@@ -40,7 +40,7 @@
 func TestExpectedCondition(t *testing.T) {
 	const now = time.Minute
 	report := func(age time.Duration, r ...Condition) *hallConditions {
-		h := &hallConditions{reported: map[string]Condition{}, at: now - age}
+		h := &hallConditions{reported: map[string]Condition{}, reportedAt: now - age}
 		for _, c := range r {
 			h.reported[c.Upstream] = c
 		}
--- a/tier/policy/conditions.go
+++ b/tier/policy/conditions.go
@@ -25,7 +25,7 @@
 // hallConditions returns the report of a hall and creates it on first use. Upstreams keep
 // the pointer. The fleet must be locked.
 func (f *Fleet) hallConditions(hall string) *hallConditions {
-	return getOrCreate(f.conditions, hall, func() *hallConditions { return &hallConditions{at: never} })
+	return getOrCreate(f.conditions, hall, func() *hallConditions { return &hallConditions{reportedAt: never} })
 }
 
 // SetConditions stores a host's report about the upstreams of its hall. Upstreams that it
@@ -34,7 +34,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	h := f.hallConditions(hall)
-	h.reported, h.at = make(map[string]Condition, len(reported)), now
+	h.reported, h.reportedAt = make(map[string]Condition, len(reported)), now
 	for _, c := range reported {
 		h.reported[c.Upstream] = c
 	}
--- a/tier/policy/load.go
+++ b/tier/policy/load.go
@@ -17,19 +17,19 @@
 // a host the calls of all others.
 type queueReport struct {
 	// perSlot is the number of queued calls per slot.
-	perSlot float64
-	at      time.Duration
+	perSlot    float64
+	reportedAt time.Duration
 }
 
 func (q *queueReport) update(now time.Duration, l Load) {
 	if l.Slots > 0 {
-		q.perSlot, q.at = float64(l.Waiting)/float64(l.Slots), now
+		q.perSlot, q.reportedAt = float64(l.Waiting)/float64(l.Slots), now
 	}
 }
 
 // expectedPerSlot returns how many queued calls per slot a new call is expected to find.
 func (q *queueReport) expectedPerSlot(now time.Duration) float64 {
-	age := now - q.at
+	age := now - q.reportedAt
 	if age >= loadTTL {
 		return 0
 	}
--- a/tier/policy/quarantine_test.go
+++ b/tier/policy/quarantine_test.go
@@ -168,7 +168,7 @@
 	verdict, _ := f.Verdict(now, RequestIdentity{Fingerprint: "Quarantined"})
 	assert.Equal(t, verdict, VerdictQuarantined)
 	first := f.UnsentReports(now)
-	assert.Equal(t, len(first), MaxReports)
+	assert.Equal(t, len(first), MaxSuspectReports)
 	assert.Equal(t, first[0].Fingerprint, Fingerprint("Quarantined"))
 	assert.Assert(t, f.UnsentReports(now)[0].Fingerprint != "Quarantined", "reports are sent only once")
 }
--- a/tier/policy/run.go
+++ b/tier/policy/run.go
@@ -179,7 +179,7 @@
 		return r.finish(now, nil)
 	}
 	out := r.handleFailure(now, a.part, o)
-	if o == CallCrashed && r.suspicion.crashes == suspectAfter {
+	if o == CallCrashed && r.suspicion.crashes == suspectAfterCrashes {
 		out = r.isolate(out)
 	}
 	return r.finishIfDone(now, out)
--- a/tier/policy/suspects.go
+++ b/tier/policy/suspects.go
@@ -13,9 +13,9 @@
 	maxSuspects = 1024
 	// maxCrashReports is the maximum number of crash reports that a host keeps per request.
 	maxCrashReports = 8
-	// MaxReports is the maximum number of requests that a host reports to another in one
-	// message, about 3 KB before compression.
-	MaxReports = 16
+	// MaxSuspectReports is the maximum number of requests that a host reports to another in
+	// one message, about 3 KB before compression.
+	MaxSuspectReports = 16
 )
 
 // suspect holds the crash reports of a tracked request.
@@ -177,7 +177,7 @@
 	}
 	slices.SortFunc(all, func(a, b Fingerprint) int { return q.compare(now, b, a) })
 	var out []SuspectReport
-	for _, f := range all[:min(len(all), MaxReports)] {
+	for _, f := range all[:min(len(all), MaxSuspectReports)] {
 		s := q.suspects[f]
 		s.unsent = s.unsent && !unsent
 		out = append(out, s.report(now, f))
--- a/tier/policy/suspicion.go
+++ b/tier/policy/suspicion.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// suspectAfter is the number of upstreams that must crash while running a request that none
+// suspectAfterCrashes is the number of upstreams that must crash while running a request that none
 // has answered before the request is suspected of causing the crashes.
-const suspectAfter = 2
+const suspectAfterCrashes = 2
 
 // suspicion tracks whether the request of a run crashes upstreams. Such a request crashes an
 // upstream of each shard, and another one with each retry. While it is suspected, it runs as
@@ -44,7 +44,7 @@
 // upstream at a time.
 func (r *Run) suspected() bool {
 	s := &r.suspicion
-	return s.open() && (s.reported || s.crashes >= suspectAfter)
+	return s.open() && (s.reported || s.crashes >= suspectAfterCrashes)
 }
 
 // recordAnswer records that an upstream has answered, which clears the request.
@@ -65,7 +65,7 @@
 	if !s.open() {
 		return false
 	}
-	if a.isolated || s.crashes == suspectAfter {
+	if a.isolated || s.crashes == suspectAfterCrashes {
 		r.reportCrash(now, a.isolated)
 	}
 	return a.isolated
--- a/tier/runner/batch.go
+++ b/tier/runner/batch.go
@@ -35,9 +35,9 @@
 
 // callBatch makes the calls of a batch, then reports those that the Batcher did not report.
 func (e *execution[R]) callBatch(ctx context.Context, b Batch, calls []*call) {
-	r := &Reporter[R]{execution: e, batch: b.Calls, calls: calls, started: e.kernel.Now()}
+	r := &Reporter[R]{execution: e, batch: b.Calls, calls: calls, startedAt: e.kernel.Now()}
 	unreported := Reply[R]{Outcome: policy.CallNotSent}
-	if e.kernel.Responsive() && r.started < e.deadline {
+	if e.kernel.Responsive() && r.startedAt < e.deadline {
 		e.batcher.CallBatch(ctx, b, r)
 		unreported.Outcome = policy.CallLost
 	}
@@ -51,13 +51,13 @@
 	execution *execution[R]
 	batch     []policy.Action
 	calls     []*call
-	started   time.Duration
+	startedAt time.Duration
 }
 
 // Report records the outcome of one call. Only the first report of a call counts.
 func (r *Reporter[R]) Report(i int, reply Reply[R]) {
 	if !r.calls[i].ended {
-		r.execution.endCall(r.batch[i], r.calls[i], r.started, reply)
+		r.execution.endCall(r.batch[i], r.calls[i], r.startedAt, reply)
 	}
 }
 
