--- a/tier/config/position_test.go
+++ b/tier/config/position_test.go
@@ -273,7 +273,7 @@
 			case 3:
 				s.saveBackup()
 			case 4:
-				s.restore(rapid.SampledFrom(s.backups).Draw(t, "backup"))
+				s.restore(rapid.SampledFrom(s.backups).Draw(t, "copy"))
 				for range rapid.IntRange(0, 3).Draw(t, "writes before it is read") {
 					write()
 				}
@@ -318,14 +318,14 @@
 // in use none.
 func TestOrderingAfterRestore(t *testing.T) {
 	cases := []restoreCase{
-		{"an older document in the backup", version{at(1, 58), 26, false, 0}, version{at(2, 54), 12, true, 0}, true, false},
+		{"an older document in the copy", version{at(1, 58), 26, false, 0}, version{at(2, 54), 12, true, 0}, true, false},
 		{"the next document", version{at(1, 58), 26, false, 0}, version{at(2, 55), 28, false, 0}, true, true},
-		{"an older report in the backup", version{at(1, 57), 7, false, 0}, version{at(2, 40), 5, true, 0}, false, false},
+		{"an older report in the copy", version{at(1, 57), 7, false, 0}, version{at(2, 40), 5, true, 0}, false, false},
 		{"a report written before the first read", version{at(1, 57), 7, false, 0}, version{at(2, 55), 8, true, 0}, false, true},
 		{"a report written after it", version{at(1, 57), 7, false, 0}, version{at(2, 56), 8, false, 0}, false, true},
-		{"a removed upstream in the backup", version{at(1, 50), 7, false, 0}, version{at(2, 40), 5, true, 0}, false, false},
+		{"an upstream in the copy that is gone", version{at(1, 50), 7, false, 0}, version{at(2, 40), 5, true, 0}, false, false},
 		{"a removal after the return", version{at(1, 57), 7, false, 0}, version{at(2, 45), 0, false, 0}, false, true},
-		{"an evacuation in the backup that has ended", version{at(1, 52), 0, false, 0}, version{at(2, 40), 0, true, 0}, false, false},
+		{"an evacuation in the copy that has ended", version{at(1, 52), 0, false, 0}, version{at(2, 40), 0, true, 0}, false, false},
 		{"the end of an evacuation after the return", version{at(1, 51), 0, false, 0}, version{at(2, 47), 0, false, 0}, false, true},
 	}
 	rules := []struct {
--- a/tier/pass/admit_test.go
+++ b/tier/pass/admit_test.go
@@ -95,7 +95,7 @@
 		{"well", func(s int) replyFunc { return good(shardRecords(s)) }, http.StatusOK},
 		{"silent", func(s int) replyFunc {
 			if s%2 == 0 {
-				return unresponsive
+				return hang
 			}
 			return good(shardRecords(s))
 		}, http.StatusGatewayTimeout},
--- a/tier/pass/coordinate_test.go
+++ b/tier/pass/coordinate_test.go
@@ -118,7 +118,7 @@
 // TestLostCoordinatorIsNotReplaced has a coordinator begin and become unresponsive. Since its
 // calls may have run, the host must fail the request soon and make no calls of its own.
 func TestLostCoordinatorIsNotReplaced(t *testing.T) {
-	f := newForwardSetup(t, func(int, int) replyFunc { return unresponsive })
+	f := newForwardSetup(t, func(int, int) replyFunc { return hang })
 	f.network.pushesLeft = 1
 	f.weak.engine.coordinate.heartbeat.next = 300 * time.Millisecond
 	r := f.weak.send(http.MethodGet, "/find/x", "one", 15000, "")
@@ -149,7 +149,7 @@
 	ended := make(chan struct{}, 100)
 	f := newForwardSetup(t, func(int, int) replyFunc {
 		return func(u *fakeUpstream, c net.Conn, r *http.Request) bool {
-			unresponsive(u, c, r)
+			hang(u, c, r)
 			ended <- struct{}{}
 			return false
 		}
--- a/tier/pass/gather_test.go
+++ b/tier/pass/gather_test.go
@@ -122,7 +122,7 @@
 		}, 502, nil, 2},
 		{"one shard is silent", 0.8, func(s, _ int) replyFunc {
 			if s == 3 {
-				return unresponsive
+				return hang
 			}
 			return good(shardRecords(s))
 		}, 200, []int{0, 1, 2, 4, 5}, 2},
@@ -190,7 +190,7 @@
 		{"a shard is silent", func(_ *network, reply *func(int, int) replyFunc) {
 			*reply = func(s, _ int) replyFunc {
 				if s == 2 {
-					return unresponsive
+					return hang
 				}
 				return good(shardRecords(s))
 			}
@@ -198,7 +198,7 @@
 		{"one replica of a shard is silent", func(_ *network, reply *func(int, int) replyFunc) {
 			*reply = func(s, r int) replyFunc {
 				if s == 2 && r == 0 {
-					return unresponsive
+					return hang
 				}
 				return good(shardRecords(s))
 			}
@@ -247,7 +247,7 @@
 	ended := make(chan struct{}, 100)
 	us := newShardUpstreams(t, h, [2]string{"B", "B"}, func(int, int) replyFunc {
 		return func(u *fakeUpstream, c net.Conn, r *http.Request) bool {
-			unresponsive(u, c, r)
+			hang(u, c, r)
 			ended <- struct{}{}
 			return false
 		}
--- a/tier/pass/golden_test.go
+++ b/tier/pass/golden_test.go
@@ -205,7 +205,7 @@
 		{"forwarded, lost", func(f *forwardSetup) {
 			for _, us := range f.upstreams {
 				for _, u := range us {
-					u.reply = unresponsive
+					u.reply = hang
 				}
 			}
 			f.network.pushesLeft = 1
--- a/tier/pass/host_test.go
+++ b/tier/pass/host_test.go
@@ -145,7 +145,7 @@
 		reply := u.reply
 		u.mu.Unlock()
 		if u.isStalled(c) {
-			reply = unresponsive
+			reply = hang
 		}
 		if !reply(u, c, r) {
 			return
@@ -209,8 +209,8 @@
 	return false
 }
 
-// unresponsive never responds.
-func unresponsive(_ *fakeUpstream, c net.Conn, _ *http.Request) bool {
+// hang never responds.
+func hang(_ *fakeUpstream, c net.Conn, _ *http.Request) bool {
 	_, _ = io.Copy(io.Discard, c)
 	return false
 }
--- a/tier/pass/relay_client.go
+++ b/tier/pass/relay_client.go
@@ -105,7 +105,7 @@
 	if span.IsRecording() {
 		span.SetAttributes(attribute.String("Relay", b.Host), attribute.Int("Calls", len(b.Calls)))
 	}
-	started, roundTrip := e.kernel.Now(), e.hosts.roundTrip(b.Host)
+	startedAt, roundTrip := e.kernel.Now(), e.hosts.roundTrip(b.Host)
 	in := q.newBatchRequest(ctx, b.Calls, roundTrip)
 	first := time.Duration(in.FirstMillis) * time.Millisecond
 	if in.FirstMillis == 0 {
@@ -113,7 +113,7 @@
 	}
 	s := &sentBatch{
 		request: q, calls: b.Calls, in: in, relay: b.Host, reporter: reporter,
-		startedAt: started, dueAt: started + roundTrip + first, roundTrip: roundTrip,
+		startedAt: startedAt, dueAt: startedAt + roundTrip + first, roundTrip: roundTrip,
 	}
 	s.do(ctx)
 }
--- a/tier/pass/single_test.go
+++ b/tier/pass/single_test.go
@@ -394,13 +394,13 @@
 }
 
 func TestUnresponsiveUpstream(t *testing.T) {
-	h, us := newSingleSetup(t, unresponsive, good("x"))
+	h, us := newSingleSetup(t, hang, good("x"))
 	for i := range 5 {
 		r := h.send(http.MethodGet, "/read/", fmt.Sprint(i), 4000, "")
 		assert.Equal(t, r.status, http.StatusOK)
 		assert.Equal(t, us[1].seen(fmt.Sprint(i)), 1)
 	}
-	h, us = newSingleSetup(t, unresponsive)
+	h, us = newSingleSetup(t, hang)
 	r := h.send(http.MethodPost, "/place/", "one", 200, "b")
 	assert.Equal(t, r.status, http.StatusGatewayTimeout)
 	assert.Equal(t, us[0].seen("one"), 1)
--- a/tier/peers/crash_reports_test.go
+++ b/tier/peers/crash_reports_test.go
@@ -225,7 +225,7 @@
 		{"no fingerprint", `{"Reports":[{"Strikes":[]}]}`, false},
 		{"a long fingerprint", `{"Reports":[{"Fingerprint":"` + strings.Repeat("F", maxFingerprintBytes+1) + `"}]}`, false},
 		{"too many requests", `{"Reports":[` + many(policy.MaxSuspectReports+1, report) + `]}`, false},
-		{"too many crash reports", `{"Reports":[{"Fingerprint":"F","Strikes":[` + many(maxCrashReportsPerRequest+1, `{"ID":1,"Left":1000}`) + `]}]}`, false},
+		{"too many strikes", `{"Reports":[{"Fingerprint":"F","Strikes":[` + many(maxCrashReportsPerRequest+1, `{"ID":1,"Left":1000}`) + `]}]}`, false},
 		{"a caller that is none", `{"Reports":[{"Fingerprint":"F","Strikes":[{"ID":1,"Caller":"nobody"}]}]}`, false},
 	}
 	for _, tt := range tests {
--- a/tier/peers/members_test.go
+++ b/tier/peers/members_test.go
@@ -122,7 +122,7 @@
 			steady++
 		}
 	}
-	assert.Equal(t, steady, watched, "a live host was considered unresponsive")
+	assert.Equal(t, steady, watched, "a live host was taken for silent")
 	for range 10 * unresponsiveIntervals {
 		round(3)
 	}
--- a/tier/peers/reader_test.go
+++ b/tier/peers/reader_test.go
@@ -37,13 +37,13 @@
 		want       bool
 	}{
 		{"nobody is heard of", nil, true},
-		{"one before announces", map[int]kernel.AnnouncerReport{0: fresh}, false},
-		{"one after announces", map[int]kernel.AnnouncerReport{5: fresh}, true},
-		{"one before is unresponsive", map[int]kernel.AnnouncerReport{0: timedOut}, true},
-		{"one before is unresponsive, another announces", map[int]kernel.AnnouncerReport{0: timedOut, 1: fresh}, false},
-		{"one before fails to read", map[int]kernel.AnnouncerReport{0: platformDown}, true},
-		{"three before fail to read", map[int]kernel.AnnouncerReport{0: platformDown, 1: platformDown, 2: platformDown}, false},
-		{"three before fail to read, one is unresponsive", map[int]kernel.AnnouncerReport{0: platformDown, 1: platformDown, 2: timedOut}, true},
+		{"one before tells", map[int]kernel.AnnouncerReport{0: fresh}, false},
+		{"one after tells", map[int]kernel.AnnouncerReport{5: fresh}, true},
+		{"one before fell silent", map[int]kernel.AnnouncerReport{0: timedOut}, true},
+		{"one before fell silent, another tells", map[int]kernel.AnnouncerReport{0: timedOut, 1: fresh}, false},
+		{"one before reads in vain", map[int]kernel.AnnouncerReport{0: platformDown}, true},
+		{"three before read in vain", map[int]kernel.AnnouncerReport{0: platformDown, 1: platformDown, 2: platformDown}, false},
+		{"three before read in vain, one fell silent", map[int]kernel.AnnouncerReport{0: platformDown, 1: platformDown, 2: timedOut}, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/tier/peers/watch_test.go
+++ b/tier/peers/watch_test.go
@@ -20,7 +20,7 @@
 		{3, 50, 3},
 	}
 	for _, tt := range tests {
-		t.Run(fmt.Sprintf("%d hosts, %d missed reads", tt.hosts, tt.missedReads), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d hosts, %d silent turns", tt.hosts, tt.missedReads), func(t *testing.T) {
 			names := rankedHosts(tt.hosts)
 			watching := 0
 			for _, n := range names {
--- a/tier/policy/suspicion.go
+++ b/tier/policy/suspicion.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// suspectAfterCrashes is the number of upstreams that must crash while running a request that none
-// has answered before the request is suspected of causing the crashes.
+// suspectAfterCrashes is the number of upstreams that must crash while running a request that
+// none has answered before the request is suspected of causing the crashes.
 const suspectAfterCrashes = 2
 
 // suspicion tracks whether the request of a run crashes upstreams. Such a request crashes an
--- a/tier/policy/words_test.go
+++ b/tier/policy/words_test.go
@@ -94,7 +94,7 @@
 	}{
 		{"all fields", SuspectReport{Fingerprint: "F", Crashes: []CrashReport{full}}, `{"Fingerprint":"F","Strikes":[{"ID":1,"Attempt":2,"Alone":true,"Upstream":"U","Caller":"192.0.2.1","Void":true,"Narrow":true,"Left":1000000000}]}`},
 		{"zero values", SuspectReport{Crashes: []CrashReport{{}}}, `{"Fingerprint":"","Strikes":[{"ID":0,"Attempt":0,"Upstream":"","Left":0}]}`},
-		{"no crash reports", SuspectReport{}, `{"Fingerprint":"","Strikes":null}`},
+		{"no strikes", SuspectReport{}, `{"Fingerprint":"","Strikes":null}`},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
