--- a/tier/config/check.go
+++ b/tier/config/check.go
@@ -20,7 +20,7 @@
 	maxWorth    = 1e6
 	// maxHedgeBudget is in hedges per regular call.
 	maxHedgeBudget = 0.2
-	// maxSlots bounds the concurrent calls of an upstream.
+	// maxSlots limits the concurrent calls of an upstream.
 	maxSlots = 4096
 	// maxColdRate is in requests per second, more than any single upstream handles.
 	maxColdRate = 1e6
--- a/tier/config/directory.go
+++ b/tier/config/directory.go
@@ -27,9 +27,9 @@
 	groups btree.Map[string, []Listing]
 	// halls counts the listed upstreams by hall; it is never modified.
 	halls map[string]int
-	// mostListed is the largest number of upstreams ever listed at a time; it bounds the
+	// maxListed is the largest number of upstreams ever listed at a time; it bounds the
 	// number of removals kept.
-	mostListed int
+	maxListed int
 	// digest is the sum of the hashes of all listings, so that a change updates it
 	// without a scan.
 	digest      uint64
--- a/tier/config/directory_edit.go
+++ b/tier/config/directory_edit.go
@@ -44,7 +44,7 @@
 
 // pruneRemovals drops the oldest removals if there are too many.
 func (d *Directory) pruneRemovals() {
-	bound := max(minRemovalsKept, removalsKeptPerUpstream*d.mostListed)
+	bound := max(minRemovalsKept, removalsKeptPerUpstream*d.maxListed)
 	if d.removed.Len() <= bound {
 		return
 	}
@@ -173,7 +173,7 @@
 	e.next.putInGroup(l.Group, l)
 	e.next.digest += l.hash()
 	e.next.halls[l.Hall]++
-	e.next.mostListed = max(e.next.mostListed, e.next.listed.Len())
+	e.next.maxListed = max(e.next.maxListed, e.next.listed.Len())
 }
 
 func (e *editor) removeListing(l Listing) {
--- a/tier/pass/call.go
+++ b/tier/pass/call.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	// maxResponseBytes bounds the body of a response, so that several of them fit into the
+	// maxResponseBytes limits the body of a response, so that several of them fit into the
 	// memory of a small host.
 	maxResponseBytes = 8 << 20
-	// maxResponsesRead bounds the responses that are read for one call: a surplus response
+	// maxResponsesRead limits the responses that are read for one call: a surplus response
 	// to the previous request may come first.
 	maxResponsesRead = 2
 	// maxSyncBodyBytes is the largest body that is written before the response is read. A
--- a/tier/pass/coordinate_client.go
+++ b/tier/pass/coordinate_client.go
@@ -32,7 +32,7 @@
 
 // heartbeatTimeouts bound the waits for the heartbeats of a coordinator.
 type heartbeatTimeouts struct {
-	// first bounds the wait for the first heartbeat, beyond the round trip; next the wait
+	// first limits the wait for the first heartbeat, beyond the round trip; next the wait
 	// for each later one.
 	first, next time.Duration
 }
--- a/tier/pass/crash_test.go
+++ b/tier/pass/crash_test.go
@@ -26,7 +26,7 @@
 	// lateCrashDelay is how long some requests run before they crash the upstream; longer
 	// than the time until a call is hedged.
 	lateCrashDelay = 60 * time.Millisecond
-	// maxReachingAttempts bounds the attempts that reach upstreams: those needed to detect
+	// maxReachingAttempts limits the attempts that reach upstreams: those needed to detect
 	// the crashes, and some already in flight.
 	maxReachingAttempts = 6
 )
--- a/tier/pass/exchange.go
+++ b/tier/pass/exchange.go
@@ -11,7 +11,7 @@
 
 // This file is shared by the relay and coordinator protocols.
 
-// stopTimeout bounds the call that tells a host to stop.
+// stopTimeout limits the call that tells a host to stop.
 const stopTimeout = time.Second
 
 // notifyStop tells a host that the result of a message is no longer wanted. It does not use
--- a/tier/pass/gather_test.go
+++ b/tier/pass/gather_test.go
@@ -92,7 +92,7 @@
 		reply    func(shard, replica int) replyFunc
 		status   int
 		in       []int
-		// maxCalls bounds the calls of one shard.
+		// maxCalls limits the calls of one shard.
 		maxCalls int
 	}{
 		{"all well", 1, func(s, _ int) replyFunc { return good(shardRecords(s)) }, 200, whole, 2},
--- a/tier/pass/inbound.go
+++ b/tier/pass/inbound.go
@@ -21,7 +21,7 @@
 	deadlineReserve = 10 * time.Millisecond
 	// deadlineReserveDivisor limits the reserve to a quarter of the time limit.
 	deadlineReserveDivisor = 4
-	// defaultMaxBodyBytes bounds the body of a request if the document sets no limit.
+	// defaultMaxBodyBytes limits the body of a request if the document sets no limit.
 	defaultMaxBodyBytes = 1 << 20
 )
 
--- a/tier/pass/outcome.go
+++ b/tier/pass/outcome.go
@@ -37,7 +37,7 @@
 	outcomeTooLarge outcome = "TooLarge"
 )
 
-// maxMissingLogged bounds the shards that are listed in one log line.
+// maxMissingLogged limits the shards that are listed in one log line.
 const maxMissingLogged = 8
 
 // log counts the request under its outcome and starts its final log event.
--- a/tier/pass/plugin.go
+++ b/tier/pass/plugin.go
@@ -13,7 +13,7 @@
 
 // Limits of the HTTP server for callers. They are wider than the limits of any document.
 const (
-	// callerHeaderTimeout bounds the time to read the headers of a request.
+	// callerHeaderTimeout limits the time to read the headers of a request.
 	callerHeaderTimeout  = 10 * time.Second
 	callerIdleTimeout    = 2 * time.Minute
 	maxCallerHeaderBytes = 64 << 10
--- a/tier/pass/relay_client.go
+++ b/tier/pass/relay_client.go
@@ -29,9 +29,9 @@
 	firstReplyMargin = 4 * time.Millisecond
 	// minFirstReplyDelay is the minimum time that the calls have until the first reply.
 	minFirstReplyDelay = 5 * time.Millisecond
-	// progressBacklog bounds the progress messages of a batch that are not handled yet.
+	// progressBacklog limits the progress messages of a batch that are not handled yet.
 	progressBacklog = 64
-	// progressGrace bounds the wait for progress messages that were sent before the last
+	// progressGrace limits the wait for progress messages that were sent before the last
 	// reply but arrive after it.
 	progressGrace = 20 * time.Millisecond
 )
--- a/tier/pass/relay_records.go
+++ b/tier/pass/relay_records.go
@@ -25,7 +25,7 @@
 	// fullRecordsDuration is how long relays send all records of a route after omitted ones
 	// were needed: its greatest records are not spread evenly over the shards.
 	fullRecordsDuration = time.Minute
-	// fetchRecordsTimeout bounds fetching omitted records, the last step before the
+	// fetchRecordsTimeout limits fetching omitted records, the last step before the
 	// response.
 	fetchRecordsTimeout = 100 * time.Millisecond
 )
--- a/tier/pass/relay_server.go
+++ b/tier/pass/relay_server.go
@@ -22,7 +22,7 @@
 
 const (
 	maxBatchCalls = 4096
-	// maxBatchDuration bounds the deadline that another host may set.
+	// maxBatchDuration limits the deadline that another host may set.
 	maxBatchDuration = 10 * time.Minute
 )
 
--- a/tier/policy/suspects.go
+++ b/tier/policy/suspects.go
@@ -162,8 +162,8 @@
 	return cmp.Or(cmp.Compare(x.weight(now), y.weight(now)), cmp.Compare(x.expiresAt(), y.expiresAt()), cmp.Compare(a, b))
 }
 
-// reports returns at most MaxReports reports, those of the most relevant requests first. With
-// unsent set, it returns only unsent ones and marks them as sent.
+// reports returns at most MaxSuspectReports reports, those of the most relevant requests
+// first. With unsent set, it returns only unsent ones and marks them as sent.
 func (q *quarantine) reports(now time.Duration, unsent bool) []SuspectReport {
 	var all []Fingerprint
 	for f, s := range q.suspects {
@@ -202,7 +202,7 @@
 	return len(f.quarantine.suspects) > 0
 }
 
-// UnsentReports returns at most MaxReports reports that must be sent to other hosts now.
+// UnsentReports returns at most MaxSuspectReports reports that must be sent to other hosts now.
 // The rest is returned by the next call.
 func (f *Fleet) UnsentReports(now time.Duration) []SuspectReport {
 	f.mu.Lock()
