--- a/tier/pass/call.go
+++ b/tier/pass/call.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	// maxResponseBytes bounds the body of a response, so that several of them fit into the
+	// maxResponseBytes limits the body of a response, so that several of them fit into the
 	// memory of a small host.
 	maxResponseBytes = 8 << 20
-	// maxResponsesRead bounds the responses that are read for one call: a surplus response
+	// maxResponsesRead limits the responses that are read for one call: a surplus response
 	// to the previous request may come first.
 	maxResponsesRead = 2
 	// maxSyncBodyBytes is the largest body that is written before the response is read. A
@@ -117,7 +117,7 @@
 		return out
 	}
 	_ = n.Close()
-	if err != nil && n.reused && p.now()-started >= silentCallTimeout {
+	if err != nil && n.reused && p.now()-started >= unresponsiveCallTimeout {
 		p.closeIdle(func(c *conn) bool { return c.idleSince < started })
 	}
 	out.NewConnReset = !n.reused && errors.Is(err, syscall.ECONNRESET)
--- a/tier/policy/suspects.go
+++ b/tier/policy/suspects.go
@@ -13,9 +13,9 @@
 	maxSuspects = 1024
 	// maxCrashReports is the maximum number of crash reports that a host keeps per request.
 	maxCrashReports = 8
-	// MaxReports is the maximum number of requests that a host reports to another in one
-	// message, about 3 KB before compression.
-	MaxReports = 16
+	// MaxSuspectReports is the maximum number of requests that a host reports to another in
+	// one message, about 3 KB before compression.
+	MaxSuspectReports = 16
 )
 
 // suspect holds the crash reports of a tracked request.
@@ -162,8 +162,8 @@
 	return cmp.Or(cmp.Compare(x.weight(now), y.weight(now)), cmp.Compare(x.expiresAt(), y.expiresAt()), cmp.Compare(a, b))
 }
 
-// reports returns at most MaxReports reports, those of the most relevant requests first. With
-// unsent set, it returns only unsent ones and marks them as sent.
+// reports returns at most MaxSuspectReports reports, those of the most relevant requests
+// first. With unsent set, it returns only unsent ones and marks them as sent.
 func (q *quarantine) reports(now time.Duration, unsent bool) []SuspectReport {
 	var all []Fingerprint
 	for f, s := range q.suspects {
@@ -177,7 +177,7 @@
 	}
 	slices.SortFunc(all, func(a, b Fingerprint) int { return q.compare(now, b, a) })
 	var out []SuspectReport
-	for _, f := range all[:min(len(all), MaxReports)] {
+	for _, f := range all[:min(len(all), MaxSuspectReports)] {
 		s := q.suspects[f]
 		s.unsent = s.unsent && !unsent
 		out = append(out, s.report(now, f))
@@ -202,7 +202,7 @@
 	return len(f.quarantine.suspects) > 0
 }
 
-// UnsentReports returns at most MaxReports reports that must be sent to other hosts now.
+// UnsentReports returns at most MaxSuspectReports reports that must be sent to other hosts now.
 // The rest is returned by the next call.
 func (f *Fleet) UnsentReports(now time.Duration) []SuspectReport {
 	f.mu.Lock()
