--- a/tier/config/index.go
+++ b/tier/config/index.go
@@ -10,7 +10,8 @@
 
 // Index is an accepted document with lookup tables. It is immutable.
 type Index struct {
-	// Edition orders the document among others; its revision is the platform's.
+	// Edition determines which of two documents is newer; Edition.Revision is the document's
+	// revision on the platform.
 	Edition
 	// Digest is a hash of Text.
 	Digest string
--- a/tier/config/position_test.go
+++ b/tier/config/position_test.go
@@ -160,8 +160,8 @@
 	assert.DeepEqual(t, d.EvacuatedHalls(), []string{"Ended"})
 }
 
-// TestEntriesWithoutEra checks that entries without an era are ordered by their
-// revisions until an era is settled, and belong to the time before it from then on.
+// TestEntriesWithoutEra checks that entries without an era are ordered by their revisions
+// until an era is settled, and are older than that era afterwards.
 func TestEntriesWithoutEra(t *testing.T) {
 	d, _ := (*Directory)(nil).With(&DirectoryChange{Revision: 58, Listed: []Listing{listing("U", at(0, 57), 0, false), listing("V", at(0, 50), 0, false)}})
 	d, _ = d.With(&DirectoryChange{Era: 1, Revision: 58, Whole: true, Listed: []Listing{listing("U", at(1, 57), 7, true), listing("V", at(1, 50), 3, true)}})
@@ -223,7 +223,7 @@
 	}
 }
 
-// readAll returns a complete listing; settled says whether its era is settled.
+// readAll returns a complete listing; settled is whether its era is settled.
 func (s *fakeStore) readAll(settled bool) DirectoryChange {
 	c := DirectoryChange{Era: s.era, Revision: s.revision, Whole: true, Listed: []Listing{}}
 	for _, l := range s.entries {
@@ -314,8 +314,8 @@
 }
 
 // TestOrderingAfterRestore compares rules for deciding whether an entry read after a
-// restore replaces the known one. Each has a known number of wrong decisions, the rule
-// in use none.
+// restore replaces the known one. Each rule must make the given number of wrong decisions,
+// and the rule in use must make none.
 func TestOrderingAfterRestore(t *testing.T) {
 	cases := []restoreCase{
 		{"an older document in the copy", version{at(1, 58), 26, false, 0}, version{at(2, 54), 12, true, 0}, true, false},
@@ -360,8 +360,8 @@
 	}
 }
 
-// TestReportsOfRestartedUpstream checks the order of reports of two processes with the
-// same name, in a backup and after the restore.
+// TestReportsOfRestartedUpstream checks the order of reports of two processes of an
+// upstream, one of which may be read from a restored backup.
 func TestReportsOfRestartedUpstream(t *testing.T) {
 	listed := func(era, revision, sequence uint64, startedMillis int64, copied bool) Listing {
 		return Listing{Name: "U", Group: "G", Era: era, Revision: revision, Sequence: sequence, StartedMillis: startedMillis, Copied: copied}
--- a/tier/kernel/lifecycle.go
+++ b/tier/kernel/lifecycle.go
@@ -27,9 +27,9 @@
 // lifecycle tracks the phase of a host and what a graceful shutdown waits for. It is safe
 // for concurrent use.
 type lifecycle struct {
-	// InFlight counts the requests in flight, including those of other hosts.
+	// InFlight counts the requests in flight, including those run for other hosts.
 	InFlight atomic.Int64
-	// phase holds a Phase; it never goes back from PhaseDraining.
+	// phase holds a Phase; once it is PhaseDraining, it does not change.
 	phase atomic.Value
 	// stopping is closed once, when a graceful shutdown is requested.
 	stopping chan struct{}
--- a/tier/kernel/state.go
+++ b/tier/kernel/state.go
@@ -16,11 +16,11 @@
 	Directory *config.Directory
 	// Members holds the other entry hosts by name.
 	Members map[string]Member
-	// MemberChanges is incremented with each change of a member other than of
-	// Member.Revision. While it is unchanged, cached results computed from the members
+	// MemberChanges is incremented when members change, except when only Member.Revision
+	// changes. While MemberChanges is unchanged, cached results computed from the members
 	// remain valid.
 	MemberChanges uint64
-	// Pauses counts the pauses of this process.
+	// Pauses counts how often the control thread detected that this process had been paused.
 	Pauses int
 
 	// changed is true if a view has to be published after the current job.
@@ -95,7 +95,8 @@
 	Returned map[string]time.Duration
 }
 
-// MarkLeaving records a leave notice of an upstream, given at the time at.
+// MarkLeaving records a leave notice that an upstream gave at the given time, unless the
+// upstream has returned since.
 func (s *State) MarkLeaving(upstream string, at time.Duration) {
 	if returned := s.Returned[upstream]; returned > 0 && at <= returned {
 		return
--- a/tier/pass/inbound.go
+++ b/tier/pass/inbound.go
@@ -113,7 +113,7 @@
 	return true
 }
 
-// readBody reads the body. If ok is false, it has responded to the request.
+// readBody reads the body. If that fails, it responds to the request and returns false.
 func (q *request) readBody(w http.ResponseWriter, r *http.Request) (body []byte, ok bool) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, true
--- a/tier/pass/relay_messages.go
+++ b/tier/pass/relay_messages.go
@@ -88,7 +88,7 @@
 }
 
 type recordsRequest struct {
-	// ID is the ID of the batch; OmittedID is that of the batchReply.
+	// ID is the ID of the batch; OmittedID is the OmittedID of the batchReply.
 	ID        string
 	OmittedID int `json:"Cut"`
 }
--- a/tier/pass/relay_records.go
+++ b/tier/pass/relay_records.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// This file has both ends of the handling of omitted records: a relay sends only the
-// records that are likely to belong to the response, and the sender fetches the others if
-// the response needs them.
+// This file implements both ends of omitting records: a relay sends only the records that
+// are likely to belong to the response, and the sender of the batch fetches the others if the
+// response needs them.
 
 const (
-	// extraRecords is how many records are sent beyond the expected number and its
-	// deviations.
+	// extraRecords is how many records are sent in addition to the expected number and
+	// extraDeviations.
 	extraRecords = 2
 	// extraDeviations is how many standard deviations are added to the expected number;
 	// with three, about one response in a thousand needs more.
@@ -23,16 +23,17 @@
 	// batch.
 	omittedRetention = time.Second
 	// fullRecordsDuration is how long relays send all records of a route after omitted ones
-	// were needed: its greatest records are not spread evenly over the shards.
+	// were needed, since the greatest records of the route are not spread evenly over the
+	// shards.
 	fullRecordsDuration = time.Minute
 	// fetchRecordsTimeout limits fetching omitted records, the last step before the
 	// response.
 	fetchRecordsTimeout = 100 * time.Millisecond
 )
 
-// recordsToSend returns how many of the greatest records to send for the parts of one
-// reply, out of the total parts of the response. If the records are spread evenly over the
-// parts, more are rarely needed.
+// recordsToSend returns how many of the greatest records a reply with the given number of
+// parts contains; total is the number of parts of the response. If the records are spread
+// evenly over the parts, more are rarely needed.
 func recordsToSend(top, parts, total int) int {
 	if total <= 0 || parts >= total {
 		return top
@@ -47,8 +48,8 @@
 // reply refers to item n-1.
 type omittedRecords [][]byte
 
-// split returns the first count records, and the OmittedID of the others, which are kept;
-// 0 if there are none.
+// split returns the first count records. It keeps the others and returns their OmittedID, or 0
+// if there are no others.
 func (o *omittedRecords) split(records []byte, count int) (sent []byte, omittedID int) {
 	n := count * recordBytes
 	if len(records) <= n {
@@ -77,18 +78,19 @@
 	key   recordsRequest
 }
 
-// fullRecordRoutes holds the routes for which relays are to send all records.
+// fullRecordRoutes holds the routes for which relays must send all records.
 type fullRecordRoutes struct {
-	// until maps each route name to the time.Duration until which relays send all records.
+	// until maps each route name to the time, a time.Duration, until which relays send all
+	// records.
 	until sync.Map
 }
 
-func (a *fullRecordRoutes) enable(route string, now time.Duration) {
-	a.until.Store(route, now+fullRecordsDuration)
+func (f *fullRecordRoutes) enable(route string, now time.Duration) {
+	f.until.Store(route, now+fullRecordsDuration)
 }
 
-func (a *fullRecordRoutes) enabled(route string, now time.Duration) bool {
-	until, ok := a.until.Load(route)
+func (f *fullRecordRoutes) enabled(route string, now time.Duration) bool {
+	until, ok := f.until.Load(route)
 	return ok && now < until.(time.Duration)
 }
 
--- a/tier/peers/members.go
+++ b/tier/peers/members.go
@@ -37,7 +37,7 @@
 	Counter uint64
 	// Leaving is true once the process has reported that it stops, and stays true.
 	Leaving bool `json:",omitempty"`
-	// Revision is that of the host's active document.
+	// Revision is the revision of the host's active document.
 	Revision uint64
 	// Hall and Peer are the host's hall and address, used if the document does not list it.
 	Hall string         `json:",omitempty"`
--- a/tier/peers/outage.go
+++ b/tier/peers/outage.go
@@ -22,10 +22,11 @@
 type outage struct {
 	// succeededAt is when the last read succeeded.
 	succeededAt time.Duration
-	// failingSince is when the first of the current series of reads failed; 0 if the last
-	// read succeeded.
+	// failingSince is when the first of the current series of failed reads failed; 0 if the
+	// last read succeeded.
 	failingSince time.Duration
-	// delay is the upper limit of the last delay; 0 if the last read succeeded.
+	// delay is the backoff after the last failed read, before randomization; 0 if the last
+	// read succeeded.
 	delay time.Duration
 }
 
--- a/tier/peers/restore.go
+++ b/tier/peers/restore.go
@@ -12,7 +12,7 @@
 // A platform that is restored from a backup begins another era of its history. The backup
 // may list upstreams that have left, lack live ones, and report a leaving one as ready.
 // Operators and upstreams correct that within seconds. Until then the era is unsettled: the
-// result of a full read is marked as copied, and what is known of the earlier era takes
+// result of a full read is marked as copied, and entries known from the earlier era take
 // precedence (config.Directory). Upstreams that the backup lacks stay listed for a while, as
 // after an outage (removal_hold.go). Once settleAfter has passed, the reader reads everything
 // again, and the platform's content applies.
@@ -25,7 +25,7 @@
 // eraTracker follows the eras of the platform for the host that reads it. All times are
 // since the process started.
 type eraTracker struct {
-	// era is that of the last read; 0 for none.
+	// era is the era of the last read; 0 before the first read.
 	era uint64
 	// settleAt is when to read the platform again to settle the era; 0 if that is not needed.
 	settleAt time.Duration
@@ -43,7 +43,8 @@
 // failed records that a read failed, so that it does not settle the era.
 func (e *eraTracker) failed() { e.settling = false }
 
-// wait returns how long a read may wait, at most limit, so that the era is settled in time.
+// wait returns how long a read may wait for a change: limit, or less if the era must be settled
+// before that.
 func (e *eraTracker) wait(now, limit time.Duration) time.Duration {
 	if e.settleAt == 0 {
 		return limit
@@ -51,7 +52,7 @@
 	return min(limit, max(e.settleAt-now, 0))
 }
 
-// observe records the era of what was read, and marks what may come from the backup with which
+// observe records the era of a read, and marks content that may come from the backup with which
 // the era began. It reports whether the platform was restored since the last known era. It runs
 // on the control thread.
 func (e *eraTracker) observe(k *kernel.Kernel, s *kernel.State, p *kernel.Published, now time.Duration) (restored bool) {
@@ -78,16 +79,16 @@
 	return restored
 }
 
-// backdateDocument assigns a document of a full read to the previous era if it has no
-// version: it may come from the backup.
+// backdateDocument assigns a document without a version to the previous era, since a full read
+// may return the document of the backup.
 func backdateDocument(p *kernel.Published) {
 	if p.Document != nil && p.Edition.Version == 0 && p.Edition.Era > 1 {
 		p.Edition.Era--
 	}
 }
 
-// logRestored logs that the platform was restored, with the position and the age of what is
-// known of the earlier era.
+// logRestored logs that the platform was restored, with the known position in the earlier era
+// and the time since the last known read.
 func logRestored(k *kernel.Kernel, s *kernel.State, at config.Position) {
 	known := s.Directory.Position()
 	metrics.GetOrCreateCounter("loomgap_platform_returns_total").Inc()
--- a/tier/peers/suspicion.go
+++ b/tier/peers/suspicion.go
@@ -85,7 +85,7 @@
 // suspicion is what heartbeats report of a member that did not answer.
 type suspicion struct {
 	Host string
-	// Incarnation is that of the process that did not answer.
+	// Incarnation is the incarnation of the process that did not answer.
 	Incarnation string
 	// Age is the time since the unanswered heartbeat was sent.
 	Age time.Duration
@@ -157,7 +157,7 @@
 	return out
 }
 
-// hasRecentSuspicions reports whether suspicions or refutations are to be spread to other halls.
+// hasRecentSuspicions reports whether suspicions or refutations must be spread to other halls.
 func (t *memberTable) hasRecentSuspicions(now time.Duration) bool {
 	if t.refutedAt > 0 && now-t.refutedAt <= refutationSpreadIntervals*t.Interval {
 		return true
--- a/tier/peers/watch.go
+++ b/tier/peers/watch.go
@@ -18,16 +18,17 @@
 const (
 	// readTimeout is how long an answer may take in addition to WatchWait.
 	readTimeout = 2 * time.Second
-	// readInterval is the time between two checks of a host that does not watch, and the pause
-	// after an unchanged live list. After a failed read the pause is up to twice as long.
+	// readInterval is the interval at which a host that does not watch checks whether it should,
+	// and the pause after an unchanged live list. After a failed read the pause is up to twice as
+	// long.
 	readInterval = 500 * time.Millisecond
 	// watchersPerHall is how many hosts of a hall watch the platform.
 	watchersPerHall = 2
 	// maxExtraWatchers limits the additional hosts of a hall that watch while the platform
 	// does not answer the others.
 	maxExtraWatchers = 2
-	// extraWatcherInterval, added to WatchWait, is the time without a read by any host of the
-	// hall after which one more host watches.
+	// extraWatcherInterval is how long, in addition to WatchWait, no host of the hall must have
+	// read the platform before one more host watches.
 	extraWatcherInterval = 5 * time.Second
 	// defaultWatchWait is how long a read waits for a change if the settings give none.
 	defaultWatchWait = 10 * time.Second
@@ -36,7 +37,7 @@
 	replySizeFactor = 2
 )
 
-// watchPlugin reads the platform by loomgap's own protocol.
+// watchPlugin reads the document and the live list from the platform over loomgap's protocol.
 type watchPlugin struct{}
 
 var _ kernel.Plugin = watchPlugin{}
@@ -66,14 +67,14 @@
 	}, nil
 }
 
-// watcher reads the document and the live list, each in a loop of its own.
+// watcher reads the document and the live list in two separate loops.
 type watcher struct {
 	kernel *kernel.Kernel
 	client *http.Client
 	// listed is the last listed state of each upstream; used on the control thread.
 	listed map[string]wire.LiveState
-	// document and live are where the next reads of the document and of the live list
-	// continue; each is used by one loop only.
+	// document and live are the positions of the last reads of the document and of the live
+	// list; each is used by one loop only.
 	document, live config.Position
 }
 
@@ -104,8 +105,8 @@
 }
 
 // isWatcher reports whether this host watches the platform now, and updates State.Reading,
-// which /status shows as Watching. It depends on the live hosts of the hall and on when any of
-// them last read the platform.
+// which /status shows as Watching. The result depends on the live hosts of the hall and on when
+// any of them last read the platform.
 func (w *watcher) isWatcher(atStart bool) bool {
 	v := w.kernel.View()
 	if v.Index == nil {
@@ -206,7 +207,7 @@
 	w.live = at
 	w.kernel.Do(func(s *kernel.State) {
 		if restored {
-			// After a restore, the list may call an upstream live that has begun to leave since.
+			// The restored list may show an upstream as live that began to leave after the backup.
 			clear(w.listed)
 		}
 		w.applyLiveList(s, l.Entries)
@@ -214,8 +215,8 @@
 	return nil
 }
 
-// applyLiveList applies the live list. Only a change from leaving to live means that an
-// upstream is back: the list lags, and may still call an upstream live that has begun to leave.
+// applyLiveList applies the live list. The list may lag and still show a leaving upstream as
+// live, so only a change from leaving to live in the list means that an upstream is back.
 func (w *watcher) applyLiveList(s *kernel.State, entries []wire.LiveEntry) {
 	now := w.kernel.Now()
 	for _, e := range entries {
--- a/tier/policy/doc.go
+++ b/tier/policy/doc.go
@@ -3,7 +3,7 @@
 // and when they may be retried, and when the answer is returned.
 //
 // The package is pure: it takes events with the current time and returns actions. It has
-// no goroutine, clock, random source or socket of its own, so tests can replay any race
+// no goroutine, clock, random source or socket, so tests can replay any race
 // deterministically. Times are durations since the process started, on a monotonic clock.
 //
 // A process creates one Fleet with NewFleet, sets its upstreams with Fleet.Apply and
@@ -20,8 +20,8 @@
 //
 // # Dependencies
 //
-// Package config provides classes, routes and listings, and package query the reasons why
-// a part is missing. The caller provides a monotonic time and a random source.
+// Package config provides classes, routes and listings. Package query defines the reasons
+// why a part is missing. The caller provides a monotonic time and a random source.
 //
 // # Concurrency
 //
--- a/tier/policy/part.go
+++ b/tier/policy/part.go
@@ -15,12 +15,12 @@
 	reason query.Reason
 	closed bool
 	// deferred is true while the part waits for the answer to an isolated call. retryDue is
-	// true if its next attempt counts as a retry, since a call of it was cancelled.
+	// true if the next attempt counts as a retry, because a call of the part was cancelled.
 	deferred, retryDue bool
 	// tries counts the attempts, including queued ones.
 	tries int
-	// sends counts the attempts sent, arrivals those that may have reached an upstream, and
-	// ran those that may have run there.
+	// sends counts the attempts that were sent, arrivals the attempts that may have reached an
+	// upstream, and ran the attempts that an upstream may have run.
 	sends, arrivals, ran int
 	// hedged is true once a second replica was called. There is no third call.
 	hedged bool
@@ -59,7 +59,8 @@
 	isolated bool
 }
 
-// recordOutcome corrects the counts of arrivals and of calls that may have run.
+// recordOutcome removes a call from the counts arrivals and ran if its outcome shows that it did
+// not reach the upstream or did not run.
 func (p *part) recordOutcome(o CallOutcome) {
 	if o.NotRun() {
 		p.ran--
@@ -74,8 +75,8 @@
 	return slices.ContainsFunc(p.active, func(n int) bool { return r.attempts[n].phase == phaseSent })
 }
 
-// removeFirst removes the first occurrence of an item. tried contains an upstream twice if
-// the upstream also gets the hedge of its own call.
+// removeFirst removes only the first occurrence of an item: part.tried contains an upstream
+// twice if the upstream gets both a call and its hedge.
 func removeFirst[T comparable](items []T, item T) []T {
 	if i := slices.Index(items, item); i >= 0 {
 		return slices.Delete(items, i, i+1)
--- a/tier/policy/suspicion.go
+++ b/tier/policy/suspicion.go
@@ -31,8 +31,8 @@
 	deferred int
 }
 
-// open reports whether the request may still turn out to crash upstreams: it has a
-// fingerprint, and no upstream has answered it.
+// open reports whether the request can be suspected: it has a fingerprint, and no upstream has
+// answered it.
 func (s *suspicion) open() bool { return s.identity.Fingerprint != "" && !s.cleared }
 
 func (s *suspicion) countCrash(u *Upstream) {
@@ -56,9 +56,9 @@
 	r.fleet.quarantine.clear(r.suspicion.identity)
 }
 
-// recordCrash records that an upstream crashed while it may have run the request. It
-// reports whether the run must end. This is the case after an isolated attempt, since no
-// other call of the request was in progress.
+// recordCrash records that an upstream crashed while it may have run the request, and reports
+// whether the run must end. A run must end after a crash in an isolated attempt, since no other
+// call of the request was in progress.
 func (r *Run) recordCrash(now time.Duration, a *attempt) bool {
 	s := &r.suspicion
 	s.countCrash(a.upstream)
@@ -72,8 +72,8 @@
 }
 
 // recordLateCrash records that an upstream crashed during a call that was no longer needed.
-// If too few shards are left, a run may end before any of its upstreams crashes, and the
-// crashes would otherwise go unnoticed.
+// A run that can no longer reach the required coverage may end before any of its upstreams
+// crashes, and the crashes would otherwise go unnoticed.
 func (r *Run) recordLateCrash(now time.Duration, a *attempt) {
 	s := &r.suspicion
 	if !s.open() {
@@ -87,8 +87,8 @@
 	}
 }
 
-// reportAtEnd reports a crash when the run ends, if a crash is the only evidence about the
-// request and no call in progress can add to it.
+// reportAtEnd reports a crash when the run ends, if an upstream crashed, none has answered, no
+// crash was reported and no call is in progress.
 func (r *Run) reportAtEnd(now time.Duration) {
 	s := &r.suspicion
 	if s.open() && s.runID == 0 && s.crashes > 0 && !r.hasCalls() {
--- a/tier/runner/crash_test.go
+++ b/tier/runner/crash_test.go
@@ -11,8 +11,8 @@
 	"loomgap/tier/policy"
 )
 
-// TestDetectCrash distinguishes a crashed upstream from one that accepts connections. Calls
-// that were cancelled keep their outcome.
+// TestDetectCrash checks that a crashed upstream is distinguished from one that accepts
+// connections, and that cancelled calls keep their outcome.
 func TestDetectCrash(t *testing.T) {
 	accepting, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/tier/runner/runner.go
+++ b/tier/runner/runner.go
@@ -17,7 +17,7 @@
 	Run policy.RunConfig
 }
 
-// execution is the execution of one run.
+// execution holds the state of the execution of one run.
 type execution[R any] struct {
 	kernel *kernel.Kernel
 	caller Caller[R]
@@ -50,11 +50,11 @@
 // other time.
 const timerUnset = time.Duration(1<<63 - 1)
 
-// Run executes a run and waits until it has finished, which was at decidedAt. For a refused
-// request, the error is a *policy.Refusal. The run is aborted when callerGone is closed,
-// which means that the caller has disconnected. Run uses only the values of ctx: only the
-// run itself cancels calls, so that every call is accounted for even after the caller has
-// disconnected.
+// Run executes a run, waits until it has finished, and returns the time of that as decidedAt.
+// For a refused request, the error is a *policy.Refusal. The run is aborted when callerGone is
+// closed, which means that the caller has disconnected. Run ignores the cancellation of ctx:
+// only the run itself cancels calls, so that every call is accounted for even after the caller
+// has disconnected.
 func Run[R any](ctx context.Context, c Config[R], callerGone <-chan struct{}) (r policy.Result, decidedAt time.Duration, err error) {
 	e := &execution[R]{
 		kernel: c.Kernel, caller: c.Caller, deadline: c.Run.Deadline, ctx: context.WithoutCancel(ctx),
@@ -125,7 +125,7 @@
 }
 
 // perform performs actions; e.mu must be held. It returns the waiters that were granted a
-// slot, for policy.NotifyGranted after unlocking.
+// slot; the caller must pass them to policy.NotifyGranted after unlocking.
 func (e *execution[R]) perform(actions []policy.Action) []*policy.Waiter {
 	var (
 		granted []*policy.Waiter
@@ -155,7 +155,7 @@
 }
 
 // startCalls starts calls; e.mu must be held. It returns the waiters that were granted a
-// slot, for policy.NotifyGranted after unlocking.
+// slot; the caller must pass them to policy.NotifyGranted after unlocking.
 func (e *execution[R]) startCalls(sends []policy.Action) (granted []*policy.Waiter) {
 	var batches []Batch
 	if e.batcher != nil && len(sends) > 0 {
--- a/tier/wire/trace.go
+++ b/tier/wire/trace.go
@@ -8,7 +8,8 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// traceParentHeader is the W3C Trace Context header of the trace and its parent span.
+// traceParentHeader is the W3C Trace Context header that carries the IDs of the trace and of the
+// parent span.
 const traceParentHeader = "traceparent"
 
 var propagator propagation.TraceContext
