--- a/loomfake/document.go
+++ b/loomfake/document.go
@@ -34,8 +34,8 @@
 const (
 	// replicas is the number of replicas of each shard.
 	replicas = 2
-	// upstreamConnections is the connection limit of each upstream, as for the users'
-	// larger upstreams.
+	// upstreamConnections is the connection limit of each upstream, similar to that of large
+	// upstreams.
 	upstreamConnections = 100
 	// portsPerHost leaves room for the other ports of a host between two peer ports.
 	portsPerHost = 10
--- a/loomfake/soakcheck.go
+++ b/loomfake/soakcheck.go
@@ -12,8 +12,8 @@
 	"loomgap/platform"
 )
 
-// Limits of the checks. The times include slack for a busy machine, which callers and
-// daemons share.
+// Limits of the checks. The times include slack, because callers and daemons share a busy
+// machine.
 const (
 	// soakApplyTimeout is how long hosts without faults may take to apply a change.
 	soakApplyTimeout = 5 * time.Second
@@ -108,7 +108,8 @@
 	return slices.ContainsFunc(h.stopTimes, during) && !slices.ContainsFunc(h.faultTimes, during)
 }
 
-// upstreamByStamp returns the upstream that stamped a request, or nil.
+// upstreamByStamp returns the upstream that ran a request and answered it with the given
+// stamp; nil if there is none.
 func (c *checker) upstreamByStamp(stamp, id string) *soakUpstream {
 	for _, u := range c.runs[id] {
 		if u.Stamp(id) == stamp {
--- a/loomfake/soaksetup.go
+++ b/loomfake/soaksetup.go
@@ -76,7 +76,8 @@
 	return netip.MustParseAddrPort(l.Addr().String()), nil
 }
 
-// addLink starts a link and returns it with the address that it listens on.
+// addLink starts a link, which forwards connections to an address and injects faults, and
+// returns it with the address that it listens on.
 func (s *soak) addLink(to netip.AddrPort) (*link, netip.AddrPort, error) {
 	l, err := listenLoopback(netip.MustParseAddrPort("127.0.0.1:0"))
 	if err != nil {
--- a/loomfake/upstream.go
+++ b/loomfake/upstream.go
@@ -20,13 +20,12 @@
 
 // Settings that all upstreams share.
 const (
-	// backlog, added to the number of slots, is the number of calls that may wait for a
-	// slot before an upstream sheds load.
+	// backlog is the number of calls that may wait for a slot, in addition to one call per
+	// slot. An upstream sheds further calls.
 	backlog = 4
 	// defaultServiceTime is the median service time until POST /Fake sets another.
 	defaultServiceTime = 2 * time.Millisecond
-	// connSetupDelay is the delay of a new connection, similar to that of the users'
-	// larger upstreams.
+	// connSetupDelay is the delay of a new connection, similar to that of large upstreams.
 	connSetupDelay = time.Millisecond
 )
 
--- a/tier/entry/ask.go
+++ b/tier/entry/ask.go
@@ -79,7 +79,7 @@
 }
 
 // attemptsPerPlan separates the attempt numbers of a request's plans: plan n numbers its
-// attempts from n*attemptsPerPlan. It is far above the number of attempts of one plan.
+// attempts from n*attemptsPerPlan. One plan makes far fewer attempts than this.
 const attemptsPerPlan = 1 << 20
 
 // gather asks the shards of a question once and merges their parts.
--- a/tier/entry/successor.go
+++ b/tier/entry/successor.go
@@ -19,7 +19,7 @@
 const (
 	// ticketsPerMessage limits the tickets in one message.
 	ticketsPerMessage = 500
-	// maxAdopted limits the processes whose tickets a host keeps.
+	// maxAdopted limits the processes whose adopted tickets a host keeps.
 	maxAdopted = 64
 	// maxSuccessorsAsked limits the hosts that are asked for a ticket whose process has
 	// stopped: the successor, and the next one in case the hosts' views differ.
@@ -28,7 +28,7 @@
 	adoptTimeout = 2 * time.Second
 )
 
-// errNotSuccessor is returned by a host that has not adopted a ticket.
+// errNotSuccessor is returned for an order whose ticket is not held by this host.
 var errNotSuccessor = errors.New("ticket not held here")
 
 // handedTicket is a ticket that one host hands over to another.
@@ -106,9 +106,9 @@
 	return nil
 }
 
-// getOrCreate returns the store of a process and creates it if needed. If there are too many,
-// it drops the store adopted first; orders with its tickets are answered Unknown from then
-// on.
+// getOrCreate returns the store of a process and creates it if needed. If that exceeds
+// maxAdopted, it drops the store adopted first; orders with tickets of that store then have
+// the outcome Unknown.
 func (a *adoptedTickets) getOrCreate(host, incarnation string, life time.Duration) *ticketStore {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -145,7 +145,7 @@
 }
 
 // handOver hands this host's tickets and those it adopted to other hosts. Each ticket is sent
-// only once; if a message is lost, orders with its tickets are answered Unknown.
+// only once; if a message is lost, orders with the tickets in it have the outcome Unknown.
 func (e *engine) handOver() {
 	for _, t := range append(e.adopted.list(), e.tickets) {
 		process := processID(t.Host, t.Incarnation)
@@ -154,8 +154,8 @@
 		if len(handed) == 0 || len(ranked) == 0 {
 			continue
 		}
-		for part := range slices.Chunk(handed, ticketsPerMessage) {
-			e.sendTickets(ranked[0], &adoptRequest{Host: t.Host, Incarnation: t.Incarnation, Next: t.next, Tickets: part})
+		for chunk := range slices.Chunk(handed, ticketsPerMessage) {
+			e.sendTickets(ranked[0], &adoptRequest{Host: t.Host, Incarnation: t.Incarnation, Next: t.next, Tickets: chunk})
 		}
 	}
 }
--- a/tier/entry/ticket.go
+++ b/tier/entry/ticket.go
@@ -22,7 +22,8 @@
 )
 
 // ticket identifies one order. Only the process that holds the ticket may run the order, so
-// hosts need no consensus, and neither a pause nor a network partition can make it run twice.
+// hosts need no consensus, and neither a paused process nor a network partition can make it
+// run twice.
 type ticket struct {
 	Host        string
 	Incarnation string
@@ -55,7 +56,7 @@
 	claimWait claimKind = "Wait"
 	// claimDone means that the order has a final answer.
 	claimDone claimKind = "Done"
-	// claimExpired means that the ticket has expired, so that the order may have run.
+	// claimExpired means that the ticket has expired. It is unknown whether the order ran.
 	claimExpired claimKind = "Forgotten"
 	// claimNotMinted means that the ticket was never minted.
 	claimNotMinted claimKind = "Never"
--- a/tier/query/apply.go
+++ b/tier/query/apply.go
@@ -104,7 +104,8 @@
 	return a, nil
 }
 
-// declareShard also increments the map revision, because the shards change.
+// declareShard adds or replaces a shard of a service and increments the map revision of the
+// service.
 func declareShard(d *config.Document, c *DeclareShard, p lexer.Position) error {
 	s, err := findService(d, c.Service, p)
 	if err != nil {
@@ -187,7 +188,7 @@
 	return s
 }
 
-// assign changes settings; what is the kind of element that has them, for error messages.
+// assign changes settings. The argument what names the kind of element in error messages.
 func (s settings) assign(what string, assignments []*Assignment, p lexer.Position) error {
 	for _, a := range assignments {
 		var err error
--- a/tier/query/cover.go
+++ b/tier/query/cover.go
@@ -26,13 +26,14 @@
 	ReasonMoved Reason = "Moved"
 	// ReasonMalformed means that a reply was malformed or did not belong to the call.
 	ReasonMalformed Reason = "Garbage"
-	// ReasonEvacuated means that the remaining upstreams are in evacuated data halls.
+	// ReasonEvacuated means that no upstream may be called, and some because their data
+	// halls are evacuated.
 	ReasonEvacuated Reason = "Evacuated"
-	// ReasonOutsideHomes means that the remaining upstreams are outside the home regions
-	// of the route.
+	// ReasonOutsideHomes means that no upstream may be called, and some because they are
+	// outside the home regions of the route.
 	ReasonOutsideHomes Reason = "Away"
-	// ReasonCold means that the remaining upstreams are still warming up and have no
-	// capacity for another call.
+	// ReasonCold means that some upstreams are still warming up and have no capacity for
+	// another call.
 	ReasonCold Reason = "Cold"
 	// ReasonSuspected means that the request is suspected of crashing upstreams, and the
 	// only upstream that was asked did not answer.
@@ -56,7 +57,7 @@
 // Coverage says which of the requested key ranges an answer includes. Included and
 // Missing together are exactly the requested ranges.
 type Coverage struct {
-	// Asked is the number of shards.
+	// Asked is the number of shards that the request concerns.
 	Asked int
 	// Included is sorted by key; adjacent ranges are joined.
 	Included []Range
