--- a/loomctl/plan.go
+++ b/loomctl/plan.go
@@ -82,7 +82,7 @@
 		return err
 	}
 	if len(after) > config.MaxBytes {
-		return fmt.Errorf("document has %d bytes, the limit is %d", len(after), config.MaxBytes)
+		return fmt.Errorf("document has %d bytes (keep it within %d)", len(after), config.MaxBytes)
 	}
 	fmt.Fprint(os.Stderr, lineDiff(string(before), string(after)))
 	return c.write(after)
